--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     /// Who owns what. Never waits; later ones wait the longer.
-    Seats,
+    Shards,
     /// Cancellations, which somebody waits for. Never wait.
     Answer,
     /// Final states: their users ask until they are told.
@@ -33,7 +33,7 @@
 }
 
 pub const CLASSES: [Class; 7] = [
-    Class::Seats,
+    Class::Shards,
     Class::Answer,
     Class::Final,
     Class::Decision,
@@ -135,10 +135,10 @@
         self.limit * self.share
     }
 
-    /// Whoever owns more seats writes more of what is written.
-    pub fn own(&mut self, seats: usize, of: usize) {
+    /// Whoever owns more shards writes more of what is written.
+    pub fn own(&mut self, shards: usize, of: usize) {
         let before = self.fair();
-        self.share = seats.max(1) as f64 / of.max(1) as f64;
+        self.share = shards.max(1) as f64 / of.max(1) as f64;
         self.rate *= self.fair() / before.max(f64::MIN_POSITIVE);
         self.rate = self.rate.min(self.limit * USED);
     }
@@ -191,7 +191,7 @@
         let i = class as usize;
         let own = self.own[i].max(0.0);
         let common = match class {
-            Class::Seats | Class::Answer => return usize::MAX,
+            Class::Shards | Class::Answer => return usize::MAX,
             // Others may use less than their share: (found by a full score) to go by the own share
             // alone refused one submission in eight to a service that had room.
             Class::Acceptance if !self.tight() && self.at >= self.behind_until => {
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn who_owns_all_seats_has_all_of_the_limit() {
+fn who_owns_all_shards_has_all_of_the_limit() {
     let mut b = Budget::new(120.0, 3, 0);
     let third = b.rate();
     b.own(3, 3);
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -3,12 +3,12 @@
 use crate::bits::CHUNK;
 use crate::budget::Class;
 use crate::ctx::{Ctx, OpKind};
-use crate::ids::{JobId, Now, Seat};
+use crate::ids::{JobId, Now, Shard};
 use crate::io::{ReqId, StoreResult};
 use crate::jobs::{job_state, DoneOn};
 use crate::keys;
 use crate::writes::Outcome;
-use leaddeal_wire::mesh::{AttemptRef, SeatMsg};
+use leaddeal_wire::mesh::{AttemptRef, ShardMsg};
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{JobState, Status};
 use serde_json::Value;
@@ -36,16 +36,16 @@
         };
         let mut v = vec![
             Change::Put {
-                key: keys::final_key(self.seat, id),
+                key: keys::final_key(self.shard, id),
                 value: keys::final_value(status, j.done.len()),
                 lease: None,
             },
-            Change::Delete { key: keys::job_key(self.seat, id) },
+            Change::Delete { key: keys::job_key(self.shard, id) },
         ];
         // Most jobs are over before anything of them was folded: nothing is there to be deleted.
         if !j.stored.is_empty() {
             for c in 0..j.wire.tasks.div_ceil(CHUNK) {
-                v.push(Change::Delete { key: keys::run_key(self.seat, id, c) });
+                v.push(Change::Delete { key: keys::run_key(self.shard, id, c) });
             }
         }
         v
@@ -60,7 +60,7 @@
             let begun = self.jobs.get_mut(&id).and_then(|j| j.final_write.take());
             let mut write = begun.unwrap_or_else(|| {
                 let write = self.write(Class::Answer, self.final_changes(id, Status::Cancelled));
-                write.creating(keys::final_key(self.seat, id), 0)
+                write.creating(keys::final_key(self.shard, id), 0)
             });
             let call = write.call(ctx.now, ctx.budget);
             match self.jobs.get_mut(&id) {
@@ -71,14 +71,14 @@
                 }
             }
             if let Some(call) = call {
-                ctx.horizons.cancelled(self.seat, self.epoch, id, ctx.now);
-                let kind = OpKind::Finish { seat: self.seat, epoch: self.epoch, job: id };
+                ctx.horizons.cancelled(self.shard, self.epoch, id, ctx.now);
+                let kind = OpKind::Finish { shard: self.shard, epoch: self.epoch, job: id };
                 ctx.store(kind, call);
             }
         }
     }
 
-    /// Outcome of writing a cancellation. False: the seat is lost.
+    /// Outcome of writing a cancellation. False: the shard is lost.
     pub fn finished(&mut self, ctx: &mut Ctx, id: JobId, result: &StoreResult) -> bool {
         let write = self.jobs.get_mut(&id).and_then(|j| j.final_write.as_mut());
         let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else {
@@ -128,17 +128,17 @@
     }
 
     pub(super) fn acknowledge(&mut self, ctx: &mut Ctx, id: JobId, acks: Vec<DoneOn>) {
-        let mut by_seat: BTreeMap<Seat, Vec<AttemptRef>> = BTreeMap::new();
+        let mut by_shard: BTreeMap<Shard, Vec<AttemptRef>> = BTreeMap::new();
         for (task, attempt, m, round) in acks {
             self.rounds.one_less(round);
             let machine = ctx.names.machine_name(m).to_string();
-            let seat = ctx.seat_of_machine(&machine);
+            let shard = ctx.shard_of_machine(&machine);
             let what = AttemptRef { job: id.0, task, attempt: attempt.0, machine, session: None };
-            by_seat.entry(seat).or_default().push(what);
+            by_shard.entry(shard).or_default().push(what);
         }
-        for (seat, all) in by_seat {
+        for (shard, all) in by_shard {
             for c in all.chunks(200) {
-                ctx.send(self.seat, seat, SeatMsg::Forget { what: c.to_vec() });
+                ctx.send(self.shard, shard, ShardMsg::Forget { what: c.to_vec() });
             }
         }
     }
@@ -183,10 +183,10 @@
         // record made anew that was deleted. (Found by the simulator's check of each write: folds
         // without an answer were given up for newer ones, and a late copy undid those.)
         if let Some((id, _)) = fold.finals.first() {
-            write = write.creating(keys::final_key(self.seat, *id), 0);
+            write = write.creating(keys::final_key(self.shard, *id), 0);
         } else if let Some((id, chunk)) = fold.first_chunk() {
             let version = self.jobs.get(&id).and_then(|j| j.stored.get(&chunk).copied());
-            write = write.creating(keys::run_key(self.seat, id, chunk), version.unwrap_or(0));
+            write = write.creating(keys::run_key(self.shard, id, chunk), version.unwrap_or(0));
         }
         fold.write = Some(write);
         self.fold = Some(fold);
@@ -197,7 +197,7 @@
     fn write_fold(&mut self, ctx: &mut Ctx) {
         let write = self.fold.as_mut().and_then(|f| f.write.as_mut());
         if let Some(call) = write.and_then(|w| w.call(ctx.now, ctx.budget)) {
-            ctx.store(OpKind::Fold { seat: self.seat, epoch: self.epoch }, call);
+            ctx.store(OpKind::Fold { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
@@ -261,7 +261,7 @@
                 j.stored.entry(c).or_insert(0);
                 let text = j.done.encode_chunk(c);
                 bytes += text.len();
-                let key = keys::run_key(self.seat, j.id, c);
+                let key = keys::run_key(self.shard, j.id, c);
                 changes.push(Change::Put { key, value: Value::String(text), lease: None });
             }
             fold.chunks.push((id, chunks));
@@ -269,7 +269,7 @@
         }
     }
 
-    /// False: the seat is lost.
+    /// False: the shard is lost.
     pub fn folded(&mut self, ctx: &mut Ctx, result: &StoreResult) -> bool {
         let write = self.fold.as_mut().and_then(|f| f.write.as_mut());
         let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else { return true };
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -1,14 +1,14 @@
-//! Limits of teams: what is used and wanted is told to the teams' seats.
+//! Limits of teams: what is used and wanted is told to the teams' shards.
 use super::Coordinator;
 use crate::ctx::Ctx;
-use crate::teams::{self};
-use leaddeal_wire::mesh::{SeatMsg, TeamUse};
+use crate::quota;
+use leaddeal_wire::mesh::{ShardMsg, TeamUse};
 use std::collections::BTreeMap;
 
 impl Coordinator {
     /// What the tasks that are or may be on machines take of the teams' limits.
     pub(super) fn team_usage(&self, ctx: &Ctx) -> BTreeMap<u8, (u64, u64)> {
-        if ctx.cfg.teams.iter().all(|t| teams::limit(t).is_none()) {
+        if ctx.cfg.teams.iter().all(|t| quota::limit(t).is_none()) {
             return BTreeMap::new();
         }
         let mut m: BTreeMap<u8, (u64, u64)> = BTreeMap::new();
@@ -20,7 +20,7 @@
         m
     }
 
-    /// Tells the teams' seats what is used and wanted.
+    /// Tells the teams' shards what is used and wanted.
     pub fn report_teams(&mut self, ctx: &mut Ctx) {
         // While a decision is being written it is neither used nor free.
         if !self.ready() || self.writing.is_some() || ctx.now < self.team_at {
@@ -28,7 +28,7 @@
         }
         let mut m: BTreeMap<u8, TeamUse> = BTreeMap::new();
         for (i, t) in ctx.cfg.teams.iter().enumerate() {
-            if teams::limit(t).is_some() {
+            if quota::limit(t).is_some() {
                 let team = i as u8;
                 m.insert(team, TeamUse { team, cpu: 0, gpu: 0, more_cpu: 0, more_gpu: 0 });
             }
@@ -53,9 +53,9 @@
         self.team_serial += 1;
         self.grants.clear();
         let usage: Vec<TeamUse> = m.into_values().collect();
-        for s in ctx.seats() {
-            let msg = SeatMsg::TeamUsage { serial: self.team_serial, usage: usage.clone() };
-            ctx.send(self.seat, s, msg);
+        for s in ctx.shards() {
+            let msg = ShardMsg::TeamUsage { serial: self.team_serial, usage: usage.clone() };
+            ctx.send(self.shard, s, msg);
         }
     }
 }
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -1,4 +1,4 @@
-//! Loading a seat: decisions, jobs, done tasks, in this order.
+//! Loading a shard: decisions, jobs, done tasks, in this order.
 use super::{Coordinator, Load};
 use crate::ctx::{Ctx, OpKind};
 use crate::ids::{Attempt, JobId, ZoneIdx};
@@ -24,7 +24,7 @@
     /// Reads on: the next page, or what comes.
     pub(super) fn read_on(&mut self, ctx: &mut Ctx) {
         if let Some(call) = self.feed.call(ctx.now) {
-            ctx.store(OpKind::Records { seat: self.seat, epoch: self.epoch }, call);
+            ctx.store(OpKind::Records { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
@@ -56,12 +56,12 @@
         match self.load {
             Load::Decisions => {
                 self.load = Load::Jobs;
-                self.feed = Feed::all(keys::job_prefix(self.seat), JOBS_WAIT_MS);
+                self.feed = Feed::all(keys::job_prefix(self.shard), JOBS_WAIT_MS);
             }
             Load::Jobs => {
                 self.load = Load::Runs;
                 self.loaded_from = self.feed.revision();
-                let runs = Feed::pages(keys::run_prefix(self.seat));
+                let runs = Feed::pages(keys::run_prefix(self.shard));
                 self.jobs_feed = Some(std::mem::replace(&mut self.feed, runs));
             }
             Load::Runs => {
@@ -82,10 +82,10 @@
                 }
                 // Their final states are written already: an owner before may have told nobody else.
                 for j in self.jobs.values().filter(|j| j.wire.class.is_empty()) {
-                    ctx.horizons.cancelled(self.seat, self.epoch, j.id, ctx.now);
+                    ctx.horizons.cancelled(self.shard, self.epoch, j.id, ctx.now);
                 }
                 ctx.wake = true;
-                let (s, n) = (self.seat.0, self.jobs.len());
+                let (s, n) = (self.shard.0, self.jobs.len());
                 ctx.out.log(1, "seat_loaded", || format!("seat={s} jobs={n}"));
             }
             Load::Ready => {}
@@ -150,7 +150,7 @@
                     continue;
                 };
                 let (id, task) = (JobId(job), task as u32);
-                let part = ctx.seat_of_machine(machine);
+                let participant = ctx.shard_of_machine(machine);
                 let machine = ctx.names.machine(machine);
                 let j = self.jobs.entry(id).or_insert_with(|| Job::leftover(id, ctx.names));
                 if j.done.get(task) || j.placed.get(task).is_some_and(|o| o.attempt > attempt) {
@@ -159,7 +159,7 @@
                 let new = Placement {
                     attempt,
                     machine,
-                    part,
+                    participant,
                     session,
                     zone: ZoneIdx(zone as u8),
                     phase: Phase::Decided,
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -1,13 +1,13 @@
-//! A seat's jobs: asks for offers, writes the choice under the epoch, then says yes and no.
+//! A shard's jobs: asks for offers, writes the choice under the epoch, then says yes and no.
 use crate::budget::Class;
 use crate::ctx::Ctx;
-use crate::ids::{Attempt, Epoch, JobId, Negotiation, Now, Seat};
+use crate::ids::{Attempt, Epoch, JobId, Negotiation, Now, Shard};
 use crate::jobs::{DoneOn, Job};
 use crate::keys;
 use crate::records::{Feed, Record};
 use crate::writes::Write;
 use leaddeal_wire::mesh::{
-    AttemptRef, Lack, Offer, Phase, Pick, SeatMsg, Shape as WireShape, TaskEvent,
+    AttemptRef, Lack, Offer, Phase, Pick, Shape as WireShape, ShardMsg, TaskEvent,
 };
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{Kind, Priority, Status};
@@ -32,14 +32,14 @@
 const GPU_KINDS: usize = 16;
 /// Which are gathered this often.
 const GPU_WORK_MS: u64 = 500;
-/// The buyer is told of so many jobs without a place, the most important ones.
+/// The provisioner is told of so many jobs without a place, the most important ones.
 const LACKS: usize = 60;
 const RESEND_MS: u64 = 2000;
 
 /// Processors, GPUs and memory of a task, and its priority.
 type GpuWork = (u64, u64, u64, Priority);
 
-/// What a part is told yes to, for a job: its shape and the picks.
+/// What a participant is told yes to, for a job: its shape and the picks.
 type Yes = (Arc<WireShape>, Vec<Pick>);
 
 #[derive(Debug)]
@@ -54,10 +54,10 @@
 struct Talk {
     id: Negotiation,
     items: Vec<(JobId, u32)>,
-    asked: Vec<Seat>,
-    waiting: BTreeSet<Seat>,
-    offers: Vec<(Seat, Offer)>,
-    /// Items for which a part is making room.
+    asked: Vec<Shard>,
+    waiting: BTreeSet<Shard>,
+    offers: Vec<(Shard, Offer)>,
+    /// Items for which a participant is making room.
     coming: BTreeSet<u16>,
     started: Now,
 }
@@ -66,7 +66,7 @@
 struct Choice {
     job: JobId,
     task: u32,
-    seat: Seat,
+    shard: Shard,
     offer: Offer,
 }
 
@@ -76,7 +76,7 @@
     round: u64,
     attempt: Attempt,
     choices: Vec<Choice>,
-    asked: Vec<Seat>,
+    asked: Vec<Shard>,
     negotiation: Negotiation,
     write: Write,
 }
@@ -98,7 +98,7 @@
 
 #[derive(Debug)]
 pub struct Coordinator {
-    pub seat: Seat,
+    pub shard: Shard,
     pub epoch: Epoch,
     load: Load,
     /// What is being read, or the jobs as they come.
@@ -134,23 +134,23 @@
     picked: (u64, u64),
     /// Revision of the list of jobs that was loaded.
     pub loaded_from: u64,
-    /// Told to hand the seat over: no new rounds.
+    /// Told to hand the shard over: no new rounds.
     pub leaving: bool,
-    part_epochs: Vec<Epoch>,
+    participant_epochs: Vec<Epoch>,
     next_resend: Now,
-    /// Grants by team, with the epoch of the team's seat.
+    /// Grants by team, with the epoch of the team's shard.
     grants: BTreeMap<u8, (Epoch, u64, u64)>,
     team_serial: u64,
     team_at: Now,
 }
 
 impl Coordinator {
-    pub fn new(seat: Seat, epoch: Epoch, seats: usize) -> Coordinator {
+    pub fn new(shard: Shard, epoch: Epoch, shards: usize) -> Coordinator {
         Coordinator {
-            seat,
+            shard,
             epoch,
             load: Load::Decisions,
-            feed: Feed::pages(keys::decision_prefix(seat)),
+            feed: Feed::pages(keys::decision_prefix(shard)),
             jobs_feed: None,
             decisions: Vec::new(),
             jobs: BTreeMap::new(),
@@ -173,7 +173,7 @@
             picked: (0, 0),
             loaded_from: 0,
             leaving: false,
-            part_epochs: vec![Epoch(0); seats],
+            participant_epochs: vec![Epoch(0); shards],
             next_resend: 0,
             grants: BTreeMap::new(),
             team_serial: 0,
@@ -192,9 +192,9 @@
             && self.jobs.values().all(|j| j.finishing.is_none())
     }
 
-    /// Changes of this seat, conditional on its epoch.
+    /// Changes of this shard, conditional on its epoch.
     fn write(&self, class: Class, changes: Vec<Change>) -> Write {
-        Write::new(class, self.seat, self.epoch, changes)
+        Write::new(class, self.shard, self.epoch, changes)
     }
 
     fn next_round_id(&mut self) -> u64 {
@@ -202,9 +202,9 @@
         self.round
     }
 
-    pub fn handle(&mut self, ctx: &mut Ctx, from: Seat, msg: SeatMsg) {
+    pub fn handle(&mut self, ctx: &mut Ctx, from: Shard, msg: ShardMsg) {
         match msg {
-            SeatMsg::Offers { negotiation, offers, coming } => {
+            ShardMsg::Offers { negotiation, offers, coming } => {
                 let current = self
                     .talk
                     .as_mut()
@@ -219,7 +219,7 @@
                 }
                 self.check_talk(ctx);
             }
-            SeatMsg::TeamGrant { serial, granted } if serial == self.team_serial => {
+            ShardMsg::TeamGrant { serial, granted } if serial == self.team_serial => {
                 if let Some(o) = ctx.owner(from) {
                     for g in granted {
                         self.grants.insert(g.team, (o.epoch, g.cpu, g.gpu));
@@ -227,8 +227,8 @@
                     ctx.wake = true;
                 }
             }
-            SeatMsg::AskDecision { negotiation } => self.answer_decision(ctx, from, negotiation),
-            SeatMsg::Room { priority } => {
+            ShardMsg::AskDecision { negotiation } => self.answer_decision(ctx, from, negotiation),
+            ShardMsg::Room { priority } => {
                 // Whose tasks all have their places asks for nothing.
                 for id in &self.pending {
                     let j = self.jobs.get_mut(id).filter(|j| j.wire.priority >= priority);
@@ -238,30 +238,30 @@
                 }
                 ctx.wake = true;
             }
-            SeatMsg::Events { events } if self.ready() => {
+            ShardMsg::Events { events } if self.ready() => {
                 let mut over = Vec::new();
                 for e in events {
                     over.extend(self.event(ctx, from, e));
                 }
                 // The participant keeps telling until it is told to forget.
                 if !over.is_empty() {
-                    ctx.send(self.seat, from, SeatMsg::Forget { what: over });
+                    ctx.send(self.shard, from, ShardMsg::Forget { what: over });
                 }
             }
             _ => {}
         }
     }
 
-    fn answer_decision(&mut self, ctx: &mut Ctx, from: Seat, negotiation: u64) {
+    fn answer_decision(&mut self, ctx: &mut Ctx, from: Shard, negotiation: u64) {
         let open = self.talk.as_ref().is_some_and(|t| t.id.0 == negotiation)
             || self.writing.as_ref().is_some_and(|w| w.negotiation.0 == negotiation);
         if !open {
-            ctx.send(self.seat, from, SeatMsg::Close { negotiation });
+            ctx.send(self.shard, from, ShardMsg::Close { negotiation });
         }
     }
 
     /// Returns the attempt if the participant may forget it.
-    fn event(&mut self, ctx: &mut Ctx, from: Seat, e: TaskEvent) -> Option<AttemptRef> {
+    fn event(&mut self, ctx: &mut Ctx, from: Shard, e: TaskEvent) -> Option<AttemptRef> {
         let now = ctx.now;
         let id = JobId(e.job);
         let what = AttemptRef {
@@ -288,7 +288,7 @@
             if over {
                 return (!unfolded).then_some(what);
             }
-            ctx.send(self.seat, from, SeatMsg::Stop { what, grace_s: 0.0 });
+            ctx.send(self.shard, from, ShardMsg::Stop { what, grace_s: 0.0 });
             return None;
         }
         let j = self.jobs.get_mut(&id)?;
@@ -363,15 +363,15 @@
         }
         self.next_resend = ctx.now + 500;
         let now = ctx.now;
-        let mut yes: BTreeMap<(Seat, JobId, bool), Yes> = BTreeMap::new();
+        let mut yes: BTreeMap<(Shard, JobId, bool), Yes> = BTreeMap::new();
         let mut stops = Vec::new();
         let mut fresh = Vec::new();
-        for s in ctx.seats() {
+        for s in ctx.shards() {
             let e = ctx.owner(s).map_or(Epoch(0), |o| o.epoch);
-            fresh.push(e != self.part_epochs[s.0 as usize]);
-            self.part_epochs[s.0 as usize] = e;
+            fresh.push(e != self.participant_epochs[s.0 as usize]);
+            self.participant_epochs[s.0 as usize] = e;
         }
-        // A new owner of a part knows nothing of what is on its machines. (All placements were
+        // A new owner of a participant knows nothing of what is on its machines. (All placements were
         // gone through twice a second.)
         if fresh.contains(&true) {
             self.unsettled
@@ -384,8 +384,8 @@
             let mut open = false;
             for (task, p) in j.placed.iter_mut() {
                 open |= p.stop.is_some() || p.phase == Phase::Decided || j.cancelled;
-                let seat = p.part;
-                let renew = fresh[seat.0 as usize];
+                let shard = p.participant;
+                let renew = fresh[shard.0 as usize];
                 let attempt = p.attempt.0;
                 if let Some((grace_s, sent)) = &mut p.stop {
                     if renew || now >= *sent + RESEND_MS {
@@ -398,7 +398,7 @@
                             machine,
                             session: Some(p.session),
                         };
-                        stops.push((seat, SeatMsg::Stop { what, grace_s: *grace_s }));
+                        stops.push((shard, ShardMsg::Stop { what, grace_s: *grace_s }));
                     }
                     continue;
                 }
@@ -409,7 +409,7 @@
                 if renew || (p.phase == Phase::Decided && now >= p.sent_at + RESEND_MS) {
                     p.sent_at = now;
                     let e = yes
-                        .entry((seat, id, p.adopted))
+                        .entry((shard, id, p.adopted))
                         .or_insert_with(|| (j.shape.wire.clone(), Vec::new()));
                     e.1.push(Pick {
                         task,
@@ -421,18 +421,18 @@
             }
             open
         });
-        for ((seat, job, adopt), (shape, picks)) in yes {
+        for ((shard, job, adopt), (shape, picks)) in yes {
             for c in picks.chunks(200) {
                 let picks = c.to_vec();
                 ctx.send(
-                    self.seat,
-                    seat,
-                    SeatMsg::Place { job: job.0, shape: shape.clone(), picks, adopt },
+                    self.shard,
+                    shard,
+                    ShardMsg::Place { job: job.0, shape: shape.clone(), picks, adopt },
                 );
             }
         }
-        for (seat, msg) in stops {
-            ctx.send(self.seat, seat, msg);
+        for (shard, msg) in stops {
+            ctx.send(self.shard, shard, msg);
         }
     }
 
@@ -451,7 +451,7 @@
         self.read_on(ctx);
     }
 
-    /// Work without a place, for the buyer.
+    /// Work without a place, for the provisioner.
     pub fn lacks(&self, ctx: &Ctx) -> Vec<Lack> {
         if !self.ready() {
             return Vec::new();
@@ -487,16 +487,16 @@
         let (live, spare) = self.rounds.count();
         let (picks, rounds) = std::mem::take(&mut self.picked);
         format!(
-            "seat={} jobs={} waiting={} untold={} oldest_untold_ms={oldest} unfolded={unfolded} \
+            "shard={} jobs={} waiting={} untold={} oldest_untold_ms={oldest} unfolded={unfolded} \
              decisions={live} spare={spare} rounds={rounds} picks={picks}",
-            self.seat.0,
+            self.shard.0,
             self.jobs.len(),
             self.pending.len(),
             self.over.len(),
         )
     }
 
-    /// The seat is lost: whoever waits for an answer has to ask again.
+    /// The shard is lost: whoever waits for an answer has to ask again.
     pub fn abandon(&mut self, ctx: &mut Ctx) {
         for j in self.jobs.values_mut() {
             for r in std::mem::take(&mut j.cancel_reqs) {
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,17 +1,17 @@
-//! A round: ask all parts for offers, write the choice under the epoch, then say yes and no.
+//! A round: ask all participants for offers, write the choice under the epoch, then say yes and no.
 use super::{
     Choice, Coordinator, GpuWork, Talk, Writing, Yes, GPU_KINDS, GPU_WORK_MS, ITEMS, OFFERS_MS,
 };
 use crate::budget::Class;
 use crate::ctx::{Ctx, OpKind};
-use crate::ids::{Attempt, JobId, Negotiation, Now, Seat, ZoneIdx};
+use crate::ids::{Attempt, JobId, Negotiation, Now, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::keys;
 use crate::names::Room;
 use crate::placed::Placement;
-use crate::teams::seat_of_team;
+use crate::quota::shard_of_team;
 use crate::writes::Outcome;
-use leaddeal_wire::mesh::{Offer, Phase, Pick, SeatMsg, Wanted};
+use leaddeal_wire::mesh::{Offer, Phase, Pick, ShardMsg, Wanted};
 use leaddeal_wire::state::{Change, Cond};
 use leaddeal_wire::user::{self, Kind};
 use serde_json::{json, Value};
@@ -106,18 +106,18 @@
         self.next_talk += 1;
         let id = Negotiation((self.epoch.0 << 24) | self.next_talk);
         let gpu_work = self.gpu_work(ctx.now);
-        // A seat known to be vacant is not waited for.
-        let asked: Vec<Seat> = ctx.seats().filter(|s| ctx.reachable(*s)).collect();
+        // A shard known to be vacant is not waited for.
+        let asked: Vec<Shard> = ctx.shards().filter(|s| ctx.reachable(*s)).collect();
         for &s in &asked {
-            // Room is made by one part at a time, so that three do not stop thrice as much.
+            // Room is made by one participant at a time, so that three do not stop thrice as much.
             let mut items = wanted.clone();
             for (w, turn) in items.iter_mut().zip(&turns) {
                 w.make_room =
-                    turn.is_some_and(|t| t as usize % ctx.seats().count() == s.0 as usize);
+                    turn.is_some_and(|t| t as usize % ctx.shards().count() == s.0 as usize);
             }
             let gpu_work = gpu_work.clone();
-            let msg = SeatMsg::Request { negotiation: id.0, items, gpu_work };
-            ctx.send(self.seat, s, msg);
+            let msg = ShardMsg::Request { negotiation: id.0, items, gpu_work };
+            ctx.send(self.shard, s, msg);
         }
         self.talk = Some(Talk {
             id,
@@ -131,7 +131,7 @@
         self.check_talk(ctx);
     }
 
-    /// The kinds of GPU work there are, so that parts keep services from spoiling its machines
+    /// The kinds of GPU work there are, so that participants keep services from spoiling its machines
     /// before it gets its turn to be asked for.
     fn gpu_work(&mut self, now: Now) -> Vec<GpuWork> {
         if now < self.gpu_work.0 {
@@ -158,7 +158,7 @@
     pub(super) fn decide(&mut self, ctx: &mut Ctx) {
         let Some(mut talk) = self.talk.take() else { return };
         // Who answered and offered nothing holds nothing, and needs no word of the end.
-        let offered: BTreeSet<Seat> = talk.offers.iter().map(|o| o.0).collect();
+        let offered: BTreeSet<Shard> = talk.offers.iter().map(|o| o.0).collect();
         talk.asked.retain(|s| talk.waiting.contains(s) || offered.contains(s));
         let now = ctx.now;
         let mut choices: Vec<Choice> = Vec::new();
@@ -173,12 +173,12 @@
                 continue;
             }
             let mut room = j.zone_room(&ctx.names.zones);
-            let mut mine: Vec<&mut (Seat, Offer)> =
+            let mut mine: Vec<&mut (Shard, Offer)> =
                 offers.iter_mut().filter(|o| o.1.item as usize == i && o.1.count > 0).collect();
             mine.sort_by_key(|o| (!o.1.cached, -o.1.score));
             let mut want = count.min(j.pending());
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
-                let epoch = ctx.owner(seat_of_team(team, ctx.seats().count())).map(|o| o.epoch);
+                let epoch = ctx.owner(shard_of_team(team, ctx.shards().count())).map(|o| o.epoch);
                 let left = left.entry(team).or_insert_with(|| match self.grants.get(&team) {
                     Some(g) if Some(g.0) == epoch => {
                         let u = used.get(&team).copied().unwrap_or((0, 0));
@@ -205,7 +205,7 @@
                     }
                 }
             }
-            let mut picks: Vec<(Seat, Offer)> = Vec::new();
+            let mut picks: Vec<(Shard, Offer)> = Vec::new();
             // Replicas of a service go to different machines where they can.
             let each = if j.wire.kind == Kind::Service { 1 } else { u32::MAX };
             let mut progress = true;
@@ -244,9 +244,9 @@
             let short = (picks.len() as u32) < want;
             let step = u32::from(!talk.coming.contains(&(i as u16)));
             j.make_room = short.then(|| j.make_room.map_or(0, |t| t + step));
-            for (seat, offer) in picks {
+            for (shard, offer) in picks {
                 let Some(task) = j.take() else { break };
-                choices.push(Choice { job: id, task, seat, offer });
+                choices.push(Choice { job: id, task, shard, offer });
             }
         }
         if choices.is_empty() {
@@ -255,8 +255,8 @@
         }
         let round = self.next_round_id();
         let attempt = Attempt::new(self.epoch, round);
-        let (seat, epoch) = (self.seat, self.epoch);
-        let slot = self.rounds.record(|| keys::decision_key(seat, epoch, round));
+        let (shard, epoch) = (self.shard, self.epoch);
+        let slot = self.rounds.record(|| keys::decision_key(shard, epoch, round));
         self.picked = (self.picked.0 + choices.len() as u64, self.picked.1 + 1);
         let picks: Vec<Value> = choices
             .iter()
@@ -274,14 +274,14 @@
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
         let mut write = self.write(Class::Decision, vec![put]);
         write = write.creating(slot.key.clone(), slot.version);
-        // A grant of a team's seat ends with the owner that gave it.
+        // A grant of a team's shard ends with the owner that gave it.
         for (team, g) in &self.grants {
             let used = choices.iter().any(|c| {
                 let t = self.jobs.get(&c.job).and_then(|j| ctx.team_use(j));
                 t.is_some_and(|t| t.0 == *team)
             });
             let cond = Cond {
-                key: keys::seat_key(seat_of_team(*team, ctx.seats().count())),
+                key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
                 version: g.0 .0,
             };
             if used {
@@ -303,11 +303,11 @@
     pub(super) fn write_decision(&mut self, ctx: &mut Ctx) {
         let Some(w) = self.writing.as_mut().filter(|_| ctx.valid) else { return };
         if let Some(call) = w.write.call(ctx.now, ctx.budget) {
-            ctx.store(OpKind::Decide { seat: self.seat, epoch: self.epoch }, call);
+            ctx.store(OpKind::Decide { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
-    /// Outcome of the decision's transaction. False: the seat is lost.
+    /// Outcome of the decision's transaction. False: the shard is lost.
     pub fn decided(&mut self, ctx: &mut Ctx, result: &StoreResult) -> bool {
         let Some(w) = &mut self.writing else {
             return true;
@@ -332,7 +332,7 @@
     fn winners(&mut self, ctx: &mut Ctx, version: u64) {
         let Some(w) = self.writing.take() else { return };
         let mut live = 0;
-        let mut yes: BTreeMap<(Seat, JobId), Yes> = BTreeMap::new();
+        let mut yes: BTreeMap<(Shard, JobId), Yes> = BTreeMap::new();
         for c in w.choices {
             let Some(j) = self.jobs.get_mut(&c.job) else {
                 continue;
@@ -340,7 +340,7 @@
             let p = Placement {
                 attempt: w.attempt,
                 machine: ctx.names.machine(&c.offer.machine),
-                part: c.seat,
+                participant: c.shard,
                 session: c.offer.session,
                 zone: ZoneIdx(c.offer.zone),
                 phase: Phase::Decided,
@@ -360,7 +360,7 @@
             j.placed.insert(c.task, p);
             self.unsettled.insert(c.job);
             live += 1;
-            let e = yes.entry((c.seat, c.job)).or_insert((j.shape.wire.clone(), Vec::new()));
+            let e = yes.entry((c.shard, c.job)).or_insert((j.shape.wire.clone(), Vec::new()));
             e.1.push(Pick {
                 task: c.task,
                 attempt: w.attempt.0,
@@ -369,8 +369,8 @@
             });
         }
         self.rounds.open(w.round, w.slot.key, Some(version), live);
-        for ((seat, job), (shape, picks)) in yes {
-            ctx.send(self.seat, seat, SeatMsg::Place { job: job.0, shape, picks, adopt: false });
+        for ((shard, job), (shape, picks)) in yes {
+            ctx.send(self.shard, shard, ShardMsg::Place { job: job.0, shape, picks, adopt: false });
         }
         self.close(ctx, w.negotiation, &w.asked);
         ctx.wake = true;
@@ -388,9 +388,9 @@
         self.close(ctx, w.negotiation, &w.asked);
     }
 
-    pub(super) fn close(&mut self, ctx: &mut Ctx, n: Negotiation, asked: &[Seat]) {
+    pub(super) fn close(&mut self, ctx: &mut Ctx, n: Negotiation, asked: &[Shard]) {
         for &s in asked {
-            ctx.send(self.seat, s, SeatMsg::Close { negotiation: n.0 });
+            ctx.send(self.shard, s, ShardMsg::Close { negotiation: n.0 });
         }
     }
 }
--- a/crates/core/src/coordinator/served.rs
+++ b/crates/core/src/coordinator/served.rs
@@ -1,6 +1,6 @@
 //! Who is served, for the operators' log: by class, by team, and the largest jobs.
 //!
-//! Counted from the jobs of one seat, since it was loaded: how many were asked for, how many have
+//! Counted from the jobs of one shard, since it was loaded: how many were asked for, how many have
 //! begun, and of those that have not how long the one that waits longest does. A day on which less
 //! than half of a class or a team is served counts as failed: this is where it shows first.
 use super::Coordinator;
@@ -36,7 +36,7 @@
         self.of("team", &j.wire.team).asked += 1;
     }
 
-    /// It had begun when the seat was loaded; when, is not known here.
+    /// It had begun when the shard was loaded; when, is not known here.
     pub fn had_begun(&mut self, j: &Job) {
         self.of("class", &j.wire.class).begun += 1;
         self.of("team", &j.wire.team).begun += 1;
@@ -66,6 +66,6 @@
             let (tasks, s) = (j.wire.tasks, now.saturating_sub(j.created) / 1000);
             words.push(format!("largest_waiting={} tasks={tasks} for_s={s}", j.wire.id));
         }
-        format!("seat={} {}", self.seat.0, words.join(" "))
+        format!("seat={} {}", self.shard.0, words.join(" "))
     }
 }
--- a/crates/core/src/ctx.rs
+++ b/crates/core/src/ctx.rs
@@ -3,14 +3,14 @@
 use crate::budget::{Budget, Class};
 use crate::health::lately;
 use crate::horizon::Horizons;
-use crate::ids::{seat_of_job, seat_of_machine, Epoch, JobId, MachineIdx, NodeIdx, Now, Seat};
+use crate::ids::{shard_of_job, shard_of_machine, Epoch, JobId, MachineIdx, NodeIdx, Now, Shard};
 use crate::io::{CloudCall, OpId, Out, Output, ReqId, StoreCall, UserReply};
 use crate::jobs::{Aims, Job};
 use crate::keys;
 use crate::names::Names;
-use crate::seat::{Owner, SeatView};
-use crate::teams;
-use leaddeal_wire::mesh::{NodeMsg, SeatMsg, Told};
+use crate::quota;
+use crate::shard::{Owner, ShardView};
+use leaddeal_wire::mesh::{NodeMsg, ShardMsg, Told};
 use leaddeal_wire::state::{Change, Cond, Txn};
 use leaddeal_wire::user::JobState;
 use leaddeal_wire::worker::Direct;
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BuyerOp {
+pub enum ProvisionerOp {
     List,
     /// The request's number.
     Rent(u64),
@@ -58,22 +58,22 @@
 pub enum OpKind {
     NewLease { sent: Now },
     Touch { sent: Now, lease: u64 },
-    Seats,
-    SeatWatch,
-    Acquire(Seat),
-    Release(Seat, Epoch),
-    Records { seat: Seat, epoch: Epoch },
-    Decide { seat: Seat, epoch: Epoch },
-    Fold { seat: Seat, epoch: Epoch },
-    Finish { seat: Seat, epoch: Epoch, job: JobId },
+    Shards,
+    ShardWatch,
+    Acquire(Shard),
+    Release(Shard, Epoch),
+    Records { shard: Shard, epoch: Epoch },
+    Decide { shard: Shard, epoch: Epoch },
+    Fold { shard: Shard, epoch: Epoch },
+    Finish { shard: Shard, epoch: Epoch, job: JobId },
     Submit { req: ReqId, id: JobId, value: serde_json::Value },
     ReadJob { req: ReqId, id: JobId, ask: AskKind },
     ReadFinal { req: ReqId, id: JobId, ask: AskKind },
-    Finals { seat: Seat, asked: Now },
+    Finals { shard: Shard, asked: Now },
     BasePut,
     BaseGet,
     Catalog,
-    Buyer(Epoch, BuyerOp),
+    Provisioner(Epoch, ProvisionerOp),
 }
 
 impl OpKind {
@@ -110,46 +110,46 @@
     pub budget: &'a mut Budget,
     pub horizons: &'a mut Horizons,
     pub(crate) me: NodeIdx,
-    pub(crate) view: &'a [SeatView],
+    pub(crate) view: &'a [ShardView],
     pub(crate) heard: &'a [Now],
     pub(crate) ops: &'a mut Ops,
-    pub(crate) sends: &'a mut VecDeque<(Seat, Seat, SeatMsg)>,
+    pub(crate) sends: &'a mut VecDeque<(Shard, Shard, ShardMsg)>,
     pub(crate) relays: &'a mut HashMap<ReqId, (String, u64)>,
 }
 
 impl Ctx<'_> {
-    pub fn seats(&self) -> impl Iterator<Item = Seat> {
-        (0..self.view.len() as u8).map(Seat)
+    pub fn shards(&self) -> impl Iterator<Item = Shard> {
+        (0..self.view.len() as u8).map(Shard)
     }
 
-    pub fn owner(&self, s: Seat) -> Option<Owner> {
+    pub fn owner(&self, s: Shard) -> Option<Owner> {
         self.view.get(s.0 as usize).and_then(|v| v.owner)
     }
 
     /// Owned by a node that has been heard of lately.
-    pub fn reachable(&self, s: Seat) -> bool {
+    pub fn reachable(&self, s: Shard) -> bool {
         self.owner(s).is_some_and(|o| {
             o.node == self.me
                 || self.heard.get(o.node.0 as usize).is_some_and(|&h| lately(h, self.now))
         })
     }
 
-    pub fn seat_of_job(&self, j: JobId) -> Seat {
-        seat_of_job(j, self.view.len())
+    pub fn shard_of_job(&self, j: JobId) -> Shard {
+        shard_of_job(j, self.view.len())
     }
 
-    pub fn seat_of_machine(&self, name: &str) -> Seat {
-        seat_of_machine(name, self.view.len())
+    pub fn shard_of_machine(&self, name: &str) -> Shard {
+        shard_of_machine(name, self.view.len())
     }
 
     /// A job's team and what a task takes of its limit, if it has one.
     pub fn team_use(&self, j: &Job) -> Option<(u8, u64, u64)> {
         let i = self.cfg.teams.iter().position(|t| t.name == j.wire.team)?;
-        teams::limit(&self.cfg.teams[i])?;
+        quota::limit(&self.cfg.teams[i])?;
         Some((i as u8, j.shape.need.cpu, j.shape.need.gpu))
     }
 
-    pub fn send(&mut self, from: Seat, to: Seat, msg: SeatMsg) {
+    pub fn send(&mut self, from: Shard, to: Shard, msg: ShardMsg) {
         self.sends.push_back((from, to, msg));
     }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -2,7 +2,7 @@
 use crate::hearing::Hearing;
 use crate::ids::{Attempt, Epoch, ImageIdx, JobId, Now, TypeIdx, ZoneIdx};
 use crate::names::{Room, Shape};
-use crate::seat::at_least;
+use crate::shard::at_least;
 use leaddeal_wire::mesh::Phase;
 use leaddeal_wire::user::Priority;
 use leaddeal_wire::worker::{Op, Order, Report, TaskId, TaskState, Why};
@@ -25,7 +25,7 @@
     pub session: u64,
     /// Named in the last answer to a report.
     pub answered: bool,
-    /// Part of the direct commands under way.
+    /// Participant of the direct commands under way.
     pub direct: Option<u64>,
     /// A direct start command got no answer: a copy may be executed late. As long as the
     /// attempt is not forgotten by the worker, such a copy does nothing.
@@ -100,7 +100,7 @@
     pub direct_after: Now,
     /// The lease ran out by our count; whatever ran there is gone.
     pub lapsed: bool,
-    /// When its part next looks at it though nothing was heard.
+    /// When its participant next looks at it though nothing was heard.
     pub due: Now,
     load: Load,
 }
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -24,7 +24,7 @@
     assert!(m.lease_over_at(8000, 0) >= first - 10 + 8000, "it may have begun just now");
 }
 
-/// A machine that lost power for a moment has a worker that knows no token: whoever owned its seat
+/// A machine that lost power for a moment has a worker that knows no token: whoever owned its shard
 /// before may answer it again, and its lease is counted so.
 #[test]
 fn a_worker_that_forgot_our_token_is_not_sure_to_heed_us_alone() {
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -3,9 +3,9 @@
 //! Invariants:
 //! - evidence is only ever what a sibling itself said or did, with the time it reached us;
 //! - what a word proves, it proves for good: an epoch that a sibling knows it will not forget, so
-//!   that it acts for that seat under no older one again;
+//!   that it acts for that shard under no older one again;
 //! - silence proves nothing. A sibling that is not heard may act on for its whole grace.
-use crate::ids::{Epoch, NodeIdx, Now, Seat};
+use crate::ids::{Epoch, NodeIdx, Now, Shard};
 use leaddeal_wire::mesh::Beat;
 
 /// A sibling not heard of for this long is taken for unreachable.
@@ -19,7 +19,7 @@
 /// What a sibling said last.
 #[derive(Clone, Debug, Default)]
 struct Word {
-    /// The newest epoch it knows of, by seat.
+    /// The newest epoch it knows of, by shard.
     knows: Vec<Epoch>,
     ready: bool,
 }
@@ -33,7 +33,7 @@
 }
 
 impl Health {
-    /// So many nodes, with as many seats.
+    /// So many nodes, with as many shards.
     pub fn new(me: NodeIdx, nodes: usize) -> Health {
         let word = Word { knows: vec![Epoch(0); nodes], ready: false };
         Health { me, heard: vec![0; nodes], words: vec![word; nodes] }
@@ -50,8 +50,8 @@
     pub fn beat(&mut self, node: NodeIdx, b: &Beat) {
         let Some(w) = self.words.get_mut(node.0 as usize) else { return };
         w.ready = b.ready;
-        for &(seat, _, epoch) in &b.known {
-            if let Some(k) = w.knows.get_mut(seat as usize) {
+        for &(shard, _, epoch) in &b.known {
+            if let Some(k) = w.knows.get_mut(shard as usize) {
                 *k = (*k).max(Epoch(epoch));
             }
         }
@@ -76,11 +76,11 @@
         self.siblings().any(|i| lately(self.heard[i], now) && self.words[i].ready)
     }
 
-    /// Every sibling has said that it knows this epoch of the seat, or a newer one: whatever they,
+    /// Every sibling has said that it knows this epoch of the shard, or a newer one: whatever they,
     /// and the processes before them, granted under older ones, they granted before now.
-    pub fn all_know(&self, seat: Seat, epoch: Epoch) -> bool {
+    pub fn all_know(&self, shard: Shard, epoch: Epoch) -> bool {
         let knows =
-            |i: usize| self.words[i].knows.get(seat.0 as usize).is_some_and(|k| *k >= epoch);
+            |i: usize| self.words[i].knows.get(shard.0 as usize).is_some_and(|k| *k >= epoch);
         self.siblings().all(knows)
     }
 }
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -7,16 +7,16 @@
 #[test]
 fn only_the_word_of_every_sibling_proves_that_older_owners_let_go() {
     let mut h = Health::new(NodeIdx(0), 3);
-    let (seat, epoch) = (Seat(1), Epoch(7));
+    let (shard, epoch) = (Shard(1), Epoch(7));
     h.beat(NodeIdx(1), &beat(&[(1, 0, 7)], true));
-    assert!(!h.all_know(seat, epoch), "the third said nothing");
+    assert!(!h.all_know(shard, epoch), "the third said nothing");
     h.beat(NodeIdx(2), &beat(&[(1, 2, 5), (0, 0, 9)], true));
-    assert!(!h.all_know(seat, epoch), "the third knows an older owner");
+    assert!(!h.all_know(shard, epoch), "the third knows an older owner");
     h.beat(NodeIdx(2), &beat(&[(1, 0, 7)], true));
-    assert!(h.all_know(seat, epoch));
+    assert!(h.all_know(shard, epoch));
     // Held back, and out of its order: what was known is not forgotten.
     h.beat(NodeIdx(2), &beat(&[(1, 2, 5)], true));
-    assert!(h.all_know(seat, epoch) && !h.all_know(seat, Epoch(8)));
+    assert!(h.all_know(shard, epoch) && !h.all_know(shard, Epoch(8)));
 }
 
 #[test]
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -15,8 +15,8 @@
 //! - a worker is answered only until the horizon of its own shard, and of those of its tasks, plus
 //!   `patience_ms`: `cancel_s` less what a lease takes. No owner answers later than that after it lost
 //!   its shard, which is what a new owner of a silent machine waits for.
-use crate::ids::{Epoch, JobId, NodeIdx, Now, Seat};
-use crate::seat::{at_least, at_most, SeatView};
+use crate::ids::{Epoch, JobId, NodeIdx, Now, Shard};
+use crate::shard::{at_least, at_most, ShardView};
 use leaddeal_wire::mesh::{Beat, Stamp, Word};
 use std::collections::{HashMap, VecDeque};
 
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Shard {
+struct Known {
     horizon: Option<Now>,
     /// Who spoke for it last: under which epoch, and after which of our times.
     spoken: Option<(Epoch, Now)>,
@@ -87,7 +87,7 @@
     over: HashMap<JobId, Over>,
     /// Learned since they were last taken.
     fresh: Vec<JobId>,
-    shards: Vec<Shard>,
+    shards: Vec<Known>,
     peers: Vec<Peer>,
 }
 
@@ -111,7 +111,7 @@
             keep_ms: cancel_ms + KEEP_MS,
             over: HashMap::new(),
             fresh: Vec::new(),
-            shards: vec![Shard::default(); nodes],
+            shards: vec![Known::default(); nodes],
             peers: vec![Peer::default(); nodes],
         }
     }
@@ -121,21 +121,21 @@
     }
 
     /// Whether an answer now keeps no task of a cancelled job of this shard alive for too long.
-    pub fn permits(&self, seat: Seat, now: Now) -> bool {
-        let horizon = self.shards.get(seat.0 as usize).and_then(|s| s.horizon);
+    pub fn permits(&self, shard: Shard, now: Now) -> bool {
+        let horizon = self.shards.get(shard.0 as usize).and_then(|s| s.horizon);
         horizon.is_some_and(|h| now < h + self.patience_ms)
     }
 
     /// How long ago the horizon is; none: nothing is known.
-    pub fn behind_ms(&self, seat: Seat, now: Now) -> Option<u64> {
-        let horizon = self.shards.get(seat.0 as usize).and_then(|s| s.horizon);
+    pub fn behind_ms(&self, shard: Shard, now: Now) -> Option<u64> {
+        let horizon = self.shards.get(shard.0 as usize).and_then(|s| s.horizon);
         horizon.map(|h| now.saturating_sub(h))
     }
 
     /// The revision from which on the store has to be read is that of this time; none: its owner
     /// speaks for the shard.
-    pub fn to_be_read(&self, seat: Seat, back_ms: u64, now: Now) -> Option<Now> {
-        let s = self.shards.get(seat.0 as usize)?;
+    pub fn to_be_read(&self, shard: Shard, back_ms: u64, now: Now) -> Option<Now> {
+        let s = self.shards.get(shard.0 as usize)?;
         let silent = s.sure.is_none_or(|at| now >= at + STALE_MS);
         silent.then(|| s.horizon.unwrap_or(now).saturating_sub(back_ms))
     }
@@ -158,9 +158,9 @@
 
     /// The owner under this epoch, which is us, writes that the job is cancelled, or found it so.
     /// Named before it is known to be written: whoever reads the store may tell of it first.
-    pub fn cancelled(&mut self, seat: Seat, epoch: Epoch, job: JobId, now: Now) {
+    pub fn cancelled(&mut self, shard: Shard, epoch: Epoch, job: JobId, now: Now) {
         self.learn(job, epoch, now);
-        let shard = self.shards.get_mut(seat.0 as usize);
+        let shard = self.shards.get_mut(shard.0 as usize);
         if let Some(s) = shard.filter(|s| s.log.iter().all(|l| l.job != job)) {
             s.numbered += 1;
             s.log.push_back(Logged { number: s.numbered, job, at: now });
@@ -176,8 +176,8 @@
     }
 
     /// We act for the shard under a new epoch.
-    pub fn begin(&mut self, seat: Seat) {
-        if let Some(s) = self.shards.get_mut(seat.0 as usize) {
+    pub fn begin(&mut self, shard: Shard) {
+        if let Some(s) = self.shards.get_mut(shard.0 as usize) {
             s.log.clear();
             s.numbered = 0;
         }
@@ -191,8 +191,8 @@
     }
 
     /// All that the store held of the shard at that time was read.
-    pub fn read(&mut self, seat: Seat, asked: Now) {
-        if let Some(s) = self.shards.get_mut(seat.0 as usize) {
+    pub fn read(&mut self, shard: Shard, asked: Now) {
+        if let Some(s) = self.shards.get_mut(shard.0 as usize) {
             s.horizon = s.horizon.max(Some(asked));
             s.sure = s.sure.max(Some(asked));
         }
@@ -200,15 +200,15 @@
 
     /// This process has read the shard's key for the first time: it had this version, or at this
     /// revision it was not there.
-    pub fn first_seen(&mut self, seat: Seat, revision: u64) {
-        if let Some(s) = self.shards.get_mut(seat.0 as usize) {
+    pub fn first_seen(&mut self, shard: Shard, revision: u64) {
+        if let Some(s) = self.shards.get_mut(shard.0 as usize) {
             s.floor.get_or_insert(Epoch(revision));
         }
     }
 
     /// A beat of a sibling, after what it says of owners was taken in. True: a process that was not
     /// heard before, which waits for our stamp.
-    pub fn hear(&mut self, from: NodeIdx, b: &Beat, view: &[SeatView], now: Now) -> bool {
+    pub fn hear(&mut self, from: NodeIdx, b: &Beat, view: &[ShardView], now: Now) -> bool {
         let Some(peer) = self.peers.get_mut(from.0 as usize) else { return false };
         let new = peer.stamp.is_none_or(|s| s.boot != b.stamp.boot);
         if new {
@@ -217,8 +217,8 @@
         peer.stamp = Some(b.stamp);
         let n = self.shards.len();
         peer.heeded = vec![(Epoch(0), 0); n];
-        for &(seat, epoch, number) in &b.heeded {
-            if let Some(h) = peer.heeded.get_mut(seat as usize) {
+        for &(shard, epoch, number) in &b.heeded {
+            if let Some(h) = peer.heeded.get_mut(shard as usize) {
                 *h = (Epoch(epoch), number);
             }
         }
@@ -233,8 +233,8 @@
         new
     }
 
-    fn word(&mut self, w: &Word, view: &[SeatView], said: Option<Now>, now: Now) {
-        let (i, epoch) = (w.seat as usize, Epoch(w.epoch));
+    fn word(&mut self, w: &Word, view: &[ShardView], said: Option<Now>, now: Now) {
+        let (i, epoch) = (w.shard as usize, Epoch(w.epoch));
         let newest = view.get(i).and_then(|v| v.last).map_or(Epoch(0), |o| o.epoch);
         let Some(s) = self.shards.get_mut(i).filter(|_| epoch >= newest) else { return };
         let heeded = if s.heeded.0 == epoch { s.heeded.1 } else { 0 };
@@ -256,7 +256,7 @@
     }
 
     /// Time has passed, or something was heard; `mine`: what this node acts for, by shard.
-    pub fn advance(&mut self, mine: &[Option<Mine>], view: &[SeatView], now: Now) {
+    pub fn advance(&mut self, mine: &[Option<Mine>], view: &[ShardView], now: Now) {
         for (i, s) in self.shards.iter_mut().enumerate() {
             if let Some(m) = mine.get(i).copied().flatten() {
                 s.spoken = Some((m.epoch, now));
@@ -298,14 +298,14 @@
         &self,
         to: NodeIdx,
         mine: &[Option<Mine>],
-        view: &[SeatView],
+        view: &[ShardView],
         now: Now,
         b: &mut Beat,
     ) {
         b.stamp = Stamp { boot: self.boot, at: now };
         let Some(peer) = self.peers.get(to.0 as usize) else { return };
         b.echo = peer.stamp;
-        let newest = |(s, v): (&Shard, &SeatView)| {
+        let newest = |(s, v): (&Known, &ShardView)| {
             let last = v.last.map_or(0, |o| o.epoch.0);
             s.floor.map(|f| f.0.max(last))
         };
@@ -320,7 +320,7 @@
             let named: Vec<&Logged> = untold.take(MOST_NAMED).collect();
             let upto = named.last().map_or(heeded, |l| l.number);
             b.words.push(Word {
-                seat: i as u8,
+                shard: i as u8,
                 epoch: m.epoch.0,
                 doubt_ms: m.doubt_ms,
                 after: heeded,
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -1,7 +1,7 @@
 //! The rule by itself, and a bounded search: every history of up to so many troubles, at every moment, of
 //! three controllers, a store, one machine and one cancelled job, over the real transition functions.
 use super::*;
-use crate::seat::{Lease, Owner, LEASE_MS};
+use crate::shard::{Lease, Owner, LEASE_MS};
 
 const NODES: usize = 3;
 const CANCEL_MS: u64 = 16_000;
@@ -9,25 +9,25 @@
 const STEP_MS: u64 = 1000;
 const JOB: JobId = JobId(7);
 /// The shard of the job, and that of the machine.
-const JOBS: Seat = Seat(1);
-const MACHINES: Seat = Seat(0);
+const JOBS: Shard = Shard(1);
+const MACHINES: Shard = Shard(0);
 
-fn views() -> Vec<SeatView> {
-    vec![SeatView::default(); NODES]
+fn views() -> Vec<ShardView> {
+    vec![ShardView::default(); NODES]
 }
 
 fn horizons(node: u8) -> Horizons {
     Horizons::new(NodeIdx(node), u64::from(node) + 1, NODES, CANCEL_MS, WORKER_LEASE_MS)
 }
 
-fn mine(seat: Seat, epoch: u64, doubt_ms: u64) -> Vec<Option<Mine>> {
+fn mine(shard: Shard, epoch: u64, doubt_ms: u64) -> Vec<Option<Mine>> {
     let mut v = vec![None; NODES];
-    v[seat.0 as usize] = Some(Mine { epoch: Epoch(epoch), doubt_ms });
+    v[shard.0 as usize] = Some(Mine { epoch: Epoch(epoch), doubt_ms });
     v
 }
 
 /// One asks and the other answers; returns what the asker hears.
-fn exchange(a: &mut Horizons, b: &mut Horizons, at: Now, of_b: &[Option<Mine>], v: &[SeatView]) {
+fn exchange(a: &mut Horizons, b: &mut Horizons, at: Now, of_b: &[Option<Mine>], v: &[ShardView]) {
     let (me, other) = (a.me, b.me);
     let mut ask = Beat::default();
     a.tell(other, &[None; NODES], v, at, &mut ask);
@@ -102,7 +102,7 @@
 #[test]
 fn impossible_words_change_nothing() {
     let (mut a, v) = (horizons(0), views());
-    let word = Word { seat: 99, epoch: u64::MAX, whole: true, upto: u64::MAX, ..Word::default() };
+    let word = Word { shard: 99, epoch: u64::MAX, whole: true, upto: u64::MAX, ..Word::default() };
     let echo = Some(Stamp { boot: 1, at: u64::MAX });
     let heeded = vec![(200, u64::MAX, u64::MAX)];
     let beat =
@@ -110,11 +110,11 @@
     a.hear(NodeIdx(1), &beat, &v, 5000);
     a.hear(NodeIdx(77), &beat, &v, 5000);
     // Of the future, and with a doubt longer than the clock has run.
-    let doubt = Word { seat: 1, doubt_ms: 1 << 60, ..word };
+    let doubt = Word { shard: 1, doubt_ms: 1 << 60, ..word };
     let said = Some(Stamp { boot: 1, at: 4000 });
     a.hear(NodeIdx(1), &Beat { echo: said, words: vec![doubt], ..Beat::default() }, &v, 5000);
     a.advance(&[], &v, 5000);
-    assert!((0..NODES as u8).all(|s| !a.permits(Seat(s), 5000)));
+    assert!((0..NODES as u8).all(|s| !a.permits(Shard(s), 5000)));
 }
 
 /// What goes wrong in a history, from a moment on.
@@ -169,7 +169,7 @@
     up_at: u64,
     boot: u64,
     h: Horizons,
-    view: Vec<SeatView>,
+    view: Vec<ShardView>,
     lease: Lease,
     lease_id: u64,
     owns: [Option<Epoch>; NODES],
@@ -285,14 +285,14 @@
                 Node { up_at: step + back, boot, h, view, lease, lease_id: 0, owns, heard };
             if self.broken == Broken::Restarts {
                 for s in 0..NODES as u8 {
-                    self.nodes[n].h.first_seen(Seat(s), 0);
+                    self.nodes[n].h.first_seen(Shard(s), 0);
                 }
             }
         }
     }
 
     /// Lease, keys, and what is vacant.
-    fn keep_seats(&mut self, n: usize) {
+    fn keep_shards(&mut self, n: usize) {
         if !self.stored(n) {
             return;
         }
@@ -308,19 +308,19 @@
         self.leases[node.lease_id as usize] = now + LEASE_MS;
         node.lease.renewed = now;
         for s in 0..NODES {
-            let seat = Seat(s as u8);
+            let shard = Shard(s as u8);
             match self.keys[s] {
                 Some(k) => {
                     let owner =
                         Owner { node: NodeIdx(k.node as u8), boot: k.boot, epoch: Epoch(k.epoch) };
-                    node.h.first_seen(seat, k.epoch);
+                    node.h.first_seen(shard, k.epoch);
                     node.view[s].own(owner, now);
                     if (k.node, k.boot) != (n, node.boot) {
                         node.owns[s] = None;
                     }
                 }
                 None => {
-                    node.h.first_seen(seat, self.revision);
+                    node.h.first_seen(shard, self.revision);
                     node.view[s].vacate(self.revision, now);
                     node.owns[s] = None;
                 }
@@ -335,11 +335,11 @@
                 let key = Key { node: n, boot: node.boot, epoch, lease: node.lease_id };
                 self.keys[s] = Some(key);
                 node.owns[s] = Some(Epoch(epoch));
-                node.h.begin(seat);
+                node.h.begin(shard);
                 let owner = Owner { node: NodeIdx(n as u8), boot: node.boot, epoch: Epoch(epoch) };
                 node.view[s].own(owner, now);
-                if seat == JOBS && self.is_final {
-                    node.h.cancelled(seat, Epoch(epoch), JOB, now);
+                if shard == JOBS && self.is_final {
+                    node.h.cancelled(shard, Epoch(epoch), JOB, now);
                 }
             }
         }
@@ -451,12 +451,12 @@
             }
             for n in 0..NODES {
                 if self.up(n) {
-                    self.keep_seats(n);
+                    self.keep_shards(n);
                     let mine = self.mine(n);
                     let (stored, is_final) = (self.stored(n), self.is_final);
                     let node = &mut self.nodes[n];
                     node.h.advance(&mine, &node.view, now);
-                    for s in (0..NODES as u8).map(Seat) {
+                    for s in (0..NODES as u8).map(Shard) {
                         if stored && node.h.to_be_read(s, 0, now).is_some() {
                             node.h.stored((s == JOBS && is_final).then_some(JOB), now);
                             node.h.read(s, now);
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -18,9 +18,9 @@
 id!(NodeIdx, u8);
 id!(
     /// A share of the machines and of the jobs; there are as many as controllers.
-    Seat, u8);
+    Shard, u8);
 id!(
-    /// Revision at which a seat was acquired: the condition of its owner's writes and the token
+    /// Revision at which a shard was acquired: the condition of its owner's writes and the token
     /// of its commands to workers.
     Epoch, u64);
 id!(
@@ -28,8 +28,8 @@
     Attempt, u64);
 id!(Negotiation, u64);
 
-/// The seat whose owner buys for all.
-pub const BUYER_SEAT: Seat = Seat(0);
+/// The shard whose owner buys for all.
+pub const PROVISIONER_SHARD: Shard = Shard(0);
 
 /// Milliseconds of this process's steady clock.
 pub type Now = u64;
@@ -52,13 +52,13 @@
     x ^ (x >> 33)
 }
 
-/// The seat that coordinates a job.
-pub fn seat_of_job(job: JobId, seats: usize) -> Seat {
-    Seat((mix(job.0) % seats as u64) as u8)
+/// The shard that coordinates a job.
+pub fn shard_of_job(job: JobId, shards: usize) -> Shard {
+    Shard((mix(job.0) % shards as u64) as u8)
 }
 
-/// The seat whose part a machine belongs to.
-pub fn seat_of_machine(name: &str, seats: usize) -> Seat {
+/// The shard whose participant a machine belongs to.
+pub fn shard_of_machine(name: &str, shards: usize) -> Shard {
     // Machines are named in order: going round shares them out evenly.
     let mut digits =
         name.bytes().filter(u8::is_ascii_digit).map(|b| u64::from(b - b'0')).peekable();
@@ -69,5 +69,5 @@
     let n = number.flatten().unwrap_or_else(|| {
         mix(name.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b) + 1)))
     });
-    Seat((n % seats as u64) as u8)
+    Shard((n % shards as u64) as u8)
 }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -6,7 +6,7 @@
 use leaddeal_wire::worker::{Answer, Direct, Report};
 use leaddeal_wire::{cloud, mesh};
 
-/// Ties a reply to its request at the door.
+/// Ties a reply to its request at the gateway.
 pub type ReqId = u64;
 /// Ties an answer of an outside service to the core's call.
 pub type OpId = u64;
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of a seat: what is done, placed and still to be placed.
+//! The jobs of a shard: what is done, placed and still to be placed.
 use crate::bits::{Bits, CHUNK};
 use crate::ids::{Attempt, JobId, MachineIdx, Now, ZoneIdx};
 use crate::names::Shape;
@@ -32,7 +32,7 @@
     pub wire: user::Job,
     pub shape: Shape,
     pub created: Now,
-    /// When a task of it was first known to run, by this owner of its seat.
+    /// When a task of it was first known to run, by this owner of its shard.
     pub begun: Option<Now>,
     pub done: Bits,
     next_fresh: u32,
@@ -45,7 +45,7 @@
     pub refusals: u32,
     /// Since when it has been asked for in vain.
     refused_since: Option<Now>,
-    /// When it is asked for again though no part has told of free room.
+    /// When it is asked for again though no participant has told of free room.
     next_try: Now,
     /// Whose turn it is to make room by preemption; none: nobody was short of it.
     pub make_room: Option<u32>,
@@ -289,8 +289,8 @@
         self.wire.kind == Kind::Service && late && long
     }
 
-    /// Asked for in vain. Parts tell when room becomes free, so the next try by itself may wait;
-    /// soon at first, since room is made by one part after the other. Tries fall on common
+    /// Asked for in vain. Participants tell when room becomes free, so the next try by itself may wait;
+    /// soon at first, since room is made by one participant after the other. Tries fall on common
     /// moments, so that one round serves many jobs. True if this was a try by itself.
     pub fn refused(&mut self, now: Now) -> bool {
         self.refused_since.get_or_insert(now);
@@ -315,7 +315,7 @@
         self.next_try = 0;
     }
 
-    /// A part has got free room.
+    /// A participant has got free room.
     pub fn room_somewhere(&mut self, now: Now) {
         if self.refused_since.is_some() && self.not_before == self.next_try {
             self.not_before = self.not_before.min(now);
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks() {
-    use crate::ids::Seat;
+    use crate::ids::Shard;
     let mut names = Names::default();
     let mut j = Job::leftover(JobId(7), &mut names);
     (j.wire.one_zone, j.wire.tasks) = (true, 9);
@@ -83,7 +83,7 @@
     let placement = |zone| Placement {
         attempt: Attempt(1),
         machine: MachineIdx(0),
-        part: Seat(0),
+        participant: Shard(0),
         session: 1,
         zone: ZoneIdx(zone),
         phase: mesh::Phase::Decided,
@@ -110,7 +110,7 @@
     let mut names = Names::default();
     let mut j = Job::leftover(JobId(7), &mut names);
     j.wire.kind = Kind::Gang;
-    // When its turn was, as a part reckons it from what it is told.
+    // When its turn was, as a participant reckons it from what it is told.
     let turn = |j: &Job, now: Now| {
         let line = j.line(now).expect("a gang's");
         (line.late, now.saturating_add_signed(line.due_ms))
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -2,48 +2,48 @@
 //!
 //! | prefix | what | written by |
 //! | --- | --- | --- |
-//! | `seat/` | owners of seats | whoever acquires one, under its lease |
-//! | `j/SEAT/` | jobs as submitted | any node, once |
-//! | `d/SEAT/` | decisions | the seat's owner |
-//! | `r/SEAT/` | done tasks, in chunks | the seat's owner |
-//! | `f/SEAT/` | final states | the seat's owner |
-//! | `base` | newest machine that was there before the service | the buyer, once |
-use crate::ids::{Epoch, JobId, Seat};
+//! | `shard/` | owners of shards | whoever acquires one, under its lease |
+//! | `j/SHARD/` | jobs as submitted | any node, once |
+//! | `d/SHARD/` | decisions | the shard's owner |
+//! | `r/SHARD/` | done tasks, in chunks | the shard's owner |
+//! | `f/SHARD/` | final states | the shard's owner |
+//! | `base` | newest machine that was there before the service | the provisioner, once |
+use crate::ids::{Epoch, JobId, Shard};
 use leaddeal_wire::user::Status;
 use serde_json::{json, Value};
 
-pub const SEATS: &str = "seat/";
+pub const SHARDS: &str = "seat/";
 pub const BASE: &str = "base";
 
-pub fn seat_key(s: Seat) -> String {
-    format!("{SEATS}{}", s.0)
+pub fn shard_key(s: Shard) -> String {
+    format!("{SHARDS}{}", s.0)
 }
 
-pub fn parse_seat_key(k: &str) -> Option<Seat> {
-    k.strip_prefix(SEATS)?.parse().ok().map(Seat)
+pub fn parse_shard_key(k: &str) -> Option<Shard> {
+    k.strip_prefix(SHARDS)?.parse().ok().map(Shard)
 }
 
-pub fn decision_prefix(s: Seat) -> String {
+pub fn decision_prefix(s: Shard) -> String {
     format!("d/{}/", s.0)
 }
 
-pub fn job_prefix(s: Seat) -> String {
+pub fn job_prefix(s: Shard) -> String {
     format!("j/{}/", s.0)
 }
 
-pub fn run_prefix(s: Seat) -> String {
+pub fn run_prefix(s: Shard) -> String {
     format!("r/{}/", s.0)
 }
 
-pub fn job_key(s: Seat, j: JobId) -> String {
+pub fn job_key(s: Shard, j: JobId) -> String {
     format!("j/{}/{}", s.0, j.0)
 }
 
-pub fn final_prefix(s: Seat) -> String {
+pub fn final_prefix(s: Shard) -> String {
     format!("f/{}/", s.0)
 }
 
-pub fn final_key(s: Seat, j: JobId) -> String {
+pub fn final_key(s: Shard, j: JobId) -> String {
     format!("f/{}/{}", s.0, j.0)
 }
 
@@ -52,7 +52,7 @@
     key.rsplit('/').next()?.parse().ok().map(JobId)
 }
 
-pub fn run_key(s: Seat, j: JobId, chunk: u32) -> String {
+pub fn run_key(s: Shard, j: JobId, chunk: u32) -> String {
     format!("r/{}/{}.{}", s.0, j.0, chunk)
 }
 
@@ -69,7 +69,7 @@
     Some((status, v.get(1)?.as_u64()? as u32))
 }
 
-pub fn decision_key(s: Seat, epoch: Epoch, round: u64) -> String {
+pub fn decision_key(s: Shard, epoch: Epoch, round: u64) -> String {
     format!("{}{}-{round}", decision_prefix(s), epoch.0)
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,7 +3,6 @@
 
 pub mod bits;
 pub mod budget;
-pub mod buyer;
 pub mod coordinator;
 pub mod ctx;
 pub mod fleet;
@@ -16,12 +15,13 @@
 pub mod keys;
 pub mod names;
 pub mod node;
-pub mod part;
+pub mod participant;
 pub mod placed;
 pub mod preemption;
+pub mod provisioner;
+pub mod quota;
 pub mod records;
-pub mod seat;
-pub mod teams;
+pub mod shard;
 pub mod writes;
 
 pub use io::{Input, Output};
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names are mapped to dense indices at the door.
+//! Names are mapped to dense indices at the gateway.
 use crate::ids::{ImageIdx, MachineIdx, TypeIdx, ZoneIdx};
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh;
--- a/crates/core/src/node/detour.rs
+++ b/crates/core/src/node/detour.rs
@@ -1,6 +1,6 @@
-//! Workers that don't reach the owner of their machine's seat, though this node does: their reports
+//! Workers that don't reach the owner of their machine's shard, though this node does: their reports
 //! are passed on to it, and its answers back. (Found on incidents and hunts: a controller that lost
-//! its workers and nothing else kept its seat, all its siblings sent the workers back to it, and the
+//! its workers and nothing else kept its shard, all its siblings sent the workers back to it, and the
 //! leases of its whole part ran out.)
 //!
 //! Invariants:
@@ -44,15 +44,15 @@
     wait_ms: u64,
 }
 
-/// Workers that came here though their machines' seats are a sibling's.
+/// Workers that came here though their machines' shards are a sibling's.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Detours {
     visits: HashMap<MachineIdx, Visit>,
 }
 
 impl Detours {
-    /// A worker of a sibling's seat has come; `busy`: it has tasks, which its lease keeps alive;
-    /// `owner_for`: so long the seat has had this owner.
+    /// A worker of a sibling's shard has come; `busy`: it has tasks, which its lease keeps alive;
+    /// `owner_for`: so long the shard has had this owner.
     pub fn way(&mut self, m: MachineIdx, busy: bool, owner_for: u64, now: Now) -> Way {
         let (sent_on, passed_at) = (None, None);
         let new = Visit { seen: now, sent_on, passed_at, try_at: now, wait_ms: FIRST_MS };
--- a/crates/core/src/node/finals.rs
+++ b/crates/core/src/node/finals.rs
@@ -1,7 +1,7 @@
-//! Final states of a seat whose owner does not speak for it, read from the store.
+//! Final states of a shard whose owner does not speak for it, read from the store.
 use super::{Node, FINALS_BACK_MS};
 use crate::ctx::{Ctx, OpKind};
-use crate::ids::{Now, Seat};
+use crate::ids::{Now, Shard};
 use crate::io::{Out, StoreCall, StoreResult};
 use crate::keys;
 use crate::records::Feed;
@@ -28,15 +28,15 @@
         // who did not come to act on it.
         let back = FINALS_BACK_MS + self.cfg.cancel_ms;
         for i in 0..self.view.len() {
-            let seat = Seat(i as u8);
-            let read_from = self.horizons.to_be_read(seat, back, now).filter(|_| acts);
+            let shard = Shard(i as u8);
+            let read_from = self.horizons.to_be_read(shard, back, now).filter(|_| acts);
             let Some(since) = read_from else {
                 self.finals[i] = None;
                 continue;
             };
             let mark = || self.marks.iter().rev().find(|m| m.0 <= since).map_or(0, |m| m.1);
             let r = self.finals[i].get_or_insert_with(|| Reading {
-                feed: Feed::since(keys::final_prefix(seat), mark(), WAIT_MS),
+                feed: Feed::since(keys::final_prefix(shard), mark(), WAIT_MS),
                 asked: now,
                 as_of: now,
             });
@@ -47,20 +47,20 @@
                     r.as_of = now;
                 }
                 let mut c = ctx!(self, out);
-                c.store(OpKind::Finals { seat, asked: now }, call);
+                c.store(OpKind::Finals { shard, asked: now }, call);
             }
         }
     }
 
     /// `asked`: when. The answer to a call of a reading that was given up says nothing of a later one.
-    pub(super) fn finals_read(&mut self, now: Now, seat: Seat, asked: Now, result: StoreResult) {
-        let reading = self.finals.get_mut(seat.0 as usize).and_then(Option::as_mut);
+    pub(super) fn finals_read(&mut self, now: Now, shard: Shard, asked: Now, result: StoreResult) {
+        let reading = self.finals.get_mut(shard.0 as usize).and_then(Option::as_mut);
         let Some(r) = reading.filter(|r| r.asked == asked) else { return };
         let told = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
         let records = r.feed.take(now, result);
         self.horizons.stored(records.iter().filter_map(|r| keys::job_of_key(&r.key)), now);
         if told && r.feed.caught_up() {
-            self.horizons.read(seat, r.as_of);
+            self.horizons.read(shard, r.as_of);
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,18 +1,18 @@
-//! One controller: the lease, the seats it owns, and what each input means for them.
+//! One controller: the lease, the shards it owns, and what each input means for them.
 use crate::budget::{Budget, CLASSES};
-use crate::buyer::Buyer;
 use crate::coordinator::Coordinator;
 use crate::ctx::{Ask, Config, Ctx, OpKind, Ops};
 use crate::health::Health;
 use crate::horizon::{Horizons, Mine};
-use crate::ids::{Epoch, JobId, NodeIdx, Now, Seat, BUYER_SEAT};
+use crate::ids::{Epoch, JobId, NodeIdx, Now, Shard, PROVISIONER_SHARD};
 use crate::io::{CloudCall, CloudResult, Input, Out, Output, ReqId, StoreResult};
 use crate::jobs::Aims;
 use crate::names::Names;
-use crate::part::Part;
-use crate::seat::{at_least, Lease, SeatView};
-use crate::teams::Desk;
-use leaddeal_wire::mesh::{NodeMsg, SeatMsg};
+use crate::participant::Participant;
+use crate::provisioner::Provisioner;
+use crate::quota::QuotaManager;
+use crate::shard::{at_least, Lease, ShardView};
+use leaddeal_wire::mesh::{NodeMsg, ShardMsg};
 use leaddeal_wire::settings::Settings;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -27,7 +27,7 @@
 const LISTEN_MS: u64 = 1500;
 /// A tick that comes so late means that the process stood still.
 const STOOD_STILL_MS: u64 = 1500;
-/// After standing still, or losing its lease, a node does not ask for its seat for so long.
+/// After standing still, or losing its lease, a node does not ask for its shard for so long.
 const STEADY_MS: u64 = 20_000;
 /// The operators' figures are logged this often.
 const FIGURES_MS: u64 = 60_000;
@@ -62,7 +62,7 @@
 
 mod detour;
 mod finals;
-mod seats;
+mod shards;
 mod siblings;
 mod stored;
 #[cfg(test)]
@@ -86,8 +86,8 @@
 struct Owned {
     epoch: Epoch,
     coordinator: Coordinator,
-    part: Part,
-    desk: Desk,
+    participant: Participant,
+    quota: QuotaManager,
     releasing: bool,
     leave_until: Now,
 }
@@ -97,7 +97,7 @@
     boot: u64,
     started: Now,
     ticked: Now,
-    /// Its home seat is not asked for before this time.
+    /// Its home shard is not asked for before this time.
     steady_from: Now,
     time_ms: u64,
     nodes: Vec<String>,
@@ -105,22 +105,22 @@
     names: Names,
     budget: Budget,
     lease: Lease,
-    view: Vec<SeatView>,
+    view: Vec<ShardView>,
     view_known: bool,
-    seats_at: Now,
-    seats_busy: bool,
+    shards_at: Now,
+    shards_busy: bool,
     health: Health,
     /// What was cancelled, and up to when it is known.
     horizons: Horizons,
-    /// Workers of a seat were let go, since what was cancelled is not known.
+    /// Workers of a shard were let go, since what was cancelled is not known.
     let_go: bool,
     state_ok_at: Now,
     owned: Vec<Option<Owned>>,
-    /// The newest epoch of each seat that this process acted under and acts under no more.
+    /// The newest epoch of each shard that this process acted under and acts under no more.
     given_up: Vec<Epoch>,
-    buyer: Option<(Epoch, Buyer)>,
+    provisioner: Option<(Epoch, Provisioner)>,
     ops: Ops,
-    sends: VecDeque<(Seat, Seat, SeatMsg)>,
+    sends: VecDeque<(Shard, Shard, ShardMsg)>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
     relays: HashMap<ReqId, (String, u64)>,
@@ -136,7 +136,7 @@
     next_acquire: Vec<Now>,
     wake: bool,
     looked: u64,
-    /// Final states of seats whose owners do not speak for them.
+    /// Final states of shards whose owners do not speak for them.
     finals: Vec<Option<Reading>>,
     /// Newest revision heard of.
     revision: u64,
@@ -153,7 +153,7 @@
         let mut names = Names::default();
         names.zones.clone_from(&p.zones);
         let max_picks = ((p.state.value_kb * 1024.0 - 200.0) / 64.0).clamp(1.0, 150.0) as usize;
-        // Tasks of one job that its seat may place in a second: half of the seat's changes go to
+        // Tasks of one job that its shard may place in a second: half of the shard's changes go to
         // decisions, and no job takes more than a third of one.
         let placed_s = p.state.write_rps / n as f64 * 0.5 * max_picks as f64 / 3.0;
         Node {
@@ -178,10 +178,10 @@
             names,
             budget: Budget::new(p.state.write_rps, n, now),
             lease: Lease::default(),
-            view: vec![SeatView::default(); n],
+            view: vec![ShardView::default(); n],
             view_known: false,
-            seats_at: now,
-            seats_busy: false,
+            shards_at: now,
+            shards_busy: false,
             health: Health::new(NodeIdx(me as u8), n),
             horizons: Horizons::new(
                 NodeIdx(me as u8),
@@ -194,7 +194,7 @@
             state_ok_at: now,
             owned: (0..n).map(|_| None).collect(),
             given_up: vec![Epoch(0); n],
-            buyer: None,
+            provisioner: None,
             ops: Ops { next: 0, open: HashMap::new() },
             sends: VecDeque::new(),
             calls: BTreeMap::new(),
@@ -233,11 +233,11 @@
         self.ready(now) || (now >= self.started + LISTEN_MS && best)
     }
 
-    pub fn owned_seats(&self) -> Vec<(Seat, Epoch)> {
+    pub fn owned_shards(&self) -> Vec<(Shard, Epoch)> {
         self.owned
             .iter()
             .enumerate()
-            .filter_map(|(i, o)| Some((Seat(i as u8), o.as_ref()?.epoch)))
+            .filter_map(|(i, o)| Some((Shard(i as u8), o.as_ref()?.epoch)))
             .collect()
     }
 
@@ -292,7 +292,7 @@
         out.list
     }
 
-    /// What this node acts for and knows all of, by seat. Not while it is given back: that may have
+    /// What this node acts for and knows all of, by shard. Not while it is given back: that may have
     /// been done already.
     fn mine(&self, now: Now) -> Vec<Option<Mine>> {
         let doubt_ms = self.lease.in_doubt_ms(now);
@@ -309,13 +309,13 @@
             for i in 0..self.owned.len() {
                 let mut c = ctx!(self, out);
                 if let Some(o) = &mut self.owned[i] {
-                    o.part.job_over(&mut c, job);
+                    o.participant.job_over(&mut c, job);
                 }
             }
         }
     }
 
-    /// Delivers messages between seats until there are none.
+    /// Delivers messages between shards until there are none.
     fn settle(&mut self, out: &mut Out) {
         for _ in 0..50 {
             if std::mem::take(&mut self.wake) {
@@ -340,7 +340,7 @@
                     }
                 } else {
                     let node = self.nodes[o.node.0 as usize].clone();
-                    let msg = NodeMsg::Seat {
+                    let msg = NodeMsg::Shard {
                         from: from.0,
                         from_epoch: epoch.0,
                         to: to.0,
@@ -354,7 +354,7 @@
             for i in 0..self.owned.len() {
                 let mut c = ctx!(self, out);
                 if let Some(o) = &mut self.owned[i] {
-                    o.part.flush(&mut c);
+                    o.participant.flush(&mut c);
                 }
             }
             if self.sends.is_empty() && !self.wake {
@@ -363,55 +363,55 @@
         }
     }
 
-    fn deliver(&mut self, out: &mut Out, from: Seat, from_epoch: Epoch, to: Seat, msg: SeatMsg) {
+    fn deliver(&mut self, out: &mut Out, from: Shard, from_epoch: Epoch, to: Shard, msg: ShardMsg) {
         let mut c = ctx!(self, out);
         let Some(o) = &mut self.owned[to.0 as usize] else {
             return;
         };
         match msg {
-            SeatMsg::Request { .. }
-            | SeatMsg::Close { .. }
-            | SeatMsg::Place { .. }
-            | SeatMsg::Stop { .. }
-            | SeatMsg::Forget { .. } => o.part.handle(&mut c, from, from_epoch, msg),
-            SeatMsg::Offers { .. }
-            | SeatMsg::AskDecision { .. }
-            | SeatMsg::TeamGrant { .. }
-            | SeatMsg::Room { .. }
-            | SeatMsg::Events { .. } => {
+            ShardMsg::Request { .. }
+            | ShardMsg::Close { .. }
+            | ShardMsg::Place { .. }
+            | ShardMsg::Stop { .. }
+            | ShardMsg::Forget { .. } => o.participant.handle(&mut c, from, from_epoch, msg),
+            ShardMsg::Offers { .. }
+            | ShardMsg::AskDecision { .. }
+            | ShardMsg::TeamGrant { .. }
+            | ShardMsg::Room { .. }
+            | ShardMsg::Events { .. } => {
                 o.coordinator.handle(&mut c, from, msg);
             }
-            SeatMsg::Drain { machine } => {
-                if from == BUYER_SEAT && o.part.drain(&mut c, &machine) {
-                    c.send(to, BUYER_SEAT, SeatMsg::Drained { machine });
+            ShardMsg::Drain { machine } => {
+                if from == PROVISIONER_SHARD && o.participant.drain(&mut c, &machine) {
+                    c.send(to, PROVISIONER_SHARD, ShardMsg::Drained { machine });
                 }
             }
-            SeatMsg::Base { newest } => {
-                if from == BUYER_SEAT {
-                    o.part.base = Some(newest);
+            ShardMsg::Base { newest } => {
+                if from == PROVISIONER_SHARD {
+                    o.participant.base = Some(newest);
                 }
             }
-            SeatMsg::MachinesAgain => {
-                if from == BUYER_SEAT {
-                    o.part.tell_all();
-                    for msg in o.part.inventory(&c) {
+            ShardMsg::MachinesAgain => {
+                if from == PROVISIONER_SHARD {
+                    o.participant.tell_all();
+                    for msg in o.participant.inventory(&c) {
                         c.send(to, from, msg);
                     }
                 }
             }
-            SeatMsg::Released { machine } => {
-                if from == BUYER_SEAT {
-                    o.part.released(&mut c, &machine);
+            ShardMsg::Released { machine } => {
+                if from == PROVISIONER_SHARD {
+                    o.participant.released(&mut c, &machine);
                 }
             }
-            SeatMsg::Lacks { .. } | SeatMsg::Machines { .. } | SeatMsg::Drained { .. } => {
-                if let Some((_, b)) = &mut self.buyer {
+            ShardMsg::Lacks { .. } | ShardMsg::Machines { .. } | ShardMsg::Drained { .. } => {
+                if let Some((_, b)) = &mut self.provisioner {
                     b.handle(&mut c, from, msg);
                 }
             }
-            SeatMsg::TeamUsage { serial, usage } => {
-                let granted = o.desk.report(from, from_epoch, &usage);
-                c.send(to, from, SeatMsg::TeamGrant { serial, granted });
+            ShardMsg::TeamUsage { serial, usage } => {
+                let granted = o.quota.report(from, from_epoch, &usage);
+                c.send(to, from, ShardMsg::TeamGrant { serial, granted });
             }
         }
         self.wake |= c.wake;
@@ -428,7 +428,7 @@
         self.tick_lease(out);
         let mine = self.mine(now);
         self.horizons.advance(&mine, &self.view, now);
-        self.tick_seats(out);
+        self.tick_shards(out);
         if self.names.catalog.is_empty() && now >= self.catalog_at {
             self.catalog_at = now + 1000;
             let mut c = ctx!(self, out);
@@ -451,7 +451,7 @@
         for i in 0..self.owned.len() {
             let mut c = ctx!(self, out);
             if let Some(o) = &mut self.owned[i] {
-                o.part.tick(&mut c);
+                o.participant.tick(&mut c);
                 if c.valid {
                     o.coordinator.tick(&mut c);
                 }
@@ -464,14 +464,14 @@
             self.slow_at = now + TICK_SLOW_MS;
             self.slow_tick(out);
         }
-        if let Some((_, b)) = &mut self.buyer {
+        if let Some((_, b)) = &mut self.provisioner {
             let mut c = ctx!(self, out);
             b.tick(&mut c);
         }
     }
 
-    /// Whoever stood still or lost its lease may do so again: its seat stays where it is for a
-    /// while. (Found on hunts: a controller that woke after 25 s was given its seat back a second
+    /// Whoever stood still or lost its lease may do so again: its shard stays where it is for a
+    /// while. (Found on hunts: a controller that woke after 25 s was given its shard back a second
     /// later, so that one freeze cost two takeovers.)
     fn unsteady(&mut self, now: Now) {
         self.steady_from = self.steady_from.max(now + STEADY_MS);
@@ -494,10 +494,10 @@
         for i in 0..self.owned.len() {
             let c = ctx!(self, out);
             let Some(o) = &mut self.owned[i] else { continue };
-            let (seat, room) = (o.coordinator.figures(c.now), o.part.figures(&c));
+            let (shard, room) = (o.coordinator.figures(c.now), o.participant.figures(&c));
             let served = o.coordinator.served(c.now);
             out.log(1, "served", || served);
-            out.log(1, "seat", || seat);
+            out.log(1, "seat", || shard);
             out.log(1, "room", || room);
         }
     }
@@ -516,7 +516,7 @@
         self.horizons.expire(now);
         self.note_let_go(out);
         self.beat(out, |_| true);
-        // At home again and ready: ask for the own seat.
+        // At home again and ready: ask for the own shard.
         let me = self.me.0 as usize;
         if let Some(o) = self.view[me].owner {
             if o.node != self.me
@@ -525,7 +525,7 @@
                 && !self.names.catalog.is_empty()
             {
                 let to = self.nodes[o.node.0 as usize].clone();
-                out.list.push(Output::Mesh { to, msg: NodeMsg::WantSeat { seat: me as u8 } });
+                out.list.push(Output::Mesh { to, msg: NodeMsg::WantShard { shard: me as u8 } });
             }
         }
         for i in 0..self.owned.len() {
@@ -533,14 +533,14 @@
             let Some(o) = &mut self.owned[i] else {
                 continue;
             };
-            let seat = Seat(i as u8);
+            let shard = Shard(i as u8);
             let lacks = o.coordinator.lacks(&c);
-            let machines = o.part.inventory(&c);
+            let machines = o.participant.inventory(&c);
             if o.coordinator.ready() {
-                c.send(seat, BUYER_SEAT, SeatMsg::Lacks { lacks });
+                c.send(shard, PROVISIONER_SHARD, ShardMsg::Lacks { lacks });
             }
             for msg in machines {
-                c.send(seat, BUYER_SEAT, msg);
+                c.send(shard, PROVISIONER_SHARD, msg);
             }
         }
     }
@@ -549,11 +549,11 @@
         match (kind, result) {
             (OpKind::Catalog, CloudResult::Catalog(cat)) => {
                 self.names.set_catalog(cat);
-                self.tick_seats(out);
+                self.tick_shards(out);
             }
-            (OpKind::Buyer(epoch, what), result) => {
+            (OpKind::Provisioner(epoch, what), result) => {
                 let mut c = ctx!(self, out);
-                if let Some((e, b)) = &mut self.buyer {
+                if let Some((e, b)) = &mut self.provisioner {
                     if *e == epoch {
                         b.cloud(&mut c, what, result);
                     }
--- a/crates/core/src/node/seats.rs
+++ b/crates/core/src/node/shards.rs
@@ -1,23 +1,23 @@
-//! The lease, and which seats are acquired, kept, handed over and lost.
+//! The lease, and which shards are acquired, kept, handed over and lost.
 use super::{Node, Owned};
 use crate::budget::Class;
-use crate::buyer::Buyer;
 use crate::coordinator::Coordinator;
 use crate::ctx::{Ctx, OpKind};
 use crate::health::lately;
-use crate::ids::{Epoch, NodeIdx, Seat, BUYER_SEAT};
+use crate::ids::{Epoch, NodeIdx, Shard, PROVISIONER_SHARD};
 use crate::io::{Out, StoreCall};
 use crate::keys;
-use crate::part::Part;
-use crate::seat::{Owner, Seen, LEASE_MS, RENEW_MS};
-use crate::teams::Desk;
+use crate::participant::Participant;
+use crate::provisioner::Provisioner;
+use crate::quota::QuotaManager;
+use crate::shard::{Owner, Seen, LEASE_MS, RENEW_MS};
 use leaddeal_wire::state::{Change, Cond, Txn};
 use serde_json::json;
 
 impl Node {
-    pub(super) fn own(&mut self, out: &mut Out, seat: Seat, epoch: Epoch) {
+    pub(super) fn own(&mut self, out: &mut Out, shard: Shard, epoch: Epoch) {
         let now = out.now;
-        let i = seat.0 as usize;
+        let i = shard.0 as usize;
         // The second: an answer of the store that comes late, when a newer owner is known.
         if self.owned[i].as_ref().is_some_and(|o| o.epoch >= epoch)
             || self.view[i].owner.is_some_and(|o| o.epoch > epoch)
@@ -25,22 +25,22 @@
         {
             return;
         }
-        self.drop_seat(out, seat);
+        self.drop_shard(out, shard);
         let n = self.view.len();
-        out.log(1, "seat_acquired", || format!("seat={} epoch={}", seat.0, epoch.0));
+        out.log(1, "seat_acquired", || format!("seat={} epoch={}", shard.0, epoch.0));
         self.view[i].own(Owner { node: self.me, boot: self.boot, epoch }, now);
         self.owned[i] = Some(Owned {
             epoch,
-            coordinator: Coordinator::new(seat, epoch, n),
-            part: Part::new(seat, epoch, now, n, self.horizons.patience_ms()),
-            desk: Desk::new(seat, &self.cfg.teams, n),
+            coordinator: Coordinator::new(shard, epoch, n),
+            participant: Participant::new(shard, epoch, now, n, self.horizons.patience_ms()),
+            quota: QuotaManager::new(shard, &self.cfg.teams, n),
             releasing: false,
             leave_until: 0,
         });
-        if seat == BUYER_SEAT {
-            self.buyer = Some((epoch, Buyer::new(epoch, now)));
+        if shard == PROVISIONER_SHARD {
+            self.provisioner = Some((epoch, Provisioner::new(epoch, now)));
         }
-        self.horizons.begin(seat);
+        self.horizons.begin(shard);
         self.spread_view();
         self.share_writes();
         let mut c = ctx!(self, out);
@@ -49,16 +49,16 @@
         }
     }
 
-    pub(super) fn drop_seat(&mut self, out: &mut Out, seat: Seat) {
+    pub(super) fn drop_shard(&mut self, out: &mut Out, shard: Shard) {
         let mut c = ctx!(self, out);
-        if let Some(mut o) = self.owned[seat.0 as usize].take() {
-            // Its numbers of rounds and attempts are used, and what gave the seat back may yet be
+        if let Some(mut o) = self.owned[shard.0 as usize].take() {
+            // Its numbers of rounds and attempts are used, and what gave the shard back may yet be
             // executed: it is never acted under again.
-            self.given_up[seat.0 as usize] = o.epoch;
+            self.given_up[shard.0 as usize] = o.epoch;
             o.coordinator.abandon(&mut c);
-            c.out.log(1, "seat_lost", || format!("seat={} epoch={}", seat.0, o.epoch.0));
-            if seat == BUYER_SEAT {
-                self.buyer = None;
+            c.out.log(1, "seat_lost", || format!("seat={} epoch={}", shard.0, o.epoch.0));
+            if shard == PROVISIONER_SHARD {
+                self.provisioner = None;
             }
         }
         self.share_writes();
@@ -71,7 +71,7 @@
 
     pub(super) fn drop_all(&mut self, out: &mut Out) {
         for i in 0..self.owned.len() {
-            self.drop_seat(out, Seat(i as u8));
+            self.drop_shard(out, Shard(i as u8));
         }
     }
 
@@ -80,21 +80,21 @@
         for i in 0..self.view.len() {
             if let Some(w) = self.view[i].owner {
                 for o in self.owned.iter_mut().flatten() {
-                    o.part.see_coordinator(Seat(i as u8), w.epoch);
+                    o.participant.see_coordinator(Shard(i as u8), w.epoch);
                 }
             }
         }
     }
 
-    pub(super) fn see_seat(&mut self, out: &mut Out, key: &str, seen: Seen) {
+    pub(super) fn see_shard(&mut self, out: &mut Out, key: &str, seen: Seen) {
         let now = out.now;
-        let Some(seat) = keys::parse_seat_key(key).filter(|s| (s.0 as usize) < self.view.len())
+        let Some(shard) = keys::parse_shard_key(key).filter(|s| (s.0 as usize) < self.view.len())
         else {
             return;
         };
-        let i = seat.0 as usize;
+        let i = shard.0 as usize;
         self.horizons.first_seen(
-            seat,
+            shard,
             match seen {
                 Seen::Owned(_, revision) | Seen::Vacant(revision) => revision,
             },
@@ -104,7 +104,7 @@
             Seen::Vacant(revision) => {
                 self.view[i].vacate(revision, now);
                 if self.owned[i].as_ref().is_some_and(|o| o.epoch.0 <= revision) {
-                    self.drop_seat(out, seat);
+                    self.drop_shard(out, shard);
                 }
                 return;
             }
@@ -122,9 +122,9 @@
         self.view[i].own(owner, now);
         let mine = owner.node == self.me && boot == self.boot;
         if mine && self.lease.valid(now) {
-            self.own(out, seat, epoch);
+            self.own(out, shard, epoch);
         } else if !mine && self.owned[i].is_some() {
-            self.drop_seat(out, seat);
+            self.drop_shard(out, shard);
         }
         self.spread_view();
         self.wake = true;
@@ -148,14 +148,14 @@
                 ),
             }
         }
-        if !self.seats_busy && now >= self.seats_at && !self.view_known {
-            self.seats_busy = true;
+        if !self.shards_busy && now >= self.shards_at && !self.view_known {
+            self.shards_busy = true;
             let mut c = ctx!(self, out);
-            c.store(OpKind::Seats, StoreCall::List { prefix: keys::SEATS.into(), after: None });
+            c.store(OpKind::Shards, StoreCall::List { prefix: keys::SHARDS.into(), after: None });
         }
     }
 
-    pub(super) fn tick_seats(&mut self, out: &mut Out) {
+    pub(super) fn tick_shards(&mut self, out: &mut Out) {
         let now = out.now;
         if !self.view_known || !self.lease.valid(now) || self.names.catalog.is_empty() {
             return;
@@ -168,7 +168,7 @@
                 None => {
                     let home = i == self.me.0 as usize;
                     let alive = |k: usize| lately(self.health.heard()[k], now);
-                    // Home takes its own seat at once; others in order of distance, and only
+                    // Home takes its own shard at once; others in order of distance, and only
                     // later if home is alive.
                     let wait = if home {
                         0
@@ -198,17 +198,17 @@
             }
             self.next_acquire[i] = now + 700;
             self.view[i].trying = true;
-            let key = keys::seat_key(Seat(i as u8));
+            let key = keys::shard_key(Shard(i as u8));
             let value = json!({"node": self.nodes[self.me.0 as usize], "boot": self.boot});
             let txn = Txn {
                 conds: vec![Cond { key: key.clone(), version }],
                 changes: vec![Change::Put { key, value, lease: self.lease.id }],
             };
-            self.budget.spend(Class::Seats, 1);
+            self.budget.spend(Class::Shards, 1);
             let mut c = ctx!(self, out);
-            c.store(OpKind::Acquire(Seat(i as u8)), StoreCall::Txn(txn));
+            c.store(OpKind::Acquire(Shard(i as u8)), StoreCall::Txn(txn));
         }
-        // Orderly handover to the seat's home.
+        // Orderly handover to the shard's home.
         for i in 0..n {
             let Some(o) = &mut self.owned[i] else {
                 continue;
@@ -222,22 +222,22 @@
             }
             if o.coordinator.quiet() {
                 o.releasing = true;
-                let key = keys::seat_key(Seat(i as u8));
+                let key = keys::shard_key(Shard(i as u8));
                 let epoch = o.epoch;
                 let txn = Txn {
                     conds: vec![Cond { key: key.clone(), version: epoch.0 }],
                     changes: vec![Change::Delete { key }],
                 };
-                self.budget.spend(Class::Seats, 1);
+                self.budget.spend(Class::Shards, 1);
                 let mut c = ctx!(self, out);
-                c.store(OpKind::Release(Seat(i as u8), epoch), StoreCall::Txn(txn));
+                c.store(OpKind::Release(Shard(i as u8), epoch), StoreCall::Txn(txn));
             }
         }
     }
 
-    pub(super) fn watch_seats(&mut self, out: &mut Out, after: u64) {
+    pub(super) fn watch_shards(&mut self, out: &mut Out, after: u64) {
         let mut c = ctx!(self, out);
-        let call = StoreCall::Watch { prefix: keys::SEATS.into(), after, wait_ms: 15_000 };
-        c.store(OpKind::SeatWatch, call);
+        let call = StoreCall::Watch { prefix: keys::SHARDS.into(), after, wait_ms: 15_000 };
+        c.store(OpKind::ShardWatch, call);
     }
 }
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -1,9 +1,9 @@
 //! Messages of the other controllers.
 use super::{Node, MOST_CALLS};
 use crate::ctx::{Ask, Ctx};
-use crate::ids::{seat_of_job, Epoch, JobId, NodeIdx, Seat};
+use crate::ids::{shard_of_job, Epoch, JobId, NodeIdx, Shard};
 use crate::io::{Out, Output, WorkerReply};
-use crate::seat::Owner;
+use crate::shard::Owner;
 use leaddeal_wire::mesh::{Beat, NodeMsg, Told};
 
 impl Node {
@@ -11,7 +11,7 @@
     /// may be in doubt: an older owner's time is over all the same.
     pub(super) fn beat(&mut self, out: &mut Out, to: impl Fn(NodeIdx) -> bool) {
         let mine = self.mine(out.now);
-        let owned = self.owned_seats().iter().map(|(s, e)| (s.0, e.0)).collect();
+        let owned = self.owned_shards().iter().map(|(s, e)| (s.0, e.0)).collect();
         let known = self.view.iter().enumerate().filter_map(|(i, v)| Some((i as u8, v.last?)));
         let known = known.map(|(i, o)| (i, o.node.0, o.epoch.0)).collect();
         let beat = Beat { owned, known, ready: self.ready(out.now), ..Beat::default() };
@@ -30,15 +30,15 @@
     /// seed 1498: the new owner stood still and then lost its lease, so it owned nothing to tell
     /// of; the one before it went on answering workers with tasks that were cancelled meanwhile.)
     fn heard_beat(&mut self, out: &mut Out, from: NodeIdx, b: &Beat) {
-        let owned = b.owned.iter().map(|&(seat, epoch)| (seat, from.0, epoch));
-        for (seat, node, epoch) in owned.chain(b.known.iter().copied()) {
-            let (seat, node) = (Seat(seat), NodeIdx(node));
+        let owned = b.owned.iter().map(|&(shard, epoch)| (shard, from.0, epoch));
+        for (shard, node, epoch) in owned.chain(b.known.iter().copied()) {
+            let (shard, node) = (Shard(shard), NodeIdx(node));
             let known = (node.0 as usize) < self.nodes.len();
-            let Some(v) = self.view.get_mut(seat.0 as usize).filter(|_| known) else { continue };
+            let Some(v) = self.view.get_mut(shard.0 as usize).filter(|_| known) else { continue };
             // Of our own former epochs we know, and of our present ones.
             if node != self.me && v.claimed(Owner { node, boot: 0, epoch: Epoch(epoch) }, out.now) {
-                if self.owned[seat.0 as usize].is_some() {
-                    self.drop_seat(out, seat);
+                if self.owned[shard.0 as usize].is_some() {
+                    self.drop_shard(out, shard);
                 }
                 self.spread_view();
             }
@@ -50,8 +50,8 @@
         let mine = self.mine(out.now);
         self.horizons.advance(&mine, &self.view, out.now);
         for o in self.owned.iter_mut().flatten() {
-            if self.health.all_know(o.part.seat, o.epoch) {
-                o.part.older_let_go(out.now);
+            if self.health.all_know(o.participant.shard, o.epoch) {
+                o.participant.older_let_go(out.now);
             }
         }
     }
@@ -65,7 +65,7 @@
         self.health.hear(node, now);
         match msg {
             NodeMsg::Beat(b) => self.heard_beat(out, node, &b),
-            NodeMsg::Seat { from, from_epoch, to, to_epoch, msg } => {
+            NodeMsg::Shard { from, from_epoch, to, to_epoch, msg } => {
                 let len = self.view.len();
                 if from as usize >= len || to as usize >= len {
                     return;
@@ -73,14 +73,14 @@
                 let mine = self.owned[to as usize].as_ref().map(|o| o.epoch.0);
                 let newer = self.view[from as usize].owner.is_some_and(|o| o.epoch.0 > from_epoch);
                 if mine == Some(to_epoch) && !newer {
-                    self.deliver(out, Seat(from), Epoch(from_epoch), Seat(to), msg);
+                    self.deliver(out, Shard(from), Epoch(from_epoch), Shard(to), msg);
                 }
             }
             NodeMsg::Ask { call, job, cancel } => {
                 let id = JobId(job);
-                let seat = seat_of_job(id, self.view.len());
+                let shard = shard_of_job(id, self.view.len());
                 let valid = self.lease.valid(now);
-                let mine = self.owned[seat.0 as usize].as_mut();
+                let mine = self.owned[shard.0 as usize].as_mut();
                 let to = from.to_string();
                 let Some(o) = mine.filter(|o| valid && o.coordinator.ready()) else {
                     let answer = Told::NotMine;
@@ -140,9 +140,9 @@
                     out.list.push(Output::Worker { req: p.req, reply });
                 }
             }
-            NodeMsg::WantSeat { seat } => {
-                if seat as usize == n {
-                    if let Some(o) = self.owned.get_mut(seat as usize).and_then(Option::as_mut) {
+            NodeMsg::WantShard { shard } => {
+                if shard as usize == n {
+                    if let Some(o) = self.owned.get_mut(shard as usize).and_then(Option::as_mut) {
                         o.coordinator.leaving = true;
                         o.leave_until = now + 5000;
                     }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -1,16 +1,16 @@
 //! Answers of the state service, to whom they belong.
 use super::Node;
 use crate::ctx::{Ask, Ctx, OpKind};
-use crate::ids::{Epoch, Seat};
+use crate::ids::{Epoch, Shard};
 use crate::io::{Out, StoreCall, StoreResult};
 use crate::jobs::job_state;
 use crate::keys;
-use crate::seat::{Lease, Seen};
+use crate::shard::{Lease, Seen};
 use leaddeal_wire::user::{self, JobState, Status};
 
 impl Node {
-    pub(super) fn coordinator(&mut self, seat: Seat, epoch: Epoch) -> Option<usize> {
-        let i = seat.0 as usize;
+    pub(super) fn coordinator(&mut self, shard: Shard, epoch: Epoch) -> Option<usize> {
+        let i = shard.0 as usize;
         self.owned[i].as_ref().is_some_and(|o| o.epoch == epoch).then_some(i)
     }
 
@@ -23,7 +23,7 @@
                 if let (StoreResult::Lease(id), None) = (result, self.lease.id) {
                     self.lease.id = Some(id);
                     self.lease.renewed = sent;
-                    self.tick_seats(out);
+                    self.tick_shards(out);
                 }
             }
             OpKind::Touch { lease, .. } if self.lease.id != Some(lease) => {}
@@ -40,46 +40,46 @@
                     _ => self.lease.next = now + 300,
                 }
             }
-            OpKind::Seats => {
-                self.seats_busy = false;
+            OpKind::Shards => {
+                self.shards_busy = false;
                 let StoreResult::Page(p) = result else {
-                    self.seats_at = now + 300;
+                    self.shards_at = now + 300;
                     return;
                 };
                 for i in 0..self.view.len() {
-                    let key = keys::seat_key(Seat(i as u8));
+                    let key = keys::shard_key(Shard(i as u8));
                     let item = p.items.iter().find(|x| x.key == key);
                     let seen =
                         item.map_or(Seen::Vacant(p.revision), |x| Seen::Owned(&x.value, x.version));
-                    self.see_seat(out, &key, seen);
+                    self.see_shard(out, &key, seen);
                 }
                 self.view_known = true;
-                self.watch_seats(out, p.revision);
-                self.tick_seats(out);
+                self.watch_shards(out, p.revision);
+                self.tick_shards(out);
             }
-            OpKind::SeatWatch => match result {
+            OpKind::ShardWatch => match result {
                 StoreResult::Events(e) => {
                     for ev in &e.events {
                         if let Some(k) = &ev.put {
-                            self.see_seat(out, k, Seen::Owned(&ev.value, ev.version));
+                            self.see_shard(out, k, Seen::Owned(&ev.value, ev.version));
                         } else if let Some(k) = &ev.delete {
                             // Older than the acquisition we know of, it says nothing.
-                            self.see_seat(out, k, Seen::Vacant(ev.version));
+                            self.see_shard(out, k, Seen::Vacant(ev.version));
                         }
                     }
-                    self.watch_seats(out, e.revision);
-                    self.tick_seats(out);
+                    self.watch_shards(out, e.revision);
+                    self.tick_shards(out);
                 }
                 _ => {
                     self.view_known = false;
-                    self.seats_at = now + 200;
+                    self.shards_at = now + 200;
                 }
             },
-            OpKind::Acquire(seat) => {
-                self.view[seat.0 as usize].trying = false;
+            OpKind::Acquire(shard) => {
+                self.view[shard.0 as usize].trying = false;
                 match result {
                     StoreResult::Committed(rev) if self.lease.valid(now) => {
-                        self.own(out, seat, Epoch(rev));
+                        self.own(out, shard, Epoch(rev));
                     }
                     StoreResult::NoLease => {
                         self.lease = Lease { next: now, ..Lease::default() };
@@ -89,28 +89,28 @@
                     _ => {}
                 }
             }
-            OpKind::Release(seat, epoch) => {
-                let Some(i) = self.coordinator(seat, epoch) else {
+            OpKind::Release(shard, epoch) => {
+                let Some(i) = self.coordinator(shard, epoch) else {
                     return;
                 };
                 match result {
                     StoreResult::Committed(revision) => {
-                        self.drop_seat(out, seat);
+                        self.drop_shard(out, shard);
                         self.view[i].vacate(revision, now);
                         self.next_acquire[i] = now + 2000;
                     }
-                    StoreResult::Conflict(_) => self.drop_seat(out, seat),
+                    StoreResult::Conflict(_) => self.drop_shard(out, shard),
                     StoreResult::Refused | StoreResult::TooMany => {
                         if let Some(o) = &mut self.owned[i] {
                             o.releasing = false;
                         }
                     }
                     // It may be gone already: stop acting, and let the lease or the watch tell.
-                    _ => self.drop_seat(out, seat),
+                    _ => self.drop_shard(out, shard),
                 }
             }
-            OpKind::Records { seat, epoch } => {
-                let Some(i) = self.coordinator(seat, epoch) else {
+            OpKind::Records { shard, epoch } => {
+                let Some(i) = self.coordinator(shard, epoch) else {
                     return;
                 };
                 let mut c = ctx!(self, out);
@@ -119,10 +119,10 @@
                 }
                 self.wake |= c.wake;
             }
-            OpKind::Decide { seat, epoch }
-            | OpKind::Fold { seat, epoch }
-            | OpKind::Finish { seat, epoch, .. } => {
-                let Some(i) = self.coordinator(seat, epoch) else {
+            OpKind::Decide { shard, epoch }
+            | OpKind::Fold { shard, epoch }
+            | OpKind::Finish { shard, epoch, .. } => {
+                let Some(i) = self.coordinator(shard, epoch) else {
                     return;
                 };
                 let mut c = ctx!(self, out);
@@ -136,15 +136,15 @@
                 };
                 self.wake |= c.wake;
                 if !kept {
-                    self.drop_seat(out, seat);
+                    self.drop_shard(out, shard);
                     self.view_known = false;
-                    self.seats_at = now;
+                    self.shards_at = now;
                 }
             }
             OpKind::Submit { req, id, value } => self.submitted(out, req, id, &value, result),
             OpKind::ReadJob { req, id, ask } => {
                 let mut c = ctx!(self, out);
-                let seat = c.seat_of_job(id);
+                let shard = c.shard_of_job(id);
                 match result {
                     // Its owner does not answer, so it can't be cancelled now.
                     StoreResult::Item(Some(_)) if ask.0 == Ask::Cancel => {
@@ -160,7 +160,7 @@
                         c.reply_state(req, 200, state);
                     }
                     StoreResult::Item(None) => {
-                        let key = keys::final_key(seat, id);
+                        let key = keys::final_key(shard, id);
                         c.store(OpKind::ReadFinal { req, id, ask }, StoreCall::Get { key });
                     }
                     _ => c.reply_later(req, 503, 1),
@@ -185,7 +185,7 @@
                     _ => c.reply_later(req, 503, 1),
                 }
             }
-            OpKind::Finals { seat, asked } => self.finals_read(now, seat, asked, result),
+            OpKind::Finals { shard, asked } => self.finals_read(now, shard, asked, result),
             OpKind::BasePut => {
                 let mut c = ctx!(self, out);
                 match result {
@@ -193,21 +193,21 @@
                         c.store(OpKind::BaseGet, StoreCall::Get { key: keys::BASE.into() });
                     }
                     _ => {
-                        if let Some((_, b)) = &mut self.buyer {
+                        if let Some((_, b)) = &mut self.provisioner {
                             b.set_base(None);
                         }
                     }
                 }
             }
             OpKind::BaseGet => {
-                if let Some((_, b)) = &mut self.buyer {
+                if let Some((_, b)) = &mut self.provisioner {
                     b.set_base(match result {
                         StoreResult::Item(Some(i)) => i.value.as_str().map(str::to_string),
                         _ => None,
                     });
                 }
             }
-            OpKind::Catalog | OpKind::Buyer(..) => {}
+            OpKind::Catalog | OpKind::Provisioner(..) => {}
         }
     }
 }
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -20,7 +20,7 @@
     Settings::parse(&v.to_string()).expect("settings")
 }
 
-/// One seat, alone; what it asked of the store last.
+/// One shard, alone; what it asked of the store last.
 struct World {
     node: Node,
     now: Now,
@@ -68,14 +68,14 @@
     }
 }
 
-/// The acquisitions of the seat that were asked for: the version that its key should have.
+/// The acquisitions of the shard that were asked for: the version that its key should have.
 fn acquires(call: &crate::io::StoreCall) -> Option<u64> {
     let crate::io::StoreCall::Txn(t) = call else { return None };
     let puts = t.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if key == "seat/0"));
     puts.then(|| t.conds.iter().find(|c| c.key == "seat/0").map_or(0, |c| c.version))
 }
 
-/// Rounds and attempts are numbered within an epoch, and what gave the seat back may be executed late: it
+/// Rounds and attempts are numbered within an epoch, and what gave the shard back may be executed late: it
 /// was owned again under the same epoch once the store still listed it.
 #[test]
 fn an_epoch_that_was_given_up_is_never_acted_under_again() {
@@ -98,13 +98,13 @@
         _ => None,
     };
     w.answer(store);
-    assert_eq!(w.node.owned_seats(), [(Seat(0), Epoch(7))], "its own, as listed");
+    assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
     let mut out = Out { now: w.now, list: Vec::new(), looked: 0 };
-    w.node.drop_seat(&mut out, Seat(0));
+    w.node.drop_shard(&mut out, Shard(0));
     w.node.view_known = false;
     w.asked.clear();
     w.answer(store);
-    assert!(w.node.owned_seats().is_empty(), "listed again, it was given up");
+    assert!(w.node.owned_shards().is_empty(), "listed again, it was given up");
     let asked: Vec<u64> = w.asked.iter().filter_map(|(_, c)| acquires(c)).collect();
     assert_eq!(asked.first(), Some(&7), "it is acquired anew, under a new epoch");
 }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -2,7 +2,7 @@
 use super::{Call, Node, CALL_MS, CANCEL_CALL_MS, MOST_CALLS};
 use crate::budget::Class;
 use crate::ctx::{known, Ask, AskKind, Ctx, OpKind};
-use crate::ids::{seat_of_job, JobId};
+use crate::ids::{shard_of_job, JobId};
 use crate::io::{Out, Output, ReqId, StoreCall, StoreResult};
 use crate::jobs::wire_shape;
 use crate::keys;
@@ -47,15 +47,15 @@
             let mut c = ctx!(self, out);
             return c.reply_later(req, 503, after_s);
         }
-        let seat = seat_of_job(id, self.view.len());
+        let shard = shard_of_job(id, self.view.len());
         let value = json!({"job": *job, "at": self.time_ms});
         let txn = Txn {
             conds: vec![
-                Cond { key: keys::job_key(seat, id), version: 0 },
-                Cond { key: keys::final_key(seat, id), version: 0 },
+                Cond { key: keys::job_key(shard, id), version: 0 },
+                Cond { key: keys::final_key(shard, id), version: 0 },
             ],
             changes: vec![Change::Put {
-                key: keys::job_key(seat, id),
+                key: keys::job_key(shard, id),
                 value: value.clone(),
                 lease: None,
             }],
@@ -85,12 +85,12 @@
     pub(super) fn lookup(&mut self, out: &mut Out, req: ReqId, id: JobId, ask: Ask) {
         let now = out.now;
         let valid = self.lease.valid(now);
-        let seat = seat_of_job(id, self.view.len());
-        let view = self.view[seat.0 as usize].owner;
+        let shard = shard_of_job(id, self.view.len());
+        let view = self.view[shard.0 as usize].owner;
         let busy = self.ops.open.len() > MOST_CALLS || self.calls.len() > MOST_CALLS;
         let mut c = ctx!(self, out);
         if let Some(o) =
-            self.owned[seat.0 as usize].as_mut().filter(|o| valid && o.coordinator.ready())
+            self.owned[shard.0 as usize].as_mut().filter(|o| valid && o.coordinator.ready())
         {
             if ask == Ask::Cancel {
                 if o.coordinator.cancel(&mut c, req, id) {
@@ -99,7 +99,7 @@
             } else if let Some(s) = o.coordinator.state(id) {
                 return c.reply_state(req, 200, s);
             }
-        } else if let Some(o) = view.filter(|o| o.node != self.me && c.reachable(seat) && !busy) {
+        } else if let Some(o) = view.filter(|o| o.node != self.me && c.reachable(shard) && !busy) {
             self.next_call += 1;
             let call = self.next_call;
             let to = self.nodes[o.node.0 as usize].clone();
@@ -116,13 +116,13 @@
     /// the same transaction that deletes the job, so one of the two is found if it is known.
     pub(super) fn read_job(&mut self, out: &mut Out, req: ReqId, id: JobId, ask: Ask) {
         let busy = self.ops.open.len() > MOST_CALLS;
-        let seat = seat_of_job(id, self.view.len());
+        let shard = shard_of_job(id, self.view.len());
         let mut c = ctx!(self, out);
         if busy {
             return c.reply_later(req, 503, 2);
         }
         let kind = OpKind::ReadJob { req, id, ask: AskKind(ask) };
-        c.store(kind, StoreCall::Get { key: keys::job_key(seat, id) });
+        c.store(kind, StoreCall::Get { key: keys::job_key(shard, id) });
     }
 
     pub(super) fn submitted(
@@ -135,14 +135,14 @@
     ) {
         match result {
             StoreResult::Committed(rev) => {
-                let seat = seat_of_job(id, self.view.len());
+                let shard = shard_of_job(id, self.view.len());
                 let mut c = ctx!(self, out);
-                if let Some(o) = &mut self.owned[seat.0 as usize] {
+                if let Some(o) = &mut self.owned[shard.0 as usize] {
                     // While it loads, the list brings it. And if the list is newer than the
                     // creation but lacks the job, then it is over already: this answer is a
                     // late one. (Found by the simulator: a done job went back to running.)
                     if o.coordinator.ready() && rev > o.coordinator.loaded_from {
-                        o.coordinator.job_created(&mut c, &keys::job_key(seat, id), value);
+                        o.coordinator.job_created(&mut c, &keys::job_key(shard, id), value);
                     }
                 }
                 let state = JobState {
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -4,7 +4,7 @@
 use crate::ctx::Ctx;
 use crate::health::lately;
 use crate::hearing::Via;
-use crate::ids::{seat_of_job, seat_of_machine, JobId, Now, Seat};
+use crate::ids::{shard_of_job, shard_of_machine, JobId, Now, Shard};
 use crate::io::{DirectOutcome, Out, Output, ReqId, WorkerReply};
 use leaddeal_wire::mesh::NodeMsg;
 use leaddeal_wire::worker::Report;
@@ -12,7 +12,7 @@
 /// The first words of all owners are heard within this time.
 const FIRST_WORDS_MS: u64 = 5000;
 
-/// A worker's report that was passed on to the owner of its machine's seat.
+/// A worker's report that was passed on to the owner of its machine's shard.
 #[derive(Debug)]
 pub(super) struct Passed {
     pub(super) req: ReqId,
@@ -21,8 +21,8 @@
 
 impl Node {
     /// Whether the worker may be answered: what was cancelled of its tasks' jobs is known here up to a
-    /// moment from which its lease is over in time (`horizon.rs`), and its machine's seat is still
-    /// ours by then. If not, it is let go, for whoever owns that seat by now.
+    /// moment from which its lease is over in time (`horizon.rs`), and its machine's shard is still
+    /// ours by then. If not, it is let go, for whoever owns that shard by now.
     ///
     /// (Found by the simulator: workers stayed with a node that heard nobody for its whole grace; and,
     /// seed 1498, with one that heard a sibling again which knew as little, while the third had
@@ -30,23 +30,23 @@
     /// controller and then all, while workers still reported to that one.)
     fn may_answer(&self, r: &Report, now: Now) -> bool {
         let n = self.view.len();
-        let permits = |seat| self.horizons.permits(seat, now);
-        let home = seat_of_machine(&r.machine, n);
-        if (0..n).all(|i| permits(Seat(i as u8))) {
+        let permits = |shard| self.horizons.permits(shard, now);
+        let home = shard_of_machine(&r.machine, n);
+        if (0..n).all(|i| permits(Shard(i as u8))) {
             return true;
         }
         let listed = r.tasks.iter().filter_map(|t| Some(JobId(t.task?.job)));
-        let part = self.owned[home.0 as usize].as_ref().map(|o| &o.part);
+        let participant = self.owned[home.0 as usize].as_ref().map(|o| &o.participant);
         let machine = self.names.find_machine(&r.machine);
-        let placed = part.zip(machine).map(|(p, m)| p.jobs_on(m)).into_iter().flatten();
-        permits(home) && listed.chain(placed).all(|j| permits(seat_of_job(j, n)))
+        let placed = participant.zip(machine).map(|(p, m)| p.jobs_on(m)).into_iter().flatten();
+        permits(home) && listed.chain(placed).all(|j| permits(shard_of_job(j, n)))
     }
 
     /// Says once when workers are let go, and when they are answered again.
     pub(super) fn note_let_go(&mut self, out: &mut Out) {
         let now = out.now;
-        let seats = (0..self.view.len()).map(|i| Seat(i as u8));
-        let behind: Vec<Seat> = seats.filter(|&s| !self.horizons.permits(s, now)).collect();
+        let shards = (0..self.view.len()).map(|i| Shard(i as u8));
+        let behind: Vec<Shard> = shards.filter(|&s| !self.horizons.permits(s, now)).collect();
         // A process that has just begun has to hear of all first.
         let acts = self.owned.iter().any(Option::is_some) && now >= self.started + FIRST_WORDS_MS;
         let lets_go = !behind.is_empty() && acts;
@@ -56,7 +56,7 @@
         if !lets_go {
             return out.log(1, "workers_answered", || "all cancellations are known again".into());
         }
-        let of = |s: &Seat| {
+        let of = |s: &Shard| {
             let ms = self.horizons.behind_ms(*s, now);
             format!("seat={} behind_ms={}", s.0, ms.map_or("ever".into(), |ms| ms.to_string()))
         };
@@ -72,11 +72,11 @@
         }
     }
 
-    /// The seat is a sibling's: the worker is sent there, or its report is passed on.
+    /// The shard is a sibling's: the worker is sent there, or its report is passed on.
     fn send_on(&mut self, out: &mut Out, req: ReqId, report: Box<Report>, direct: WorkerReply) {
         let now = out.now;
-        let seat = seat_of_machine(&report.machine, self.view.len());
-        let view = self.view[seat.0 as usize];
+        let shard = shard_of_machine(&report.machine, self.view.len());
+        let view = self.view[shard.0 as usize];
         let heard = view.owner.filter(|o| lately(self.health.heard()[o.node.0 as usize], now));
         let owner = heard.filter(|_| self.passed.len() < MOST_CALLS);
         let machine = self.names.machine(&report.machine);
@@ -103,15 +103,15 @@
         }
     }
 
-    /// What the report is worth here: an answer, if its machine's seat is ours.
+    /// What the report is worth here: an answer, if its machine's shard is ours.
     pub(super) fn judge(&mut self, out: &mut Out, r: &Report, via: Via) -> WorkerReply {
         let now = out.now;
-        let seat = seat_of_machine(&r.machine, self.view.len());
+        let shard = shard_of_machine(&r.machine, self.view.len());
         let may = self.may_answer(r, now);
-        let owner = self.view[seat.0 as usize].owner;
+        let owner = self.view[shard.0 as usize].owner;
         let mut c = ctx!(self, out);
-        if let Some(o) = self.owned[seat.0 as usize].as_mut().filter(|_| may) {
-            match o.part.report(&mut c, r, via) {
+        if let Some(o) = self.owned[shard.0 as usize].as_mut().filter(|_| may) {
+            match o.participant.report(&mut c, r, via) {
                 Some(a) => WorkerReply::Answer(a),
                 None => WorkerReply::Redirect(None),
             }
@@ -132,9 +132,9 @@
         batch: u64,
         outcome: &DirectOutcome,
     ) {
-        let seat = seat_of_machine(machine, self.view.len());
+        let shard = shard_of_machine(machine, self.view.len());
         let mut c = ctx!(self, out);
-        let Some(o) = &mut self.owned[seat.0 as usize] else {
+        let Some(o) = &mut self.owned[shard.0 as usize] else {
             return;
         };
         let (report, unknown) = match outcome {
@@ -142,6 +142,6 @@
             DirectOutcome::NotSent => (None, false),
             DirectOutcome::Unknown => (None, true),
         };
-        o.part.direct_outcome(&mut c, machine, batch, report, unknown);
+        o.participant.direct_outcome(&mut c, machine, batch, report, unknown);
     }
 }
--- a/crates/core/src/part/blame.rs
+++ b/crates/core/src/participant/blame.rs
@@ -8,7 +8,7 @@
 //! - of jobs that did neither yet, it takes several different ones to speak against a machine.
 //!
 //! Invariants: a machine on which something ran well since is not suspected; a job that ran well
-//! anywhere in this part is not discredited; both verdicts are worked out anew at each piece of
+//! anywhere in this participant is not discredited; both verdicts are worked out anew at each piece of
 //! evidence, so that a later one takes back what an earlier one suggested.
 //!
 //! (On the operators' sites one job in 25 is submitted with a mistake. Any two of them on a machine
--- a/crates/core/src/part/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -1,9 +1,9 @@
-//! What stands in the way of GPU work on a part's machines, for the operators' log.
-use super::Part;
+//! What stands in the way of GPU work on a participant's machines, for the operators' log.
+use super::Participant;
 use crate::ctx::Ctx;
 use crate::names::Room;
 
-impl Part {
+impl Participant {
     /// Machines with GPUs by what is on them: GPU work; room for the GPU work asked for lately;
     /// other tasks that will end; services, or holds, that stay; or nothing may come to them now.
     pub fn figures(&self, ctx: &Ctx) -> String {
@@ -29,9 +29,9 @@
             }
         }
         format!(
-            "seat={} machines={} gpu_busy={busy} gpu_open={open} gpu_short_tasks={short} \
+            "shard={} machines={} gpu_busy={busy} gpu_open={open} gpu_short_tasks={short} \
              gpu_blocked={blocked} gpu_away={away} gpu_claimed={claimed} line={}",
-            self.seat.0,
+            self.shard.0,
             self.machines.len(),
             self.line.len(),
         )
--- a/crates/core/src/part/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -1,12 +1,12 @@
-//! A seat's machines: holds room, offers it, starts what was decided, and proves what is gone.
+//! A shard's machines: holds room, offers it, starts what was decided, and proves what is gone.
 use crate::ctx::Ctx;
 use crate::fleet::{Key, Machine, StopWish, TaskOn};
 use crate::hearing::Via;
 use crate::horizon::Horizons;
-use crate::ids::{Attempt, Epoch, JobId, MachineIdx, Negotiation, Now, Seat, BUYER_SEAT};
+use crate::ids::{Attempt, Epoch, JobId, MachineIdx, Negotiation, Now, Shard, PROVISIONER_SHARD};
 use crate::names::{Names, Room, Shape};
-use crate::seat::at_least;
-use leaddeal_wire::mesh::{AttemptRef, Phase, Pick, SeatMsg, TaskEvent};
+use crate::shard::at_least;
+use leaddeal_wire::mesh::{AttemptRef, Phase, Pick, ShardMsg, TaskEvent};
 use leaddeal_wire::user::Priority;
 use leaddeal_wire::worker::{Answer, Direct, Report, TaskState, Why};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -35,7 +35,7 @@
 const SHUN_MS: u64 = 60_000;
 /// What stays for long runs well once it has run for so long.
 const RAN_WELL_MS: u64 = 30_000;
-/// A seat is told of free room no more often than this.
+/// A shard is told of free room no more often than this.
 const TELL_MS: u64 = 800;
 /// So much earlier than the others those with the most important work are told.
 const TOP_FIRST_MS: u64 = 300;
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug)]
 struct Hold {
-    seat: Seat,
+    shard: Shard,
     negotiation: Negotiation,
     job: JobId,
     need: Room,
@@ -61,8 +61,8 @@
 }
 
 #[derive(Debug)]
-pub struct Part {
-    pub seat: Seat,
+pub struct Participant {
+    pub shard: Shard,
     pub epoch: Epoch,
     pub since: Now,
     /// Owners before us may have answered workers until then, not later.
@@ -82,7 +82,7 @@
     /// Of the machines that are not `dirty`; `reindex` brings it up to date.
     stock: Stock,
     asked_at: Now,
-    /// The newest epoch heard of, by coordinator's seat.
+    /// The newest epoch heard of, by coordinator's shard.
     coordinators: Vec<Epoch>,
     dirty: BTreeSet<MachineIdx>,
     next_batch: u64,
@@ -91,7 +91,7 @@
     line: InLine,
     move_at: Now,
     short: Vec<Short>,
-    /// Room became free that the short seats were not told of.
+    /// Room became free that the short shards were not told of.
     freed: bool,
     /// When those with the most important shortage were told; the others follow.
     top_told_at: Option<Now>,
@@ -122,7 +122,7 @@
     }
 }
 
-/// The priority for which a seat was offered less than it asked for, and when it was last told
+/// The priority for which a shard was offered less than it asked for, and when it was last told
 /// of free room.
 #[derive(Clone, Copy, Debug, Default)]
 struct Short {
@@ -130,11 +130,17 @@
     told_at: Now,
 }
 
-impl Part {
-    /// `patience_ms`: an owner before us answers workers no longer than that after it lost the seat.
-    pub fn new(seat: Seat, epoch: Epoch, now: Now, seats: usize, patience_ms: u64) -> Part {
-        Part {
-            seat,
+impl Participant {
+    /// `patience_ms`: an owner before us answers workers no longer than that after it lost the shard.
+    pub fn new(
+        shard: Shard,
+        epoch: Epoch,
+        now: Now,
+        shards: usize,
+        patience_ms: u64,
+    ) -> Participant {
+        Participant {
+            shard,
             epoch,
             since: now,
             older_until: now + at_least(patience_ms),
@@ -148,13 +154,13 @@
             blame: Blame::default(),
             stock: Stock::default(),
             asked_at: now,
-            coordinators: vec![Epoch(0); seats],
+            coordinators: vec![Epoch(0); shards],
             dirty: BTreeSet::new(),
             next_batch: epoch.0 << 20,
             gpu_work: HashMap::new(),
             line: InLine::default(),
             move_at: now,
-            short: vec![Short::default(); seats],
+            short: vec![Short::default(); shards],
             freed: false,
             top_told_at: None,
             lazy: BTreeSet::new(),
@@ -372,21 +378,21 @@
     }
 
     /// A message of a coordinator. `epoch` is the sender's.
-    pub fn handle(&mut self, ctx: &mut Ctx, from: Seat, epoch: Epoch, msg: SeatMsg) {
+    pub fn handle(&mut self, ctx: &mut Ctx, from: Shard, epoch: Epoch, msg: ShardMsg) {
         if !self.see_coordinator(from, epoch) {
             return;
         }
         match msg {
-            SeatMsg::Request { negotiation, items, gpu_work } => {
+            ShardMsg::Request { negotiation, items, gpu_work } => {
                 for (cpu, gpu, mem, priority) in gpu_work {
                     self.gpu_work.insert((cpu, gpu, mem), (ctx.now, priority));
                 }
                 self.offer(ctx, from, Negotiation(negotiation), &items);
             }
-            SeatMsg::Close { negotiation } => {
-                self.release_holds(|h| h.seat == from && h.negotiation.0 == negotiation);
+            ShardMsg::Close { negotiation } => {
+                self.release_holds(|h| h.shard == from && h.negotiation.0 == negotiation);
             }
-            SeatMsg::Place { job, shape, picks, adopt } => {
+            ShardMsg::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
                 self.line.leave(job);
                 ctx.horizons.goes_on(job, epoch);
@@ -402,8 +408,8 @@
                     }
                 }
             }
-            SeatMsg::Stop { what, grace_s } => self.stop(ctx, &what, grace_s),
-            SeatMsg::Forget { what } => {
+            ShardMsg::Stop { what, grace_s } => self.stop(ctx, &what, grace_s),
+            ShardMsg::Forget { what } => {
                 let mut swept = BTreeSet::new();
                 for w in what {
                     let idx = ctx.names.machine(&w.machine);
@@ -424,10 +430,10 @@
         }
     }
 
-    /// A new epoch of a coordinator's seat is a no to every open negotiation of older ones.
+    /// A new epoch of a coordinator's shard is a no to every open negotiation of older ones.
     /// False: the sender's time is over.
-    pub fn see_coordinator(&mut self, seat: Seat, epoch: Epoch) -> bool {
-        let Some(known) = self.coordinators.get_mut(seat.0 as usize) else {
+    pub fn see_coordinator(&mut self, shard: Shard, epoch: Epoch) -> bool {
+        let Some(known) = self.coordinators.get_mut(shard.0 as usize) else {
             return false;
         };
         if epoch < *known {
@@ -435,10 +441,10 @@
         }
         if epoch > *known {
             *known = epoch;
-            if seat == BUYER_SEAT {
+            if shard == PROVISIONER_SHARD {
                 self.showcase.start_again();
             }
-            self.release_holds(|h| h.seat == seat);
+            self.release_holds(|h| h.shard == shard);
             self.dirty.extend(self.machines.keys().copied());
         }
         true
@@ -458,7 +464,7 @@
     fn place(
         &mut self,
         ctx: &mut Ctx,
-        from: Seat,
+        from: Shard,
         job: JobId,
         shape: &Shape,
         p: &Pick,
@@ -466,7 +472,7 @@
     ) {
         let idx = ctx.names.machine(&p.machine);
         let mut held = self.holds.get_mut(&idx).into_iter().flatten();
-        if let Some(h) = held.find(|h| h.seat == from && h.job == job && h.count > 0) {
+        if let Some(h) = held.find(|h| h.shard == from && h.job == job && h.count > 0) {
             h.count -= 1;
         }
         self.claims.give_up(job, idx);
@@ -579,8 +585,8 @@
                 if t.acked {
                     continue;
                 }
-                let seat = ctx.seat_of_job(k.0);
-                let Some(epoch) = ctx.owner(seat).map(|o| o.epoch) else {
+                let shard = ctx.shard_of_job(k.0);
+                let Some(epoch) = ctx.owner(shard).map(|o| o.epoch) else {
                     continue;
                 };
                 let again = t.over() && now >= t.told_at + RETELL_MS;
@@ -596,7 +602,7 @@
                 if t.over() {
                     self.retell.push_back((now + RETELL_MS, idx));
                 }
-                events.entry(seat.0).or_default().push(TaskEvent {
+                events.entry(shard.0).or_default().push(TaskEvent {
                     job: k.0 .0,
                     task: k.1,
                     attempt: k.2 .0,
@@ -619,9 +625,9 @@
                 }
             }
         }
-        for (seat, events) in events {
+        for (shard, events) in events {
             for c in events.chunks(200) {
-                ctx.send(self.seat, Seat(seat), SeatMsg::Events { events: c.to_vec() });
+                ctx.send(self.shard, Shard(shard), ShardMsg::Events { events: c.to_vec() });
             }
         }
         self.tell_room(ctx);
@@ -645,7 +651,7 @@
             let told = s.wants.filter(|w| top.is_none_or(|t| *w == t));
             if let Some(priority) = told.filter(|_| now >= s.told_at + TELL_MS) {
                 *s = Short { wants: None, told_at: now };
-                ctx.send(self.seat, Seat(i as u8), SeatMsg::Room { priority });
+                ctx.send(self.shard, Shard(i as u8), ShardMsg::Room { priority });
             }
         }
         self.top_told_at = top.map(|_| now);
@@ -667,9 +673,9 @@
             self.asked_at = now;
             self.blame.expire(now);
             let open: BTreeSet<(u8, u64)> =
-                self.holds.values().flatten().map(|h| (h.seat.0, h.negotiation.0)).collect();
-            for (seat, negotiation) in open {
-                ctx.send(self.seat, Seat(seat), SeatMsg::AskDecision { negotiation });
+                self.holds.values().flatten().map(|h| (h.shard.0, h.negotiation.0)).collect();
+            for (shard, negotiation) in open {
+                ctx.send(self.shard, Shard(shard), ShardMsg::AskDecision { negotiation });
             }
         }
     }
@@ -707,8 +713,8 @@
         self.due.insert((next, idx));
     }
 
-    /// What changed of the machines, for the buyer.
-    pub fn inventory(&mut self, ctx: &Ctx) -> Vec<SeatMsg> {
+    /// What changed of the machines, for the provisioner.
+    pub fn inventory(&mut self, ctx: &Ctx) -> Vec<ShardMsg> {
         let (now, lease) = (ctx.now, at_least(ctx.cfg.worker_lease_ms));
         let is_deaf = |m: &Machine| m.hearing.deaf_since().is_some_and(|t| now >= t + DEAF_MS);
         // Where many don't hear us, it is us.
@@ -731,7 +737,7 @@
         self.showcase.changes(now, ctx.names)
     }
 
-    /// The buyer lacks what was told before.
+    /// The provisioner lacks what was told before.
     pub fn tell_all(&mut self) {
         self.showcase.start_again();
     }
--- a/crates/core/src/part/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,11 +1,11 @@
-//! Offers: which machines of the part a request may have, and which of them it gets.
+//! Offers: which machines of the participant a request may have, and which of them it gets.
 use super::stock::Group;
-use super::{Hold, Part, SHUN_MS};
+use super::{Hold, Participant, SHUN_MS};
 use crate::ctx::Ctx;
 use crate::fleet::Machine;
-use crate::ids::{JobId, MachineIdx, Negotiation, Now, Seat, TypeIdx, ZoneIdx};
+use crate::ids::{JobId, MachineIdx, Negotiation, Now, Shard, TypeIdx, ZoneIdx};
 use crate::names::{older, Names, Room};
-use leaddeal_wire::mesh::{Line, Offer, SeatMsg, Shape as WireShape, Wanted};
+use leaddeal_wire::mesh::{Line, Offer, Shape as WireShape, ShardMsg, Wanted};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,7 +57,7 @@
     flags: [bool; 5],
 }
 
-impl Part {
+impl Participant {
     pub(super) fn free(
         &self,
         idx: MachineIdx,
@@ -178,12 +178,12 @@
 
     /// Machines that work of this priority keeps off, since gangs of several tasks that it would
     /// keep waiting wait for their zone and could use them once the tasks on them end: as many as
-    /// this part's share of those gangs, the least busy first. (Claims do it for lone tasks.)
+    /// this participant's share of those gangs, the least busy first. (Claims do it for lone tasks.)
     fn expected(&self, ctx: &mut Ctx, priority: Priority) -> BTreeSet<MachineIdx> {
         let mut kept = BTreeSet::new();
-        let seats = ctx.seats().count();
+        let shards = ctx.shards().count();
         for (zone, tasks) in self.line.tasks(priority) {
-            let share = (tasks as usize).div_ceil(seats);
+            let share = (tasks as usize).div_ceil(shards);
             let mut machines: Vec<(u64, MachineIdx)> = Vec::new();
             for g in self.stock.groups().filter(|g| g.1 == zone) {
                 let whole = ctx.names.room_of_type(g.0);
@@ -228,7 +228,7 @@
     pub(super) fn offer(
         &mut self,
         ctx: &mut Ctx,
-        from: Seat,
+        from: Shard,
         negotiation: Negotiation,
         items: &[Wanted],
     ) {
@@ -331,7 +331,7 @@
                 *zr -= count;
                 wanted -= count;
                 self.holds.entry(idx).or_default().push(Hold {
-                    seat: from,
+                    shard: from,
                     negotiation,
                     job: JobId(w.job),
                     need: shape.need,
@@ -388,7 +388,7 @@
                 }
             }
         }
-        ctx.send(self.seat, from, SeatMsg::Offers { negotiation: negotiation.0, offers, coming });
+        ctx.send(self.shard, from, ShardMsg::Offers { negotiation: negotiation.0, offers, coming });
     }
 }
 
--- a/crates/core/src/part/offer/tests.rs
+++ b/crates/core/src/participant/offer/tests.rs
@@ -33,7 +33,7 @@
 /// Found on a grown deployment: machines full of short tasks were filled with replicas.
 #[test]
 fn services_leave_gpu_room_whatever_short_tasks_run_now() {
-    let mut p = Part::new(Seat(0), Epoch(1), 1, 3, 19_000);
+    let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let service = shape(Kind::Service, 2000);
     assert_eq!(p.spare(WHOLE, false, false).fits(service.need), 0, "not known yet");
     p.gpu_work.insert(GPU_TASK, (1, Priority::Normal));
@@ -76,10 +76,10 @@
         m.tasks.insert((JobId(9), task, Attempt(1)), t);
     }
     m.recount();
-    let mut p = Part::new(Seat(0), Epoch(1), 1, 3, 19_000);
+    let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let need = shape(Kind::Service, 1000).need;
     let idx = MachineIdx(0);
-    let room = |p: &Part| {
+    let room = |p: &Participant| {
         let soon = p.free_with(m.stopping(), idx, &m, &names, JobId(u64::MAX), None);
         soon.expect("known tasks").fits(need)
     };
--- a/crates/core/src/part/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -2,7 +2,7 @@
 use super::claims::Claim;
 use super::offer::{fit, fits_of, Fits, Rank};
 use super::stock::Group;
-use super::{InLine, Part};
+use super::{InLine, Participant};
 use crate::ctx::Ctx;
 use crate::fleet::{Key, Machine, StopWish, TaskOn};
 use crate::ids::{JobId, MachineIdx, ZoneIdx};
@@ -42,7 +42,7 @@
     }
 }
 
-impl Part {
+impl Participant {
     /// Stops less important tasks so that up to `count` tasks of the job find room soon.
     /// False: there was no machine on which anything could be done for it.
     pub(super) fn make_room(&mut self, ctx: &mut Ctx, seek: &Seek, count: u32) -> bool {
@@ -61,7 +61,7 @@
         });
         // What is done to one machine leaves the others as they are: each is judged once, and
         // again only after it was chosen.
-        let look = |p: &Part, ctx: &Ctx, g: Group, idx: MachineIdx| {
+        let look = |p: &Participant, ctx: &Ctx, g: Group, idx: MachineIdx| {
             let (cost, keys) = p.sacrifice(ctx, seek, g, idx, p.machines.get(&idx)?)?;
             Some((Reverse((cost, idx)), g, keys))
         };
--- a/crates/core/src/part/showcase.rs
+++ b/crates/core/src/participant/showcase.rs
@@ -1,11 +1,11 @@
-//! What the buyer is told of a part's machines: all of them once, then what changed.
+//! What the provisioner is told of a participant's machines: all of them once, then what changed.
 //!
-//! Invariant: `told` is what a buyer knows that has taken every message since the first one. A
-//! buyer that missed one sees it by the serial number and asks for all anew. (Each list in full
+//! Invariant: `told` is what a provisioner knows that has taken every message since the first one. A
+//! provisioner that missed one sees it by the serial number and asks for all anew. (Each list in full
 //! every second took a tenth of the bytes between controllers, and grew with the fleet.)
 use crate::ids::{MachineIdx, Now, TypeIdx, ZoneIdx};
 use crate::names::Names;
-use leaddeal_wire::mesh::{MachineInfo, SeatMsg};
+use leaddeal_wire::mesh::{MachineInfo, ShardMsg};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message names at most this many machines: a frame holds several times as many.
@@ -49,8 +49,8 @@
         self.started = false;
     }
 
-    /// What to tell; at least one message, which says that this part is alive.
-    pub fn changes(&mut self, now: Now, names: &Names) -> Vec<SeatMsg> {
+    /// What to tell; at least one message, which says that this participant is alive.
+    pub fn changes(&mut self, now: Now, names: &Names) -> Vec<ShardMsg> {
         let mut first = !std::mem::replace(&mut self.started, true);
         if first {
             self.told.clear();
@@ -79,12 +79,12 @@
         let mut messages = Vec::new();
         loop {
             let rest = machines.split_off(machines.len().min(MOST));
-            let part = std::mem::replace(&mut machines, rest);
+            let participant = std::mem::replace(&mut machines, rest);
             let left = gone.split_off(gone.len().min(MOST));
             let gone = std::mem::replace(&mut gone, left);
             self.serial += 1;
             let serial = self.serial;
-            messages.push(SeatMsg::Machines { serial, first, machines: part, gone });
+            messages.push(ShardMsg::Machines { serial, first, machines: participant, gone });
             first = false;
             if machines.is_empty() {
                 return messages;
--- a/crates/core/src/part/stock.rs
+++ b/crates/core/src/participant/stock.rs
@@ -1,6 +1,6 @@
-//! A part's machines by what requests ask for: type, zone, kind and free processors.
+//! A participant's machines by what requests ask for: type, zone, kind and free processors.
 //!
-//! Invariant: a machine stands in the group and place that `Part::reindex` last gave it, or
+//! Invariant: a machine stands in the group and place that `Participant::reindex` last gave it, or
 //! nowhere if no work may come to it for good (lapsed, returned, of no known type or zone).
 use crate::ids::{ImageIdx, MachineIdx, TypeIdx, ZoneIdx};
 use std::cmp::Reverse;
--- a/crates/core/src/part/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -1,11 +1,11 @@
-//! A part by itself: what it offers, claims and calls lost.
+//! A participant by itself: what it offers, claims and calls lost.
 use super::*;
 use crate::budget::Budget;
 use crate::ctx::{Config, Ops};
 use crate::ids::NodeIdx;
 use crate::io::{Out, Output};
 use crate::jobs::Aims;
-use crate::seat::{Owner, SeatView};
+use crate::shard::{Owner, ShardView};
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::{Line, Shape as WireShape, Wanted};
 use leaddeal_wire::user::Kind;
@@ -15,13 +15,13 @@
 const PATIENCE_MS: u64 = 19_000;
 const EPOCH: Epoch = Epoch(5);
 
-/// What a part stands in: one seat, one zone, one type of machine with GPUs.
+/// What a participant stands in: one shard, one zone, one type of machine with GPUs.
 struct World {
     names: Names,
     cfg: Config,
     budget: Budget,
     horizons: Horizons,
-    view: Vec<SeatView>,
+    view: Vec<ShardView>,
 }
 
 impl World {
@@ -53,14 +53,14 @@
             teams: Vec::new(),
             aims: Aims::default(),
         };
-        let mut seat = SeatView::default();
-        seat.own(Owner { node: NodeIdx(0), boot: 1, epoch: EPOCH }, 0);
+        let mut shard = ShardView::default();
+        shard.own(Owner { node: NodeIdx(0), boot: 1, epoch: EPOCH }, 0);
         let horizons = Horizons::new(NodeIdx(0), 1, 1, cfg.cancel_ms, LEASE_MS);
-        World { names, cfg, budget: Budget::new(50.0, 1, 1), horizons, view: vec![seat] }
+        World { names, cfg, budget: Budget::new(50.0, 1, 1), horizons, view: vec![shard] }
     }
 
     /// Does something at that time; returns the messages sent and the events logged.
-    fn at(&mut self, now: Now, f: impl FnOnce(&mut Ctx)) -> (Vec<SeatMsg>, Vec<&'static str>) {
+    fn at(&mut self, now: Now, f: impl FnOnce(&mut Ctx)) -> (Vec<ShardMsg>, Vec<&'static str>) {
         let mut out = Out { now, list: Vec::new(), looked: 0 };
         let mut ops = Ops { next: 0, open: HashMap::new() };
         let (mut sends, mut relays) = (VecDeque::new(), HashMap::new());
@@ -137,22 +137,22 @@
 #[test]
 fn machines_kept_for_gangs_are_not_claimed_by_who_is_kept_off() {
     let mut w = World::new();
-    let mut p = Part::new(Seat(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
     w.at(100, |c| {
         for m in ["n-000001", "n-000002"] {
             p.report(c, &report(m, 1), None).expect("an answer");
         }
     });
-    let mut ask = |p: &mut Part, now, negotiation, item: Wanted| {
+    let mut ask = |p: &mut Participant, now, negotiation, item: Wanted| {
         let items = vec![item];
-        let msg = SeatMsg::Request { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = w.at(now, |c| p.handle(c, Seat(0), EPOCH, msg));
+        let msg = ShardMsg::Request { negotiation, items, gpu_work: Vec::new() };
+        let (sent, _) = w.at(now, |c| p.handle(c, Shard(0), EPOCH, msg));
         let offered = sent.iter().find_map(|m| match m {
-            SeatMsg::Offers { offers, .. } => Some(offers.iter().map(|o| o.count).sum::<u32>()),
+            ShardMsg::Offers { offers, .. } => Some(offers.iter().map(|o| o.count).sum::<u32>()),
             _ => None,
         });
         w.at(now, |c| {
-            p.handle(c, Seat(0), EPOCH, SeatMsg::Close { negotiation });
+            p.handle(c, Shard(0), EPOCH, ShardMsg::Close { negotiation });
         });
         offered.expect("an answer")
     };
@@ -169,7 +169,7 @@
 fn late_copies_of_reports_keep_nobody_alive() {
     let lost_at = |copies: bool| {
         let mut w = World::new();
-        let mut p = Part::new(Seat(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
         for seq in 1..=3 {
             w.at(1000 * seq, |c| {
                 p.report(c, &report("n-000001", seq), None).expect("an answer");
@@ -194,13 +194,13 @@
 #[test]
 fn copies_of_an_ended_session_prove_nothing() {
     let mut w = World::new();
-    let mut p = Part::new(Seat(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
     let new = Report { session: 2, ..report("n-000001", 1) };
     w.at(1000, |c| {
         p.report(c, &report("n-000001", 7), None).expect("the first session's");
         p.report(c, &new, None).expect("the second's");
     });
-    let granted = |p: &Part| p.machines.values().next().map(|m| (m.granted, m.session));
+    let granted = |p: &Participant| p.machines.values().next().map(|m| (m.granted, m.session));
     let before = granted(&p);
     w.at(9000, |c| assert!(p.report(c, &report("n-000001", 9), None).is_none()));
     assert_eq!(granted(&p), before);
@@ -210,15 +210,15 @@
 #[test]
 fn a_deaf_machine_gets_no_work_until_it_hears() {
     let mut w = World::new();
-    let mut p = Part::new(Seat(0), EPOCH, 1, 1, PATIENCE_MS);
-    let offered = |w: &mut World, p: &mut Part, now: Now, negotiation| {
+    let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let offered = |w: &mut World, p: &mut Participant, now: Now, negotiation| {
         let items = vec![wanted(8, Kind::Array, 1, None)];
-        let ask = SeatMsg::Request { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = w.at(now, |c| p.handle(c, Seat(0), EPOCH, ask));
-        w.at(now, |c| p.handle(c, Seat(0), EPOCH, SeatMsg::Close { negotiation }));
-        sent.iter().any(|m| matches!(m, SeatMsg::Offers { offers, .. } if !offers.is_empty()))
+        let ask = ShardMsg::Request { negotiation, items, gpu_work: Vec::new() };
+        let (sent, _) = w.at(now, |c| p.handle(c, Shard(0), EPOCH, ask));
+        w.at(now, |c| p.handle(c, Shard(0), EPOCH, ShardMsg::Close { negotiation }));
+        sent.iter().any(|m| matches!(m, ShardMsg::Offers { offers, .. } if !offers.is_empty()))
     };
-    let hear = |w: &mut World, p: &mut Part, now, seq, via: Option<u8>| {
+    let hear = |w: &mut World, p: &mut Participant, now, seq, via: Option<u8>| {
         let via = via.map(NodeIdx);
         w.at(now, |c| {
             p.report(c, &report("n-000001", seq), via).expect("an answer");
@@ -243,11 +243,11 @@
 fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
     let lost_at = |let_go: Option<Now>| {
         let mut w = World::new();
-        let mut p = Part::new(Seat(0), EPOCH, 1000, 1, PATIENCE_MS);
+        let mut p = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
         let pick = Pick { task: 0, attempt: 3, machine: "n-000001".into(), session: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
-        let place = SeatMsg::Place { job: 7, shape, picks: vec![pick], adopt: true };
-        w.at(1100, |c| p.handle(c, Seat(0), EPOCH, place));
+        let place = ShardMsg::Place { job: 7, shape, picks: vec![pick], adopt: true };
+        w.at(1100, |c| p.handle(c, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
             if let_go.is_some_and(|at| now >= at) {
                 p.older_let_go(now);
@@ -271,19 +271,19 @@
 fn a_yes_after_its_jobs_end_starts_nothing() {
     let starts = |over: bool, epoch: u64| {
         let mut w = World::new();
-        let mut p = Part::new(Seat(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
         w.at(1000, |c| {
             p.report(c, &report("n-000001", 1), None);
         });
         if over {
-            w.horizons.cancelled(Seat(0), EPOCH, JobId(7), 1050);
+            w.horizons.cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Pick { task: 0, attempt: 3, machine: "n-000001".into(), session: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
-        let place = SeatMsg::Place { job: 7, shape, picks: vec![pick], adopt: false };
+        let place = ShardMsg::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         w.at(1100, |c| {
-            p.handle(c, Seat(0), Epoch(epoch), place);
+            p.handle(c, Shard(0), Epoch(epoch), place);
             p.flush(c);
             sent = c.out.list.iter().filter(|o| matches!(o, Output::Orders { .. })).count();
         });
--- a/crates/core/src/placed.rs
+++ b/crates/core/src/placed.rs
@@ -3,7 +3,7 @@
 //! Invariant: `in_zone` and `running` are the sums over `by_task`; only this file changes a
 //! placement's zone or phase. (They were summed up at every question of a user and twice a round,
 //! which grew with the job.)
-use crate::ids::{Attempt, MachineIdx, Now, Seat, ZoneIdx};
+use crate::ids::{Attempt, MachineIdx, Now, Shard, ZoneIdx};
 use leaddeal_wire::mesh::Phase;
 use leaddeal_wire::worker::TaskState;
 use std::collections::BTreeMap;
@@ -12,8 +12,8 @@
 pub struct Placement {
     pub attempt: Attempt,
     pub machine: MachineIdx,
-    /// The part that the machine belongs to.
-    pub part: Seat,
+    /// The participant that the machine belongs to.
+    pub participant: Shard,
     pub session: u64,
     pub zone: ZoneIdx,
     pub phase: Phase,
--- a/crates/core/src/buyer/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -1,10 +1,10 @@
-//! Rents and returns machines for all parts, from the owner of one fixed seat.
-use crate::ctx::{BuyerOp, Ctx, OpKind};
-use crate::ids::{Epoch, Now, Seat, TypeIdx, ZoneIdx, BUYER_SEAT};
+//! Rents and returns machines for all participants, from the owner of one fixed shard.
+use crate::ctx::{Ctx, OpKind, ProvisionerOp};
+use crate::ids::{Epoch, Now, Shard, TypeIdx, ZoneIdx, PROVISIONER_SHARD};
 use crate::io::{CloudCall, CloudResult};
 use crate::names::{older, Room};
 use leaddeal_wire::cloud::{Listed, ListedStatus, Rent};
-use leaddeal_wire::mesh::{Lack, MachineInfo, SeatMsg};
+use leaddeal_wire::mesh::{Lack, MachineInfo, ShardMsg};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -34,9 +34,9 @@
     since: Now,
 }
 
-/// What a part has told of its machines.
+/// What a participant has told of its machines.
 #[derive(Debug, Default)]
-struct PartView {
+struct ParticipantView {
     /// When its last message came, and that one's number.
     at: Now,
     serial: u64,
@@ -45,11 +45,11 @@
 }
 
 #[derive(Debug)]
-pub struct Buyer {
+pub struct Provisioner {
     epoch: Epoch,
     since: Now,
-    lacks: BTreeMap<Seat, (Now, Vec<Lack>)>,
-    parts: BTreeMap<Seat, PartView>,
+    lacks: BTreeMap<Shard, (Now, Vec<Lack>)>,
+    participants: BTreeMap<Shard, ParticipantView>,
     booting: BTreeMap<String, Booting>,
     listed: BTreeMap<String, Listed>,
     page: BTreeMap<String, Listed>,
@@ -125,13 +125,13 @@
     }
 }
 
-impl Buyer {
-    pub fn new(epoch: Epoch, now: Now) -> Buyer {
-        Buyer {
+impl Provisioner {
+    pub fn new(epoch: Epoch, now: Now) -> Provisioner {
+        Provisioner {
             epoch,
             since: now,
             lacks: BTreeMap::new(),
-            parts: BTreeMap::new(),
+            participants: BTreeMap::new(),
             booting: BTreeMap::new(),
             listed: BTreeMap::new(),
             page: BTreeMap::new(),
@@ -156,15 +156,15 @@
         }
     }
 
-    pub fn handle(&mut self, ctx: &mut Ctx, from: Seat, msg: SeatMsg) {
+    pub fn handle(&mut self, ctx: &mut Ctx, from: Shard, msg: ShardMsg) {
         match msg {
-            SeatMsg::Lacks { lacks } => {
+            ShardMsg::Lacks { lacks } => {
                 self.lacks.insert(from, (ctx.now, lacks));
             }
-            SeatMsg::Machines { serial, first, machines, gone } => {
-                let view = self.parts.entry(from).or_default();
+            ShardMsg::Machines { serial, first, machines, gone } => {
+                let view = self.participants.entry(from).or_default();
                 if !first && serial != view.serial + 1 {
-                    ctx.send(BUYER_SEAT, from, SeatMsg::MachinesAgain);
+                    ctx.send(PROVISIONER_SHARD, from, ShardMsg::MachinesAgain);
                     return;
                 }
                 if first {
@@ -177,7 +177,7 @@
                 let told = machines.into_iter().map(|m| (m.machine.clone(), (ctx.now, m)));
                 view.machines.extend(told);
             }
-            SeatMsg::Drained { machine } => {
+            ShardMsg::Drained { machine } => {
                 self.draining.remove(&machine);
                 self.to_release.insert(machine);
             }
@@ -198,11 +198,11 @@
     }
 }
 
-impl Buyer {
-    pub fn cloud(&mut self, ctx: &mut Ctx, what: BuyerOp, result: CloudResult) {
+impl Provisioner {
+    pub fn cloud(&mut self, ctx: &mut Ctx, what: ProvisionerOp, result: CloudResult) {
         let now = ctx.now;
         match (what, result) {
-            (BuyerOp::List, CloudResult::Listing(l)) => {
+            (ProvisionerOp::List, CloudResult::Listing(l)) => {
                 self.list_in_flight = false;
                 let last = l.machines.last().map(|m| m.id.clone());
                 for m in l.machines {
@@ -212,7 +212,7 @@
                     self.list_in_flight = true;
                     self.next_call = self.next_call.max(now) + ctx.cfg.cloud_gap_ms;
                     ctx.cloud(
-                        OpKind::Buyer(self.epoch, BuyerOp::List),
+                        OpKind::Provisioner(self.epoch, ProvisionerOp::List),
                         CloudCall::List { after: Some(after) },
                     );
                     return;
@@ -223,12 +223,12 @@
                 self.list_known = true;
                 self.check_list(ctx);
             }
-            (BuyerOp::List, _) => {
+            (ProvisionerOp::List, _) => {
                 self.list_in_flight = false;
                 self.page.clear();
                 self.list_at = now + 2000;
             }
-            (BuyerOp::Rent(number), result) => match self.rentals.take(now, number, result) {
+            (ProvisionerOp::Rent(number), result) => match self.rentals.take(now, number, result) {
                 Came::Machines(rent, names) => {
                     if (names.len() as u32) < rent.count {
                         self.refuse(now, &rent);
@@ -251,7 +251,7 @@
                 }
                 Came::NotYet => {}
             },
-            (BuyerOp::Release, result) => {
+            (ProvisionerOp::Release, result) => {
                 let names = std::mem::take(&mut self.releasing);
                 if matches!(result, CloudResult::Released) {
                     for n in names {
@@ -259,8 +259,8 @@
                         self.booting.remove(&n);
                         self.listed.remove(&n);
                         self.gone.insert(n.clone());
-                        let seat = ctx.seat_of_machine(&n);
-                        ctx.send(BUYER_SEAT, seat, SeatMsg::Released { machine: n });
+                        let shard = ctx.shard_of_machine(&n);
+                        ctx.send(PROVISIONER_SHARD, shard, ShardMsg::Released { machine: n });
                     }
                 } else {
                     self.release_retry = now + 1000;
@@ -278,15 +278,15 @@
         self.refused.insert((r.type_name.clone(), r.zone.clone(), r.spot), now + REFUSED_MS);
     }
 
-    /// Whether the machine's part has heard of its worker.
-    fn reports(parts: &BTreeMap<Seat, PartView>, ctx: &Ctx, machine: &str) -> bool {
-        let part = parts.get(&ctx.seat_of_machine(machine));
-        part.is_some_and(|p| p.machines.contains_key(machine))
+    /// Whether the machine's participant has heard of its worker.
+    fn reports(participants: &BTreeMap<Shard, ParticipantView>, ctx: &Ctx, machine: &str) -> bool {
+        let participant = participants.get(&ctx.shard_of_machine(machine));
+        participant.is_some_and(|p| p.machines.contains_key(machine))
     }
 
     fn check_list(&mut self, ctx: &mut Ctx) {
         let now = ctx.now;
-        let parts = &self.parts;
+        let participants = &self.participants;
         let mut release = Vec::new();
         for (name, l) in &self.listed {
             let place = (l.type_name.clone(), l.zone.clone());
@@ -295,7 +295,7 @@
             match l.status {
                 ListedStatus::Failed => release.push(name.clone()),
                 // Never came up, and is charged until it is returned.
-                ListedStatus::Starting if overdue && !Self::reports(parts, ctx, name) => {
+                ListedStatus::Starting if overdue && !Self::reports(participants, ctx, name) => {
                     if !self.to_release.contains(name) && !self.releasing.contains(name) {
                         let kind = ctx.names.type_idx(&l.type_name);
                         let price = kind.map_or(0.0, |i| ctx.names.price(i, l.spot));
@@ -321,7 +321,7 @@
                 }
                 ListedStatus::Running => {}
             }
-            if l.status == ListedStatus::Running && !Self::reports(parts, ctx, name) {
+            if l.status == ListedStatus::Running && !Self::reports(participants, ctx, name) {
                 self.silent.entry(name.clone()).or_insert(now);
             } else {
                 self.silent.remove(name);
@@ -337,7 +337,7 @@
         // Rented, then neither listed for long nor heard of: taken before it came up.
         let lag = ctx.cfg.list_lag_ms * 2 + 5000;
         self.booting.retain(|n, b| {
-            !Self::reports(parts, ctx, n) && (listed.contains_key(n) || now < b.since + lag)
+            !Self::reports(participants, ctx, n) && (listed.contains_key(n) || now < b.since + lag)
         });
         self.to_release.extend(release);
         if self.base.is_none() && !self.base_asked {
@@ -356,7 +356,10 @@
             self.next_call = now + ctx.cfg.cloud_gap_ms;
             self.list_in_flight = true;
             self.list_at = now + LIST_MS;
-            ctx.cloud(OpKind::Buyer(self.epoch, BuyerOp::List), CloudCall::List { after: None });
+            ctx.cloud(
+                OpKind::Provisioner(self.epoch, ProvisionerOp::List),
+                CloudCall::List { after: None },
+            );
         }
         if now >= self.prices_at {
             self.prices_at = now + 60_000;
@@ -365,7 +368,10 @@
         if now >= self.next_call {
             if let Some((number, rent)) = self.rentals.send(now) {
                 self.next_call = now + ctx.cfg.cloud_gap_ms;
-                ctx.cloud(OpKind::Buyer(self.epoch, BuyerOp::Rent(number)), CloudCall::Rent(rent));
+                ctx.cloud(
+                    OpKind::Provisioner(self.epoch, ProvisionerOp::Rent(number)),
+                    CloudCall::Rent(rent),
+                );
             }
         }
         let may = now >= self.release_retry && now >= self.next_call;
@@ -376,7 +382,10 @@
                 self.to_release.remove(n);
             }
             self.releasing.clone_from(&names);
-            ctx.cloud(OpKind::Buyer(self.epoch, BuyerOp::Release), CloudCall::Release(names));
+            ctx.cloud(
+                OpKind::Provisioner(self.epoch, ProvisionerOp::Release),
+                CloudCall::Release(names),
+            );
         }
         if now >= self.plan_at {
             self.plan_at = now + PLAN_MS;
@@ -386,18 +395,18 @@
 
     fn plan(&mut self, ctx: &mut Ctx) {
         let now = ctx.now;
-        // Every part must have spoken lately; otherwise nothing is known of its free room.
-        for s in ctx.seats() {
+        // Every participant must have spoken lately; otherwise nothing is known of its free room.
+        for s in ctx.shards() {
             let fresh = |t: Option<Now>| t.is_some_and(|t| now < t + 4000);
-            if !fresh(self.parts.get(&s).map(|p| p.at)) || !self.list_known {
+            if !fresh(self.participants.get(&s).map(|p| p.at)) || !self.list_known {
                 return;
             }
         }
         self.refused.retain(|_, t| *t > now);
         self.return_idle(ctx);
         if let Some(base) = &self.base {
-            for s in ctx.seats() {
-                ctx.send(BUYER_SEAT, s, SeatMsg::Base { newest: base.clone() });
+            for s in ctx.shards() {
+                ctx.send(PROVISIONER_SHARD, s, ShardMsg::Base { newest: base.clone() });
             }
         }
         // What waits to be sent was planned from what is known now.
@@ -417,9 +426,9 @@
 
     /// Learns from machines that came up, and notes where they are late.
     fn see_boots(&mut self, ctx: &Ctx) {
-        let (parts, boots) = (&self.parts, &mut self.boots);
+        let (participants, boots) = (&self.participants, &mut self.boots);
         self.booting.retain(|n, b| {
-            let up = Self::reports(parts, ctx, n);
+            let up = Self::reports(participants, ctx, n);
             if up {
                 boots.came_up(&b.place(), ctx.now, ctx.now.saturating_sub(b.since));
             }
@@ -568,7 +577,7 @@
         let now = ctx.now;
         self.draining.retain(|_, t| *t + 10_000 > now);
         let mut drains = Vec::new();
-        for view in self.parts.values() {
+        for view in self.participants.values() {
             for (at, m) in view.machines.values().filter(|(_, m)| m.dead || m.idle_ms.is_some()) {
                 let idle_ms = m.idle_ms.map(|i| i + now.saturating_sub(*at));
                 if self.gone.contains(&m.machine) || self.to_release.contains(&m.machine) {
@@ -598,8 +607,8 @@
         let most = 5 + self.listed.len() / 100;
         for machine in drains.into_iter().take(most) {
             self.draining.insert(machine.clone(), now);
-            let seat = ctx.seat_of_machine(&machine);
-            ctx.send(BUYER_SEAT, seat, SeatMsg::Drain { machine });
+            let shard = ctx.shard_of_machine(&machine);
+            ctx.send(PROVISIONER_SHARD, shard, ShardMsg::Drain { machine });
         }
     }
 }
--- a/crates/core/src/buyer/rentals.rs
+++ b/crates/core/src/provisioner/rentals.rs
@@ -1,7 +1,7 @@
 //! Rentals under way: each named, and repeated under its name until its outcome is known.
 //!
 //! Invariants:
-//! - a name is used for one request only: it contains the buyer's epoch, and a number that grows;
+//! - a name is used for one request only: it contains the provisioner's epoch, and a number that grows;
 //! - a request whose outcome is unknown is never dropped, only repeated to the letter; one that was
 //!   certainly not executed is dropped, and planned anew under another name;
 //! - no more than `MOST` are under way, and the most urgent are sent first.
--- a/crates/core/src/teams.rs
+++ b/crates/core/src/quota.rs
@@ -1,11 +1,11 @@
-//! Limits of teams: constraints of the same kind as a machine's room, held by the team's seat.
+//! Limits of teams: constraints of the same kind as a machine's room, held by the team's shard.
 //!
-//! A team's seat grants each coordinator a part of the limit. A coordinator decides only within
-//! its grant, and its decision is conditional on the epoch of the team's seat as well, so that a
+//! A team's shard grants each coordinator a part of the limit. A coordinator decides only within
+//! its grant, and its decision is conditional on the epoch of the team's shard as well, so that a
 //! grant ends with the owner that gave it. A new owner grants nothing before every coordinator
-//! has told what its tasks take; a coordinator's share stays counted until its seat's next owner
+//! has told what its tasks take; a coordinator's share stays counted until its shard's next owner
 //! has told anew.
-use crate::ids::{Epoch, Seat};
+use crate::ids::{Epoch, Shard};
 use crate::names::thousandths;
 use leaddeal_wire::mesh::TeamUse;
 use leaddeal_wire::settings::Team;
@@ -17,41 +17,46 @@
     (t.cpus_max > 0.0 || t.gpus_max > 0.0).then(|| (m(t.cpus_max), m(t.gpus_max)))
 }
 
-pub fn seat_of_team(team: u8, seats: usize) -> Seat {
-    Seat((team as usize % seats) as u8)
+pub fn shard_of_team(team: u8, shards: usize) -> Shard {
+    Shard((team as usize % shards) as u8)
 }
 
 /// By team: thousandths of cores and GPUs.
 type Shares = BTreeMap<u8, (u64, u64)>;
 
-/// The books of a team's seat.
+/// The books of a team's shard.
 #[derive(Debug)]
-pub struct Desk {
-    seat: Seat,
+pub struct QuotaManager {
+    shard: Shard,
     limits: Vec<Option<(u64, u64)>>,
-    /// By coordinator's seat: its epoch, and what each team may take there.
-    shares: BTreeMap<Seat, (Epoch, Shares)>,
-    seats: usize,
+    /// By coordinator's shard: its epoch, and what each team may take there.
+    shares: BTreeMap<Shard, (Epoch, Shares)>,
+    shards: usize,
 }
 
-impl Desk {
-    pub fn new(seat: Seat, teams: &[Team], seats: usize) -> Desk {
-        Desk { seat, limits: teams.iter().map(limit).collect(), shares: BTreeMap::new(), seats }
+impl QuotaManager {
+    pub fn new(shard: Shard, teams: &[Team], shards: usize) -> QuotaManager {
+        QuotaManager {
+            shard,
+            limits: teams.iter().map(limit).collect(),
+            shares: BTreeMap::new(),
+            shards,
+        }
     }
 
     /// A coordinator's report; returns what it may take in all.
-    pub fn report(&mut self, from: Seat, epoch: Epoch, usage: &[TeamUse]) -> Vec<TeamUse> {
+    pub fn report(&mut self, from: Shard, epoch: Epoch, usage: &[TeamUse]) -> Vec<TeamUse> {
         if self.shares.get(&from).is_some_and(|s| s.0 > epoch) {
             return Vec::new();
         }
         let mine: Vec<&TeamUse> = usage
             .iter()
-            .filter(|u| seat_of_team(u.team, self.seats) == self.seat)
+            .filter(|u| shard_of_team(u.team, self.shards) == self.shard)
             .filter(|u| self.limits.get(u.team as usize).is_some_and(Option::is_some))
             .collect();
         let used = mine.iter().map(|u| (u.team, (u.cpu, u.gpu))).collect();
         self.shares.insert(from, (epoch, used));
-        let complete = self.shares.len() == self.seats;
+        let complete = self.shares.len() == self.shards;
         let mut granted = Vec::new();
         for u in mine {
             let Some((cpu_max, gpu_max)) = self.limits[u.team as usize] else { continue };
--- a/crates/core/src/seat.rs
+++ b/crates/core/src/shard.rs
@@ -1,4 +1,4 @@
-//! Lease and seats: who acts for which part and which jobs.
+//! Lease and shards: who acts for which participant and which jobs.
 use crate::ids::{Epoch, NodeIdx, Now};
 
 /// Life of a controller's lease at the state service.
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SeatView {
+pub struct ShardView {
     pub owner: Option<Owner>,
     /// The newest owner there ever was, as far as is known: `owner`, or one whose time is over.
     pub last: Option<Owner>,
@@ -36,7 +36,7 @@
     pub trying: bool,
 }
 
-/// What the state service tells of a seat's key.
+/// What the state service tells of a shard's key.
 #[derive(Clone, Copy, Debug)]
 pub enum Seen<'a> {
     /// Its value and version.
@@ -45,7 +45,7 @@
     Vacant(u64),
 }
 
-impl SeatView {
+impl ShardView {
     /// Nobody owns it at that revision; the time is counted from when that was first seen.
     pub fn vacate(&mut self, revision: u64, now: Now) {
         self.vacated = self.vacated.max(revision);
@@ -56,10 +56,10 @@
         }
     }
 
-    /// A sibling says that it owns the seat, and its lease may be in doubt: that is believed unless
-    /// the store has said that the seat was given up since. True: it is news.
+    /// A sibling says that it owns the shard, and its lease may be in doubt: that is believed unless
+    /// the store has said that the shard was given up since. True: it is news.
     ///
-    /// (Found by the simulator: beats of an owner in doubt told nothing of its seats, and the owner
+    /// (Found by the simulator: beats of an owner in doubt told nothing of its shards, and the owner
     /// before, whom the store refused, kept workers with cancelled tasks.)
     pub fn claimed(&mut self, by: Owner, now: Now) -> bool {
         let news = self.owner.is_none_or(|o| o.epoch < by.epoch) && by.epoch.0 > self.vacated;
--- a/crates/core/src/seat/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn a_claim_is_believed_unless_the_seat_was_given_up_since() {
+fn a_claim_is_believed_unless_the_shard_was_given_up_since() {
     let by = |epoch| Owner { node: NodeIdx(1), boot: 0, epoch: Epoch(epoch) };
-    let mut v = SeatView::default();
+    let mut v = ShardView::default();
     assert!(v.claimed(by(7), 0) && !v.claimed(by(7), 9) && !v.claimed(by(5), 9));
     v.vacate(6, 100);
     assert!(v.owner.is_some(), "an older deletion says nothing of a newer owner");
--- a/crates/core/src/writes.rs
+++ b/crates/core/src/writes.rs
@@ -1,12 +1,12 @@
-//! A transaction under a seat's epoch, and what is known of its outcome.
+//! A transaction under a shard's epoch, and what is known of its outcome.
 //!
 //! Invariant: an outcome is never guessed. Until it is known, nothing that depends on it is said or
-//! done, and the same transaction is tried again; nothing but the seat's epoch, or a key that only
+//! done, and the same transaction is tried again; nothing but the shard's epoch, or a key that only
 //! this transaction writes, tells what became of an earlier try. And a copy of it that is executed late
 //! does nothing: each transaction names a key that it writes and the version that key has before, so
 //! that it is executed once at the most, however often it is sent.
 use crate::budget::{Budget, Class};
-use crate::ids::{Epoch, Now, Seat};
+use crate::ids::{Epoch, Now, Shard};
 use crate::io::{StoreCall, StoreResult};
 use crate::keys;
 use leaddeal_wire::state::{Change, Cond, Txn};
@@ -19,7 +19,7 @@
 pub enum Outcome {
     /// Executed at this revision.
     Done(u64),
-    /// The seat has another owner: nothing may be written under this epoch any more.
+    /// The shard has another owner: nothing may be written under this epoch any more.
     Fenced,
     /// Certainly not executed, now or later.
     NotDone,
@@ -31,7 +31,7 @@
 pub struct Write {
     /// What it costs, by class.
     costs: Vec<(Class, usize)>,
-    seat: Seat,
+    shard: Shard,
     txn: Txn,
     /// Created, or written over at that version, by this transaction and nothing else.
     creates: Option<String>,
@@ -44,13 +44,13 @@
 }
 
 impl Write {
-    /// Conditional on the epoch under which the seat is owned.
-    pub fn new(class: Class, seat: Seat, epoch: Epoch, changes: Vec<Change>) -> Write {
-        let fence = Cond { key: keys::seat_key(seat), version: epoch.0 };
+    /// Conditional on the epoch under which the shard is owned.
+    pub fn new(class: Class, shard: Shard, epoch: Epoch, changes: Vec<Change>) -> Write {
+        let fence = Cond { key: keys::shard_key(shard), version: epoch.0 };
         let txn = Txn { conds: vec![fence], changes };
         let costs = vec![(class, txn.changes.len())];
         let (creates, unsure, executed) = (None, false, false);
-        Write { costs, seat, txn, creates, unsure, executed, send_at: Some(0) }
+        Write { costs, shard, txn, creates, unsure, executed, send_at: Some(0) }
     }
 
     /// It creates this key (version 0), or writes over that version of it; no other transaction
@@ -104,9 +104,9 @@
             // Nobody else writes that key: what is there is from this transaction.
             StoreResult::Item(Some(i)) if self.executed => Outcome::Done(i.version),
             // Deleted meanwhile, by a cancellation of ours: what became of it can't be told any more.
-            // The seat is given up and loaded anew; asking on would hold up all that follows.
+            // The shard is given up and loaded anew; asking on would hold up all that follows.
             StoreResult::Item(None) if self.executed => Outcome::Fenced,
-            StoreResult::Conflict(failed) if failed.contains(&keys::seat_key(self.seat)) => {
+            StoreResult::Conflict(failed) if failed.contains(&keys::shard_key(self.shard)) => {
                 Outcome::Fenced
             }
             // Only this transaction writes this key: an earlier try was executed after all.
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -3,7 +3,7 @@
 
 fn write() -> (Write, Budget) {
     let changes = vec![Change::Delete { key: "d/0/x".into() }];
-    let w = Write::new(Class::Decision, Seat(0), Epoch(7), changes);
+    let w = Write::new(Class::Decision, Shard(0), Epoch(7), changes);
     (w.creating("d/0/7-1".into(), 0), Budget::new(50.0, 3, 0))
 }
 
@@ -39,7 +39,7 @@
     assert_eq!(w.take(0, &both), Outcome::Fenced);
 }
 
-/// Guards the final states of a seat against a fold whose chunk a cancellation deleted meanwhile.
+/// Guards the final states of a shard against a fold whose chunk a cancellation deleted meanwhile.
 #[test]
 fn what_can_not_be_told_any_more_is_not_asked_for_without_end() {
     let (mut w, mut b) = write();
--- a/crates/leaddeal/src/driver.rs
+++ b/crates/leaddeal/src/driver.rs
@@ -1,7 +1,7 @@
 //! Connects the core with the world: feeds it inputs and carries out its outputs.
 use crate::client::{Client, NoAnswer};
-use crate::door::{self, Door};
 use crate::event::{Event, Reply};
+use crate::gateway::{self, Gateway};
 use crate::link;
 use hyper::Method;
 use leaddeal_core::io::{CloudCall, CloudResult, DirectOutcome, ReqId, StoreCall, StoreResult};
@@ -88,7 +88,7 @@
     let user_listener = bind(&s.listen).await?;
     let peer_listener = bind(&s.peer_listen).await?;
     let healthy = Arc::new(AtomicBool::new(false));
-    let door = Door {
+    let gateway = Gateway {
         events: tx.clone(),
         healthy: healthy.clone(),
         next_req: Arc::new(AtomicU64::new(1)),
@@ -98,7 +98,7 @@
         0 => 1000,
         n => n.saturating_sub(100).max(n / 2),
     };
-    tokio::spawn(door::listen(user_listener, door, most));
+    tokio::spawn(gateway::listen(user_listener, gateway, most));
     let restarted: link::Restarted =
         s.peers.iter().map(|p| (p.node.clone(), Arc::default())).collect();
     tokio::spawn(link::listen(peer_listener, tx.clone(), restarted.clone()));
--- a/crates/leaddeal/src/event.rs
+++ b/crates/leaddeal/src/event.rs
@@ -1,4 +1,4 @@
-//! What reaches the core's loop from the door, the links and the answers of outside services.
+//! What reaches the core's loop from the gateway, the links and the answers of outside services.
 use leaddeal_core::io::{ReqId, UserReply, WorkerReply};
 use leaddeal_core::Input;
 use tokio::sync::oneshot;
--- a/crates/leaddeal/src/door.rs
+++ b/crates/leaddeal/src/gateway.rs
@@ -36,7 +36,7 @@
 Connection: close\r\n\r\n";
 
 #[derive(Clone)]
-pub struct Door {
+pub struct Gateway {
     pub events: mpsc::Sender<Event>,
     pub healthy: Arc<AtomicBool>,
     pub next_req: Arc<AtomicU64>,
@@ -70,7 +70,7 @@
     out
 }
 
-impl Door {
+impl Gateway {
     async fn ask(&self, make: impl FnOnce(u64) -> Input) -> Option<Reply> {
         let req = self.next_req.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
@@ -104,7 +104,7 @@
     }
 }
 
-impl Door {
+impl Gateway {
     /// Reads a body of at most so many bytes. (Every connection could bring one of the largest at
     /// the same time, which is more than a controller has.)
     async fn body(&self, req: Request, most: usize) -> Result<Bytes, NoBody> {
@@ -132,7 +132,7 @@
     e.source().is_some_and(|s| s.is::<http_body_util::LengthLimitError>())
 }
 
-async fn submit(State(d): State<Door>, req: Request) -> Response {
+async fn submit(State(d): State<Gateway>, req: Request) -> Response {
     let bytes = match d.body(req, user::MAX_BODY).await {
         Ok(b) => b,
         Err(e) => return e.response(),
@@ -149,21 +149,21 @@
     d.user(|req| Input::Submit { req, id, job }).await
 }
 
-async fn status(State(d): State<Door>, Path(id): Path<String>) -> Response {
+async fn status(State(d): State<Gateway>, Path(id): Path<String>) -> Response {
     match user::parse_job_id(&id) {
         Some(n) => d.user(|req| Input::Get { req, id: leaddeal_core::ids::JobId(n) }).await,
         None => text(404, "unknown job"),
     }
 }
 
-async fn cancel(State(d): State<Door>, Path(id): Path<String>) -> Response {
+async fn cancel(State(d): State<Gateway>, Path(id): Path<String>) -> Response {
     match user::parse_job_id(&id) {
         Some(n) => d.user(|req| Input::Cancel { req, id: leaddeal_core::ids::JobId(n) }).await,
         None => text(404, "unknown job"),
     }
 }
 
-async fn report(State(d): State<Door>, req: Request) -> Response {
+async fn report(State(d): State<Gateway>, req: Request) -> Response {
     let bytes = match d.body(req, REPORT_BODY).await {
         Ok(b) => b,
         Err(e) => return e.response(),
@@ -182,7 +182,7 @@
     }
 }
 
-async fn health(State(d): State<Door>) -> Response {
+async fn health(State(d): State<Gateway>) -> Response {
     if d.healthy.load(Ordering::Relaxed) {
         text(200, "")
     } else {
@@ -190,7 +190,7 @@
     }
 }
 
-pub fn router(d: Door) -> Router {
+pub fn router(d: Gateway) -> Router {
     Router::new()
         .route(user::HEALTH, get(health))
         .route(user::JOBS, post(submit))
@@ -203,7 +203,7 @@
 }
 
 /// Serves until the process ends. Connections beyond `most` are closed at once.
-pub async fn listen(l: TcpListener, d: Door, most: usize) {
+pub async fn listen(l: TcpListener, d: Gateway, most: usize) {
     let app = router(d);
     let open = Arc::new(());
     loop {
--- a/crates/leaddeal/src/main.rs
+++ b/crates/leaddeal/src/main.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 
 mod client;
-mod door;
 mod driver;
 mod event;
+mod gateway;
 mod link;
 mod slow;
 
--- a/crates/leaddeal/tests/polls.rs
+++ b/crates/leaddeal/tests/polls.rs
@@ -1,5 +1,5 @@
 //! Users ask about their jobs far more often than before, with the real program, while a controller
-//! ends and its seat is taken over. All traffic is on loopback and bounded in number and time.
+//! ends and its shard is taken over. All traffic is on loopback and bounded in number and time.
 use common::{http, job, start, until};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -78,7 +78,7 @@
                 assert!(got == *status || got == 503, "{body}: {got} instead of {status}");
             }
         });
-        // A seat changes hands in the middle of it.
+        // A shard changes hands in the middle of it.
         std::thread::sleep(Duration::from_millis(300));
         c.restart(1, Duration::from_millis(1500));
     });
--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Three real processes on loopback: the door, a worker, a kill.
+//! Three real processes on loopback: the gateway, a worker, a kill.
 use common::{http, job, start, until};
 use leaddeal_testkit::worker::{Done, Worker};
 use leaddeal_wire::user::Job;
@@ -48,7 +48,7 @@
         until("a node is up", || http(a, "GET", "/up", "").0 == 200);
     }
 
-    // The door: what is wrong is refused at once.
+    // The gateway: what is wrong is refused at once.
     let good = job("wk-000001", 3, "sweep");
     let with = |k: &str, v: Value| {
         let mut j = good.clone();
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -50,7 +50,7 @@
 /// When what happened, in simulated milliseconds.
 #[derive(Debug, Default)]
 pub struct Marks {
-    /// A controller has loaded a seat.
+    /// A controller has loaded a shard.
     pub loaded: Vec<(u64, usize)>,
     /// Pages that the state service gave out.
     pub pages: u64,
@@ -61,7 +61,7 @@
 }
 
 impl Marks {
-    /// The last seat loaded after that time, and how many were.
+    /// The last shard loaded after that time, and how many were.
     pub fn loaded_after(&self, at: u64) -> (u64, usize) {
         let later = self.loaded.iter().filter(|l| l.0 > at);
         (later.clone().map(|l| l.0).max().unwrap_or(0), later.count())
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -6,7 +6,7 @@
 use crate::state::{Broken, State};
 use crate::tally::Tally;
 use crate::worker::{Done, Worker};
-use leaddeal_core::ids::{seat_of_job, JobId, Seat};
+use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::{
     CloudCall, CloudResult, DirectOutcome, Input, Output, StoreCall, StoreResult, WorkerReply,
 };
@@ -48,11 +48,11 @@
     /// The state service forgets decisions, as if they were folded away before what became of
     /// them is durable.
     LostDecisions,
-    /// Nobody who asks about a job of one seat gets an answer.
+    /// Nobody who asks about a job of one shard gets an answer.
     Mute,
     /// The core believes that a cancellation may take ten times as long as it may.
     LongCancel,
-    /// Requests for machines are named without the epoch, so that a new buyer uses old names.
+    /// Requests for machines are named without the epoch, so that a new provisioner uses old names.
     NameTwice,
 }
 
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -45,8 +45,8 @@
                     return Ok(());
                 }
                 let mute = self.plan.sabotage == Sabotage::Mute;
-                let seat = |id| seat_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
-                if mute && seat(id) == Seat(0) && self.rules.accepted.contains(id) {
+                let shard = |id| shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
+                if mute && shard(id) == Shard(0) && self.rules.accepted.contains(id) {
                     return Ok(());
                 }
                 // The answer may be lost on its way to the user.
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -18,14 +18,14 @@
                 json!({"job": {"id": 5}, "at": "then", "a": -1}),
                 json!({"a": 9, "p": [[1], "x", [u64::MAX, -4, "n-000001", 1, 0], null]}),
             ];
-            for (seat, (i, v)) in
-                (0..NODES as u8).flat_map(|s| wrong.iter().enumerate().map(move |w| (Seat(s), w)))
+            for (shard, (i, v)) in
+                (0..NODES as u8).flat_map(|s| wrong.iter().enumerate().map(move |w| (Shard(s), w)))
             {
                 let id = JobId(700_000 + i as u64);
-                put(&mut self.state, keys::job_key(seat, id), v.clone());
-                put(&mut self.state, keys::run_key(seat, id, 1), v.clone());
-                put(&mut self.state, keys::final_key(seat, JobId(id.0 + 50)), v.clone());
-                let key = format!("{}{i}", keys::decision_prefix(seat));
+                put(&mut self.state, keys::job_key(shard, id), v.clone());
+                put(&mut self.state, keys::run_key(shard, id, 1), v.clone());
+                put(&mut self.state, keys::final_key(shard, JobId(id.0 + 50)), v.clone());
+                let key = format!("{}{i}", keys::decision_prefix(shard));
                 put(&mut self.state, key, v.clone());
             }
         }
@@ -35,14 +35,14 @@
         self.state.page = 300;
         for n in 0..self.plan.closed {
             let id = JobId(900_000 + n);
-            let key = keys::final_key(seat_of_job(id, NODES), id);
+            let key = keys::final_key(shard_of_job(id, NODES), id);
             put(&mut self.state, key, keys::final_value(Status::Done, 1));
         }
         for n in 0..self.plan.open {
             let id = JobId(800_000 + n);
             let job = Job { id: leaddeal_wire::user::job_id(id.0), ..self.waiting_job() };
             let value = serde_json::json!({"job": job, "at": self.now});
-            put(&mut self.state, keys::job_key(seat_of_job(id, NODES), id), value);
+            put(&mut self.state, keys::job_key(shard_of_job(id, NODES), id), value);
             self.rules.accepted.insert(job.id.clone());
             self.rules.jobs.insert(job.id.clone(), job);
         }
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -1,7 +1,7 @@
 //! Counts what goes into the cores and comes out, for `docs/performance.md`. The same seed gives
 //! the same counts.
 use leaddeal_core::io::{CloudCall, Input, Output, StoreCall, StoreResult};
-use leaddeal_wire::mesh::{NodeMsg, SeatMsg};
+use leaddeal_wire::mesh::{NodeMsg, ShardMsg};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -21,26 +21,26 @@
     serde_json::to_vec(v).map_or(0, |b| b.len() as u64)
 }
 
-fn seat_msg(m: &SeatMsg) -> &'static str {
+fn shard_msg(m: &ShardMsg) -> &'static str {
     match m {
-        SeatMsg::Request { .. } => "mesh Request",
-        SeatMsg::Close { .. } => "mesh Close",
-        SeatMsg::Place { .. } => "mesh Place",
-        SeatMsg::Stop { .. } => "mesh Stop",
-        SeatMsg::Forget { .. } => "mesh Forget",
-        SeatMsg::Offers { .. } => "mesh Offers",
-        SeatMsg::AskDecision { .. } => "mesh AskDecision",
-        SeatMsg::Events { .. } => "mesh Events",
-        SeatMsg::Room { .. } => "mesh Room",
-        SeatMsg::TeamUsage { .. } => "mesh TeamUsage",
-        SeatMsg::TeamGrant { .. } => "mesh TeamGrant",
-        SeatMsg::Lacks { .. } => "mesh Lacks",
-        SeatMsg::Machines { .. } => "mesh Machines",
-        SeatMsg::MachinesAgain => "mesh MachinesAgain",
-        SeatMsg::Base { .. } => "mesh Base",
-        SeatMsg::Drain { .. } => "mesh Drain",
-        SeatMsg::Drained { .. } => "mesh Drained",
-        SeatMsg::Released { .. } => "mesh Released",
+        ShardMsg::Request { .. } => "mesh Request",
+        ShardMsg::Close { .. } => "mesh Close",
+        ShardMsg::Place { .. } => "mesh Place",
+        ShardMsg::Stop { .. } => "mesh Stop",
+        ShardMsg::Forget { .. } => "mesh Forget",
+        ShardMsg::Offers { .. } => "mesh Offers",
+        ShardMsg::AskDecision { .. } => "mesh AskDecision",
+        ShardMsg::Events { .. } => "mesh Events",
+        ShardMsg::Room { .. } => "mesh Room",
+        ShardMsg::TeamUsage { .. } => "mesh TeamUsage",
+        ShardMsg::TeamGrant { .. } => "mesh TeamGrant",
+        ShardMsg::Lacks { .. } => "mesh Lacks",
+        ShardMsg::Machines { .. } => "mesh Machines",
+        ShardMsg::MachinesAgain => "mesh MachinesAgain",
+        ShardMsg::Base { .. } => "mesh Base",
+        ShardMsg::Drain { .. } => "mesh Drain",
+        ShardMsg::Drained { .. } => "mesh Drained",
+        ShardMsg::Released { .. } => "mesh Released",
     }
 }
 
@@ -76,11 +76,11 @@
                 let mut bytes = Vec::new();
                 let _ = ciborium::into_writer(msg, &mut bytes);
                 let kind = match msg {
-                    NodeMsg::Seat { msg, .. } => seat_msg(msg),
+                    NodeMsg::Shard { msg, .. } => shard_msg(msg),
                     NodeMsg::Beat(_) => "mesh Beat",
                     NodeMsg::Ask { .. } => "mesh Ask",
                     NodeMsg::Told { .. } => "mesh Told",
-                    NodeMsg::WantSeat { .. } => "mesh WantSeat",
+                    NodeMsg::WantShard { .. } => "mesh WantShard",
                     NodeMsg::Report { .. } => "mesh Report",
                     NodeMsg::Answered { .. } => "mesh Answered",
                 };
--- a/crates/testkit/tests/known.rs
+++ b/crates/testkit/tests/known.rs
@@ -11,7 +11,7 @@
     (sim, told)
 }
 
-/// Records that do not decode, of each kind and in each seat, silence only themselves: as many jobs are
+/// Records that do not decode, of each kind and in each shard, silence only themselves: as many jobs are
 /// done as without them, also after a takeover.
 #[test]
 fn records_that_do_not_decode_silence_only_themselves() {
@@ -24,7 +24,7 @@
     assert!(with * 10 > without * 8, "{with} jobs over instead of {without}");
 }
 
-/// A store that refuses most calls, while seats are loaded: what is asked for again comes in the end.
+/// A store that refuses most calls, while shards are loaded: what is asked for again comes in the end.
 #[test]
 fn pages_that_are_refused_time_and_again_come_in_the_end() {
     for percent in [50, 85] {
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -206,13 +206,13 @@
     }
 }
 
-/// Seats are handed over and back, all end, and one is back within a second, again and again.
+/// Shards are handed over and back, all end, and one is back within a second, again and again.
 #[test]
 fn hand_over_and_back_and_all_end() {
     let mut script = Vec::new();
     for at in (30_000..110_000).step_by(16_000) {
         script.push((at, crash(0, 300)));
-        // Its seat goes home while another ends.
+        // Its shard goes home while another ends.
         script.push((at + 5200, crash(1, 6000)));
         script.push((at + 9000, Fault::Crash { nodes: vec![0, 1, 2], back_ms: 4000 }));
         script.push((at + 9300, crash(2, 100)));
--- a/crates/testkit/tests/recovery.rs
+++ b/crates/testkit/tests/recovery.rs
@@ -17,10 +17,10 @@
     sim.marks.pages
 }
 
-/// What is over is not read again, and open jobs are read in pages: a seat with 20,000 closed and
+/// What is over is not read again, and open jobs are read in pages: a shard with 20,000 closed and
 /// 2,000 open jobs is there soon, also while the state service answers slowly.
 #[test]
-fn a_seat_with_a_long_past_is_loaded_by_what_is_open() {
+fn a_shard_with_a_long_past_is_loaded_by_what_is_open() {
     let slow = Fault::SlowStore { ms: 60_000, by_ms: 300 };
     let crash = Fault::Crash { nodes: vec![0], back_ms: 120_000 };
     let script = vec![(20_000, slow), (20_000, crash)];
@@ -31,8 +31,8 @@
         run(&mut sim, 20_000);
         let before = pages(&sim);
         run(&mut sim, 45_000);
-        let (at, seats) = sim.marks.loaded_after(BEGIN + 20_000);
-        assert_eq!(seats, 1, "the seat of the dead one is loaded");
+        let (at, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+        assert_eq!(shards, 1, "the shard of the dead one is loaded");
         (at - BEGIN - 20_000, pages(&sim) - before)
     };
     let (few, many) = (read(few), read(many));
@@ -50,9 +50,9 @@
     run(&mut sim, 20_000);
     let calls = sim.marks.store_calls;
     run(&mut sim, 32_000);
-    let (at, seats) = sim.marks.loaded_after(BEGIN + 20_000);
-    println!("all seats loaded {} ms after the crash", at - BEGIN - 20_000);
-    assert_eq!(seats, NODES, "each seat is loaded once");
+    let (at, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+    println!("all shards loaded {} ms after the crash", at - BEGIN - 20_000);
+    assert_eq!(shards, NODES, "each shard is loaded once");
     assert!(at < BEGIN + 20_000 + 9000, "{} ms", at - BEGIN - 20_000);
     let calls = sim.marks.store_calls - calls;
     println!("{calls} calls of the state service in 12 s");
@@ -103,22 +103,22 @@
 }
 
 /// A controller without processor time for 40 s wakes up with all that came meanwhile, and neither
-/// acts on it under its old epoch nor falls over it; and it gets its seat back only once it has been
+/// acts on it under its old epoch nor falls over it; and it gets its shard back only once it has been
 /// steady for a while.
 #[test]
 fn a_frozen_controller_wakes_up_with_a_backlog() {
     let freeze = Fault::Freeze { node: 0, ms: 40_000 };
     let mut sim = fleet(4, 100, vec![(20_000, freeze)]);
     run(&mut sim, 75_000);
-    let (_, seats) = sim.marks.loaded_after(BEGIN + 20_000);
-    assert_eq!(seats, 1, "taken over, and not given back at once");
+    let (_, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+    assert_eq!(shards, 1, "taken over, and not given back at once");
     run(&mut sim, 95_000);
-    let (_, seats) = sim.marks.loaded_after(BEGIN + 20_000);
-    assert!((2..=4).contains(&seats), "taken over, and given back: {seats} seats loaded");
+    let (_, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+    assert!((2..=4).contains(&shards), "taken over, and given back: {shards} shards loaded");
 }
 
-/// Controllers refuse each other's connections while a seat is taken over, and a zone is cut off
-/// while a seat moves.
+/// Controllers refuse each other's connections while a shard is taken over, and a zone is cut off
+/// while a shard moves.
 #[test]
 fn takeovers_while_connections_fail() {
     let crash = Fault::Crash { nodes: vec![1], back_ms: 8000 };
@@ -128,8 +128,8 @@
         let script = faults.into_iter().map(|f| (19_000, f)).chain([(20_000, crash.clone())]);
         let mut sim = fleet(3, 70, script.collect());
         run(&mut sim, 70_000);
-        let (_, seats) = sim.marks.loaded_after(BEGIN + 20_000);
-        assert!(seats >= 2, "the seat was taken over and went home: {seats}");
+        let (_, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+        assert!(shards >= 2, "the shard was taken over and went home: {shards}");
         assert!(sim.rules.starts > 500, "only {} starts", sim.rules.starts);
     }
 }
