--- a/crates/testkit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn and_after_an_outage_and_by_one_controller_with_all_seats() {
+fn and_after_an_outage_and_by_one_controller_with_all_shards() {
     let outage = play(14, 90, LIMIT, vec![(30_000, Fault::Outage { ms: 25_000 })], 55_000);
     assert!(outage.finals > 180, "{} finals in 35 s after the outage", outage.finals);
     let alone = Fault::Crash { nodes: vec![1, 2], back_ms: 200_000 };
@@ -68,7 +68,7 @@
     assert!(alone.finals > 350 && alone.p90 < 20_000, "{} after {} ms", alone.finals, alone.p90);
 }
 
-/// All controllers end at 2,790 machines, with a store at its limit: seats are loaded soon, and what
+/// All controllers end at 2,790 machines, with a store at its limit: shards are loaded soon, and what
 /// was over by then is told.
 #[test]
 fn after_all_controllers_ended_at_five_times_a_fleet() {
@@ -76,9 +76,9 @@
     let plan = Plan { seconds: 60, store: Some(LIMIT), ..Plan::fleet(7, 31) };
     let mut sim = Sim::new(Plan { script: vec![(25_000, all)], ..plan });
     sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
-    let (at, seats) = sim.marks.loaded_after(BEGIN + 25_000);
+    let (at, shards) = sim.marks.loaded_after(BEGIN + 25_000);
     let told = sim.marks.finals.iter().filter(|f| f.0 > BEGIN + 28_000).count();
-    println!("{seats} seats loaded {} ms after the crash; {told} finals", at - BEGIN - 25_000);
-    assert!(seats == 3 && at < BEGIN + 25_000 + 9000, "{seats} seats, {at}");
+    println!("{shards} shards loaded {} ms after the crash; {told} finals", at - BEGIN - 25_000);
+    assert!(shards == 3 && at < BEGIN + 25_000 + 9000, "{shards} shards, {at}");
     assert!(told > 150, "{told} finals told in 32 s after the restart");
 }
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -205,9 +205,9 @@
     pub more_gpu: u64,
 }
 
-/// What goes between two seats. Every message names the epochs of both ends.
+/// What goes between two shards. Every message names the epochs of both ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum SeatMsg {
+pub enum ShardMsg {
     /// Coordinator to participant.
     /// `gpu_work`: what GPU work there is at the sender, asked for or not: cores, GPUs and MB of
     /// a task as in `Shape`, and its priority.
@@ -245,7 +245,7 @@
     AskDecision {
         negotiation: u64,
     },
-    /// Room became free since this part offered less than was asked for: ask again, for jobs of
+    /// Room became free since this participant offered less than was asked for: ask again, for jobs of
     /// this priority or higher.
     Room {
         priority: Priority,
@@ -253,7 +253,7 @@
     Events {
         events: Vec<TaskEvent>,
     },
-    /// Coordinator to the team's seat: what its tasks take, and what more it wants. It gives up
+    /// Coordinator to the team's shard: what its tasks take, and what more it wants. It gives up
     /// whatever it was granted beyond that.
     TeamUsage {
         serial: u64,
@@ -264,7 +264,7 @@
         serial: u64,
         granted: Vec<TeamUse>,
     },
-    /// Coordinator and participant to the buyer's seat, and back.
+    /// Coordinator and participant to the provisioner's shard, and back.
     Lacks {
         lacks: Vec<Lack>,
     },
@@ -296,14 +296,14 @@
 pub enum NodeMsg {
     /// Alive, and what the sender knows of who owns what.
     Beat(Beat),
-    Seat {
+    Shard {
         from: u8,
         from_epoch: u64,
         to: u8,
         to_epoch: u64,
-        msg: SeatMsg,
+        msg: ShardMsg,
     },
-    /// Asks the owner of a job's seat.
+    /// Asks the owner of a job's shard.
     Ask {
         call: u64,
         job: u64,
@@ -313,11 +313,11 @@
         call: u64,
         answer: Told,
     },
-    /// The sender, at home on this seat, is ready to have it back.
-    WantSeat {
-        seat: u8,
+    /// The sender, at home on this shard, is ready to have it back.
+    WantShard {
+        shard: u8,
     },
-    /// A worker's report, passed on to the owner of its machine's seat, which it does not reach.
+    /// A worker's report, passed on to the owner of its machine's shard, which it does not reach.
     Report {
         call: u64,
         report: Box<Report>,
@@ -332,22 +332,22 @@
 /// Told to every sibling once a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Beat {
-    /// Seats that the sender acts for, and under which epochs.
+    /// Shards that the sender acts for, and under which epochs.
     pub owned: Vec<(u8, u64)>,
-    /// The newest owner it knows of each seat: seat, node by the order of names, epoch. Whoever
-    /// acted for a seat under an older epoch and says so here has let go of it.
+    /// The newest owner it knows of each shard: shard, node by the order of names, epoch. Whoever
+    /// acted for a shard under an older epoch and says so here has let go of it.
     pub known: Vec<(u8, u8, u64)>,
     /// It can take users' requests.
     pub ready: bool,
     /// When this was said; and the newest that was heard of the receiver: it was said after that.
     pub stamp: Stamp,
     pub echo: Option<Stamp>,
-    /// By seat: the sender has acted under no newer epoch than this, nor has a process of its before.
-    /// Empty: it has not read the seats' keys yet.
+    /// By shard: the sender has acted under no newer epoch than this, nor has a process of its before.
+    /// Empty: it has not read the shards' keys yet.
     pub newest: Vec<u64>,
-    /// Of the seats that it acts for and knows all of.
+    /// Of the shards that it acts for and knows all of.
     pub words: Vec<Word>,
-    /// Up to which number it knows what was cancelled: seat, epoch, number.
+    /// Up to which number it knows what was cancelled: shard, epoch, number.
     pub heeded: Vec<(u8, u64, u64)>,
 }
 
@@ -358,10 +358,10 @@
     pub at: u64,
 }
 
-/// What the owner of a seat says of its jobs that were cancelled.
+/// What the owner of a shard says of its jobs that were cancelled.
 #[derive(Clone, Debug, Default, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Word {
-    pub seat: u8,
+    pub shard: u8,
     pub epoch: u64,
     /// For how long its lease has been in doubt; 0: it is not.
     pub doubt_ms: u64,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -167,7 +167,7 @@
         Ok(s)
     }
 
-    /// All nodes' names, in the order that numbers them and the seats.
+    /// All nodes' names, in the order that numbers them and the shards.
     pub fn nodes(&self) -> Vec<String> {
         let mut v: Vec<String> = self.peers.iter().map(|p| p.node.clone()).collect();
         v.push(self.node.clone());
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,5 +1,5 @@
 //! The odd names on the wire, as the protocol gives them.
-use leaddeal_wire::mesh::{NodeMsg, Phase, SeatMsg, TaskEvent};
+use leaddeal_wire::mesh::{NodeMsg, Phase, ShardMsg, TaskEvent};
 use leaddeal_wire::user::{job_id, parse_job_id, Job, Kind, Priority};
 use leaddeal_wire::worker::{Op, Order, Report, TaskId, TaskState, Why};
 use leaddeal_wire::{cloud, settings::Settings, state};
@@ -72,13 +72,13 @@
 #[test]
 fn mesh_messages_are_what_they_were_after_cbor() {
     let through = |msg| {
-        let m = NodeMsg::Seat { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
+        let m = NodeMsg::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
         let mut bytes = Vec::new();
         ciborium::into_writer(&m, &mut bytes).expect("written");
         assert_eq!(ciborium::from_reader::<NodeMsg, _>(&bytes[..]).expect("read"), m);
         bytes.len()
     };
-    through(SeatMsg::Close { negotiation: 1 << 40 });
+    through(ShardMsg::Close { negotiation: 1 << 40 });
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
     let whys = [Why::Done, Why::Stopped, Why::Peers, Why::Alone, Why::Error, Why::Full, Why::Busy];
     let ends = whys.iter().flat_map(|w| [Phase::Exited(*w, false), Phase::Exited(*w, true)]);
@@ -94,7 +94,7 @@
         })
         .collect();
     let n = events.len();
-    let size = through(SeatMsg::Events { events });
+    let size = through(ShardMsg::Events { events });
     assert!(size < 40 * n + 60, "{size} bytes for {n} events: most of the traffic is these");
     let bad = ciborium::Value::Integer(255.into());
     assert!(bad.deserialized::<Phase>().is_err());
