--- a/crates/testkit/examples/days.rs
+++ b/crates/testkit/examples/days.rs
@@ -143,6 +143,45 @@
     ]
 }
 
+/// Each trouble of the operators' later page: while leaders change, and over the gap.
+fn meetings(s: &Site) -> Vec<(String, Vec<Fault>)> {
+    let part = |share: f64| ((s.machines as f64 * share) as i64).max(1);
+    let lasts = |at: f64, kind: &'static str, for_s: f64| (at, kind, vec![("for_s", for_s.into())]);
+    let flagged = |(at, kind, mut what): Fault, flag| {
+        what.push((flag, true.into()));
+        (at, kind, what)
+    };
+    let cancel = |at: f64, hang_s: f64| {
+        let count = ("count", Value::from(part(0.05)));
+        (at, "cancel_now", vec![count, ("hang_s", hang_s.into())])
+    };
+    // A change of leader is about to come, or the store has refused the leader alone.
+    let cancels = [70.1, 71.0, 79.8, 81.0, 100.5, 131.0].map(|at| cancel(at, 12.0)).to_vec();
+    let troubles = [
+        ("lost", vec![flagged(late(60.0, "late_writes", 0.3, 120.0), "at_once")]),
+        ("kept", vec![flagged(late(60.0, "late_reports", 0.5, 120.0), "for_next")]),
+        ("mute", vec![machines(75.0, "machine_mute", part(0.1), Some(60.0))]),
+        ("called-off", cancels),
+        ("at-end", vec![late(60.0, "cancel_at_end", 0.3, 150.0)]),
+        ("odd", vec![lasts(60.0, "odd_requests", 150.0)]),
+        ("looks", vec![lasts(60.0, "close_looks", 150.0), cancel(71.0, 0.0)]),
+    ];
+    let leaders = [crash(80.0, 1), crash(100.0, 2), roll(130.0, 12.0), freeze(165.0, 7.0)];
+    let again = 70.0 + s.cancel_s + 24.0;
+    let gap =
+        [70.0, again].map(|at| [refused(at, false, 14.0), outage(at + 2.0, s.cancel_s + 12.0)]);
+    let both = |(name, trouble): &(&str, Vec<Fault>)| {
+        let over = [trouble.clone(), gap.concat()].concat();
+        [
+            (format!("own-{name}"), [trouble.clone(), leaders.to_vec()].concat()),
+            (format!("own-gap-{name}"), over),
+        ]
+    };
+    let every = troubles.iter().flat_map(|t| t.1.clone()).chain(leaders.clone());
+    let all = ("own-every".to_string(), every.collect());
+    troubles.iter().flat_map(both).chain([all]).collect()
+}
+
 /// The operators' acceptance and the hard cases beside it. Fractions are of all machines.
 fn days(s: &Site) -> Vec<(&'static str, Vec<Fault>)> {
     let part = |share: f64| ((s.machines as f64 * share) as i64).max(1);
@@ -314,11 +353,13 @@
             std::fs::copy(&f, cli.out.join(f.file_name().unwrap_or_default()))?;
         }
     }
-    let plain = days(&known).into_iter().map(|d| (d, false));
-    let all = plain.chain(gaps(&known).into_iter().map(|d| (d, true)));
+    let named = |(name, faults): (&str, Vec<Fault>)| (name.to_string(), faults);
+    let plain = days(&known).into_iter().map(named).map(|d| (d, false));
+    let gaps = gaps(&known).into_iter().map(named).chain(meetings(&known));
+    let all = plain.chain(gaps.map(|d| (d, true)));
     for (i, ((name, faults), gap)) in all.enumerate() {
         let path = cli.out.join(format!("{name}.toml"));
-        let mut day = day(name, 700 + i as i64, faults);
+        let mut day = day(&name, 700 + i as i64, faults);
         if gap {
             day.insert("duration_s".into(), (110.0 + 3.5 * known.cancel_s).into());
             day.insert("jobs".into(), Value::Array(vec![cancelled_jobs(&known).into()]));
