--- /dev/null
+++ b/crates/wire/tests/odd_input.rs
@@ -0,0 +1,126 @@
+//! Whatever comes over the wire is read or refused: nothing ends the process, and what is accepted has
+//! every field, in range.
+use leaddeal_wire::cloud::Listing;
+use leaddeal_wire::mesh::{Hello, NodeMsg};
+use leaddeal_wire::settings::Settings;
+use leaddeal_wire::state::{Events, Page};
+use leaddeal_wire::user::{parse_job_id, Job};
+use leaddeal_wire::worker::{Answer, Report};
+use proptest::prelude::*;
+use serde_json::{json, Value};
+
+fn job() -> Value {
+    json!({"id":"wk-000412","cargo":"train","crew":"vision","rig":"group","precedence":"high",
+        "hauls":16,"cores":8.0,"gpus":1.0,"memoryGb":64.0,"manifest":"img-07","imageGb":6.2,
+        "hulls":["g8"],"harbor":"a","together":true,"scatter":false,"charter":true,
+        "passageS":240.0,"fixS":30.0,"stowS":4.0,"tideS":900.0})
+}
+
+/// Those that may be null, and may be absent then.
+const MAY_BE_NULL: [&str; 3] = ["hulls", "harbor", "tideS"];
+
+fn parse(v: &Value) -> Option<Job> {
+    Job::parse(v.to_string().as_bytes()).ok()
+}
+
+/// Found by reading: a job without `gpus` was taken for one that needs none.
+#[test]
+fn a_job_that_lacks_a_field_is_refused() {
+    let whole = job();
+    assert!(parse(&whole).is_some());
+    for name in whole.as_object().expect("an object").keys() {
+        let may = MAY_BE_NULL.contains(&name.as_str());
+        let mut lacks = whole.clone();
+        lacks.as_object_mut().expect("an object").remove(name);
+        assert_eq!(parse(&lacks).is_some(), may, "without {name}");
+        lacks[name] = Value::Null;
+        assert_eq!(parse(&lacks).is_some(), may, "{name} null");
+    }
+}
+
+fn odd() -> impl Strategy<Value = Value> {
+    let numbers = prop_oneof![
+        Just(json!(-1)),
+        Just(json!(0)),
+        Just(json!(-0.0)),
+        Just(json!(1e300)),
+        Just(json!(u64::MAX)),
+        Just(json!(i64::MIN)),
+        Just(json!(0.5)),
+        any::<f64>().prop_map(|f| json!(f)),
+        any::<u64>().prop_map(|n| json!(n)),
+    ];
+    let texts = prop_oneof![
+        Just(String::new()),
+        Just("x".repeat(300)),
+        "\\PC{0,8}".prop_map(|s| s),
+        "wk-[0-9]{0,20}".prop_map(|s| s),
+    ];
+    prop_oneof![
+        numbers,
+        texts.prop_map(|s| json!(s)),
+        Just(json!(true)),
+        Just(json!([])),
+        Just(json!([1, "x", null])),
+        Just(json!({"a": {}})),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..Default::default() })]
+
+    #[test]
+    fn a_job_that_is_accepted_is_in_range(at in 0usize..20, value in odd()) {
+        let mut v = job();
+        let names: Vec<String> = v.as_object().expect("an object").keys().cloned().collect();
+        v[&names[at % names.len()]] = value;
+        if let Some(j) = parse(&v) {
+            prop_assert!(parse_job_id(&j.id).is_some());
+            prop_assert!((1..=100_000).contains(&j.tasks));
+            let durations = [j.estimate_s, j.checkpoint_s, j.save_s, j.deadline_s.unwrap_or(0.0)];
+            let amounts = [j.cpus, j.gpus, j.memory_gb, j.image_gb];
+            for n in durations.into_iter().chain(amounts) {
+                prop_assert!(n.is_finite() && n >= 0.0, "{n}");
+            }
+            prop_assert!(j.cpus > 0.0 && !j.team.is_empty() && !j.image.is_empty());
+            // What is kept of it is read again after a takeover.
+            let kept = serde_json::to_value(&j).expect("written");
+            prop_assert_eq!(serde_json::from_value::<Job>(kept).expect("read"), j);
+        }
+    }
+
+    #[test]
+    fn bytes_from_anywhere_end_nothing(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let _ = Job::parse(&bytes);
+        let _ = serde_json::from_slice::<Report>(&bytes);
+        let _ = serde_json::from_slice::<Answer>(&bytes);
+        let _ = serde_json::from_slice::<Page>(&bytes);
+        let _ = serde_json::from_slice::<Events>(&bytes);
+        let _ = serde_json::from_slice::<Listing>(&bytes);
+        let _ = ciborium::from_reader::<NodeMsg, _>(&bytes[..]);
+        let _ = ciborium::from_reader::<Hello, _>(&bytes[..]);
+        let _ = Settings::parse(&String::from_utf8_lossy(&bytes));
+    }
+
+    /// A frame that was good, with a byte changed or its end cut off.
+    #[test]
+    fn spoilt_messages_end_nothing(at in 0usize..400, byte in any::<u8>(), cut in any::<bool>()) {
+        let v = json!({"vessel":"n-000231","endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a",
+            "charter":true,"watch":1,"logline":88,"helm":41,"recallS":null,
+            "hauls":[{"haul":"wk-000412/3","sailing":2,"status":"running"}]});
+        let report: Report = serde_json::from_value(v.clone()).expect("a report");
+        let mut frame = Vec::new();
+        let msg = NodeMsg::Report { call: 7, report: Box::new(report) };
+        ciborium::into_writer(&msg, &mut frame).expect("written");
+        for mut bytes in [frame, v.to_string().into_bytes()] {
+            let at = at % bytes.len();
+            if cut {
+                bytes.truncate(at);
+            } else {
+                bytes[at] = byte;
+            }
+            let _ = ciborium::from_reader::<NodeMsg, _>(&bytes[..]);
+            let _ = serde_json::from_slice::<Report>(&bytes);
+        }
+    }
+}
