--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -224,7 +224,7 @@
         self.token = r.token;
         // Of a worker that came back without its token, older owners' answers count again.
         self.confirmed = r.token == epoch.0;
-        self.notice = r.notice_s.map(|s| now + (s.max(0.0) * 1000.0) as u64);
+        self.notice = r.notice_s.map(|s| now.saturating_add((s.max(0.0) * 1000.0) as u64));
         for t in self.tasks.values_mut() {
             t.listed = false;
         }
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -58,15 +58,15 @@
     }
 
     pub fn add(&mut self, o: Room, n: u64) {
-        self.cpu += o.cpu * n;
-        self.gpu += o.gpu * n;
-        self.mem += o.mem * n;
+        self.cpu = self.cpu.saturating_add(o.cpu.saturating_mul(n));
+        self.gpu = self.gpu.saturating_add(o.gpu.saturating_mul(n));
+        self.mem = self.mem.saturating_add(o.mem.saturating_mul(n));
     }
 
     pub fn sub(&mut self, o: Room, n: u64) {
-        self.cpu = self.cpu.saturating_sub(o.cpu * n);
-        self.gpu = self.gpu.saturating_sub(o.gpu * n);
-        self.mem = self.mem.saturating_sub(o.mem * n);
+        self.cpu = self.cpu.saturating_sub(o.cpu.saturating_mul(n));
+        self.gpu = self.gpu.saturating_sub(o.gpu.saturating_mul(n));
+        self.mem = self.mem.saturating_sub(o.mem.saturating_mul(n));
     }
 
     /// How many times `o` fits in.
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -255,13 +255,12 @@
         let zone = ctx.names.zone(&r.zone);
         let older = self.older_until;
         let m = self.machine(idx);
-        m.kind = kind;
-        m.zone = zone;
         let before: Vec<Key> = m.tasks.iter().filter(|(_, t)| t.over()).map(|(k, _)| *k).collect();
         let known = m.confirmed;
         if !m.apply(r, epoch, checkin, now) {
             return;
         }
+        (m.kind, m.zone) = (kind, zone);
         let cache = kind.map_or(0.0, |k| ctx.names.catalog[k.0 as usize].cache_gb);
         let mut images = Vec::new();
         let mut freed = !known && m.confirmed;
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -163,7 +163,7 @@
             }
             ShardMsg::Machines { serial, first, machines, gone } => {
                 let view = self.participants.entry(from).or_default();
-                if !first && serial != view.serial + 1 {
+                if !first && view.serial.checked_add(1) != Some(serial) {
                     ctx.send(PROVISIONER_SHARD, from, ShardMsg::MachinesAgain);
                     return;
                 }
@@ -514,7 +514,7 @@
         let mut here = vec![0; zones.len()];
         for c in coming.iter().filter(|c| ctx.names.allows(&l.shape, c.kind, c.spot)) {
             if let Some(h) = c.zone.and_then(|z| here.get_mut(z.0 as usize)) {
-                *h += c.room.fits(need);
+                *h = u64::saturating_add(*h, c.room.fits(need));
             }
         }
         let mut order: Vec<usize> = (0..zones.len()).filter(|&z| zones[z] >= count).collect();
@@ -579,7 +579,7 @@
         let mut drains = Vec::new();
         for view in self.participants.values() {
             for (at, m) in view.machines.values().filter(|(_, m)| m.dead || m.idle_ms.is_some()) {
-                let idle_ms = m.idle_ms.map(|i| i + now.saturating_sub(*at));
+                let idle_ms = m.idle_ms.map(|i| i.saturating_add(now.saturating_sub(*at)));
                 if self.gone.contains(&m.machine) || self.to_release.contains(&m.machine) {
                     continue;
                 }
--- /dev/null
+++ b/crates/core/tests/odd_input.rs
@@ -0,0 +1,533 @@
+//! Impossible values from workers, users and siblings: the core ends by none of them, and accepts no job
+//! that can't run.
+use leaddeal_core::ids::JobId;
+use leaddeal_core::io::{CloudCall, CloudResult, DirectOutcome, StoreCall, StoreResult};
+use leaddeal_core::{Input, Node, Output};
+use leaddeal_wire::cloud::{Catalog, Listing, MachineType};
+use leaddeal_wire::mesh::{
+    AttemptRef, Beat, Lack, Line, MachineInfo, NodeMsg, Offer, Phase, Pick, Shape, ShardMsg, Stamp,
+    TaskEvent, Told, Wanted, Word,
+};
+use leaddeal_wire::settings::Settings;
+use leaddeal_wire::state::{Events, Page};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobState, Kind, Priority, Status};
+use leaddeal_wire::worker::{Answer, Report, TaskId, TaskReport, TaskState, Why};
+use proptest::prelude::*;
+use proptest::sample::select;
+use proptest::test_runner::RngSeed;
+use serde_json::json;
+use std::sync::Arc;
+
+fn settings() -> Settings {
+    let sibling = |i: usize| json!({"node_name": format!("n-{i}"), "zone": "a", "address": format!("10.0.0.{}:81", i + 1)});
+    let v = json!({
+        "node_name": "n-0", "zone": "a", "serve_on": "10.0.0.1:80", "mesh_addr": "10.0.0.1:81",
+        "siblings": [sibling(1), sibling(2)],
+        "external": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"},
+        "cluster": {
+            "count": 3, "zones": ["a", "b"],
+            "teams": [{"name": "free"}, {"name": "tight", "cpus_max": 6.0, "gpus_max": 1.0}],
+            "workers": {"report_s": 1.5, "lease_s": 8.0, "gang_wait_s": 40.0,
+                        "gang_peer_s": 8.0, "cancel_s": 30.0},
+            "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 12},
+            "cloud": {"rps": 5.0, "list_lag_s": 3.0},
+            "resources": {}
+        }
+    });
+    Settings::parse(&v.to_string()).expect("settings")
+}
+
+fn types() -> Vec<MachineType> {
+    let small = MachineType {
+        name: "small".into(),
+        zones: vec!["a".into(), "b".into()],
+        cpus: 4.0,
+        gpus: 0.0,
+        memory_gb: 16.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 1.0,
+        boot_s: 1.0,
+    };
+    let gpu =
+        MachineType { name: "gpu".into(), zones: vec!["b".into()], gpus: 2.0, ..small.clone() };
+    vec![small, gpu]
+}
+
+/// Whether a task of it fits a type in a zone that it allows, and its team's limit lets it run: said
+/// once more from the protocol.
+fn can_run(j: &Job) -> bool {
+    let fits = types().iter().any(|t| {
+        j.types.as_ref().is_none_or(|all| all.contains(&t.name))
+            && j.zone.as_ref().is_none_or(|z| t.zones.contains(z))
+            && j.cpus <= t.cpus
+            && j.gpus <= t.gpus
+            && j.memory_gb <= t.memory_gb
+    });
+    let at_once = if j.kind == Kind::Array { 1.0 } else { f64::from(j.tasks) };
+    let within = match j.team.as_str() {
+        "free" => true,
+        "tight" => j.cpus * at_once <= 6.0 && j.gpus * at_once <= 1.0,
+        _ => false,
+    };
+    fits && within
+}
+
+/// A node with a state service and a cloud that have nothing, and always say yes.
+struct World {
+    node: Node,
+    now: u64,
+    revision: u64,
+    accepted: Vec<u64>,
+}
+
+impl World {
+    fn new() -> World {
+        let mut w = World {
+            node: Node::new(&settings(), 1_700_000_000_000, 1),
+            now: 1,
+            revision: 5,
+            accepted: Vec::new(),
+        };
+        // It acquires its home shard, and in time those of siblings that are not there.
+        for _ in 0..100 {
+            w.pass(100);
+        }
+        w
+    }
+
+    fn pass(&mut self, ms: u64) {
+        self.now += ms;
+        self.step(Input::Tick);
+    }
+
+    fn step(&mut self, input: Input) {
+        for o in self.node.step(self.now, 1_700_000_000_000 + self.now, input) {
+            match o {
+                Output::Store { op, call } => {
+                    if let Some(result) = self.store(&call) {
+                        self.step(Input::Store { op, result });
+                    }
+                }
+                Output::Cloud { op, call } => {
+                    let result = match call {
+                        CloudCall::Catalog => CloudResult::Catalog(Catalog { types: types() }),
+                        CloudCall::Rent(_) => CloudResult::NoCapacity,
+                        CloudCall::Release(_) => CloudResult::Released,
+                        CloudCall::List { .. } => {
+                            CloudResult::Listing(Listing { machines: Vec::new(), more: false })
+                        }
+                    };
+                    self.step(Input::Cloud { op, result });
+                }
+                Output::User { req, reply } if reply.status / 100 == 2 => self.accepted.push(req),
+                _ => {}
+            }
+        }
+    }
+
+    fn store(&mut self, call: &StoreCall) -> Option<StoreResult> {
+        self.revision += 1;
+        let revision = self.revision;
+        Some(match call {
+            StoreCall::NewLease { .. } => StoreResult::Lease(1),
+            StoreCall::Touch { .. } | StoreCall::EndLease { .. } => StoreResult::Touched,
+            StoreCall::Txn(_) => StoreResult::Committed(revision),
+            StoreCall::Get { .. } => StoreResult::Item(None),
+            StoreCall::List { .. } => {
+                StoreResult::Page(Page { items: Vec::new(), more: false, revision })
+            }
+            StoreCall::Watch { wait_ms: 0, .. } => {
+                StoreResult::Events(Events { events: Vec::new(), revision })
+            }
+            StoreCall::Watch { .. } => return None,
+        })
+    }
+}
+
+fn number() -> impl Strategy<Value = u64> + Clone {
+    prop_oneof![
+        4 => 0u64..8,
+        1 => select(vec![u64::MAX, u64::MAX - 1, i64::MAX as u64, 1 << 62, 1 << 20, 1 << 32]),
+        1 => any::<u64>(),
+    ]
+}
+
+fn small() -> impl Strategy<Value = u32> + Clone {
+    prop_oneof![4 => 0u32..5, 1 => select(vec![u32::MAX, 100_000, 1 << 31])]
+}
+
+fn amount() -> impl Strategy<Value = f64> + Clone {
+    let odd = vec![0.0, -0.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300, 1e-300];
+    prop_oneof![4 => (0u8..20).prop_map(|n| f64::from(n) / 2.0), 1 => select(odd)]
+}
+
+fn name() -> impl Strategy<Value = String> + Clone {
+    let odd =
+        ["", "n-000001", "n-000002", "n-000003", "n-999999999999999999999", "n-x", "a/b c", "ü"];
+    select(odd.map(String::from).to_vec())
+}
+
+fn zone() -> impl Strategy<Value = String> + Clone {
+    select(["a", "b", "c", ""].map(String::from).to_vec())
+}
+
+fn kind_of_machine() -> impl Strategy<Value = String> + Clone {
+    select(["small", "gpu", "none", ""].map(String::from).to_vec())
+}
+
+fn priority() -> impl Strategy<Value = Priority> + Clone {
+    let all = vec![Priority::Low, Priority::Normal, Priority::High, Priority::Production];
+    select(all)
+}
+
+fn kind() -> impl Strategy<Value = Kind> + Clone {
+    select(vec![Kind::Array, Kind::Gang, Kind::Service])
+}
+
+fn state() -> impl Strategy<Value = TaskState> + Clone {
+    let all = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
+    select([&all[..], &[TaskState::Exited]].concat())
+}
+
+fn why() -> impl Strategy<Value = Why> + Clone {
+    let all = [Why::Done, Why::Stopped, Why::Peers, Why::Alone, Why::Error, Why::Full, Why::Busy];
+    select([&all[..], &[Why::Unknown, Why::Other]].concat())
+}
+
+fn report() -> impl Strategy<Value = Report> {
+    let task = (prop::option::of((number(), small())), number(), state(), prop::option::of(why()))
+        .prop_map(|(task, attempt, state, why)| TaskReport {
+            task: task.map(|(job, task)| TaskId { job, task }),
+            attempt,
+            state,
+            why,
+            saved: None,
+        });
+    let who = (name(), kind_of_machine(), zone(), any::<bool>());
+    let when = (number(), number(), number(), prop::option::of(amount()));
+    (who, when, prop::collection::vec(task, 0..4)).prop_map(
+        |((machine, type_name, zone, spot), (session, seq, token, notice_s), tasks)| Report {
+            machine,
+            addr: "10.9.0.1:1".into(),
+            type_name,
+            zone,
+            spot,
+            session,
+            seq,
+            token,
+            notice_s,
+            tasks,
+        },
+    )
+}
+
+fn shape() -> impl Strategy<Value = Arc<Shape>> + Clone {
+    let takes = (number(), number(), number());
+    let where_ = (prop::option::of(prop::collection::vec(kind_of_machine(), 0..3)), any::<bool>());
+    let times = (amount(), amount(), amount(), amount());
+    (kind(), priority(), takes, where_, times).prop_map(
+        |(
+            kind,
+            priority,
+            (cpu, gpu, mem),
+            (types, spot),
+            (image_gb, save_s, checkpoint_s, estimate_s),
+        )| {
+            Arc::new(Shape {
+                kind,
+                priority,
+                cpu,
+                gpu,
+                mem,
+                types,
+                spot,
+                image: "i".into(),
+                image_gb,
+                save_s,
+                checkpoint_s,
+                estimate_s,
+            })
+        },
+    )
+}
+
+fn attempt_ref() -> impl Strategy<Value = AttemptRef> {
+    (number(), small(), number(), name(), prop::option::of(number())).prop_map(
+        |(job, task, attempt, machine, session)| AttemptRef {
+            job,
+            task,
+            attempt,
+            machine,
+            session,
+        },
+    )
+}
+
+fn wanted() -> impl Strategy<Value = Wanted> {
+    let line = (any::<u8>(), any::<i64>(), any::<bool>(), prop::option::of(any::<u8>()))
+        .prop_map(|(late, due_ms, stands, zone)| Line { late, due_ms, stands, zone });
+    let flags = (any::<bool>(), any::<bool>(), any::<bool>());
+    let room = prop::collection::vec(small(), 0..4);
+    (number(), shape(), small(), room, flags, prop::option::of(line)).prop_map(
+        |(job, shape, count, zone_room, (make_room, pressing, anywhere), line)| Wanted {
+            job,
+            shape,
+            count,
+            zone_room,
+            make_room,
+            pressing,
+            anywhere,
+            line,
+        },
+    )
+}
+
+fn to_participant() -> impl Strategy<Value = ShardMsg> {
+    let pick = (small(), number(), name(), number())
+        .prop_map(|(task, attempt, machine, session)| Pick { task, attempt, machine, session });
+    let gpu_work = prop::collection::vec((number(), number(), number(), priority()), 0..3);
+    prop_oneof![
+        (number(), prop::collection::vec(wanted(), 0..3), gpu_work).prop_map(
+            |(negotiation, items, gpu_work)| ShardMsg::Request { negotiation, items, gpu_work }
+        ),
+        number().prop_map(|negotiation| ShardMsg::Close { negotiation }),
+        (number(), shape(), prop::collection::vec(pick, 0..3), any::<bool>())
+            .prop_map(|(job, shape, picks, adopt)| ShardMsg::Place { job, shape, picks, adopt }),
+        (attempt_ref(), amount()).prop_map(|(what, grace_s)| ShardMsg::Stop { what, grace_s }),
+        prop::collection::vec(attempt_ref(), 0..3).prop_map(|what| ShardMsg::Forget { what }),
+    ]
+}
+
+fn to_coordinator() -> impl Strategy<Value = ShardMsg> {
+    let offer = (any::<u16>(), name(), number(), any::<u8>(), small(), any::<i64>()).prop_map(
+        |(item, machine, session, zone, count, score)| {
+            let cached = score % 2 == 0;
+            Offer { item, machine, session, zone, count, cached, score }
+        },
+    );
+    let phase = prop_oneof![
+        Just(Phase::Decided),
+        Just(Phase::Gone),
+        state().prop_map(Phase::On),
+        (why(), any::<bool>()).prop_map(|(w, saved)| Phase::Exited(w, saved)),
+    ];
+    let event = (number(), small(), number(), name(), phase).prop_map(
+        |(job, task, attempt, machine, phase)| TaskEvent { job, task, attempt, machine, phase },
+    );
+    prop_oneof![
+        (number(), prop::collection::vec(offer, 0..3), prop::collection::vec(any::<u16>(), 0..3))
+            .prop_map(|(negotiation, offers, coming)| ShardMsg::Offers {
+                negotiation,
+                offers,
+                coming
+            }),
+        number().prop_map(|negotiation| ShardMsg::AskDecision { negotiation }),
+        priority().prop_map(|priority| ShardMsg::Room { priority }),
+        prop::collection::vec(event, 0..4).prop_map(|events| ShardMsg::Events { events }),
+    ]
+}
+
+fn to_provisioner() -> impl Strategy<Value = ShardMsg> {
+    let lack = (number(), shape(), small(), prop::collection::vec(small(), 0..4), number())
+        .prop_map(|(job, shape, count, zone_room, waited_ms)| Lack {
+            job,
+            shape,
+            count,
+            zone_room,
+            waited_ms,
+            pressing: waited_ms % 2 == 0,
+        });
+    let info = (name(), kind_of_machine(), zone(), prop::option::of(number()), any::<bool>())
+        .prop_map(|(machine, type_name, zone, idle_ms, dead)| MachineInfo {
+            machine,
+            type_name,
+            zone,
+            spot: dead,
+            idle_ms,
+            dead,
+            draining: dead,
+        });
+    let gone = prop::collection::vec(name(), 0..3);
+    prop_oneof![
+        prop::collection::vec(lack, 0..4).prop_map(|lacks| ShardMsg::Lacks { lacks }),
+        (number(), any::<bool>(), prop::collection::vec(info, 0..4), gone).prop_map(
+            |(serial, first, machines, gone)| ShardMsg::Machines { serial, first, machines, gone }
+        ),
+        Just(ShardMsg::MachinesAgain),
+        name().prop_map(|newest| ShardMsg::Base { newest }),
+        name().prop_map(|machine| ShardMsg::Drain { machine }),
+        name().prop_map(|machine| ShardMsg::Drained { machine }),
+        name().prop_map(|machine| ShardMsg::Released { machine }),
+    ]
+}
+
+fn beat() -> impl Strategy<Value = Beat> {
+    let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
+    let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
+        |(shard, epoch, doubt_ms, after, upto, whole)| Word {
+            shard,
+            epoch,
+            doubt_ms,
+            after,
+            upto,
+            whole,
+            cancelled: vec![after, upto],
+        },
+    );
+    let owned = prop::collection::vec((0u8..5, number()), 0..3);
+    let known = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
+    let newest = prop::collection::vec(number(), 0..5);
+    let words = prop::collection::vec(word, 0..3);
+    let heeded = prop::collection::vec((0u8..5, number(), number()), 0..3);
+    let times = (stamp(), prop::option::of(stamp()));
+    (owned, known, any::<bool>(), times, newest, (words, heeded)).prop_map(
+        |(owned, known, ready, (stamp, echo), newest, (words, heeded))| Beat {
+            owned,
+            known,
+            ready,
+            stamp,
+            echo,
+            newest,
+            words,
+            heeded,
+        },
+    )
+}
+
+/// What a node may get; messages between shards are given the epochs that are right.
+#[derive(Clone, Debug)]
+enum Odd {
+    Report(Report),
+    Orders(Report, bool),
+    Job(Box<Job>),
+    Ask(u64, bool),
+    Beat(Beat),
+    Shard(u8, u8, ShardMsg),
+    Node(NodeMsg),
+    Pass(u64),
+}
+
+fn job() -> impl Strategy<Value = Job> {
+    let where_ = (
+        prop::option::of(prop::collection::vec(kind_of_machine(), 0..3)),
+        prop::option::of(zone()),
+        (any::<bool>(), any::<bool>(), any::<bool>()),
+    );
+    let good = (1u8..12).prop_map(|n| f64::from(n) / 2.0);
+    let team = select(["free", "tight", "nobody"].map(String::from).to_vec());
+    let takes = (good.clone(), (0u8..4).prop_map(f64::from), good.clone());
+    (0u64..9, team, kind(), priority(), 1u32..5, takes, where_, good).prop_map(
+        |(id, team, kind, priority, tasks, (cpus, gpus, memory_gb), (types, zone, flags), s)| Job {
+            id: job_id(id),
+            class: "x".into(),
+            team,
+            kind,
+            priority,
+            tasks,
+            cpus,
+            gpus,
+            memory_gb: memory_gb * 4.0,
+            image: "i".into(),
+            image_gb: 1.0,
+            types,
+            zone,
+            one_zone: flags.0,
+            spread: flags.1,
+            spot: flags.2,
+            estimate_s: s,
+            checkpoint_s: 0.0,
+            save_s: 0.0,
+            deadline_s: None,
+        },
+    )
+}
+
+fn odd() -> impl Strategy<Value = Odd> {
+    let told = prop_oneof![
+        Just(Told::NotMine),
+        Just(Told::Unknown),
+        Just(Told::Later),
+        Just(Told::State(JobState { id: "x".into(), status: Status::Done, done: 1, running: 9 })),
+    ];
+    let answer = number().prop_map(|token| Answer { token, orders: Vec::new() });
+    let node = prop_oneof![
+        (number(), number(), any::<bool>()).prop_map(|(call, job, cancel)| NodeMsg::Ask {
+            call,
+            job,
+            cancel
+        }),
+        (number(), told).prop_map(|(call, answer)| NodeMsg::Told { call, answer }),
+        any::<u8>().prop_map(|shard| NodeMsg::WantShard { shard }),
+        (number(), report()).prop_map(|(call, r)| NodeMsg::Report { call, report: Box::new(r) }),
+        (number(), prop::option::of(answer))
+            .prop_map(|(call, answer)| NodeMsg::Answered { call, answer }),
+    ];
+    let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner()];
+    prop_oneof![
+        report().prop_map(Odd::Report),
+        (report(), any::<bool>()).prop_map(|(r, done)| Odd::Orders(r, done)),
+        job().prop_map(|j| Odd::Job(Box::new(j))),
+        (number(), any::<bool>()).prop_map(|(id, cancel)| Odd::Ask(id, cancel)),
+        beat().prop_map(Odd::Beat),
+        (0u8..4, 0u8..4, shard).prop_map(|(from, to, m)| Odd::Shard(from, to, m)),
+        node.prop_map(Odd::Node),
+        (0u64..9000).prop_map(Odd::Pass),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Default::default() })]
+
+    #[test]
+    fn impossible_values_end_nothing_and_let_nothing_in(all in prop::collection::vec(odd(), 1..40)) {
+        let mut w = World::new();
+        let mut right = Vec::new();
+        for (i, what) in all.into_iter().enumerate() {
+            let req = i as u64;
+            let from = format!("n-{}", 1 + i % 2);
+            let sent = |msg| Input::Mesh { from: from.clone(), msg: Box::new(msg) };
+            let input = match what {
+                Odd::Report(r) => Input::Report { req, report: Box::new(r) },
+                Odd::Orders(r, done) => {
+                    let machine = r.machine.clone();
+                    let report = Box::new(r);
+                    let outcome = match done {
+                        true => DirectOutcome::Executed(report),
+                        false => DirectOutcome::Refused(report),
+                    };
+                    Input::Orders { machine, batch: req, outcome }
+                }
+                Odd::Job(mut job) => {
+                    // Of a name of its own, or it would be known by one that was accepted before.
+                    job.id = job_id(req);
+                    right.extend(can_run(&job).then_some(req));
+                    Input::Submit { req, id: parse_job_id(&job.id).map(JobId), job: Ok(job) }
+                }
+                Odd::Ask(id, cancel) => match cancel {
+                    true => Input::Cancel { req: 1000 + req, id: JobId(id) },
+                    false => Input::Get { req: 1000 + req, id: JobId(id) },
+                },
+                Odd::Beat(b) => sent(NodeMsg::Beat(b)),
+                Odd::Shard(from, to, msg) => {
+                    let epoch = |s: u8| {
+                        let owned = w.node.owned_shards();
+                        owned.iter().find(|o| o.0 .0 == s).map_or(0, |o| o.1 .0)
+                    };
+                    let (from_epoch, to_epoch) = (epoch(from), epoch(to));
+                    sent(NodeMsg::Shard { from, from_epoch, to, to_epoch, msg })
+                }
+                Odd::Node(msg) => sent(msg),
+                Odd::Pass(ms) => {
+                    w.pass(ms);
+                    Input::Tick
+                }
+            };
+            w.step(input);
+            w.pass(100);
+        }
+        let wrong: Vec<_> = w.accepted.iter().filter(|r| **r < 1000 && !right.contains(r)).collect();
+        prop_assert!(wrong.is_empty(), "accepted though they can't run: {wrong:?} of {right:?}");
+    }
+}
--- a/crates/wire/tests/odd_input.rs
+++ b/crates/wire/tests/odd_input.rs
@@ -7,6 +7,7 @@
 use leaddeal_wire::user::{parse_job_id, Job};
 use leaddeal_wire::worker::{Answer, Report};
 use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
 
 fn job() -> Value {
@@ -67,7 +68,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..Default::default() })]
+    #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Default::default() })]
 
     #[test]
     fn a_job_that_is_accepted_is_in_range(at in 0usize..20, value in odd()) {
