--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -16,12 +16,15 @@
     /// So many seeds from this one on.
     #[arg(long, default_value_t = 1)]
     many: u64,
+    /// So many at once.
+    #[arg(long, default_value_t = 6)]
+    threads: usize,
 }
 
 fn main() {
     let cli = Cli::parse();
     let (next, broken) = (AtomicU64::new(cli.seed), AtomicU64::new(0));
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(6));
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(cli.threads));
     std::thread::scope(|s| {
         for _ in 0..threads {
             s.spawn(|| loop {
