--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -1,5 +1,7 @@
 //! Faults at set times, for the hard cases of takeover and recovery, and how long it took.
 
+use std::collections::BTreeMap;
+
 /// What fails, for how long in milliseconds.
 #[derive(Clone, Debug)]
 pub enum Fault {
@@ -39,12 +41,46 @@
     LateWrites { percent: u32, ms: u64 },
     /// Of so many of a hundred reports a copy arrives again, up to half a minute later.
     LateReports { percent: u32, ms: u64 },
+    /// So many of a hundred transactions are carried out at once, and only their answers are lost.
+    LostAnswers { percent: u32, ms: u64 },
+    /// So many machines, the first by name, reach no controller, while commands reach them.
+    Mute { machines: usize, ms: u64 },
+    /// So many of a hundred reports are kept until that moment and arrive then, at the owner of their
+    /// machine's shard or at every controller: copies, or, until a new owner acts, the reports
+    /// themselves.
+    Keep { percent: u32, ms: u64, moment: Moment, to_all: bool },
+    /// Whoever does this next gets no answer, ends so much later and comes back.
+    EndsOn { what: Written, after_ms: u64, back_ms: u64 },
+    /// Machines that are rented are up within 0.2 to 2 s.
+    QuickBoots { ms: u64 },
     /// Commands, or their answers, are held up for so long.
     SlowOrders { by_ms: u64, ms: u64 },
     /// Users cancel so many of a hundred of their jobs.
     Cancel { percent: u32 },
     /// Nothing gets out of a zone or into it; what was sent is held back.
     CutZone { zone: &'static str, ms: u64 },
+    /// The same with a controller inside, which reaches that zone's workers and nobody else.
+    CutZoneWith { zone: &'static str, node: usize, ms: u64 },
+}
+
+/// When a shard changes hands.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Moment {
+    /// A controller has acquired it.
+    Acquired,
+    /// It has loaded it: the tick in which it becomes ready.
+    Ready,
+    /// It has commanded a machine of it.
+    Acted,
+}
+
+/// What a controller writes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Written {
+    Acquisition,
+    Release,
+    Decision,
+    Final,
 }
 
 /// When what happened, in simulated milliseconds.
@@ -58,6 +94,12 @@
     pub store_calls: u64,
     /// Final states as they were written: when, and how long after the job's last task was done.
     pub finals: Vec<(u64, u64)>,
+    /// Answers of transactions that were carried out at once and got lost.
+    pub lost_answers: u64,
+    /// Kept reports that arrived, by the moment they were kept for.
+    pub kept: BTreeMap<Moment, u64>,
+    /// What controllers had just written when they ended for it.
+    pub ended_on: Vec<(u64, Written)>,
 }
 
 impl Marks {
--- a/crates/testkit/src/sim/faults.rs
+++ b/crates/testkit/src/sim/faults.rs
@@ -1,8 +1,11 @@
 //! What fails, at random and at set times.
+use super::kept::Keeping;
+use super::troubles::longer;
 use super::*;
 
 impl Sim {
     pub(super) fn scripted(&mut self, f: Fault) {
+        let now = self.now;
         match f {
             Fault::Crash { nodes, back_ms } => {
                 for n in nodes {
@@ -19,32 +22,55 @@
             }
             Fault::Hang { machines, ms } => {
                 for w in self.workers.values_mut().filter(|w| !w.gone).rev().take(machines) {
-                    w.hang_until = self.now + ms;
-                }
-            }
-            Fault::Freeze { node, ms } => self.stalled[node] = self.now + ms,
-            Fault::Apart { ms } => self.apart_until = self.now + ms,
-            Fault::Outage { ms } => self.outage_until = self.now + ms,
-            Fault::SlowStore { ms, by_ms } => self.slow_store = (self.now + ms, by_ms),
-            Fault::CutZone { zone, ms } => self.zone_cut = (zone, self.now + ms),
-            Fault::Shut { node, ms } => self.shut[node] = self.now + ms,
-            Fault::Lone { node, ms } => self.lone[node] = self.now + ms,
-            Fault::Refuse { node, ms } => self.refused[node] = self.now + ms,
-            Fault::Flaky { percent, ms } => self.flaky = (percent, self.now + ms),
-            Fault::Between { nodes, ms } => self.between = (nodes, self.now + ms),
-            Fault::LateWrites { percent, ms } => self.late_writes = (percent, self.now + ms),
-            Fault::LateReports { percent, ms } => self.late_reports = (percent, self.now + ms),
-            Fault::SlowOrders { by_ms, ms } => self.slow_orders = (by_ms, self.now + ms),
+                    longer(&mut w.hang_until, now + ms);
+                }
+            }
+            Fault::Freeze { node, ms } => longer(&mut self.stalled[node], now + ms),
+            Fault::Apart { ms } => longer(&mut self.apart_until, now + ms),
+            Fault::Outage { ms } => longer(&mut self.outage_until, now + ms),
+            Fault::SlowStore { ms, by_ms } => self.troubles.slow_store.add(by_ms, now + ms),
+            Fault::CutZone { zone, ms } => self.troubles.cut_zone(zone, None, now + ms),
+            Fault::CutZoneWith { zone, node, ms } => {
+                self.troubles.cut_zone(zone, Some(node), now + ms);
+                longer(&mut self.lone[node], now + ms);
+            }
+            Fault::Shut { node, ms } => longer(&mut self.shut[node], now + ms),
+            Fault::Lone { node, ms } => longer(&mut self.lone[node], now + ms),
+            Fault::Refuse { node, ms } => longer(&mut self.refused[node], now + ms),
+            Fault::Flaky { percent, ms } => self.troubles.flaky.add(percent.into(), now + ms),
+            Fault::Between { nodes, ms } => self.troubles.part(nodes, now + ms),
+            Fault::LateWrites { percent, ms } => {
+                self.troubles.late_writes.add(percent.into(), now + ms);
+            }
+            Fault::LostAnswers { percent, ms } => {
+                self.troubles.lost_answers.add(percent.into(), now + ms);
+            }
+            Fault::LateReports { percent, ms } => {
+                self.troubles.late_reports.add(percent.into(), now + ms);
+            }
+            Fault::Keep { percent, ms, moment, to_all } => {
+                self.keeper.add(Keeping { percent, until: now + ms, moment, to_all });
+            }
+            Fault::EndsOn { what, after_ms, back_ms } => {
+                self.endings.push(Ending { what, after_ms, back_ms });
+            }
+            Fault::QuickBoots { ms } => self.troubles.quick_boots.add(1, now + ms),
+            Fault::SlowOrders { by_ms, ms } => self.troubles.slow_orders.add(by_ms, now + ms),
             Fault::Cancel { percent } => self.cancel_many(percent),
-            Fault::Polls { ms } => self.polls_until = self.now + ms,
+            Fault::Polls { ms } => longer(&mut self.polls_until, now + ms),
             Fault::Deaf { machines, ms } => {
                 for w in self.workers.values_mut().filter(|w| !w.gone).take(machines) {
-                    w.deaf_until = self.now + ms;
+                    longer(&mut w.deaf_until, now + ms);
+                }
+            }
+            Fault::Mute { machines, ms } => {
+                for w in self.workers.values_mut().filter(|w| !w.gone).take(machines) {
+                    longer(&mut w.mute_until, now + ms);
                 }
             }
             Fault::Faulty { machines, ms } => {
                 for w in self.workers.values_mut().filter(|w| !w.gone).take(machines) {
-                    w.faulty_until = self.now + ms;
+                    longer(&mut w.faulty_until, now + ms);
                 }
             }
             Fault::Reborn { machines } => {
@@ -76,22 +102,29 @@
         (self.shut, self.lone, self.stalled) = (none.clone(), none.clone(), none);
         (self.apart_until, self.polls_until) = (0, 0);
         self.refused = vec![0; NODES];
-        self.flaky.1 = 0;
-        self.between.1 = 0;
-        (self.late_writes.1, self.late_reports.1, self.slow_orders.1) = (0, 0, 0);
+        (self.troubles, self.keeper) = (Troubles::default(), Keeper::default());
+        self.endings.clear();
         self.outage_until = self.outage_until.min(self.now);
         for w in self.workers.values_mut() {
             w.hang_until = w.hang_until.min(self.now);
-            w.deaf_until = 0;
-            w.faulty_until = 0;
+            (w.deaf_until, w.mute_until, w.faulty_until) = (0, 0, 0);
         }
         self.rules.calm_since = Some(self.now);
         self.at(1000, Ev::Known);
     }
 
+    /// Tasks that run on machines which reach no controller.
+    pub fn on_mute_machines(&self) -> Vec<String> {
+        let mute = self.workers.values().filter(|w| !w.gone && self.now < w.mute_until);
+        let up = mute.flat_map(|w| &w.tasks).filter(|(_, t)| t.state == TaskState::Running);
+        up.map(|((task, _), _)| task.clone()).collect()
+    }
+
     /// How long a machine takes to come up, if it ever does.
     pub(super) fn boot_ms(&mut self) -> Option<u64> {
+        let quick = self.troubles.quick_boots.now(self.now).is_some();
         match self.rng.random_range(0..20) {
+            _ if quick => Some(self.rng.random_range(200..2000)),
             0 if self.plan.faults => None,
             1 | 2 if self.plan.faults => Some(self.rng.random_range(15_000..40_000)),
             3 | 4 if self.plan.faults => Some(self.rng.random_range(100..1000)),
@@ -107,15 +140,10 @@
         self.workers.get_mut(m)
     }
 
-    /// So long what goes between controllers and that machine is held back.
-    pub(super) fn held_back(&self, machine: &str) -> u64 {
-        let (zone, until) = self.zone_cut;
-        let inside = self.workers.get(machine).is_some_and(|w| w.zone == zone);
-        if inside {
-            until.saturating_sub(self.now)
-        } else {
-            0
-        }
+    /// So long what goes between that machine and a controller is held back.
+    pub(super) fn held_back(&self, machine: &str, n: usize) -> u64 {
+        let zone = self.workers.get(machine).map(|w| w.zone.as_str());
+        zone.map_or(0, |z| self.troubles.zone_cut_ms(z, n, self.now))
     }
 
     /// How long an ended controller stays away.
@@ -133,13 +161,13 @@
         let wait = self.rng.random_range(3000..15_000);
         self.at(wait, Ev::Fault);
         let n = self.rng.random_range(0..NODES);
-        let what = self.rng.random_range(0..24);
+        let what = self.rng.random_range(0..33);
         if self.trace {
             eprintln!("{} fault {what} n-{n}", self.now);
         }
         match what {
             // Controllers reach all but each other, for longer than a cancellation may take.
-            10 => self.apart_until = self.now + self.rng.random_range(5000..45_000),
+            10 => longer(&mut self.apart_until, self.now + self.rng.random_range(5000..45_000)),
             0 | 1 => {
                 if self.nodes[n].take().is_some() {
                     let back = self.back_ms();
@@ -154,24 +182,24 @@
                     }
                 }
             }
-            3 => self.outage_until = self.now + self.rng.random_range(2000..20_000),
+            3 => longer(&mut self.outage_until, self.now + self.rng.random_range(2000..20_000)),
             4 => self.cut[n] = !self.cut[n],
             5 => self.blind[n] = !self.blind[n],
             // No processor time for a while: whatever is due or comes is late, its lease over.
-            6 | 7 => self.stalled[n] = self.now + self.rng.random_range(1000..25_000),
+            6 | 7 => longer(&mut self.stalled[n], self.now + self.rng.random_range(1000..25_000)),
             8 | 9 => {
                 let until = self.now + self.rng.random_range(1000..20_000);
                 if let Some(w) = self.any_machine() {
-                    w.hang_until = until;
+                    longer(&mut w.hang_until, until);
                 }
             }
-            11 => self.shut[n] = self.now + self.rng.random_range(5000..40_000),
-            12 => self.lone[n] = self.now + self.rng.random_range(5000..60_000),
+            11 => longer(&mut self.shut[n], self.now + self.rng.random_range(5000..40_000)),
+            12 => longer(&mut self.lone[n], self.now + self.rng.random_range(5000..60_000)),
             13 => {
                 let until = self.now + self.rng.random_range(5000..60_000);
                 for _ in 0..self.workers.len() / 5 {
                     if let Some(w) = self.any_machine() {
-                        w.deaf_until = until;
+                        longer(&mut w.deaf_until, until);
                     }
                 }
             }
@@ -188,28 +216,85 @@
             16 => {
                 let until = self.now + self.rng.random_range(5000..60_000);
                 if let Some(w) = self.any_machine() {
-                    w.faulty_until = until;
+                    longer(&mut w.faulty_until, until);
                 }
             }
-            18 | 19 => self.refused[n] = self.now + self.rng.random_range(5000..40_000),
+            18 | 19 => longer(&mut self.refused[n], self.now + self.rng.random_range(5000..40_000)),
             20 => {
-                let other = (n + 1) % NODES;
-                self.between = ((n, other), self.now + self.rng.random_range(5000..45_000));
+                let until = self.now + self.rng.random_range(5000..45_000);
+                self.troubles.part((n, (n + 1) % NODES), until);
             }
             21 => {
                 let until = self.now + self.rng.random_range(5000..30_000);
                 let percent = self.rng.random_range(5..60);
-                (self.late_writes, self.late_reports) = ((percent, until), (percent, until));
+                self.troubles.late_writes.add(percent, until);
+                self.troubles.late_reports.add(percent, until);
             }
             22 => {
                 let until = self.now + self.rng.random_range(3000..20_000);
-                self.slow_orders = (self.rng.random_range(500..9000), until);
+                self.troubles.slow_orders.add(self.rng.random_range(500..9000), until);
+            }
+            17 => longer(&mut self.polls_until, self.now + self.rng.random_range(5000..30_000)),
+            24 | 25 => {
+                let until = self.now + self.rng.random_range(5000..60_000);
+                for _ in 0..self.rng.random_range(1..5) {
+                    if let Some(w) = self.any_machine() {
+                        longer(&mut w.mute_until, until);
+                    }
+                }
+            }
+            26 => {
+                // Taken away for good; others may be rented instead.
+                if let Some(w) = self.any_machine() {
+                    w.gone = true;
+                    w.tasks.clear();
+                    self.spare += 1;
+                }
+            }
+            27..33 => {
+                let f = self.drawn(what, n);
+                self.scripted(f);
             }
-            17 => self.polls_until = self.now + self.rng.random_range(5000..30_000),
             _ => {
                 self.cut = vec![false; NODES];
                 self.blind = vec![false; NODES];
             }
         }
     }
+
+    /// Faults that are drawn with the same words as scripts have for them.
+    fn drawn(&mut self, what: u32, n: usize) -> Fault {
+        let rng = &mut self.rng;
+        let percent = rng.random_range(5..100);
+        let ms = rng.random_range(3000..30_000);
+        match what {
+            27 => Fault::LostAnswers { percent, ms },
+            28 => {
+                let moments = [Moment::Acquired, Moment::Ready, Moment::Acted];
+                let moment = moments[rng.random_range(0..moments.len())];
+                Fault::Keep { percent, ms, moment, to_all: rng.random_bool(0.5) }
+            }
+            29 => {
+                let writes =
+                    [Written::Acquisition, Written::Release, Written::Decision, Written::Final];
+                let what = writes[rng.random_range(0..writes.len())];
+                let after_ms = rng.random_range(0..600);
+                Fault::EndsOn { what, after_ms, back_ms: self.back_ms() }
+            }
+            30 => {
+                // Work comes to new machines at once, and what is written of it lags.
+                let by_ms = rng.random_range(100..3000);
+                self.troubles.slow_store.add(by_ms, self.now + ms);
+                Fault::QuickBoots { ms: 2 * ms }
+            }
+            31 => {
+                let zone = ZONES[rng.random_range(0..ZONES.len())];
+                match rng.random_bool(0.5) {
+                    true => Fault::CutZone { zone, ms },
+                    false => Fault::CutZoneWith { zone, node: n, ms },
+                }
+            }
+            _ => Fault::Flaky { percent, ms },
+        }
+    }
 }
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -1,11 +1,13 @@
 //! The seeded simulator: three cores, late, lost and held messages, crashes, hung machines,
 //! outages. Time is simulated; the same seed gives the same run.
 use crate::rules::Rules;
-use crate::script::{Fault, Marks};
+use crate::script::{Fault, Marks, Moment, Written};
 use crate::served::Share;
 use crate::state::{Broken, State};
 use crate::tally::Tally;
 use crate::worker::{Done, Worker};
+use endings::Ending;
+use kept::Keeper;
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::{
     CloudCall, CloudResult, DirectOutcome, Input, Output, StoreCall, StoreResult, WorkerReply,
@@ -20,9 +22,13 @@
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
+use troubles::Troubles;
 
+mod endings;
 mod faults;
+mod kept;
 mod network;
+mod troubles;
 mod users;
 
 pub const NODES: usize = 3;
@@ -189,14 +195,10 @@
     lone: Vec<u64>,
     /// Until when the state service refuses it alone.
     refused: Vec<u64>,
-    flaky: (u32, u64),
-    between: ((usize, usize), u64),
-    late_writes: (u32, u64),
-    late_reports: (u32, u64),
-    slow_orders: (u64, u64),
+    troubles: Troubles,
+    keeper: Keeper,
+    endings: Vec<Ending>,
     polls_until: u64,
-    slow_store: (u64, u64),
-    zone_cut: (&'static str, u64),
     pub marks: Marks,
     /// What went into the cores and came out, if that is counted.
     pub tally: Option<Tally>,
@@ -285,14 +287,10 @@
             shut: vec![0; NODES],
             lone: vec![0; NODES],
             refused: vec![0; NODES],
-            flaky: (0, 0),
-            between: ((0, 1), 0),
-            late_writes: (0, 0),
-            late_reports: (0, 0),
-            slow_orders: (0, 0),
+            troubles: Troubles::default(),
+            keeper: Keeper::default(),
+            endings: Vec::new(),
             polls_until: 0,
-            slow_store: (0, 0),
-            zone_cut: ("", 0),
             marks: Marks::default(),
             tally: plan.counted.then(Tally::default),
             looks: 0,
@@ -446,8 +444,7 @@
                 }
             }
             Ev::Store(n, boot, op, call) => {
-                let (percent, until) = self.flaky;
-                let flaky = self.now < until && self.rng.random_ratio(percent.min(100), 100);
+                let flaky = self.troubles.flaky.strike(self.now, &mut self.rng);
                 let refused = flaky || self.refuses(n);
                 let cut = self.cut[n] || self.now < self.lone[n];
                 let mut result = if refused || cut {
@@ -463,7 +460,9 @@
                     self.note_finals(t);
                 }
                 // An answer that is lost: executed, but the node does not know.
-                if self.plan.faults && self.rng.random_range(0..60) == 0 {
+                if self.plan.faults && self.rng.random_range(0..60) == 0
+                    || self.answer_lost(n, &call, &result)
+                {
                     result = StoreResult::Unknown;
                 }
                 if let Some(t) = &self.state.repeatable {
@@ -471,7 +470,7 @@
                 }
                 self.marks.store_calls += 1;
                 self.marks.pages += u64::from(matches!(result, StoreResult::Page(_)));
-                let slow = if self.now < self.slow_store.0 { self.slow_store.1 } else { 0 };
+                let slow = self.troubles.slow_store.now(self.now).unwrap_or(0);
                 let known = !matches!(result, StoreResult::Unknown);
                 let lag = if known { self.lag() + slow } else { 2000 };
                 self.at(lag, Ev::In(n, boot, Input::Store { op, result }));
@@ -496,7 +495,7 @@
             }
             Ev::Worker(m) => self.worker(&m)?,
             Ev::Report(n, m, sent, r) => {
-                let held = self.held_back(&m);
+                let held = self.held_back(&m, n);
                 if held > 0 {
                     self.at(held, Ev::Report(n, m, sent, r));
                     return Ok(());
@@ -512,7 +511,7 @@
             }
             Ev::Answered(m, sent, session, reply) => self.answered(&m, sent, session, reply),
             Ev::Direct(n, boot, m, batch, d, lost) => {
-                let held = self.held_back(&m);
+                let held = self.held_back(&m, n);
                 if held > 0 {
                     if !lost {
                         let outcome = DirectOutcome::Unknown;
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -68,8 +68,7 @@
                 let to: usize = to[2..].parse().map_err(|_| "bad node name".to_string())?;
                 let from = format!("n-{n}");
                 let alone = |n: usize| self.cut[n] || self.now < self.lone[n];
-                let ((a, b), until) = self.between;
-                let between = self.now < until && [(a, b), (b, a)].contains(&(n, to));
+                let between = self.troubles.parted(n, to, self.now);
                 let lost = alone(n) || alone(to) || between || self.now < self.apart_until;
                 if !lost && self.nodes[to].is_some() {
                     // A connection keeps its order.
@@ -96,6 +95,7 @@
                 if self.trace {
                     eprintln!("{} n-{n} direct {machine} {:?}", self.now, direct.orders);
                 }
+                self.commands(n, &machine);
                 // Now and then the answer is lost, or the packets are held back for long.
                 let (lose, held) = match self.rng.random_range(0..30) {
                     0 if self.plan.faults => (true, self.rng.random_range(0..20_000)),
@@ -107,8 +107,7 @@
                     let input = Input::Orders { machine: m, batch, outcome };
                     self.at(2500, Ev::In(n, boot, input));
                 }
-                let slow = self.now < self.slow_orders.1;
-                let held = held + if slow { self.slow_orders.0 } else { 0 };
+                let held = held + self.troubles.slow_orders.now(self.now).unwrap_or(0);
                 self.at(lag + held, Ev::Direct(n, boot, machine, batch, direct, lose));
             }
             Output::Log(_, event, what) => {
@@ -118,6 +117,7 @@
                 if self.trace {
                     eprintln!("{} n-{n} {event} {what}", self.now);
                 }
+                self.shard_changes_hands(n, event, &what);
             }
         }
         Ok(())
@@ -125,9 +125,8 @@
 
     /// Whether a transaction gets no answer and is carried out late.
     fn comes_late(&mut self) -> bool {
-        let (percent, until) = self.late_writes;
         (self.plan.faults && self.rng.random_range(0..150) == 0)
-            || (self.now < until && self.rng.random_ratio(percent.min(100), 100))
+            || self.troubles.late_writes.strike(self.now, &mut self.rng)
     }
 
     /// What a controller asks of the state service is on its way.
@@ -238,20 +237,23 @@
             w.changed = false;
             let r = w.report();
             let n = w.node;
+            let mute = self.now < w.mute_until;
             let lag = self.lag();
             // Reports, too, may be held back for long.
             let late = self.plan.faults && self.rng.random_range(0..200) == 0;
             let held = if late { self.rng.random_range(3000..30_000) } else { 0 };
             let sent = self.now;
             // And a copy may come late, to any controller; nobody waits for its answer.
-            let (percent, until) = self.late_reports;
-            let copied = self.now < until && self.rng.random_ratio(percent.min(100), 100);
+            let copied = self.troubles.late_reports.strike(self.now, &mut self.rng);
             if copied || (self.plan.faults && self.rng.random_range(0..40) == 0) {
                 let late = self.rng.random_range(1000..30_000);
                 let to = self.rng.random_range(0..NODES);
                 self.at(late, Ev::Report(to, m.into(), 0, r.clone()));
             }
-            self.at(lag + held, Ev::Report(n, m.into(), sent, r));
+            let kept = self.keeper.keep(&r, sent, &mut self.rng);
+            if !kept && !mute {
+                self.at(lag + held, Ev::Report(n, m.into(), sent, r));
+            }
         }
         self.at(500, Ev::Worker(m.into()));
         Ok(())
@@ -264,10 +266,11 @@
         session: u64,
         reply: Option<WorkerReply>,
     ) {
-        if self.held_back(m) > 0 {
+        let now = self.now;
+        let asked = self.workers.get(m).map_or(0, |w| w.node);
+        if self.held_back(m, asked) > 0 {
             return;
         }
-        let now = self.now;
         let Some(w) = self.workers.get_mut(m) else { return };
         if w.gone || now < w.hang_until.max(w.deaf_until) || w.in_flight != Some(sent) {
             return;
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -55,6 +55,8 @@
     pub hang_until: u64,
     /// Neither answers nor commands reach it until then.
     pub deaf_until: u64,
+    /// Its reports reach no controller until then.
+    pub mute_until: u64,
     /// Whatever starts until then fails.
     pub faulty_until: u64,
     pub node: usize,
@@ -89,6 +91,7 @@
             granted: now,
             hang_until: 0,
             deaf_until: 0,
+            mute_until: 0,
             faulty_until: 0,
             node: 0,
             in_flight: None,
