--- /dev/null
+++ b/crates/testkit/tests/common/mod.rs
@@ -0,0 +1,34 @@
+//! What the scripted meetings share: three controllers, leases and deadlines of a large deployment.
+use leaddeal_testkit::script::Fault;
+use leaddeal_testkit::sim::{Plan, Sim};
+
+/// Cancellations must be carried out within 30 s. Leases take so much of it as at the operators'
+/// largest deployment.
+pub const CANCEL_MS: u64 = 30_000;
+pub const LEASE_MS: u64 = 17_000;
+
+pub fn plan(seed: u64, seconds: u64, script: Vec<(u64, Fault)>) -> Plan {
+    let quiet = Plan { seconds, script, faults: false, ..Plan::new(seed) };
+    Plan { long: true, team_max: 20.0, lease_ms: LEASE_MS, ..quiet }
+}
+
+/// Plays it with short tasks and with long ones, and then without any trouble: the rules hold, and every
+/// job that was not cancelled is answered about.
+pub fn played(what: &str, seed: u64, script: &[(u64, Fault)]) -> Vec<Sim> {
+    let one = |long| {
+        let plan = Plan { calm: 100, long, ..plan(seed, 150, script.to_vec()) };
+        let mut sim = Sim::new(plan);
+        sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
+        assert!(sim.rules.starts > 60, "{what}: only {} starts", sim.rules.starts);
+        sim
+    };
+    vec![one(false), one(true)]
+}
+
+pub fn crash(node: usize, back_ms: u64) -> Fault {
+    Fault::Crash { nodes: vec![node], back_ms }
+}
+
+pub fn cancel(at: u64) -> (u64, Fault) {
+    (at, Fault::Cancel { percent: 35 })
+}
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -1,18 +1,11 @@
 //! Two troubles at once: each meeting of the operators' page, brought about with three controllers. The
 //! rules are checked after each step, as everywhere; `docs/meetings.md` says what carries them.
+use common::{cancel, crash, plan, played, CANCEL_MS};
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sabotage, Sim, BEGIN};
 use leaddeal_wire::user::Status;
 
-/// Cancellations must be carried out within 30 s. Leases take so much of it as at the operators'
-/// largest deployment.
-const CANCEL_MS: u64 = 30_000;
-const LEASE_MS: u64 = 17_000;
-
-fn plan(seed: u64, seconds: u64, script: Vec<(u64, Fault)>) -> Plan {
-    let quiet = Plan { seconds, script, faults: false, ..Plan::new(seed) };
-    Plan { long: true, team_max: 20.0, lease_ms: LEASE_MS, ..quiet }
-}
+mod common;
 
 /// The store refuses one controller, users cancel through the others, and then it is down for all for
 /// longer than a cancellation may take, while workers report on.
@@ -128,27 +121,12 @@
     assert!(replicas > 10, "only {replicas} replicas ran");
 }
 
-/// Plays it on some seeds, with short tasks and long ones, and then without any trouble: the rules hold,
-/// and every job that was not cancelled is answered about.
 fn meeting(what: &str, script: &[(u64, Fault)]) {
     for seed in 1..=2 {
-        for long in [false, true] {
-            let plan = Plan { calm: 100, long, ..plan(seed, 150, script.to_vec()) };
-            let mut sim = Sim::new(plan);
-            sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
-            assert!(sim.rules.starts > 60, "{what}: only {} starts", sim.rules.starts);
-        }
+        played(what, seed, script);
     }
 }
 
-fn crash(node: usize, back_ms: u64) -> Fault {
-    Fault::Crash { nodes: vec![node], back_ms }
-}
-
-fn cancel(at: u64) -> (u64, Fault) {
-    (at, Fault::Cancel { percent: 35 })
-}
-
 /// Copies of all reports, from sessions and attempts that are over by then, also as the first word that
 /// a new owner hears.
 #[test]
