--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -47,7 +47,6 @@
     pub tasks: u32,
     #[serde(rename = "cores")]
     pub cpus: f64,
-    #[serde(default)]
     pub gpus: f64,
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -59,6 +59,26 @@
     );
 }
 
+/// Only what may be null may be absent.
+#[test]
+fn a_submission_that_lacks_a_field_is_refused() {
+    let good = json!({"id":"wk-000412","cargo":"train","crew":"vision","rig":"group",
+        "precedence":"high","hauls":16,"cores":8.0,"gpus":1.0,"memoryGb":64.0,"manifest":"img-07",
+        "imageGb":6.2,"hulls":["g8"],"harbor":"a","together":true,"scatter":false,"charter":true,
+        "passageS":240.0,"fixS":30.0,"stowS":4.0,"tideS":900.0});
+    let fields: Vec<String> = good.as_object().expect("an object").keys().cloned().collect();
+    for field in fields {
+        let (mut without, mut null) = (good.clone(), good.clone());
+        without.as_object_mut().expect("an object").remove(&field);
+        null[&field] = json!(null);
+        for v in [without, null] {
+            let read = Job::parse(v.to_string().as_bytes());
+            let may_be_null = ["hulls", "harbor", "tideS"].contains(&field.as_str());
+            assert_eq!(read.is_ok(), may_be_null, "{v}");
+        }
+    }
+}
+
 #[test]
 fn job_names_and_numbers_match_one_to_one() {
     for n in [0, 1, 999_999, 1_000_000, 123_456_789] {
