--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -16,14 +16,17 @@
     /// So many seeds from this one on.
     #[arg(long, default_value_t = 1)]
     many: u64,
+    /// So many of them at once.
+    #[arg(long, default_value_t = 6)]
+    threads: usize,
 }
 
 fn main() {
     let cli = Cli::parse();
     let (next, broken) = (AtomicU64::new(cli.seed), AtomicU64::new(0));
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(6));
+    let cores = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     std::thread::scope(|s| {
-        for _ in 0..threads {
+        for _ in 0..cores.min(cli.threads) {
             s.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= cli.seed + cli.many {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,10 +1,12 @@
 //! Stand-ins for workers, cloud, state service and users, written from the protocol; a seeded
 //! simulator that drives real cores against them; and a checker of every rule.
 
+pub mod odd;
 pub mod rules;
 pub mod script;
 pub mod served;
 pub mod sim;
 pub mod state;
 pub mod tally;
+pub mod told;
 pub mod worker;
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -1,5 +1,6 @@
 //! The rules of the protocol, checked after each step.
 use crate::served::Served;
+use crate::told::{News, Question, What};
 use crate::worker::{Done, Worker};
 use leaddeal_wire::settings::Team;
 use leaddeal_wire::user::{Job, JobState, Kind, Status};
@@ -18,6 +19,12 @@
     pub told: BTreeMap<String, (Status, u64)>,
     on: BTreeSet<(String, String, u64)>,
     pub starts: usize,
+    /// Starts of tasks whose users had been told by then that their jobs are cancelled.
+    pub slips: usize,
+    /// Submissions that must not be accepted, by their job's name: what is wrong, and the status due.
+    pub odd: BTreeMap<String, (String, u16)>,
+    /// How many of them were refused as they should.
+    pub odd_refused: usize,
     /// When each job's user last got an answer.
     answered: BTreeMap<String, u64>,
     /// All troubles are over since then.
@@ -77,6 +84,8 @@
             }
             self.starts += 1;
             self.served.starts(task, now);
+            let over = self.told.get(task.split('/').next().unwrap_or_default());
+            self.slips += usize::from(over.is_some_and(|(s, _)| *s == Status::Cancelled));
             if let Some(other) = on.iter().find(|o| o.0 == *task && o.1 != *name) {
                 return Err(format!("ran_twice: {task} starts on {name} while on {}", other.1));
             }
@@ -115,46 +124,75 @@
         Ok(())
     }
 
+    /// What a job's user knows by now.
+    pub fn news(&self, id: &str) -> News {
+        match self.told.get(id) {
+            Some((s, _)) => News::Over(*s),
+            None if self.accepted.contains(id) => News::Accepted,
+            None => News::Nothing,
+        }
+    }
+
     /// An answer to a user's question.
     pub fn answer(
         &mut self,
         now: u64,
-        id: &str,
+        q: &Question,
         status: u16,
         state: Option<&JobState>,
         done: &Done,
     ) -> Result<(), String> {
-        if status == 404 && self.accepted.contains(id) {
-            return Err(format!("forgotten: {id}"));
+        let id = q.job.as_str();
+        if let Some(rule) = q.broken_by(status, state.map(|s| s.status)) {
+            return Err(rule);
         }
-        if matches!(status, 400 | 422) && self.accepted.contains(id) {
-            return Err(format!("forgotten: {id} refused as {status}"));
+        if let Some((what, due)) = self.odd.get(id) {
+            return self.odd_answer(q, status, *due, &what.clone());
         }
         let Some(s) = state else { return Ok(()) };
         self.answered.insert(id.into(), now);
         let Some(j) = self.jobs.get(id) else { return Err(format!("invented: {id}")) };
-        if let Some((was, _)) = self.told.get(id) {
-            if *was != s.status {
-                return Err(format!("went_back: {id} from {was:?} to {:?}", s.status));
-            }
-        }
         match s.status {
             Status::Done => {
-                let all = (0..j.tasks).all(|t| done.contains(&format!("{id}/{t}")));
-                if !all || j.kind == Kind::Service {
+                if !done.all_of(j) || j.kind == Kind::Service {
                     return Err(format!("not_done: {id}"));
                 }
-                self.told.entry(id.into()).or_insert((Status::Done, now));
             }
             Status::Cancelled => {
                 if !self.cancel_asked.contains(id) {
                     return Err(format!("went_back: {id} cancelled by nobody"));
                 }
-                self.told.entry(id.into()).or_insert((Status::Cancelled, now));
             }
             Status::Queued | Status::Running => {}
         }
+        if matches!(s.status, Status::Done | Status::Cancelled) {
+            // Of two answers that were asked for before either came, both can't be true.
+            let (was, _) = *self.told.entry(id.into()).or_insert((s.status, now));
+            if was != s.status {
+                return Err(format!("went_back: {id} from {was:?} to {:?}", s.status));
+            }
+        }
         self.accepted.insert(id.into());
         Ok(())
     }
+
+    /// Of a submission that must not be accepted, or of a question about it.
+    fn odd_answer(
+        &mut self,
+        q: &Question,
+        status: u16,
+        due: u16,
+        what: &str,
+    ) -> Result<(), String> {
+        let due = if q.what == What::Submit { due } else { 404 };
+        match status {
+            429 | 503 | 504 => Ok(()),
+            s if s == due => {
+                self.odd_refused += usize::from(q.what == What::Submit);
+                Ok(())
+            }
+            200 | 201 => Err(format!("accepted_wrong: {} with {what}", q.job)),
+            s => Err(format!("refused_wrong: {} with {what} is answered {s}, not {due}", q.job)),
+        }
+    }
 }
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -41,6 +41,19 @@
     LateReports { percent: u32, ms: u64 },
     /// Commands, or their answers, are held up for so long.
     SlowOrders { by_ms: u64, ms: u64 },
+    /// Right after so many of a hundred jobs were accepted, ended or called off, their users ask at all
+    /// controllers, again and again within milliseconds, and repeat the submission; some cancel.
+    CloseLooks { percent: u32, ms: u64 },
+    /// At the very moment at which the last task of so many of a hundred jobs ends, their users ask,
+    /// cancel and repeat the submission.
+    AtEnd { percent: u32, ms: u64 },
+    /// Users repeat submissions of what is open and over, cancel what is done, and submit what lacks a
+    /// field or can never run, every quarter of a second.
+    OddRequests { ms: u64 },
+    /// Jobs of one task come four a second; users cancel a quarter of them.
+    Ones { ms: u64 },
+    /// So many of a hundred transactions are carried out at once and get no answer.
+    LostAnswers { percent: u32, ms: u64 },
     /// Users cancel so many of a hundred of their jobs.
     Cancel { percent: u32 },
     /// Nothing gets out of a zone or into it; what was sent is held back.
--- a/crates/testkit/src/sim/faults.rs
+++ b/crates/testkit/src/sim/faults.rs
@@ -36,6 +36,11 @@
             Fault::LateReports { percent, ms } => self.late_reports = (percent, self.now + ms),
             Fault::SlowOrders { by_ms, ms } => self.slow_orders = (by_ms, self.now + ms),
             Fault::Cancel { percent } => self.cancel_many(percent),
+            Fault::CloseLooks { percent, ms } => self.gaze.closely = (percent, self.now + ms),
+            Fault::AtEnd { percent, ms } => self.gaze.at_end = (percent, self.now + ms),
+            Fault::OddRequests { ms } => self.at(0, Ev::Odd(self.now + ms)),
+            Fault::Ones { ms } => self.at(0, Ev::One(self.now + ms)),
+            Fault::LostAnswers { percent, ms } => self.lost_answers = (percent, self.now + ms),
             Fault::Polls { ms } => self.polls_until = self.now + ms,
             Fault::Deaf { machines, ms } => {
                 for w in self.workers.values_mut().filter(|w| !w.gone).take(machines) {
@@ -79,6 +84,7 @@
         self.flaky.1 = 0;
         self.between.1 = 0;
         (self.late_writes.1, self.late_reports.1, self.slow_orders.1) = (0, 0, 0);
+        self.lost_answers.1 = 0;
         self.outage_until = self.outage_until.min(self.now);
         for w in self.workers.values_mut() {
             w.hang_until = w.hang_until.min(self.now);
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -5,6 +5,7 @@
 use crate::served::Share;
 use crate::state::{Broken, State};
 use crate::tally::Tally;
+use crate::told::{Question, What};
 use crate::worker::{Done, Worker};
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::{
@@ -22,6 +23,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
 mod faults;
+mod looks;
 mod network;
 mod users;
 
@@ -54,6 +56,14 @@
     LongCancel,
     /// Requests for machines are named without the epoch, so that a new provisioner uses old names.
     NameTwice,
+    /// The state service gives single keys as they were a moment ago.
+    StaleReads,
+    /// What a submission lacks is made up.
+    Lenient,
+    /// The core believes that teams have no limits.
+    NoLimits,
+    /// Commands to stop a task never reach its machine.
+    LostStops,
 }
 
 #[derive(Clone, Debug)]
@@ -159,12 +169,17 @@
     UserNext,
     Poll(String),
     Cancel(String),
+    /// Again, until its user is told that the job is over.
+    Insist(String),
+    /// At this controller.
+    Look(usize, What, String),
+    Gaze,
+    Odd(u64),
+    One(u64),
 }
 
 enum Req {
-    Submit(String),
-    Poll(String),
-    Cancel(String),
+    User(Question),
     Report(String, u64, u64),
 }
 
@@ -212,7 +227,8 @@
     spare: u32,
     reqs: HashMap<(usize, u64, u64), Req>,
     next_req: u64,
-    latest: HashMap<String, u64>,
+    gaze: looks::Gaze,
+    lost_answers: (u32, u64),
     pub rules: Rules,
     pub done: Done,
     next_job: u64,
@@ -300,6 +316,7 @@
             state: State::new(match plan.sabotage {
                 Sabotage::NoFence => Broken::Conditions,
                 Sabotage::LostDecisions => Broken::Decisions,
+                Sabotage::StaleReads => Broken::Stale,
                 _ => Broken::Nothing,
             }),
             workers: BTreeMap::new(),
@@ -309,7 +326,8 @@
             spare: 6 * plan.scale,
             reqs: HashMap::new(),
             next_req: 0,
-            latest: HashMap::new(),
+            gaze: looks::Gaze::default(),
+            lost_answers: (0, 0),
             rules: Rules::new(settings(0, plan.team_max).params.teams, 30_000),
             done: Done::default(),
             next_job: 0,
@@ -333,6 +351,7 @@
         s.at(2000, Ev::UserNext);
         if s.plan.faults {
             s.at(8000, Ev::Fault);
+            s.at(9000, Ev::Gaze);
         }
         if s.plan.calm > 0 {
             s.at(s.plan.seconds * 1000, Ev::Calm);
@@ -393,6 +412,9 @@
         if self.plan.sabotage == Sabotage::LongCancel {
             s.params.workers.cancel_s *= 10.0;
         }
+        if self.plan.sabotage == Sabotage::NoLimits {
+            s.params.teams.iter_mut().for_each(|t| t.cpus_max = 0.0);
+        }
         self.boots[n] = (self.now, self.boots[n].1 + 1);
         let wall = self.wall_ms();
         self.nodes[n] = Some(Node::new(&s, wall, 1));
@@ -466,6 +488,11 @@
                 if self.plan.faults && self.rng.random_range(0..60) == 0 {
                     result = StoreResult::Unknown;
                 }
+                let (percent, until) = self.lost_answers;
+                let txn = matches!(call, StoreCall::Txn(_)) && self.now < until;
+                if txn && self.rng.random_ratio(percent.min(100), 100) {
+                    result = StoreResult::Unknown;
+                }
                 if let Some(t) = &self.state.repeatable {
                     return Err(format!("written_again: a late copy would do it again: {t}"));
                 }
@@ -588,44 +615,14 @@
                 self.at(1000, Ev::Known);
                 self.rules.known(self.now)?;
             }
-            Ev::UserNext => {
-                let j = self.random_job();
-                self.rules.jobs.insert(j.id.clone(), j.clone());
-                self.rules.served.asks(&j, self.now);
-                if self.plan.faults && j.kind != Kind::Service && self.rng.random_bool(0.04) {
-                    self.done.mistaken.insert(j.id.clone());
-                    let wait = self.rng.random_range(20_000..60_000);
-                    self.at(wait, Ev::Cancel(j.id.clone()));
-                } else if self.rng.random_bool(0.15) || j.kind == Kind::Service {
-                    let wait = self.rng.random_range(3000..40_000);
-                    self.at(wait, Ev::Cancel(j.id.clone()));
-                }
-                self.at(1000, Ev::Poll(j.id.clone()));
-                self.submit(&j)?;
-                let wait = self.rng.random_range(500..4000);
-                self.at(wait / u64::from(self.plan.rate), Ev::UserNext);
-            }
-            Ev::Poll(id) => {
-                let often = self.now < self.polls_until;
-                self.at(if often { 500 } else { 4000 }, Ev::Poll(id.clone()));
-                let j = self.rules.jobs[&id].clone();
-                // A retry may come at any later time, even when the job is over.
-                if !self.rules.accepted.contains(&id) || self.rng.random_range(0..20) == 0 {
-                    return self.submit(&j);
-                }
-                let num = JobId(parse_job_id(&id).unwrap_or(0));
-                self.ask(Req::Poll(id), |req| Input::Get { req, id: num })?;
-            }
-            Ev::Cancel(id) => {
-                if !self.rules.accepted.contains(&id) {
-                    self.at(3000, Ev::Cancel(id));
-                    return Ok(());
-                }
-                self.rules.cancel_asked.insert(id.clone());
-                self.rules.served.gives_up(&id);
-                let num = JobId(parse_job_id(&id).unwrap_or(0));
-                self.ask(Req::Cancel(id), |req| Input::Cancel { req, id: num })?;
-            }
+            Ev::UserNext => self.user_next()?,
+            Ev::Poll(id) => self.poll(id)?,
+            Ev::Cancel(id) => self.cancel(id)?,
+            Ev::Insist(id) => self.insist(id)?,
+            Ev::Look(n, what, id) => self.ask_at(n, what, &id)?,
+            Ev::Gaze => self.gaze(),
+            Ev::Odd(until) => self.odd_request(until)?,
+            Ev::One(until) => self.one(until)?,
         }
         Ok(())
     }
@@ -683,6 +680,7 @@
             self.looks += u64::from(look);
             let look = look && self.looks.is_multiple_of(u64::from(self.plan.scale).pow(2));
             let handled = self.handle(e);
+            self.ends();
             let checked = if look { self.rules.check(self.now, &self.workers) } else { Ok(()) };
             handled.and(checked).map_err(|e| {
                 format!("at {} ms: {e}\nagain: Sim::new({:?}).run()", self.now, self.plan)
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -12,6 +12,7 @@
         if let Some(t) = types(self.plan.scale).iter().find(|t| t.name == kind) {
             w.cpus = t.cpus;
         }
+        w.unstoppable = self.plan.sabotage == Sabotage::LostStops;
         w.node = self.rng.random_range(0..NODES);
         self.workers.insert(name.into(), w);
         self.at(10, Ev::Worker(name.into()));
@@ -31,30 +32,8 @@
         let lag = self.lag();
         match o {
             Output::User { req, reply } => {
-                let Some(r) = self.reqs.remove(&(n, boot, req)) else { return Ok(()) };
-                let (Req::Submit(id) | Req::Poll(id) | Req::Cancel(id)) = &r else {
-                    return Ok(());
-                };
-                let state = reply.state.as_ref();
-                let ok = state.is_some();
-                // A user waits for one answer at a time; an older one finds nobody.
-                if self.latest.get(id) != Some(&req) {
-                    if let Req::Cancel(id) = r {
-                        self.at(1500, Ev::Cancel(id));
-                    }
-                    return Ok(());
-                }
-                let mute = self.plan.sabotage == Sabotage::Mute;
-                let shard = |id| shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
-                if mute && shard(id) == Shard(0) && self.rules.accepted.contains(id) {
-                    return Ok(());
-                }
-                // The answer may be lost on its way to the user.
-                if !(self.plan.faults && self.rng.random_range(0..50) == 0) {
-                    self.rules.answer(self.now, id, reply.status, state, &self.done)?;
-                }
-                if let (Req::Cancel(id), false) = (r, ok) {
-                    self.at(1500, Ev::Cancel(id));
+                if let Some(Req::User(q)) = self.reqs.remove(&(n, boot, req)) {
+                    self.answer(&q, &reply)?;
                 }
             }
             Output::Worker { req, reply } => {
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -1,5 +1,6 @@
 //! Users: what they submit, ask and cancel, and what is in the store from the beginning.
 use super::*;
+use leaddeal_core::io::UserReply;
 use serde_json::json;
 
 impl Sim {
@@ -127,31 +128,129 @@
         }
     }
 
-    pub(super) fn ask(&mut self, req: Req, make: impl FnOnce(u64) -> Input) -> Result<(), String> {
-        let up: Vec<usize> = (0..NODES)
-            .filter(|&n| self.nodes[n].is_some() && !self.cut[n] && self.now >= self.stalled[n])
-            .collect();
+    /// A new job, which its user asks about from now on.
+    pub(super) fn wants(&mut self, j: &Job) {
+        self.rules.jobs.insert(j.id.clone(), j.clone());
+        self.rules.served.asks(j, self.now);
+        self.at(1000, Ev::Poll(j.id.clone()));
+    }
+
+    /// Controllers that the load balancer has a connection to.
+    pub(super) fn up(&self) -> Vec<usize> {
+        let up = |&n: &usize| self.reached(n) && self.now >= self.stalled[n];
+        (0..NODES).filter(up).collect()
+    }
+
+    fn reached(&self, n: usize) -> bool {
+        self.nodes[n].is_some() && !self.cut[n]
+    }
+
+    /// At any controller that is up.
+    pub(super) fn ask(&mut self, what: What, id: &str) -> Result<(), String> {
+        let up = self.up();
         if up.is_empty() {
-            match req {
-                Req::Cancel(id) => self.at(2000, Ev::Cancel(id)),
-                Req::Submit(_) | Req::Poll(_) | Req::Report(..) => {}
-            }
             return Ok(());
         }
         let n = up[self.rng.random_range(0..up.len())];
+        self.ask_at(n, what, id)
+    }
+
+    /// At this one, if it is there. One that gets no processor time takes it in when it goes on.
+    pub(super) fn ask_at(&mut self, n: usize, what: What, id: &str) -> Result<(), String> {
+        let Some(j) = self.rules.jobs.get(id).filter(|_| self.reached(n)) else { return Ok(()) };
+        let job = Box::new(j.clone());
+        let num = JobId(parse_job_id(id).unwrap_or(0));
+        self.request(n, what, id, |req| match what {
+            What::Submit => Input::Submit { req, id: Some(num), job: Ok(job) },
+            What::Poll => Input::Get { req, id: num },
+            What::Cancel => Input::Cancel { req, id: num },
+        })
+    }
+
+    /// Sends a request, and remembers what its user knew until then.
+    pub(super) fn request(
+        &mut self,
+        n: usize,
+        what: What,
+        id: &str,
+        make: impl FnOnce(u64) -> Input,
+    ) -> Result<(), String> {
         self.next_req += 1;
-        let id = self.next_req;
-        if let Req::Submit(job) | Req::Poll(job) | Req::Cancel(job) = &req {
-            self.latest.insert(job.clone(), id);
+        let req = self.next_req;
+        let boot = self.boots[n].1;
+        let q = Question { what, job: id.into(), knew: self.rules.news(id) };
+        self.reqs.insert((n, boot, req), Req::User(q));
+        let input = make(req);
+        if self.now >= self.stalled[n] {
+            return self.step(n, input);
+        }
+        self.at(0, Ev::In(n, boot, input));
+        Ok(())
+    }
+
+    /// Somebody submits a job, and somebody else will.
+    pub(super) fn user_next(&mut self) -> Result<(), String> {
+        let j = self.random_job();
+        self.wants(&j);
+        if self.plan.faults && j.kind != Kind::Service && self.rng.random_bool(0.04) {
+            self.done.mistaken.insert(j.id.clone());
+            let wait = self.rng.random_range(20_000..60_000);
+            self.at(wait, Ev::Cancel(j.id.clone()));
+        } else if self.rng.random_bool(0.15) || j.kind == Kind::Service {
+            let wait = self.rng.random_range(3000..40_000);
+            self.at(wait, Ev::Cancel(j.id.clone()));
         }
-        self.reqs.insert((n, self.boots[n].1, id), req);
-        self.step(n, make(id))
+        self.ask(What::Submit, &j.id)?;
+        let wait = self.rng.random_range(500..4000);
+        self.at(wait / u64::from(self.plan.rate), Ev::UserNext);
+        Ok(())
     }
 
-    pub(super) fn submit(&mut self, j: &Job) -> Result<(), String> {
-        let id = j.id.clone();
-        let num = parse_job_id(&id).map(JobId);
-        let job = Ok(Box::new(j.clone()));
-        self.ask(Req::Submit(id), |req| Input::Submit { req, id: num, job })
+    pub(super) fn poll(&mut self, id: String) -> Result<(), String> {
+        let often = self.now < self.polls_until;
+        self.at(if often { 500 } else { 4000 }, Ev::Poll(id.clone()));
+        // A retry may come at any later time, even when the job is over.
+        let again = !self.rules.accepted.contains(&id) || self.rng.random_range(0..20) == 0;
+        self.ask(if again { What::Submit } else { What::Poll }, &id)
+    }
+
+    /// Its user changes its mind. What it was told is done stays so, whatever it asks for.
+    pub(super) fn cancel(&mut self, id: String) -> Result<(), String> {
+        if !self.rules.accepted.contains(&id) {
+            self.at(3000, Ev::Cancel(id));
+            return Ok(());
+        }
+        let over = self.rules.told.contains_key(&id);
+        if !over && self.rules.cancel_asked.insert(id.clone()) {
+            self.rules.served.gives_up(&id);
+            self.at(1500, Ev::Insist(id.clone()));
+        }
+        self.ask(What::Cancel, &id)
+    }
+
+    pub(super) fn insist(&mut self, id: String) -> Result<(), String> {
+        if self.rules.told.contains_key(&id) {
+            return Ok(());
+        }
+        self.at(1500, Ev::Insist(id.clone()));
+        self.ask(What::Cancel, &id)
+    }
+
+    /// What a controller answers a user.
+    pub(super) fn answer(&mut self, q: &Question, reply: &UserReply) -> Result<(), String> {
+        let id = q.job.as_str();
+        let shard = shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
+        let mute = self.plan.sabotage == Sabotage::Mute && shard == Shard(0);
+        // The answer may be lost on its way to the user.
+        let lost = self.plan.faults && self.rng.random_range(0..50) == 0;
+        if lost || (mute && self.rules.accepted.contains(id)) {
+            return Ok(());
+        }
+        let before = self.rules.news(id);
+        self.rules.answer(self.now, q, reply.status, reply.state.as_ref(), &self.done)?;
+        if self.rules.news(id) != before {
+            self.look_closely(id);
+        }
+        Ok(())
     }
 }
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -12,8 +12,13 @@
     Conditions,
     /// Decisions are not kept.
     Decisions,
+    /// A single key is read as it was a moment ago.
+    Stale,
 }
 
+/// So old is what a stale read gives.
+const STALE_MS: u64 = 500;
+
 #[derive(Default)]
 pub struct State {
     pub revision: u64,
@@ -22,6 +27,8 @@
     next_lease: u64,
     log: Vec<Event>,
     broken: Broken,
+    /// Keys as they were before their last change, and when that was: for stale reads.
+    before: BTreeMap<String, (u64, Option<Item>)>,
     /// Items a page: few, so that reading on is exercised.
     pub page: usize,
     /// Changes a second that it takes, with bursts of a second's worth; none: any.
@@ -155,6 +162,13 @@
                 }
                 self.revision += 1;
                 self.changes += t.changes.len() as u64;
+                if self.broken == Broken::Stale {
+                    for c in &t.changes {
+                        let (Change::Put { key, .. } | Change::Delete { key }) = c;
+                        let was = self.keys.get(key).cloned();
+                        self.before.insert(key.clone(), (now, was));
+                    }
+                }
                 for c in &t.changes {
                     match c {
                         Change::Put { key, .. }
@@ -184,7 +198,10 @@
                 }
                 StoreResult::Committed(self.revision)
             }
-            StoreCall::Get { key } => StoreResult::Item(self.keys.get(key).cloned()),
+            StoreCall::Get { key } => StoreResult::Item(match self.before.get(key) {
+                Some((at, was)) if now < at + STALE_MS => was.clone(),
+                _ => self.keys.get(key).cloned(),
+            }),
             StoreCall::List { prefix, after } => {
                 let from = after.as_ref().filter(|a| *a >= prefix).unwrap_or(prefix);
                 let under = self.keys.range(from.clone()..).map(|x| x.1);
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -10,6 +10,8 @@
     pub mistaken: BTreeSet<String>,
     tasks: BTreeSet<String>,
     last: HashMap<String, u64>,
+    /// Jobs of the tasks that completed since this was last taken.
+    fresh: Vec<String>,
 }
 
 impl Done {
@@ -21,9 +23,18 @@
         if self.tasks.insert(task.to_string()) {
             let job = task.split('/').next().unwrap_or_default();
             self.last.insert(job.to_string(), now);
+            self.fresh.push(job.to_string());
         }
     }
 
+    pub fn take_fresh(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.fresh)
+    }
+
+    pub fn all_of(&self, job: &Job) -> bool {
+        (0..job.tasks).all(|t| self.contains(&format!("{}/{t}", job.id)))
+    }
+
     pub fn last(&self, job: &str) -> Option<u64> {
         self.last.get(job).copied()
     }
@@ -57,6 +68,8 @@
     pub deaf_until: u64,
     /// Whatever starts until then fails.
     pub faulty_until: u64,
+    /// It never does as it is told to stop.
+    pub unstoppable: bool,
     pub node: usize,
     pub in_flight: Option<u64>,
     pub next_report: u64,
@@ -90,6 +103,7 @@
             hang_until: 0,
             deaf_until: 0,
             faulty_until: 0,
+            unstoppable: false,
             node: 0,
             in_flight: None,
             next_report: now,
@@ -223,6 +237,7 @@
                     self.tasks.insert(key, on);
                     self.changed = true;
                 }
+                Op::Stop if self.unstoppable => {}
                 Op::Stop => {
                     if let Some(t) = self.tasks.get_mut(&key) {
                         if t.state == TaskState::Exited {
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -1,4 +1,5 @@
 //! Seeded random runs that check the rules after each step.
+use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sabotage, Sim};
 
 /// Troubles for four minutes, and then none: whoever is still not answered is forgotten.
@@ -123,3 +124,37 @@
 fn a_rental_name_used_twice_is_caught() {
     caught(Sabotage::NameTwice, "name_reused");
 }
+
+/// Where a single key is read as it was a moment ago, users who look closely are told what is older than
+/// they know: that an accepted job was never there, and that one that is over goes on.
+#[test]
+fn answers_older_than_what_was_told_are_caught() {
+    caught(Sabotage::StaleReads, "forgotten: ");
+    caught(Sabotage::StaleReads, "went_back: ");
+}
+
+#[test]
+fn a_submission_accepted_though_it_lacks_a_field_is_caught() {
+    caught(Sabotage::Lenient, "accepted_wrong: ");
+}
+
+#[test]
+fn a_job_accepted_though_its_team_may_never_run_it_is_caught() {
+    caught(Sabotage::NoLimits, "accepted_wrong: ");
+}
+
+/// Starts of what is cancelled are counted; what goes on is caught.
+#[test]
+fn starts_after_a_confirmed_cancellation_are_counted() {
+    caught(Sabotage::LostStops, "ran_cancelled");
+    // Until the first task goes on for too long.
+    let cancels: Vec<_> = (6..34).map(|s| (s * 1000, Fault::Cancel { percent: 60 })).collect();
+    let slips = (1..=3).map(|seed| {
+        let plan = Plan { faults: false, rate: 8, script: cancels.clone(), ..plan(seed) };
+        let mut sim = Sim::new(Plan { sabotage: Sabotage::LostStops, ..plan });
+        sim.run_to(34_000).unwrap_or_else(|e| panic!("{e}"));
+        sim.rules.slips
+    });
+    let slips: Vec<usize> = slips.collect();
+    assert!(slips.iter().sum::<usize>() > 3, "{slips:?}");
+}
