--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -24,9 +24,9 @@
 fn main() {
     let cli = Cli::parse();
     let (next, broken) = (AtomicU64::new(cli.seed), AtomicU64::new(0));
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(cli.threads));
+    let cores = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     std::thread::scope(|s| {
-        for _ in 0..threads {
+        for _ in 0..cores.min(cli.threads) {
             s.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= cli.seed + cli.many {
--- a/crates/testkit/src/sim/faults.rs
+++ b/crates/testkit/src/sim/faults.rs
@@ -58,6 +58,10 @@
             Fault::SlowOrders { by_ms, ms } => self.troubles.slow_orders.add(by_ms, now + ms),
             Fault::Cancel { percent } => self.cancel_many(percent),
             Fault::Polls { ms } => longer(&mut self.polls_until, now + ms),
+            Fault::CloseLooks { percent, ms } => self.gaze.closely = (percent, now + ms),
+            Fault::AtEnd { percent, ms } => self.gaze.at_end = (percent, now + ms),
+            Fault::OddRequests { ms } => self.at(0, Ev::Odd(now + ms)),
+            Fault::Ones { ms } => self.at(0, Ev::One(now + ms)),
             Fault::Deaf { machines, ms } => {
                 for w in self.workers.values_mut().filter(|w| !w.gone).take(machines) {
                     longer(&mut w.deaf_until, now + ms);
