--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -164,6 +164,21 @@
     }
 }
 
+/// A submission's answer takes seconds, for which its job is seen elsewhere and cancelled, and its shard goes
+/// home to the very controller that waits for the answer.
+#[test]
+fn an_answer_to_a_submission_that_comes_after_its_shard_went_home() {
+    for node in 0..3 {
+        let mut script = with(watched(100), [(40_000, crash(node, 300))]);
+        script.push((40_000, Fault::Ones { ms: 40_000 }));
+        for at in (42_000..75_000).step_by(900) {
+            script.push((at, Fault::SlowStore { ms: 250, by_ms: 3500 }));
+            script.push((at + 400, Fault::Cancel { percent: 50 }));
+        }
+        play("a late answer to a submission", 2, &script);
+    }
+}
+
 /// Jobs of one task, four a second for three minutes, a quarter cancelled; rolling restarts, an outage of
 /// the store, a team at its limit.
 #[test]
