--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -25,6 +25,8 @@
     node: Node,
     now: Now,
     asked: Vec<(u64, crate::io::StoreCall)>,
+    /// Requests that users were answered.
+    told: Vec<ReqId>,
 }
 
 impl World {
@@ -32,6 +34,7 @@
         for o in self.node.step(self.now, self.now, input) {
             match o {
                 Output::Store { op, call } => self.asked.push((op, call)),
+                Output::User { req, .. } => self.told.push(req),
                 Output::Cloud { op, call: CloudCall::Catalog } => {
                     let small = MachineType {
                         name: "small".into(),
@@ -75,13 +78,9 @@
     puts.then(|| t.conds.iter().find(|c| c.key == "seat/0").map_or(0, |c| c.version))
 }
 
-/// Rounds and attempts are numbered within an epoch, and what gave the shard back may be executed late: it
-/// was owned again under the same epoch once the store still listed it.
-#[test]
-fn an_epoch_that_was_given_up_is_never_acted_under_again() {
+/// The shard is listed as the node's own, and holds nothing; transactions are not answered.
+fn store(call: &crate::io::StoreCall) -> Option<StoreResult> {
     use crate::io::StoreCall;
-    let node = Node::new(&settings(), 77, 1000);
-    let mut w = World { node, now: 1000, asked: Vec::new() };
     let listed = |prefix: &str| {
         let value = serde_json::json!({"node": "n-0", "boot": 77});
         let key = "seat/0".to_string();
@@ -91,12 +90,20 @@
         };
         StoreResult::Page(Page { items, more: false, revision: 9 })
     };
-    let store = |call: &StoreCall| match call {
+    match call {
         StoreCall::NewLease { .. } => Some(StoreResult::Lease(1)),
         StoreCall::Touch { .. } => Some(StoreResult::Touched),
         StoreCall::List { prefix, .. } => Some(listed(prefix)),
         _ => None,
-    };
+    }
+}
+
+/// Rounds and attempts are numbered within an epoch, and what gave the shard back may be executed late: it
+/// was owned again under the same epoch once the store still listed it.
+#[test]
+fn an_epoch_that_was_given_up_is_never_acted_under_again() {
+    let node = Node::new(&settings(), 77, 1000);
+    let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
     w.answer(store);
     assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
     let mut out = Out { now: w.now, list: Vec::new(), looked: 0 };
@@ -108,3 +115,37 @@
     let asked: Vec<u64> = w.asked.iter().filter_map(|(_, c)| acquires(c)).collect();
     assert_eq!(asked.first(), Some(&7), "it is acquired anew, under a new epoch");
 }
+
+/// A job is created, seen at another node and called off there; then its shard comes here, and only then
+/// the answer to the submission. The list that was loaded is newer, and lacks the job.
+#[test]
+fn a_submission_answered_after_its_job_was_over_brings_nothing_back() {
+    let node = Node::new(&settings(), 77, 1000);
+    let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
+    w.step(Input::Tick);
+    let submit = |req, id: u64| {
+        let job = serde_json::json!({
+            "id": leaddeal_wire::user::job_id(id), "cargo": "x", "crew": "free", "rig": "sweep",
+            "precedence": "normal", "hauls": 3, "cores": 1.0, "gpus": 0.0, "memoryGb": 1.0,
+            "manifest": "i", "imageGb": 1.0, "together": false, "scatter": false, "charter": true,
+            "passageS": 5.0, "fixS": 0.0, "stowS": 0.0
+        });
+        let job = leaddeal_wire::user::Job::parse(job.to_string().as_bytes()).map(Box::new);
+        Input::Submit { req, id: Some(JobId(id)), job }
+    };
+    w.step(submit(1, 5));
+    w.step(submit(2, 6));
+    let txns = w.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Txn(_)));
+    let ops: Vec<u64> = txns.map(|(op, _)| *op).collect();
+    assert_eq!(ops.len(), 2, "{ops:?}");
+    w.answer(store);
+    assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))]);
+    // The list is of revision 9.
+    for (op, revision) in ops.into_iter().zip([8, 10]) {
+        w.step(Input::Store { op, result: StoreResult::Committed(revision) });
+    }
+    w.step(Input::Get { req: 3, id: JobId(5) });
+    w.step(Input::Get { req: 4, id: JobId(6) });
+    assert!(w.told.contains(&4), "created after the list: {:?}", w.told);
+    assert!(!w.told.contains(&3), "of the other one the store is asked");
+}
