--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -164,18 +164,18 @@
     }
 }
 
-/// A submission's answer takes seconds, for which its job is seen elsewhere and cancelled, and its shard goes
-/// home to the very controller that waits for the answer.
+/// Two controllers are refused, the owner and one that goes on asking it; the third takes over, and tells of
+/// cancellations before either has heard of it.
 #[test]
-fn an_answer_to_a_submission_that_comes_after_its_shard_went_home() {
-    for node in 0..3 {
-        let mut script = with(watched(100), [(40_000, crash(node, 300))]);
-        script.push((40_000, Fault::Ones { ms: 40_000 }));
-        for at in (42_000..75_000).step_by(900) {
-            script.push((at, Fault::SlowStore { ms: 250, by_ms: 3500 }));
-            script.push((at + 400, Fault::Cancel { percent: 50 }));
+fn an_owner_in_doubt_that_a_sibling_asks() {
+    for (owner, other) in [(0, 1), (1, 2), (2, 0)] {
+        let refuse = |node| (40_000, Fault::Refuse { node, ms: 15_000 });
+        let mut script = with(watched(100), [refuse(owner), refuse(other)]);
+        for at in (42_500..47_500).step_by(100) {
+            script.push((at, Fault::Cancel { percent: 10 }));
         }
-        play("a late answer to a submission", 2, &script);
+        script.push((40_000, Fault::Polls { ms: 15_000 }));
+        play("the owner and a sibling refused", 2, &script);
     }
 }
 
