--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -164,6 +164,21 @@
     }
 }
 
+/// Two controllers are refused, the owner and one that goes on asking it; the third takes over, and tells of
+/// cancellations before either has heard of it.
+#[test]
+fn an_owner_in_doubt_that_a_sibling_asks() {
+    for (owner, other) in [(0, 1), (1, 2), (2, 0)] {
+        let refuse = |node| (40_000, Fault::Refuse { node, ms: 15_000 });
+        let mut script = with(watched(100), [refuse(owner), refuse(other)]);
+        for at in (42_500..47_500).step_by(100) {
+            script.push((at, Fault::Cancel { percent: 10 }));
+        }
+        script.push((40_000, Fault::Polls { ms: 15_000 }));
+        play("the owner and a sibling refused", 2, &script);
+    }
+}
+
 /// Jobs of one task, four a second for three minutes, a quarter cancelled; rolling restarts, an outage of
 /// the store, a team at its limit.
 #[test]
