--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -3,6 +3,7 @@
 use super::{Hold, Participant, SHUN_MS};
 use crate::ctx::Ctx;
 use crate::fleet::Machine;
+use crate::guards::{holds, Guard};
 use crate::ids::{JobId, MachineIdx, Negotiation, Now, Shard, TypeIdx, ZoneIdx};
 use crate::names::{older, Names, Room};
 use leaddeal_wire::mesh::{Line, Offer, Shape as WireShape, ShardMsg, Wanted};
@@ -108,7 +109,7 @@
             && !m.draining
             && !m.released
             && !m.lapsed
-            && m.confirmed
+            && (m.confirmed || !holds(Guard::ConfirmedOffers))
             && m.notice.is_none()
             && m.hearing.deaf_since().is_none()
             && m.shunned_until <= now
