--- a/crates/testkit/src/sim/endings.rs
+++ b/crates/testkit/src/sim/endings.rs
@@ -21,7 +21,9 @@
 impl Sim {
     /// Whether the answer to what was just carried out is lost.
     pub(super) fn answer_lost(&mut self, n: usize, call: &StoreCall, result: &StoreResult) -> bool {
-        let (StoreCall::Txn(t), StoreResult::Committed(_)) = (call, result) else { return false };
+        // Controllers wait for an answer no longer than that.
+        let late = self.troubles.slow_store.now(self.now).is_some_and(|ms| ms >= 2000);
+        let (StoreCall::Txn(t), StoreResult::Committed(_)) = (call, result) else { return late };
         let what = written(t);
         let ending = self.endings.iter().position(|e| what == Some(e.what));
         if let Some(i) = ending {
@@ -31,6 +33,6 @@
         }
         let lost = ending.is_some() || self.troubles.lost_answers.strike(self.now, &mut self.rng);
         self.marks.lost_answers += u64::from(lost);
-        lost
+        late || lost
     }
 }
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -80,13 +80,15 @@
                     0 if self.plan.faults => (true, self.rng.random_range(0..20_000)),
                     _ => (false, 0),
                 };
+                // Held up for longer than whoever sent it waits, it is carried out all the same.
+                let slow = self.troubles.slow_orders.now(self.now).unwrap_or(0);
+                let (lose, held) = (lose || slow > 2500, held + slow);
                 if lose {
                     let m = machine.clone();
                     let outcome = DirectOutcome::Unknown;
                     let input = Input::Orders { machine: m, batch, outcome };
                     self.at(2500, Ev::In(n, boot, input));
                 }
-                let held = held + self.troubles.slow_orders.now(self.now).unwrap_or(0);
                 self.at(lag + held, Ev::Direct(n, boot, machine, batch, direct, lose));
             }
             Output::Log(_, event, what) => {
