--- a/crates/core/src/coordinator/rounds/tests.rs
+++ b/crates/core/src/coordinator/rounds/tests.rs
@@ -66,3 +66,10 @@
         assert!(created < 250, "seed {seed}: {created} records made for 400 decisions");
     }
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::RecordLive, no_late_deletion_takes_a_live_decision);
+}
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -67,3 +67,12 @@
     assert_eq!(ops(&mut m, false), [(Op::Stop, 1)]);
     assert_eq!(ops(&mut m, true), [(Op::Start, 0), (Op::Stop, 1)]);
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::SessionLease, a_new_session_has_a_lease_of_its_own);
+    missed_by(Guard::DoubtStarts, in_doubt_nothing_is_started_and_stops_go_on);
+    missed_by(Guard::DoubtStops, in_doubt_nothing_is_started_and_stops_go_on);
+}
--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -173,6 +173,13 @@
     }
 }
 
+/// The test goes red without the guard.
+#[cfg(all(test, feature = "guards"))]
+pub(crate) fn missed_by(guard: Guard, test: fn()) {
+    let run = std::panic::catch_unwind(|| without(&[guard], test));
+    assert!(run.is_err(), "{guard:?} is not missed");
+}
+
 #[cfg(feature = "guards")]
 pub(crate) use switch::holds;
 #[cfg(feature = "guards")]
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -30,3 +30,10 @@
     assert!(h.another_serves(10_000));
     assert!(!h.another_serves(12_100) && !h.hears_any(12_100));
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::AllKnow, only_the_word_of_every_sibling_proves_that_older_owners_let_go);
+}
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -534,3 +534,29 @@
     assert!(w.keeps_the_rule(Cancel { at: 999, late: false }));
     assert!(w.on && w.granted + 2 * STEP_MS > w.now, "its worker was let go");
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::HorizonEchoed, only_a_word_that_echoes_us_moves_a_horizon_on);
+    missed_by(Guard::HorizonDoubt, only_a_word_that_echoes_us_moves_a_horizon_on);
+    missed_by(Guard::HorizonStops, only_a_word_that_echoes_us_moves_a_horizon_on);
+    missed_by(Guard::BeatsName, a_word_with_a_gap_tells_what_it_names_and_no_more);
+}
+
+#[cfg(feature = "guards")]
+#[test]
+fn the_search_finds_a_guard_that_is_out() {
+    use crate::guards::{without, Guard};
+    for guard in [
+        Guard::HorizonStops,
+        Guard::HorizonDoubt,
+        Guard::HorizonVouched,
+        Guard::HorizonFloor,
+        Guard::BeatsName,
+    ] {
+        let found = without(&[guard], || search(3, &[3, 6, 7], Broken::Nothing).1);
+        assert!(found.is_some(), "{guard:?} is not missed");
+    }
+}
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -151,3 +151,11 @@
     j.starts = Aims::new(&[objective(80.0), objective(350.0)], 4.0).starts(&j.wire);
     assert_eq!(j.urgency(1_050_000), (1, 1_250_000));
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::OneZone, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
+    missed_by(Guard::ZoneCounted, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
+}
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -149,3 +149,11 @@
     assert!(w.told.contains(&4), "created after the list: {:?}", w.told);
     assert!(!w.told.contains(&3), "of the other one the store is asked");
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::GivenUp, an_epoch_that_was_given_up_is_never_acted_under_again);
+    missed_by(Guard::LoadedFrom, a_submission_answered_after_its_job_was_over_brings_nothing_back);
+}
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -293,3 +293,12 @@
     assert_eq!(starts(true, EPOCH.0), 0, "it would start what is cancelled");
     assert_eq!(starts(true, EPOCH.0 + 1), 1, "what was to be written never was");
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::Waits, late_copies_of_reports_keep_nobody_alive);
+    missed_by(Guard::Patience, a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go);
+    missed_by(Guard::LatePlace, a_yes_after_its_jobs_end_starts_nothing);
+}
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -16,3 +16,11 @@
     assert!(taken_over <= 10_000 - 6000, "a grant keeps to the limit, whatever is in use");
     assert!(d.report(Shard(1), Epoch(3), &ask(0, 0)).is_empty(), "an old epoch says nothing");
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::GrantsComplete, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
+    missed_by(Guard::GrantsShared, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
+}
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -15,3 +15,22 @@
     assert_eq!(v.vacant_since, 100, "counted from when it was first seen");
     assert!(v.claimed(by(12), 400) && v.owned_since == 400);
 }
+
+/// A lease is over here before it is at the state service, and a worker's there before it is here, though
+/// one clock is slow by 0.05% and the other fast.
+#[test]
+fn a_lease_is_judged_with_the_drift_of_both_clocks() {
+    for ms in [LEASE_MS, 8000, 30_000] {
+        let (slow, fast) = (ms - ms / 2000, ms + ms / 2000);
+        let lease = Lease { id: Some(1), renewed: 0, ..Lease::default() };
+        assert!(ms > LEASE_MS || !lease.valid(slow), "over there, and valid here");
+        assert!(at_most(ms) < slow && at_least(ms) > fast);
+    }
+}
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::Drift, a_lease_is_judged_with_the_drift_of_both_clocks);
+}
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -29,7 +29,9 @@
 
 #[test]
 fn a_new_owner_fences_and_a_plain_refusal_is_a_no() {
-    let (mut w, _) = write();
+    let (mut w, mut b) = write();
+    let fence = Cond { key: "seat/0".into(), version: 7 };
+    assert!(matches!(w.call(0, &mut b), Some(StoreCall::Txn(t)) if t.conds.contains(&fence)));
     assert_eq!(w.take(0, &StoreResult::Refused), Outcome::NotDone);
     let (mut w, _) = write();
     assert_eq!(w.take(0, &conflict("d/0/7-1")), Outcome::NotDone, "somebody else's");
@@ -50,3 +52,11 @@
     assert!(matches!(w.call(300, &mut b), Some(StoreCall::Get { .. })));
     assert_eq!(w.take(305, &StoreResult::Item(None)), Outcome::Fenced);
 }
+
+#[cfg(feature = "guards")]
+#[test]
+fn its_guards_are_missed() {
+    use crate::guards::{missed_by, Guard};
+    missed_by(Guard::Epoch, a_new_owner_fences_and_a_plain_refusal_is_a_no);
+    missed_by(Guard::OutcomeKnown, what_became_of_an_earlier_try_is_told_by_what_it_creates);
+}
