--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -245,7 +245,7 @@
         // And of one that shows ours for the first time they counted until now, whatever we granted.
         // (Found by the simulator, seed 173: a late copy of a report brought the new owner to command
         // a worker that an older one, cut off with it, still answered.)
-        if confirmed && !self.confirmed {
+        if confirmed && !self.confirmed && holds(Guard::FirstSight) {
             self.granted = self.granted.max(now);
         }
         self.confirmed = confirmed;
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/fleet/tests.rs
@@ -72,6 +72,10 @@
 #[test]
 fn its_guards_are_missed() {
     use crate::guards::{missed_by, Guard};
+    missed_by(
+        Guard::FirstSight,
+        a_worker_that_shows_our_token_at_last_may_have_been_answered_until_then,
+    );
     missed_by(Guard::SessionLease, a_new_session_has_a_lease_of_its_own);
     missed_by(Guard::DoubtStarts, in_doubt_nothing_is_started_and_stops_go_on);
     missed_by(Guard::DoubtStops, in_doubt_nothing_is_started_and_stops_go_on);
--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -79,6 +79,8 @@
     NewestReport,
     /// An absence believed of a worker that may yet obey an older owner.
     TokenShown,
+    /// A worker's lease counted from our answer though an older owner answered it until it saw our token.
+    FirstSight,
     /// A start in another session than that of the offer.
     OfferSession,
     /// A new session judged by the lease of the one before.
