--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -322,7 +322,7 @@
                 }
                 j.unfolded.push((e.task, p.attempt, p.machine, p.round));
                 ctx.wake = true;
-                return (!holds(Guard::FoldedFirst)).then_some(what);
+                return None;
             }
         }
         match e.phase {
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -52,7 +52,7 @@
             || self.talk.is_some()
             || self.writing.is_some()
             || self.leaving
-            || (!ctx.valid && holds(Guard::DoubtDecides))
+            || !ctx.valid
         {
             return;
         }
@@ -170,7 +170,7 @@
             let Some(j) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if (j.cancelled || j.finishing.is_some()) && holds(Guard::DecideOpen) {
+            if j.cancelled || j.finishing.is_some() {
                 continue;
             }
             let mut room = j.zone_room(&ctx.names.zones);
@@ -307,10 +307,7 @@
     }
 
     pub(super) fn write_decision(&mut self, ctx: &mut Ctx) {
-        let Some(w) = self.writing.as_mut().filter(|_| ctx.valid || !holds(Guard::DoubtDecides))
-        else {
-            return;
-        };
+        let Some(w) = self.writing.as_mut().filter(|_| ctx.valid) else { return };
         if let Some(call) = w.write.call(ctx.now, ctx.budget) {
             ctx.store(OpKind::Decide { shard: self.shard, epoch: self.epoch }, call);
         }
@@ -362,7 +359,7 @@
                 team: ctx.team_use(j),
             };
             // Cancelled while the decision was being written: it was never said.
-            if (j.cancelled || j.finishing.is_some()) && holds(Guard::WinnersOpen) {
+            if j.cancelled || j.finishing.is_some() {
                 j.give_back(c.task);
                 self.pending.insert(c.job);
                 continue;
--- a/crates/core/src/coordinator/rounds.rs
+++ b/crates/core/src/coordinator/rounds.rs
@@ -87,11 +87,7 @@
 
     /// Their deletion may have been executed, or may yet be.
     pub fn delete_again(&mut self, keys: Vec<String>) {
-        if holds(Guard::RecordDeleted) {
-            self.over.extend(keys);
-        } else {
-            self.free.extend(keys.into_iter().map(|key| Record { key, version: 0 }));
-        }
+        self.over.extend(keys);
     }
 
     pub fn waiting(&self) -> usize {
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -205,7 +205,7 @@
             return false;
         }
         // The lease is over, so the session must be: a report of it can only be a late one.
-        if self.lapsed && r.session == self.session && holds(Guard::LapsedSession) {
+        if self.lapsed && r.session == self.session {
             return false;
         }
         if r.session > self.session {
@@ -213,7 +213,7 @@
                 self.hearing.lease_ended(now);
             }
             for t in self.tasks.values_mut() {
-                if t.session < r.session && holds(Guard::SessionEnds) {
+                if t.session < r.session {
                     if !t.over() {
                         t.phase = Phase::Gone;
                     }
@@ -245,7 +245,7 @@
         // And of one that shows ours for the first time they counted until now, whatever we granted.
         // (Found by the simulator, seed 173: a late copy of a report brought the new owner to command
         // a worker that an older one, cut off with it, still answered.)
-        if confirmed && !self.confirmed {
+        if confirmed && !self.confirmed && holds(Guard::FirstSight) {
             self.granted = self.granted.max(now);
         }
         self.confirmed = confirmed;
--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -29,8 +29,6 @@
     DoubtTells,
     /// A machine called lost while our lease is in doubt.
     DoubtLoses,
-    /// Decisions asked for while our lease is in doubt.
-    DoubtDecides,
     /// A shard owned on an answer that came when our lease was in doubt.
     DoubtOwns,
     /// A lease counted from when its renewal was answered, not sent.
@@ -61,8 +59,6 @@
     KeyBeforeFinal,
     /// Workers answered for longer than all cancellations are known.
     HorizonStops,
-    /// A word believed whose sender told more before, which did not come.
-    HorizonGapless,
     /// A word believed to be new that was long on its way.
     HorizonEchoed,
     /// An owner in doubt believed for as long as it speaks.
@@ -71,10 +67,6 @@
     HorizonVouched,
     /// An owner in doubt believed though a process of ours before may have been a newer one.
     HorizonFloor,
-    /// What a sibling's process before vouched for believed of its next one.
-    HorizonBoot,
-    /// The store taken to be read as of the answer.
-    HorizonAsked,
     /// Cancellations of an owner that speaks heard of nowhere else.
     BeatsName,
     /// Cancellations of a silent owner heard of nowhere.
@@ -85,16 +77,12 @@
     Waits,
     /// A report older than what is known taken in.
     NewestReport,
-    /// A report of a session whose lease is over taken for life.
-    LapsedSession,
     /// An absence believed of a worker that may yet obey an older owner.
     TokenShown,
-    /// Work offered on a machine that may yet obey an older owner.
-    ConfirmedOffers,
+    /// A worker's lease counted from our answer though an older owner answered it until it saw our token.
+    FirstSight,
     /// A start in another session than that of the offer.
     OfferSession,
-    /// Tasks of an ended session taken to go on.
-    SessionEnds,
     /// A new session judged by the lease of the one before.
     SessionLease,
     /// A silent machine called lost while an older owner may still answer it.
@@ -123,22 +111,14 @@
     ForgetLater,
     /// A task of an older epoch started anew.
     Adopted,
-    /// A completion forgotten by its worker before it is stored.
-    FoldedFirst,
     /// A job called done before its last task is.
     AllDone,
     /// A decision written over while a pick of it may be on its machine.
     RecordLive,
-    /// A record written again that a late deletion may yet take.
-    RecordDeleted,
     /// An older attempt taken for the newest after a takeover.
     NewestAttempt,
     /// Tasks of a job that is over overlooked after a takeover.
     Leftovers,
-    /// A task decided for a job that is being ended.
-    DecideOpen,
-    /// A yes to a job that ended while it was being decided.
-    WinnersOpen,
     /// A shard that may have been given back acted for.
     ReleaseUnsure,
     /// Grants before all have told what they use.
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -212,7 +212,7 @@
     pub fn hear(&mut self, from: NodeIdx, b: &Beat, view: &[ShardView], now: Now) -> bool {
         let Some(peer) = self.peers.get_mut(from.0 as usize) else { return false };
         let new = peer.stamp.is_none_or(|s| s.boot != b.stamp.boot);
-        if new && holds(Guard::HorizonBoot) {
+        if new {
             *peer = Peer::default();
         }
         peer.stamp = Some(b.stamp);
@@ -240,7 +240,7 @@
         let newest = view.get(i).and_then(|v| v.last).map_or(Epoch(0), |o| o.epoch);
         let Some(s) = self.shards.get_mut(i).filter(|_| epoch >= newest) else { return };
         let heeded = if s.heeded.0 == epoch { s.heeded.1 } else { 0 };
-        let no_gap = w.after <= heeded || !holds(Guard::HorizonGapless);
+        let no_gap = w.after <= heeded;
         if no_gap {
             s.heeded = (epoch, heeded.max(w.upto));
         }
@@ -315,7 +315,9 @@
         b.echo = peer.stamp;
         let newest = |(s, v): (&Known, &ShardView)| {
             let last = v.last.map_or(0, |o| o.epoch.0);
-            s.floor.map(|f| f.0.max(last))
+            let floor =
+                if holds(Guard::HorizonFloor) { s.floor } else { s.floor.or(Some(Epoch(0))) };
+            floor.map(|f| f.0.max(last))
         };
         let all: Option<Vec<u64>> = self.shards.iter().zip(view).map(newest).collect();
         b.newest = all.unwrap_or_default();
--- a/crates/core/src/node/finals.rs
+++ b/crates/core/src/node/finals.rs
@@ -63,8 +63,7 @@
         let records = r.feed.take(now, result);
         self.horizons.stored(records.iter().filter_map(|r| keys::job_of_key(&r.key)), now);
         if told && r.feed.caught_up() {
-            let as_of = if holds(Guard::HorizonAsked) { r.as_of } else { now };
-            self.horizons.read(shard, as_of);
+            self.horizons.read(shard, r.as_of);
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -453,7 +453,7 @@
             let mut c = ctx!(self, out);
             if let Some(o) = &mut self.owned[i] {
                 o.participant.tick(&mut c);
-                if c.valid || !holds(Guard::DoubtDecides) {
+                if c.valid {
                     o.coordinator.tick(&mut c);
                 }
             }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -3,7 +3,6 @@
 use super::{Hold, Participant, SHUN_MS};
 use crate::ctx::Ctx;
 use crate::fleet::Machine;
-use crate::guards::{holds, Guard};
 use crate::ids::{JobId, MachineIdx, Negotiation, Now, Shard, TypeIdx, ZoneIdx};
 use crate::names::{older, Names, Room};
 use leaddeal_wire::mesh::{Line, Offer, Shape as WireShape, ShardMsg, Wanted};
@@ -109,7 +108,7 @@
             && !m.draining
             && !m.released
             && !m.lapsed
-            && (m.confirmed || !holds(Guard::ConfirmedOffers))
+            && m.confirmed
             && m.notice.is_none()
             && m.hearing.deaf_since().is_none()
             && m.shunned_until <= now
