--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -116,6 +116,16 @@
     assert_eq!(asked.first(), Some(&7), "it is acquired anew, under a new epoch");
 }
 
+fn job(id: u64) -> leaddeal_wire::user::Job {
+    let job = serde_json::json!({
+        "id": leaddeal_wire::user::job_id(id), "cargo": "x", "crew": "free", "rig": "sweep",
+        "precedence": "normal", "hauls": 3, "cores": 1.0, "gpus": 0.0, "memoryGb": 1.0,
+        "manifest": "i", "imageGb": 1.0, "together": false, "scatter": false, "charter": true,
+        "passageS": 5.0, "fixS": 0.0, "stowS": 0.0
+    });
+    leaddeal_wire::user::Job::parse(job.to_string().as_bytes()).expect("a job")
+}
+
 /// A job is created, seen at another node and called off there; then its shard comes here, and only then
 /// the answer to the submission. The list that was loaded is newer, and lacks the job.
 #[test]
@@ -123,16 +133,7 @@
     let node = Node::new(&settings(), 77, 1000);
     let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
     w.step(Input::Tick);
-    let submit = |req, id: u64| {
-        let job = serde_json::json!({
-            "id": leaddeal_wire::user::job_id(id), "cargo": "x", "crew": "free", "rig": "sweep",
-            "precedence": "normal", "hauls": 3, "cores": 1.0, "gpus": 0.0, "memoryGb": 1.0,
-            "manifest": "i", "imageGb": 1.0, "together": false, "scatter": false, "charter": true,
-            "passageS": 5.0, "fixS": 0.0, "stowS": 0.0
-        });
-        let job = leaddeal_wire::user::Job::parse(job.to_string().as_bytes()).map(Box::new);
-        Input::Submit { req, id: Some(JobId(id)), job }
-    };
+    let submit = |req, id| Input::Submit { req, id: Some(JobId(id)), job: Ok(Box::new(job(id))) };
     w.step(submit(1, 5));
     w.step(submit(2, 6));
     let txns = w.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Txn(_)));
@@ -149,3 +150,32 @@
     assert!(w.told.contains(&4), "created after the list: {:?}", w.told);
     assert!(!w.told.contains(&3), "of the other one the store is asked");
 }
+
+/// While the shard is loaded, what is done of a job is not known: cancelled then, it would leave its records
+/// behind, here or for a sibling that asks.
+#[test]
+fn nothing_is_cancelled_before_all_of_it_is_loaded() {
+    use crate::io::StoreCall;
+    use crate::keys;
+    let node = Node::new(&settings(), 77, 1000);
+    let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
+    let (shard, id) = (Shard(0), JobId(5));
+    let jobs = |call: &StoreCall| match call {
+        StoreCall::List { prefix, .. } if *prefix == keys::job_prefix(shard) => {
+            let value = serde_json::json!({"job": job(id.0), "at": 1000});
+            let item = Item { key: keys::job_key(shard, id), value, version: 8, lease: None };
+            Some(StoreResult::Page(Page { items: vec![item], more: false, revision: 9 }))
+        }
+        StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard) => None,
+        call => store(call),
+    };
+    w.answer(jobs);
+    w.step(Input::Cancel { req: 1, id });
+    let ask = NodeMsg::Ask { call: 2, job: id.0, cancel: true };
+    w.step(Input::Mesh { from: "n-0".into(), msg: Box::new(ask) });
+    w.answer(jobs);
+    let runs = |c: &StoreCall| matches!(c, StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard));
+    assert!(w.asked.iter().any(|(_, c)| runs(c)), "it is being loaded: {:?}", w.asked);
+    let written = w.asked.iter().any(|(_, c)| matches!(c, StoreCall::Txn(_)));
+    assert!(!written, "{:?}", w.asked);
+}
