--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -21,6 +21,10 @@
     pub starts: usize,
     /// Starts of tasks whose users had been told by then that their jobs are cancelled.
     pub slips: usize,
+    /// Jobs whose last task had ended a second before their users first called them off.
+    pub ended: BTreeSet<String>,
+    /// How many of those were called cancelled: where nothing keeps their owner from knowing, none should be.
+    pub undone: usize,
     /// Submissions that must not be accepted, by their job's name: what is wrong, and the status due.
     pub odd: BTreeMap<String, (String, u16)>,
     /// How many of them were refused as they should.
@@ -166,6 +170,9 @@
             Status::Queued | Status::Running => {}
         }
         if matches!(s.status, Status::Done | Status::Cancelled) {
+            let first = !self.told.contains_key(id);
+            let undone = s.status == Status::Cancelled && self.ended.contains(id);
+            self.undone += usize::from(first && undone);
             // Of two answers that were asked for before either came, both can't be true.
             let (was, _) = *self.told.entry(id.into()).or_insert((s.status, now));
             if was != s.status {
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -223,6 +223,10 @@
         let over = self.rules.told.contains_key(&id);
         if !over && self.rules.cancel_asked.insert(id.clone()) {
             self.rules.served.gives_up(&id);
+            let ended = self.rules.jobs.get(&id).is_some_and(|j| self.done.all_of(j));
+            if ended && self.done.last(&id).is_some_and(|at| self.now >= at + 1000) {
+                self.rules.ended.insert(id.clone());
+            }
             self.at(1500, Ev::Insist(id.clone()));
         }
         self.ask(What::Cancel, &id)
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -17,6 +17,8 @@
     starts: usize,
     slips: usize,
     refused: usize,
+    ended: usize,
+    undone: usize,
 }
 
 /// Plays it on some seeds, and then without any trouble: every job that was not cancelled is answered about.
@@ -33,6 +35,8 @@
         all.starts += sim.rules.starts;
         all.slips += sim.rules.slips;
         all.refused += sim.rules.odd_refused;
+        all.ended += sim.rules.ended.len();
+        all.undone += sim.rules.undone;
     }
     println!("{what}: {all:?}");
     assert!(all.done as u64 > 20 * seeds, "{what}: {all:?}");
@@ -179,6 +183,21 @@
     }
 }
 
+/// What has ended is done, though its final state waits behind one whose answer was lost, and its user calls
+/// it off meanwhile.
+#[test]
+fn what_has_ended_is_done_though_it_is_cancelled_before_that_is_written() {
+    let mut script = Script::new();
+    for at in (30_000..100_000).step_by(12_000) {
+        script.push((at, Fault::LostAnswers { percent: 100, ms: 6000 }));
+        for at in (at + 1200..at + 7000).step_by(200) {
+            script.push((at, Fault::Cancel { percent: 15 }));
+        }
+    }
+    let all = play("waits to be written", 4, &script);
+    assert!(all.ended > 20 && all.undone == 0, "{all:?}");
+}
+
 /// Jobs of one task, four a second for three minutes, a quarter cancelled; rolling restarts, an outage of
 /// the store, a team at its limit.
 #[test]
