--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -68,6 +68,20 @@
     assert_eq!(quiet.slips, 0, "{quiet:?}");
 }
 
+/// The last task ends while the cancellation is on its way to the store, for seconds: there is one end.
+#[test]
+fn the_moment_of_the_last_tasks_end_while_writes_are_late() {
+    for percent in [40, 100] {
+        let mut script = watched(100);
+        for at in (30_000..100_000).step_by(10_000) {
+            script.push((at, Fault::LateWrites { percent, ms: 6000 }));
+            let cancels = (at..at + 6000).step_by(300);
+            script.extend(cancels.map(|at| (at, Fault::Cancel { percent: 10 })));
+        }
+        play("late writes", 2, &script);
+    }
+}
+
 #[test]
 fn the_moment_of_the_last_tasks_end_over_a_change_of_owner() {
     let changes = [
