--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -25,6 +25,8 @@
     pub ended: BTreeSet<String>,
     /// How many of those were called cancelled: where nothing keeps their owner from knowing, none should be.
     pub undone: usize,
+    /// Cancellations that were not answered yet, and since when.
+    pub unheeded: BTreeMap<String, u64>,
     /// Submissions that must not be accepted, by their job's name: what is wrong, and the status due.
     pub odd: BTreeMap<String, (String, u16)>,
     /// How many of them were refused as they should.
@@ -137,6 +139,14 @@
         }
     }
 
+    /// Whose last task ended so long ago, or whose cancellation was asked for, and who were not told.
+    pub fn untold(&self, now: u64, ms: u64, done: &Done) -> Vec<String> {
+        let ended = |j: &Job| done.all_of(j) && done.last(&j.id).is_some_and(|at| now > at + ms);
+        let ended = self.jobs.values().filter(|j| ended(j) && !self.told.contains_key(&j.id));
+        let unheeded = self.unheeded.iter().filter(|(_, at)| now > *at + ms);
+        ended.map(|j| j.id.clone()).chain(unheeded.map(|u| u.0.clone())).collect()
+    }
+
     /// An answer to a user's question.
     pub fn answer(
         &mut self,
@@ -169,6 +179,9 @@
             }
             Status::Queued | Status::Running => {}
         }
+        if q.what == What::Cancel {
+            self.unheeded.remove(id);
+        }
         if matches!(s.status, Status::Done | Status::Cancelled) {
             let first = !self.told.contains_key(id);
             let undone = s.status == Status::Cancelled && self.ended.contains(id);
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -169,7 +169,7 @@
     UserNext,
     Poll(String),
     Cancel(String),
-    /// Again, until its user is told that the job is over.
+    /// Again, until the cancellation is answered.
     Insist(String),
     /// At this controller.
     Look(usize, What, String),
@@ -387,6 +387,12 @@
         !self.rules.cancel_asked.contains(task.split('/').next().unwrap_or_default())
     }
 
+    /// Whose users still were not told, so long after it, that their jobs are done, or called off as they
+    /// asked.
+    pub fn untold(&self, ms: u64) -> Vec<String> {
+        self.rules.untold(self.now, ms, &self.done)
+    }
+
     /// Workers whose lease ran out, each time counted.
     pub fn leases_ended(&self) -> u64 {
         self.workers.values().filter(|w| !w.gone).map(|w| w.session - 1).sum()
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -227,13 +227,14 @@
             if ended && self.done.last(&id).is_some_and(|at| self.now >= at + 1000) {
                 self.rules.ended.insert(id.clone());
             }
+            self.rules.unheeded.insert(id.clone(), self.now);
             self.at(1500, Ev::Insist(id.clone()));
         }
         self.ask(What::Cancel, &id)
     }
 
     pub(super) fn insist(&mut self, id: String) -> Result<(), String> {
-        if self.rules.told.contains_key(&id) {
+        if !self.rules.unheeded.contains_key(&id) {
             return Ok(());
         }
         self.at(1500, Ev::Insist(id.clone()));
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -6,6 +6,8 @@
 
 const LEASE_MS: u64 = 17_000;
 const SECONDS: u64 = 110;
+/// So long after an end, once all troubles are over, its user knows of it; users ask every 4 s.
+const UNTOLD_MS: u64 = 15_000;
 
 type Script = Vec<(u64, Fault)>;
 
@@ -29,6 +31,7 @@
         let plan = Plan { script: script.clone(), team_max: 12.0, rate: 3, ..quiet };
         let mut sim = Sim::new(Plan { lease_ms: LEASE_MS, ..plan });
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
+        assert_eq!(sim.untold(UNTOLD_MS), Vec::<String>::new(), "{what}, seed {seed}");
         let told = |status| sim.rules.told.values().filter(|t| t.0 == status).count();
         all.done += told(Status::Done);
         all.cancelled += told(Status::Cancelled);
