--- a/crates/testkit/src/sim/looks.rs
+++ b/crates/testkit/src/sim/looks.rs
@@ -2,6 +2,7 @@
 //! requests that are odd.
 use super::*;
 use crate::odd;
+use leaddeal_wire::user::BadJob;
 
 /// Milliseconds from the first to the last of the questions that are asked within a moment.
 const MOMENT: std::ops::Range<u64> = 0..30;
@@ -116,8 +117,8 @@
         let wrong = all[self.rng.random_range(0..all.len())].clone();
         self.rules.odd.insert(id.clone(), (wrong.what.clone(), wrong.status));
         let mut read = wrong.parse();
-        if self.plan.sabotage == Sabotage::Lenient && wrong.status == 400 {
-            read = Ok(job);
+        if self.plan.sabotage == Sabotage::Misread {
+            read = if wrong.status == 400 { Ok(job) } else { Err(BadJob::Range("any")) };
         }
         // As the gateway finds the name of what it can't read.
         let named = match &read {
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -58,8 +58,10 @@
     NameTwice,
     /// The state service gives single keys as they were a moment ago.
     StaleReads,
-    /// What a submission lacks is made up.
-    Lenient,
+    /// What a submission lacks is made up, and one that can never run is called malformed.
+    Misread,
+    /// Cancellations come to the core as questions.
+    Misroute,
     /// The core believes that teams have no limits.
     NoLimits,
     /// Commands to stop a task never reach its machine.
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -160,7 +160,9 @@
         let Some(j) = self.rules.jobs.get(id).filter(|_| self.reached(n)) else { return Ok(()) };
         let job = Box::new(j.clone());
         let num = JobId(parse_job_id(id).unwrap_or(0));
+        let misroute = self.plan.sabotage == Sabotage::Misroute;
         self.request(n, what, id, |req| match what {
+            What::Cancel if misroute => Input::Get { req, id: num },
             What::Submit => Input::Submit { req, id: Some(num), job: Ok(job) },
             What::Poll => Input::Get { req, id: num },
             What::Cancel => Input::Cancel { req, id: num },
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -134,8 +134,9 @@
 }
 
 #[test]
-fn a_submission_accepted_though_it_lacks_a_field_is_caught() {
-    caught(Sabotage::Lenient, "accepted_wrong: ");
+fn a_submission_that_is_misread_is_caught() {
+    caught(Sabotage::Misread, "accepted_wrong: ");
+    caught(Sabotage::Misread, "refused_wrong: ");
 }
 
 #[test]
@@ -143,6 +144,16 @@
     caught(Sabotage::NoLimits, "accepted_wrong: ");
 }
 
+#[test]
+fn a_job_accepted_twice_is_caught() {
+    caught(Sabotage::NoFence, "accepted_twice: ");
+}
+
+#[test]
+fn a_cancellation_that_cancels_nothing_is_caught() {
+    caught(Sabotage::Misroute, "not_cancelled: ");
+}
+
 /// Starts of what is cancelled are counted; what goes on is caught.
 #[test]
 fn starts_after_a_confirmed_cancellation_are_counted() {
