--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -64,8 +64,10 @@
     NameTwice,
     /// The state service gives single keys as they were a moment ago.
     StaleReads,
-    /// What a submission lacks is made up.
-    Lenient,
+    /// What a submission lacks is made up, and one that can never run is called malformed.
+    Misread,
+    /// Cancellations come to the core as questions.
+    Misroute,
     /// The core believes that teams have no limits.
     NoLimits,
     /// Commands to stop a task never reach its machine.
@@ -175,7 +177,7 @@
     UserNext,
     Poll(String),
     Cancel(String),
-    /// Again, until its user is told that the job is over.
+    /// Again, until the cancellation is answered.
     Insist(String),
     /// At this controller.
     Look(usize, What, String),
@@ -383,6 +385,12 @@
         !self.rules.cancel_asked.contains(task.split('/').next().unwrap_or_default())
     }
 
+    /// Whose users still were not told, so long after it, that their jobs are done, or called off as they
+    /// asked.
+    pub fn untold(&self, ms: u64) -> Vec<String> {
+        self.rules.untold(self.now, ms, &self.done)
+    }
+
     /// Workers whose lease ran out, each time counted.
     pub fn leases_ended(&self) -> u64 {
         self.workers.values().filter(|w| !w.gone).map(|w| w.session - 1).sum()
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -160,7 +160,9 @@
         let Some(j) = self.rules.jobs.get(id).filter(|_| self.reached(n)) else { return Ok(()) };
         let job = Box::new(j.clone());
         let num = JobId(parse_job_id(id).unwrap_or(0));
+        let misroute = self.plan.sabotage == Sabotage::Misroute;
         self.request(n, what, id, |req| match what {
+            What::Cancel if misroute => Input::Get { req, id: num },
             What::Submit => Input::Submit { req, id: Some(num), job: Ok(job) },
             What::Poll => Input::Get { req, id: num },
             What::Cancel => Input::Cancel { req, id: num },
@@ -223,13 +225,18 @@
         let over = self.rules.told.contains_key(&id);
         if !over && self.rules.cancel_asked.insert(id.clone()) {
             self.rules.served.gives_up(&id);
+            let ended = self.rules.jobs.get(&id).is_some_and(|j| self.done.all_of(j));
+            if ended && self.done.last(&id).is_some_and(|at| self.now >= at + 1000) {
+                self.rules.ended.insert(id.clone());
+            }
+            self.rules.unheeded.insert(id.clone(), self.now);
             self.at(1500, Ev::Insist(id.clone()));
         }
         self.ask(What::Cancel, &id)
     }
 
     pub(super) fn insist(&mut self, id: String) -> Result<(), String> {
-        if self.rules.told.contains_key(&id) {
+        if !self.rules.unheeded.contains_key(&id) {
             return Ok(());
         }
         self.at(1500, Ev::Insist(id.clone()));
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -6,6 +6,8 @@
 
 const LEASE_MS: u64 = 17_000;
 const SECONDS: u64 = 110;
+/// So long after an end, once all troubles are over, its user knows of it; users ask every 4 s.
+const UNTOLD_MS: u64 = 15_000;
 
 type Script = Vec<(u64, Fault)>;
 
@@ -17,6 +19,8 @@
     starts: usize,
     slips: usize,
     refused: usize,
+    ended: usize,
+    undone: usize,
 }
 
 /// Plays it on some seeds, and then without any trouble: every job that was not cancelled is answered about.
@@ -27,12 +31,15 @@
         let plan = Plan { script: script.clone(), team_max: 12.0, rate: 3, ..quiet };
         let mut sim = Sim::new(Plan { lease_ms: LEASE_MS, ..plan });
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
+        assert_eq!(sim.untold(UNTOLD_MS), Vec::<String>::new(), "{what}, seed {seed}");
         let told = |status| sim.rules.told.values().filter(|t| t.0 == status).count();
         all.done += told(Status::Done);
         all.cancelled += told(Status::Cancelled);
         all.starts += sim.rules.starts;
         all.slips += sim.rules.slips;
         all.refused += sim.rules.odd_refused;
+        all.ended += sim.rules.ended.len();
+        all.undone += sim.rules.undone;
     }
     println!("{what}: {all:?}");
     assert!(all.done as u64 > 20 * seeds, "{what}: {all:?}");
@@ -64,6 +71,20 @@
     assert_eq!(quiet.slips, 0, "{quiet:?}");
 }
 
+/// The last task ends while the cancellation is on its way to the store, for seconds: there is one end.
+#[test]
+fn the_moment_of_the_last_tasks_end_while_writes_are_late() {
+    for percent in [40, 100] {
+        let mut script = watched(100);
+        for at in (30_000..100_000).step_by(10_000) {
+            script.push((at, Fault::LateWrites { percent, ms: 6000 }));
+            let cancels = (at..at + 6000).step_by(300);
+            script.extend(cancels.map(|at| (at, Fault::Cancel { percent: 10 })));
+        }
+        play("late writes", 2, &script);
+    }
+}
+
 #[test]
 fn the_moment_of_the_last_tasks_end_over_a_change_of_owner() {
     let changes = [
@@ -179,6 +200,21 @@
     }
 }
 
+/// What has ended is done, though its final state waits behind one whose answer was lost, and its user calls
+/// it off meanwhile.
+#[test]
+fn what_has_ended_is_done_though_it_is_cancelled_before_that_is_written() {
+    let mut script = Script::new();
+    for at in (30_000..100_000).step_by(12_000) {
+        script.push((at, Fault::LostAnswers { percent: 100, ms: 6000 }));
+        for at in (at + 1200..at + 7000).step_by(200) {
+            script.push((at, Fault::Cancel { percent: 15 }));
+        }
+    }
+    let all = play("waits to be written", 4, &script);
+    assert!(all.ended > 20 && all.undone == 0, "{all:?}");
+}
+
 /// Jobs of one task, four a second for three minutes, a quarter cancelled; rolling restarts, an outage of
 /// the store, a team at its limit.
 #[test]
