--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -310,10 +310,13 @@
 fn jobs_cancelled_in_the_moment_in_which_the_store_refuses_the_leader() {
     let mut told = 0;
     for node in 0..3 {
-        for lost in [0, 50] {
+        // Heard by its siblings on, or by workers and users alone.
+        let heard = Fault::Refuse { node, ms: 9000 };
+        let alone = Fault::Lone { node, ms: CANCEL_MS + 20_000 };
+        for (lost, refused) in [(0, heard), (50, alone)] {
             let script = vec![
                 (59_500, Fault::LostAnswers { percent: lost, ms: 3000 }),
-                (60_000, Fault::Refuse { node, ms: 9000 }),
+                (60_000, refused),
                 (60_000, Fault::Cancel { percent: 70 }),
                 (61_000, Fault::Outage { ms: CANCEL_MS + 15_000 }),
             ];
