--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -201,6 +201,20 @@
     }
 }
 
+/// A decision's answer is lost, and its job cancelled before the decision is known to be written: nothing of it
+/// starts.
+#[test]
+fn a_decision_that_is_known_only_after_its_jobs_cancellation() {
+    let mut script = watched(50);
+    for at in (30_000..100_000).step_by(8000) {
+        script.push((at, Fault::LostAnswers { percent: 50, ms: 7000 }));
+        let cancels = (at..at + 7000).step_by(250);
+        script.extend(cancels.map(|at| (at, Fault::Cancel { percent: 8 })));
+    }
+    let all = play("a decision known late", 4, &script);
+    assert!(all.slips < 4, "{all:?}");
+}
+
 /// What has ended is done, though its final state waits behind one whose answer was lost, and its user calls
 /// it off meanwhile.
 #[test]
