--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -88,10 +88,15 @@
 
 /// The checker is checked: a broken variant must be caught.
 fn caught(sabotage: Sabotage, rule: &str) {
+    caught_with(&[], sabotage, rule);
+}
+
+fn caught_with(script: &[(u64, Fault)], sabotage: Sabotage, rule: &str) {
     let found = (0..40).any(|seed| {
-        Sim::new(Plan { sabotage, ..plan(seed) }).run().is_err_and(|e| e.contains(rule))
+        let plan = Plan { sabotage, script: script.to_vec(), ..plan(seed) };
+        Sim::new(plan).run().is_err_and(|e| e.contains(rule))
     });
-    assert!(found, "{sabotage:?} went unnoticed");
+    assert!(found, "{sabotage:?} went unnoticed as {rule}");
 }
 
 #[test]
@@ -129,8 +134,12 @@
 /// they know: that an accepted job was never there, and that one that is over goes on.
 #[test]
 fn answers_older_than_what_was_told_are_caught() {
-    caught(Sabotage::StaleReads, "forgotten: ");
-    caught(Sabotage::StaleReads, "went_back: ");
+    // The store is asked where the owner can't be: by some of all that users ask, right after each news.
+    let looks = (20_000, Fault::CloseLooks { percent: 100, ms: 200_000 });
+    let apart = |at| (at, Fault::Apart { ms: 20_000 });
+    let script = [looks, apart(40_000), apart(80_000), apart(120_000)];
+    caught_with(&script, Sabotage::StaleReads, "forgotten: ");
+    caught_with(&script, Sabotage::StaleReads, "went_back: ");
 }
 
 #[test]
