--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,7 +1,13 @@
 //! The platform's settings file.
 use serde::Deserialize;
+use std::collections::BTreeSet;
 use thiserror::Error;
 
+/// Teams go by their number in messages between controllers.
+const MOST_TEAMS: usize = 255;
+/// Processors or GPUs of a team.
+const MOST_AMOUNT: f64 = 1e9;
+
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("settings: {0}")]
@@ -145,6 +151,37 @@
         if s.params.teams.is_empty() {
             return bad("cluster.teams", "there must be a team".into());
         }
+        if s.params.teams.len() > MOST_TEAMS {
+            return bad("cluster.teams", format!("there are more than {MOST_TEAMS}"));
+        }
+        let mut names = BTreeSet::new();
+        for t in &s.params.teams {
+            if t.name.is_empty() {
+                return bad("cluster.teams.name", "a team has no name".into());
+            }
+            if !names.insert(&t.name) {
+                return bad("cluster.teams.name", format!("{:?} is there twice", t.name));
+            }
+            for (field, v) in [
+                ("cluster.teams.cpus", t.cpus),
+                ("cluster.teams.cpus_max", t.cpus_max),
+                ("cluster.teams.gpus", t.gpus),
+                ("cluster.teams.gpus_max", t.gpus_max),
+            ] {
+                // Beyond, thousandths are not counted exactly.
+                if !(0.0..=MOST_AMOUNT).contains(&v) {
+                    return bad(field, format!("{v} of team {:?} is no amount", t.name));
+                }
+            }
+            // Processors and GPUs are counted in thousandths: with less than one, no task could run.
+            for (field, v) in
+                [("cluster.teams.cpus_max", t.cpus_max), ("cluster.teams.gpus_max", t.gpus_max)]
+            {
+                if v > 0.0 && v < 0.001 {
+                    return bad(field, format!("{v} of team {:?} is less than any task", t.name));
+                }
+            }
+        }
         let w = &s.params.workers;
         for (field, v) in [
             ("cluster.workers.report_s", w.report_s),
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,5 +1,5 @@
 //! The odd names on the wire, as the protocol gives them.
-use leaddeal_wire::mesh::{NodeMsg, Phase, ShardMsg, TaskEvent};
+use leaddeal_wire::mesh::{Amount, First, NodeMsg, Phase, ShardMsg, TaskEvent, TeamGrant, TeamUse};
 use leaddeal_wire::user::{job_id, parse_job_id, Job, Kind, Priority};
 use leaddeal_wire::worker::{Op, Order, Report, TaskId, TaskState, Why};
 use leaddeal_wire::{cloud, settings::Settings, state};
@@ -107,3 +107,42 @@
     let e = Settings::parse("not json").expect_err("not JSON").to_string();
     assert!(e.contains("line 1"), "{e}");
 }
+
+#[test]
+fn settings_with_impossible_teams_are_refused_by_their_key() {
+    let with = |teams: serde_json::Value| {
+        let mut s: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
+        s["cluster"]["teams"] = teams;
+        Settings::parse(&s.to_string()).map(|s| s.params.teams.len()).map_err(|e| e.to_string())
+    };
+    assert_eq!(with(json!([{"name": "a", "cpus_max": 0.5}, {"name": "b", "gpus_max": 2}])), Ok(2));
+    for (teams, key) in [
+        (json!([]), "cluster.teams:"),
+        (json!(vec![json!({"name": "a"}); 256]), "cluster.teams:"),
+        (json!([{"name": ""}]), "cluster.teams.name:"),
+        (json!([{"name": "a"}, {"name": "a"}]), "cluster.teams.name:"),
+        (json!([{"name": "a", "cpus": -1.0}]), "cluster.teams.cpus:"),
+        (json!([{"name": "a", "cpus_max": -1.0}]), "cluster.teams.cpus_max:"),
+        (json!([{"name": "a", "cpus_max": 1e300}]), "cluster.teams.cpus_max:"),
+        (json!([{"name": "a", "cpus_max": 0.0001}]), "cluster.teams.cpus_max:"),
+        (json!([{"name": "a", "gpus": -0.5}]), "cluster.teams.gpus:"),
+        (json!([{"name": "a", "gpus_max": 0.0009}]), "cluster.teams.gpus_max:"),
+    ] {
+        let e = with(teams.clone()).expect_err(key);
+        assert!(e.contains(key), "{teams}: {e}");
+    }
+    let nan = SETTINGS
+        .replace(r#""teams": [{"name": "a"}]"#, r#""teams": [{"name": "a", "cpus_max": NaN}]"#);
+    assert_ne!(nan, SETTINGS);
+    assert!(Settings::parse(&nan).is_err());
+}
+
+const SETTINGS: &str = r#"{"node_name": "n-0", "zone": "a", "serve_on": "10.0.0.1:80",
+    "mesh_addr": "10.0.0.1:81", "siblings": [],
+    "external": {"cloud": "10.0.0.9:1", "state": "10.0.0.9:2"},
+    "cluster": {"zones": ["a"], "teams": [{"name": "a"}],
+        "workers": {"report_s": 2.0, "lease_s": 8.0, "gang_wait_s": 20.0, "gang_peer_s": 5.0,
+            "cancel_s": 20.0},
+        "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 16.0, "txn_ops": 20},
+        "cloud": {"rps": 5.0, "list_lag_s": 5.0},
+        "resources": {}}}"#;
