--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -7,7 +7,7 @@
 use crate::records::{Feed, Record};
 use crate::writes::Write;
 use leaddeal_wire::mesh::{
-    AttemptRef, Lack, Offer, Phase, Pick, Shape as WireShape, ShardMsg, TaskEvent,
+    AttemptRef, Lack, Offer, Phase, Pick, Shape as WireShape, ShardMsg, TaskEvent, TeamGrant,
 };
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{Kind, Priority, Status};
@@ -139,9 +139,17 @@
     participant_epochs: Vec<Epoch>,
     next_resend: Now,
     /// Grants by team, with the epoch of the team's shard.
-    grants: BTreeMap<u8, (Epoch, u64, u64)>,
+    grants: BTreeMap<u8, (Epoch, TeamGrant)>,
     team_serial: u64,
     team_at: Now,
+    /// Jobs that waited for their team's limit when it was last told of; for the log.
+    capped: usize,
+    /// The first job of each team with a limit and of each priority that waits, since when.
+    firsts: BTreeMap<(u8, Priority), (JobId, Now)>,
+    /// Jobs for which lesser work of their team was stopped, since when.
+    ways: BTreeMap<JobId, Now>,
+    /// How many tasks were; for the log.
+    gave_way: u64,
 }
 
 impl Coordinator {
@@ -178,6 +186,10 @@
             grants: BTreeMap::new(),
             team_serial: 0,
             team_at: 0,
+            capped: 0,
+            firsts: BTreeMap::new(),
+            ways: BTreeMap::new(),
+            gave_way: 0,
         }
     }
 
@@ -222,7 +234,7 @@
             ShardMsg::TeamGrant { serial, granted } if serial == self.team_serial => {
                 if let Some(o) = ctx.owner(from) {
                     for g in granted {
-                        self.grants.insert(g.team, (o.epoch, g.cpu, g.gpu));
+                        self.grants.insert(g.team, (o.epoch, g));
                     }
                     ctx.wake = true;
                 }
@@ -456,10 +468,15 @@
         if !self.ready() {
             return Vec::new();
         }
+        let admitted = self.admitted(ctx);
+        let worth = |j: &Job| match ctx.team_use(j) {
+            Some(_) => admitted.get(&j.id).map_or(0, |a| a.worth),
+            None => j.pending(),
+        };
         let jobs = self.pending.iter().filter_map(|id| self.jobs.get(id));
         let mut lacking: Vec<(_, &Job)> = jobs
             .filter(|j| !j.cancelled && j.finishing.is_none() && j.pending() > 0)
-            .filter(|j| !j.doubt.in_doubt())
+            .filter(|j| !j.doubt.in_doubt() && worth(j) > 0)
             .map(|j| ((Reverse(j.wire.priority), j.created, j.id), j))
             .collect();
         // (Found at five times a fleet: the first by their names were told, not the first in turn.)
@@ -471,7 +488,7 @@
             .map(|j| Lack {
                 job: j.id.0,
                 shape: j.shape.wire.clone(),
-                count: j.pending(),
+                count: worth(j),
                 zone_room: j.zone_room(&ctx.names.zones),
                 waited_ms: ctx.now.saturating_sub(j.created),
                 pressing: j.pressing(ctx.now),
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,4 +1,5 @@
 //! A round: ask all participants for offers, write the choice under the epoch, then say yes and no.
+use super::limits::turn;
 use super::{
     Choice, Coordinator, GpuWork, Talk, Writing, Yes, GPU_KINDS, GPU_WORK_MS, ITEMS, OFFERS_MS,
 };
@@ -6,20 +7,33 @@
 use crate::ctx::{Ctx, OpKind};
 use crate::ids::{Attempt, JobId, Negotiation, Now, Shard, ZoneIdx};
 use crate::io::StoreResult;
+use crate::jobs::Job;
 use crate::keys;
-use crate::names::Room;
 use crate::placed::Placement;
+use crate::quota::admission::{Admitted, Standing};
 use crate::quota::shard_of_team;
 use crate::writes::Outcome;
-use leaddeal_wire::mesh::{Offer, Phase, Pick, ShardMsg, Wanted};
+use leaddeal_wire::mesh::{Amount, Line, Offer, Phase, Pick, ShardMsg, Wanted};
 use leaddeal_wire::state::{Change, Cond};
 use leaddeal_wire::user::{self, Kind};
 use serde_json::{json, Value};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// A job that has found room, but not its team's limit, asks again after this time.
+const CAPPED_MS: u64 = 400;
+
+/// How many of a job's tasks its team's limit lets in; of a team without one, all.
+fn may_run(ctx: &Ctx, admitted: &HashMap<JobId, Admitted>, j: &Job) -> Admitted {
+    match ctx.team_use(j) {
+        Some(_) => admitted.get(&j.id).copied().unwrap_or_default(),
+        None => Admitted::all(j.pending()),
+    }
+}
 
 impl Coordinator {
     /// Jobs that may have a task placed now, the most important first.
-    pub(super) fn order(&mut self, now: Now) -> Vec<JobId> {
+    pub(super) fn order(&mut self, ctx: &Ctx, admitted: &HashMap<JobId, Admitted>) -> Vec<JobId> {
+        let now = ctx.now;
         let jobs = &self.jobs;
         self.pending.retain(|id| jobs.get(id).is_some_and(|j| !j.cancelled && j.pending() > 0));
         debug_assert!(
@@ -31,12 +45,9 @@
             .iter()
             .filter_map(|id| jobs.get(id))
             .filter(|j| j.finishing.is_none() && j.not_before <= now)
-            // Gangs whole, and what is in doubt in one place at a time.
-            .filter(|j| j.placed.is_empty() || (j.wire.kind != Kind::Gang && !j.doubt.in_doubt()))
-            .map(|j| {
-                let (late, due) = j.turn(now);
-                (std::cmp::Reverse(j.wire.priority), late, due, j.created, j.id)
-            })
+            .filter(|j| j.may_start())
+            .filter(|j| may_run(ctx, admitted, j).in_turn > 0)
+            .map(|j| turn(j, now))
             .collect();
         if v.len() > ITEMS {
             v.select_nth_unstable(ITEMS);
@@ -59,7 +70,8 @@
         if self.pending.is_empty() || ctx.budget.room(Class::Decision) == 0 {
             return;
         }
-        let ids = self.order(ctx.now);
+        let admitted = self.admitted(ctx);
+        let ids = self.order(ctx, &admitted);
         if ids.is_empty() {
             return;
         }
@@ -72,7 +84,11 @@
             let j = &self.jobs[&id];
             let zone_room = j.zone_room(&ctx.names.zones);
             // No job takes the whole round: others may fit where it does not.
-            let mut count = j.pending().min(most - total).min(most / 3 + 1);
+            let admitted = may_run(ctx, &admitted, j);
+            // What the grant covers; else what would be let in if lesser work of the team gave way.
+            let covered = admitted.now > 0;
+            let may = if covered { admitted.now } else { admitted.in_turn };
+            let mut count = may.min(most - total).min(most / 3 + 1);
             if j.doubt.in_doubt() {
                 count = count.min(1);
             }
@@ -87,7 +103,8 @@
             }
             total += count;
             items.push((id, count));
-            let makes_room = j.wire.priority > user::Priority::Low && !j.doubt.in_doubt();
+            let makes_room =
+                j.wire.priority > user::Priority::Low && !j.doubt.in_doubt() && covered;
             turns.push(j.make_room.filter(|_| makes_room));
             wanted.push(Wanted {
                 job: id.0,
@@ -97,7 +114,7 @@
                 make_room: false,
                 pressing: j.pressing(ctx.now),
                 anywhere: j.anywhere(ctx.now),
-                line: j.line(ctx.now),
+                line: j.line(ctx.now).map(|l| Line { stands: l.stands && covered, ..l }),
             });
         }
         if items.is_empty() {
@@ -163,8 +180,8 @@
         let now = ctx.now;
         let mut choices: Vec<Choice> = Vec::new();
         let mut offers = talk.offers;
-        let used = self.team_usage(ctx);
-        let mut left: BTreeMap<u8, (u64, u64)> = BTreeMap::new();
+        let mut standings = self.standings(ctx);
+        let mut ways = Vec::new();
         for (i, &(id, count)) in talk.items.iter().enumerate() {
             let Some(j) = self.jobs.get_mut(&id) else {
                 continue;
@@ -172,22 +189,30 @@
             if j.cancelled || j.finishing.is_some() {
                 continue;
             }
+            if talk.coming.contains(&(i as u16)) {
+                j.coming_at = Some(now);
+            }
             let mut room = j.zone_room(&ctx.names.zones);
             let mut mine: Vec<&mut (Shard, Offer)> =
                 offers.iter_mut().filter(|o| o.1.item as usize == i && o.1.count > 0).collect();
             mine.sort_by_key(|o| (!o.1.cached, -o.1.score));
             let mut want = count.min(j.pending());
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
-                let epoch = ctx.owner(shard_of_team(team, ctx.shards().count())).map(|o| o.epoch);
-                let left = left.entry(team).or_insert_with(|| match self.grants.get(&team) {
-                    Some(g) if Some(g.0) == epoch => {
-                        let u = used.get(&team).copied().unwrap_or((0, 0));
-                        (g.1.saturating_sub(u.0), g.2.saturating_sub(u.1))
-                    }
-                    _ => (0, 0),
-                });
-                let n = Room { cpu: left.0, gpu: left.1, mem: 0 }.fits(Room { cpu, gpu, mem: 0 });
-                want = want.min(n.min(u64::from(u32::MAX)) as u32);
+                // What is granted is not known just now: it soon is.
+                let Some(free) = standings.get(&team).map(Standing::free) else { continue };
+                let n = free.fits(Amount { cpu, gpu }).min(u64::from(want)) as u32;
+                let offered: u32 = mine.iter().map(|o| o.1.count).sum();
+                let whole = j.wire.kind == Kind::Gang;
+                let most = offered.min(want);
+                if most > 0 && if whole { n < want && most == want } else { n == 0 } {
+                    // It has found room, and waits for its team's limit alone.
+                    j.served();
+                    j.make_room = None;
+                    j.not_before = now + CAPPED_MS;
+                    ways.push((id, team, most));
+                    continue;
+                }
+                want = n;
             }
             let mut per = vec![0u32; room.len()];
             for o in &mine {
@@ -234,10 +259,9 @@
                 continue;
             }
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
-                let n = picks.len() as u64;
-                if let Some(l) = left.get_mut(&team) {
-                    l.0 = l.0.saturating_sub(cpu * n);
-                    l.1 = l.1.saturating_sub(gpu * n);
+                if let Some(s) = standings.get_mut(&team) {
+                    let used = &mut s.used[j.wire.priority as usize];
+                    *used = used.plus(Amount { cpu, gpu }.times(picks.len() as u32));
                 }
             }
             j.served();
@@ -249,6 +273,11 @@
                 choices.push(Choice { job: id, task, shard, offer });
             }
         }
+        for (id, team, tasks) in ways {
+            if let Some(standing) = standings.get(&team) {
+                self.make_way(ctx, id, tasks, standing);
+            }
+        }
         if choices.is_empty() {
             self.close(ctx, talk.id, &talk.asked);
             return;
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -49,6 +49,8 @@
     next_try: Now,
     /// Whose turn it is to make room by preemption; none: nobody was short of it.
     pub make_room: Option<u32>,
+    /// When a participant last said that it makes room for it.
+    pub coming_at: Option<Now>,
     /// A gang that waits does so for this zone.
     pub target: Option<ZoneIdx>,
     /// Failures since anything of it last ran well.
@@ -206,6 +208,7 @@
             refused_since: None,
             next_try: 0,
             make_room: None,
+            coming_at: None,
             target: None,
             doubt: Doubt::default(),
             cancelled: false,
@@ -309,6 +312,16 @@
         tried
     }
 
+    /// Gangs start whole, and what is in doubt in one place at a time.
+    pub fn may_start(&self) -> bool {
+        self.placed.is_empty() || (self.wire.kind != Kind::Gang && !self.doubt.in_doubt())
+    }
+
+    /// For how long it has been asked for in vain.
+    pub fn refused_for(&self, now: Now) -> Option<u64> {
+        self.refused_since.map(|t| now.saturating_sub(t))
+    }
+
     pub fn served(&mut self) {
         self.refusals = 0;
         self.refused_since = None;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -410,8 +410,10 @@
                 }
             }
             ShardMsg::TeamUsage { serial, usage } => {
-                let granted = o.quota.report(from, from_epoch, &usage);
-                c.send(to, from, ShardMsg::TeamGrant { serial, granted });
+                let granted = o.quota.report(c.now, from, from_epoch, serial, &usage);
+                if let Some(granted) = granted {
+                    c.send(to, from, ShardMsg::TeamGrant { serial, granted });
+                }
             }
         }
         self.wake |= c.wake;
@@ -496,9 +498,13 @@
             let Some(o) = &mut self.owned[i] else { continue };
             let (shard, room) = (o.coordinator.figures(c.now), o.participant.figures(&c));
             let served = o.coordinator.served(c.now);
+            let limits = o.coordinator.limit_figures(&c);
             out.log(1, "served", || served);
             out.log(1, "seat", || shard);
             out.log(1, "room", || room);
+            if let Some(limits) = limits {
+                out.log(1, "limits", || limits);
+            }
         }
     }
 
--- a/crates/core/src/placed.rs
+++ b/crates/core/src/placed.rs
@@ -64,6 +64,17 @@
         self.by_task.iter_mut().map(|(t, p)| (*t, p))
     }
 
+    pub fn iter(&self) -> impl Iterator<Item = (u32, &Placement)> {
+        self.by_task.iter().map(|(t, p)| (*t, p))
+    }
+
+    /// Wants one of them stopped.
+    pub fn stop(&mut self, task: u32, grace_s: f64) {
+        if let Some(p) = self.by_task.get_mut(&task).filter(|p| p.stop.is_none()) {
+            p.stop = Some((grace_s, 0));
+        }
+    }
+
     /// Wants all of them stopped; those that are to stop already keep their grace.
     pub fn stop_rest(&mut self, grace_s: f64) {
         for p in self.by_task.values_mut().filter(|p| p.stop.is_none()) {
@@ -71,6 +82,11 @@
         }
     }
 
+    /// How many are to stop.
+    pub fn stopping(&self) -> usize {
+        self.values().filter(|p| p.stop.is_some()).count()
+    }
+
     pub fn stop_all(&mut self) {
         for p in self.by_task.values_mut() {
             p.stop = Some((0.0, 0));
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -5,32 +5,55 @@
 //! grant ends with the owner that gave it. A new owner grants nothing before every coordinator
 //! has told what its tasks take; a coordinator's share stays counted until its shard's next owner
 //! has told anew.
-use crate::ids::{Epoch, Shard};
+//!
+//! Invariant: a coordinator's share is at least what its tasks take, or were granted to take, and
+//! what is granted beyond what is in use never makes the shares more than the limit.
+use crate::ids::{Epoch, Now, Shard};
 use crate::names::thousandths;
-use leaddeal_wire::mesh::TeamUse;
+use leaddeal_wire::mesh::{Amount, TeamGrant, TeamUse};
 use leaddeal_wire::settings::Team;
 use std::collections::BTreeMap;
 
+pub mod admission;
+mod plan;
+
+/// Who has not told for so long asks for nothing any more; its share stays counted.
+const ASKS_MS: u64 = 2000;
+
 /// The limit of a team in thousandths; none: no limit.
-pub fn limit(t: &Team) -> Option<(u64, u64)> {
+pub fn limit(t: &Team) -> Option<Amount> {
     let m = |v: f64| if v > 0.0 { thousandths(v) } else { u64::MAX };
-    (t.cpus_max > 0.0 || t.gpus_max > 0.0).then(|| (m(t.cpus_max), m(t.gpus_max)))
+    (t.cpus_max > 0.0 || t.gpus_max > 0.0)
+        .then(|| Amount { cpu: m(t.cpus_max), gpu: m(t.gpus_max) })
 }
 
 pub fn shard_of_team(team: u8, shards: usize) -> Shard {
     Shard((team as usize % shards) as u8)
 }
 
-/// By team: thousandths of cores and GPUs.
-type Shares = BTreeMap<u8, (u64, u64)>;
+/// What is known of a coordinator's share of a team's limit.
+#[derive(Clone, Debug)]
+struct Account {
+    told: TeamUse,
+    /// What its tasks may take in all.
+    share: Amount,
+}
+
+/// The last report of a coordinator.
+#[derive(Debug)]
+struct Told {
+    epoch: Epoch,
+    serial: u64,
+    at: Now,
+    teams: BTreeMap<u8, Account>,
+}
 
 /// The books of a team's shard.
 #[derive(Debug)]
 pub struct QuotaManager {
     shard: Shard,
-    limits: Vec<Option<(u64, u64)>>,
-    /// By coordinator's shard: its epoch, and what each team may take there.
-    shares: BTreeMap<Shard, (Epoch, Shares)>,
+    limits: Vec<Option<Amount>>,
+    told: BTreeMap<Shard, Told>,
     shards: usize,
 }
 
@@ -39,44 +62,73 @@
         QuotaManager {
             shard,
             limits: teams.iter().map(limit).collect(),
-            shares: BTreeMap::new(),
+            told: BTreeMap::new(),
             shards,
         }
     }
 
-    /// A coordinator's report; returns what it may take in all.
-    pub fn report(&mut self, from: Shard, epoch: Epoch, usage: &[TeamUse]) -> Vec<TeamUse> {
-        if self.shares.get(&from).is_some_and(|s| s.0 > epoch) {
-            return Vec::new();
+    /// A coordinator's report; returns what it may take in all. It gives up whatever it was granted
+    /// beyond what it tells. None: an older report than the last, which says nothing.
+    pub fn report(
+        &mut self,
+        now: Now,
+        from: Shard,
+        epoch: Epoch,
+        serial: u64,
+        usage: &[TeamUse],
+    ) -> Option<Vec<TeamGrant>> {
+        if from.0 as usize >= self.shards
+            || self.told.get(&from).is_some_and(|t| (t.epoch, t.serial) >= (epoch, serial))
+        {
+            return None;
         }
-        let mine: Vec<&TeamUse> = usage
+        let mine = usage
             .iter()
             .filter(|u| shard_of_team(u.team, self.shards) == self.shard)
-            .filter(|u| self.limits.get(u.team as usize).is_some_and(Option::is_some))
-            .collect();
-        let used = mine.iter().map(|u| (u.team, (u.cpu, u.gpu))).collect();
-        self.shares.insert(from, (epoch, used));
-        let complete = self.shares.len() == self.shards;
-        let mut granted = Vec::new();
-        for u in mine {
-            let Some((cpu_max, gpu_max)) = self.limits[u.team as usize] else { continue };
-            let (mut cpu, mut gpu) = (0, 0);
-            if complete {
-                let others = |f: fn(&(u64, u64)) -> u64| -> u64 {
-                    let rest = self.shares.iter().filter(|s| *s.0 != from);
-                    rest.filter_map(|s| s.1 .1.get(&u.team)).map(f).sum()
-                };
-                // What may be in use after a takeover is counted in full, and can be more than
-                // the limit; a grant never is. (Found by the simulator.)
-                cpu = (u.cpu + u.more_cpu).min(cpu_max.saturating_sub(others(|x| x.0)));
-                gpu = (u.gpu + u.more_gpu).min(gpu_max.saturating_sub(others(|x| x.1)));
-                if let Some(s) = self.shares.get_mut(&from) {
-                    s.1.insert(u.team, (cpu.max(u.cpu), gpu.max(u.gpu)));
-                }
+            .filter(|u| self.limits.get(u.team as usize).is_some_and(Option::is_some));
+        let teams = mine.map(|u| (u.team, Account { told: *u, share: u.in_use() })).collect();
+        self.told.insert(from, Told { epoch, serial, at: now, teams });
+        let complete = self.told.len() == self.shards;
+        let teams: Vec<u8> = self.told[&from].teams.keys().copied().collect();
+        let granted = teams.into_iter().filter(|_| complete);
+        Some(granted.filter_map(|team| self.grant(now, from, team)).collect())
+    }
+
+    fn grant(&mut self, now: Now, from: Shard, team: u8) -> Option<TeamGrant> {
+        let limit = (*self.limits.get(team as usize)?)?;
+        let accounts = self.told.iter().filter_map(|(s, t)| Some((s, t.at, t.teams.get(&team)?)));
+        let mut others = Amount::default();
+        let mut asks = Vec::new();
+        for (s, at, account) in accounts {
+            if *s != from {
+                others = others.plus(account.share);
+            }
+            let mut told = account.told;
+            if now > at + ASKS_MS {
+                told.wanted = Default::default();
+                told.stuck = Default::default();
+                told.first = Default::default();
             }
-            granted.push(TeamUse { team: u.team, cpu, gpu, more_cpu: 0, more_gpu: 0 });
+            asks.push((*s, told));
         }
-        granted
+        let me = asks.iter().position(|a| a.0 == from)?;
+        let asks: Vec<TeamUse> = asks.into_iter().map(|a| a.1).collect();
+        let used = asks[me].in_use();
+        // What may be in use after a takeover is counted in full, and can be more than the limit;
+        // a grant never is. (Found by the simulator.)
+        let most = limit.minus(others);
+        let may = used.plus(plan::extras(limit, &asks)[me]).least(most);
+        let account = self.told.get_mut(&from)?.teams.get_mut(&team)?;
+        account.share = may.most(used);
+        debug_assert!(
+            account.share == used || {
+                let sum = account.share.plus(others);
+                (account.share.cpu == used.cpu || sum.cpu <= limit.cpu)
+                    && (account.share.gpu == used.gpu || sum.gpu <= limit.gpu)
+            },
+            "more is granted than there is"
+        );
+        Some(TeamGrant { team, may, due: plan::dues(limit, &asks)[me] })
     }
 }
 
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -195,14 +195,95 @@
     pub draining: bool,
 }
 
-/// Thousandths of cores and GPUs of a team (by its place in the settings).
+/// Thousandths of cores and GPUs that count against a team's limit.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize_tuple, Deserialize_tuple,
+)]
+pub struct Amount {
+    pub cpu: u64,
+    pub gpu: u64,
+}
+
+impl Amount {
+    pub fn plus(self, o: Amount) -> Amount {
+        Amount { cpu: self.cpu.saturating_add(o.cpu), gpu: self.gpu.saturating_add(o.gpu) }
+    }
+
+    /// Nothing where there is less.
+    pub fn minus(self, o: Amount) -> Amount {
+        Amount { cpu: self.cpu.saturating_sub(o.cpu), gpu: self.gpu.saturating_sub(o.gpu) }
+    }
+
+    /// The lesser of each.
+    pub fn least(self, o: Amount) -> Amount {
+        Amount { cpu: self.cpu.min(o.cpu), gpu: self.gpu.min(o.gpu) }
+    }
+
+    /// The greater of each.
+    pub fn most(self, o: Amount) -> Amount {
+        Amount { cpu: self.cpu.max(o.cpu), gpu: self.gpu.max(o.gpu) }
+    }
+
+    pub fn times(self, n: u32) -> Amount {
+        let n = u64::from(n);
+        Amount { cpu: self.cpu.saturating_mul(n), gpu: self.gpu.saturating_mul(n) }
+    }
+
+    pub fn within(self, o: Amount) -> bool {
+        self.cpu <= o.cpu && self.gpu <= o.gpu
+    }
+
+    /// How many times `o` fits in.
+    pub fn fits(self, o: Amount) -> u64 {
+        let f = |a: u64, b: u64| a.checked_div(b).unwrap_or(u64::MAX);
+        f(self.cpu, o.cpu).min(f(self.gpu, o.gpu))
+    }
+}
+
+/// So many priorities there are.
+pub const PRIORITIES: usize = 4;
+
+/// By priority, the least first.
+pub type ByPriority = [Amount; PRIORITIES];
+
+/// What a coordinator's tasks take of the limit of a team (by its place in the settings), and what
+/// more they want.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct TeamUse {
     pub team: u8,
-    pub cpu: u64,
-    pub gpu: u64,
-    pub more_cpu: u64,
-    pub more_gpu: u64,
+    pub used: ByPriority,
+    pub wanted: ByPriority,
+    /// Wanted by what found no machine lately.
+    pub stuck: ByPriority,
+    /// Of each priority the first of those that wait, in the coordinator's order.
+    pub first: [Option<First>; PRIORITIES],
+}
+
+/// A task, or a gang as a whole, that is the next to run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
+pub struct First {
+    pub need: Amount,
+    pub waited_ms: u64,
+}
+
+impl TeamUse {
+    pub fn of(team: u8) -> TeamUse {
+        let none = ByPriority::default();
+        TeamUse { team, used: none, wanted: none, stuck: none, first: [None; PRIORITIES] }
+    }
+
+    pub fn in_use(&self) -> Amount {
+        self.used.iter().fold(Amount::default(), |sum, u| sum.plus(*u))
+    }
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
+pub struct TeamGrant {
+    pub team: u8,
+    /// What the coordinator's tasks may take in all.
+    pub may: Amount,
+    /// What they would take if lesser work of the team gave way everywhere.
+    pub due: Amount,
 }
 
 /// What goes between two shards. Every message names the epochs of both ends.
@@ -262,7 +343,7 @@
     /// Back: how much its tasks may take in all, until its next report.
     TeamGrant {
         serial: u64,
-        granted: Vec<TeamUse>,
+        granted: Vec<TeamGrant>,
     },
     /// Coordinator and participant to the provisioner's shard, and back.
     Lacks {
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -79,6 +79,12 @@
         bytes.len()
     };
     through(ShardMsg::Close { negotiation: 1 << 40 });
+    let most = Amount { cpu: u64::MAX, gpu: 1 };
+    let first = Some(First { need: most, waited_ms: 9 });
+    let usage = TeamUse { first: [None, first, None, first], wanted: [most; 4], ..TeamUse::of(3) };
+    through(ShardMsg::TeamUsage { serial: 2, usage: vec![usage, TeamUse::of(0)] });
+    let granted = vec![TeamGrant { team: 3, may: most, due: Amount::default() }];
+    through(ShardMsg::TeamGrant { serial: 2, granted });
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
     let whys = [Why::Done, Why::Stopped, Why::Peers, Why::Alone, Why::Error, Why::Full, Why::Busy];
     let ends = whys.iter().flat_map(|w| [Phase::Exited(*w, false), Phase::Exited(*w, true)]);
