--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -281,7 +281,7 @@
                 }
                 // Of machines without the image, those that have it sooner, in steps of 4 s.
                 let fetch_s = ctx.names.fetch_s(kind, w.shape.image_gb);
-                let far = 1 + (fetch_s / 4.0) as u32;
+                let far = ((fetch_s / 4.0) as u32).saturating_add(1);
                 // Of each group as many as could be taken, those with the image first.
                 let mut enough = u64::from(w.count);
                 let near = self.stock.with_image(g, shape.image, shape.need.cpu).map(|m| (0, m));
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -5,8 +5,8 @@
 use leaddeal_core::{Input, Node, Output};
 use leaddeal_wire::cloud::{Catalog, Listing, MachineType};
 use leaddeal_wire::mesh::{
-    AttemptRef, Beat, Lack, Line, MachineInfo, NodeMsg, Offer, Phase, Pick, Shape, ShardMsg, Stamp,
-    TaskEvent, Told, Wanted, Word,
+    Amount, AttemptRef, Beat, First, Lack, Line, MachineInfo, NodeMsg, Offer, Phase, Pick, Shape,
+    ShardMsg, Stamp, TaskEvent, TeamGrant, TeamUse, Told, Wanted, Word,
 };
 use leaddeal_wire::settings::Settings;
 use leaddeal_wire::state::{Events, Page};
@@ -363,6 +363,28 @@
     ]
 }
 
+fn amounts() -> impl Strategy<Value = Amount> + Clone {
+    (number(), number()).prop_map(|(cpu, gpu)| Amount { cpu, gpu })
+}
+
+fn quota() -> impl Strategy<Value = ShardMsg> {
+    let by = || [amounts(), amounts(), amounts(), amounts()];
+    let first = (amounts(), number()).prop_map(|(need, waited_ms)| First { need, waited_ms });
+    let first = prop::option::of(first);
+    let firsts = [first.clone(), first.clone(), first.clone(), first];
+    let used = (0u8..4, by(), by(), by(), firsts).prop_map(|(team, used, wanted, stuck, first)| {
+        TeamUse { team, used, wanted, stuck, first }
+    });
+    let granted =
+        (0u8..4, amounts(), amounts()).prop_map(|(team, may, due)| TeamGrant { team, may, due });
+    prop_oneof![
+        (number(), prop::collection::vec(used, 0..4))
+            .prop_map(|(serial, usage)| ShardMsg::TeamUsage { serial, usage }),
+        (number(), prop::collection::vec(granted, 0..4))
+            .prop_map(|(serial, granted)| ShardMsg::TeamGrant { serial, granted }),
+    ]
+}
+
 fn beat() -> impl Strategy<Value = Beat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
     let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
@@ -464,7 +486,7 @@
         (number(), prop::option::of(answer))
             .prop_map(|(call, answer)| NodeMsg::Answered { call, answer }),
     ];
-    let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner()];
+    let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner(), quota()];
     prop_oneof![
         report().prop_map(Odd::Report),
         (report(), any::<bool>()).prop_map(|(r, done)| Odd::Orders(r, done)),
