--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -389,8 +389,8 @@
                 let renew = fresh[shard.0 as usize];
                 let attempt = p.attempt.0;
                 if let Some((grace_s, sent)) = &mut p.stop {
-                    let again = renew || now >= *sent + RESEND_MS;
-                    if *sent == 0 || again && holds(Guard::StopAgain) {
+                    let due = renew || now >= *sent + RESEND_MS;
+                    if due && (*sent == 0 || holds(Guard::StopAgain)) {
                         *sent = now;
                         let machine = ctx.names.machine_name(p.machine).to_string();
                         let what = AttemptRef {
