--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -252,3 +252,15 @@
         assert!(sim.rules.starts > 60, "only {} starts", sim.rules.starts);
     }
 }
+
+/// Teams that want more than their limits keep nobody else waiting beside room, nor their own jobs while the
+/// limit isn't reached.
+#[test]
+fn teams_that_want_more_than_their_limits_neglect_nobody() {
+    for seed in 100..104 {
+        let quiet = Plan { seconds: 250, calm: 1, faults: false, long: true, ..Plan::new(seed) };
+        let sim = run("limits", quiet);
+        let neglected = &sim.rules.neglect.jobs;
+        assert!(neglected.is_empty(), "seed {seed}: {neglected:?}");
+    }
+}
