--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -142,6 +142,7 @@
 #[test]
 fn gangs_of_several_tasks_are_with_three_owners() {
     let (mut started, mut completed, mut resumed) = (0, 0, 0);
+    let (mut stopped, mut alone) = (0, 0);
     let hang = |at, ms| (at, Fault::Hang { machines: 4, ms });
     let outage = |at, ms| (at, Fault::Outage { ms });
     for script in [
@@ -159,10 +160,16 @@
             started += sim.gangs.started;
             completed += sim.gangs.completed;
             resumed += sim.gangs.resumed;
+            stopped += sim.gangs.stopped;
+            alone += sim.gangs.alone.len();
         }
     }
-    println!("{started} gangs started, {completed} completed, {resumed} went on");
+    println!(
+        "{started} gangs started, {completed} completed, {resumed} went on, {stopped} stopped in order; \
+         {alone} tasks were left alone"
+    );
     assert!(completed > 100, "only {completed} of {started} gangs completed");
+    assert!(stopped > 20, "only {stopped} gangs were stopped in order");
     assert!(resumed > 3, "only {resumed} gangs went on from what was saved");
 }
 
