--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -23,6 +23,8 @@
     pub starts: usize,
     /// Starts of tasks whose users had been told by then that their jobs are cancelled.
     pub slips: usize,
+    /// The longest after that: what a stop that is on its way does not prevent is soon.
+    pub latest_slip_ms: u64,
     /// Jobs whose last task had ended a second before their users first called them off.
     pub ended: BTreeSet<String>,
     /// How many of those were called cancelled: where nothing keeps their owner from knowing, none should be.
@@ -102,7 +104,10 @@
             self.starts += 1;
             self.served.starts(task, now);
             let over = self.told.get(task.split('/').next().unwrap_or_default());
-            self.slips += usize::from(over.is_some_and(|(s, _)| *s == Status::Cancelled));
+            if let Some((Status::Cancelled, at)) = over {
+                self.slips += 1;
+                self.latest_slip_ms = self.latest_slip_ms.max(now - at);
+            }
             if let Some(other) = on.iter().find(|o| o.0 == *task && o.1 != *name) {
                 return Err(format!("ran_twice: {task} starts on {name} while on {}", other.1));
             }
