--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -59,6 +59,10 @@
     /// being decided counts.
     fn team_usage(&self, ctx: &Ctx) -> BTreeMap<u8, ByPriority> {
         let mut used: BTreeMap<u8, ByPriority> = BTreeMap::new();
+        // Each decision asks: without limits, all placements need not be gone through.
+        if limited(ctx).is_empty() {
+            return used;
+        }
         let mut count = |priority: Priority, (team, cpu, gpu): (u8, u64, u64)| {
             let sum = &mut used.entry(team).or_default()[priority as usize];
             *sum = sum.plus(Amount { cpu, gpu });
