--- /dev/null
+++ b/crates/testkit/src/fingerprint.rs
@@ -0,0 +1,101 @@
+//! A fingerprint of a simulated run: a hash over everything that the cores sent, wrote and answered, in
+//! order. Two versions of the core behave alike on a run if their fingerprints of it are equal.
+//!
+//! Messages count as the bytes or the JSON text that goes over the wire, so that renaming a type, field
+//! or log event in the sources leaves the fingerprint as it is. Of log lines only the level counts.
+use leaddeal_core::io::{CloudCall, Output, StoreCall, WorkerReply};
+use serde::Serialize;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::io::Write;
+
+/// The environment variable that names the file to which each simulated run appends its fingerprint.
+const FILE_VARIABLE: &str = "LEADDEAL_FINGERPRINTS";
+
+/// Hashes the outputs of the cores of one run.
+#[derive(Debug, Default)]
+pub struct Fingerprint {
+    hasher: DefaultHasher,
+    outputs: u64,
+}
+
+impl Fingerprint {
+    /// Adds one output of a core: of which node, and at which of its times in milliseconds.
+    pub fn add(&mut self, node: usize, now: u64, output: &Output) {
+        self.outputs += 1;
+        (node, now).hash(&mut self.hasher);
+        match output {
+            Output::User { req, reply } => {
+                ("user", req, reply.status, &reply.error, reply.retry_after_s)
+                    .hash(&mut self.hasher);
+                self.json(&reply.state);
+            }
+            Output::Worker { req, reply } => {
+                ("worker", req).hash(&mut self.hasher);
+                match reply {
+                    WorkerReply::Answer(answer) => self.json(answer),
+                    WorkerReply::Redirect(to) => ("redirect", to).hash(&mut self.hasher),
+                    WorkerReply::Unavailable => "unavailable".hash(&mut self.hasher),
+                }
+            }
+            Output::Mesh { to, msg } => {
+                ("mesh", to).hash(&mut self.hasher);
+                let mut bytes = Vec::new();
+                let written = ciborium::into_writer(msg, &mut bytes);
+                written.expect("a message can be encoded in memory");
+                bytes.hash(&mut self.hasher);
+            }
+            Output::Store { op, call } => {
+                ("store", op).hash(&mut self.hasher);
+                self.store_call(call);
+            }
+            Output::Cloud { op, call } => {
+                ("cloud", op).hash(&mut self.hasher);
+                match call {
+                    CloudCall::Catalog => "catalog".hash(&mut self.hasher),
+                    CloudCall::Rent(rent) => self.json(rent),
+                    CloudCall::Release(machines) => machines.hash(&mut self.hasher),
+                    CloudCall::List { after } => after.hash(&mut self.hasher),
+                }
+            }
+            Output::Orders { machine, addr, batch, direct } => {
+                ("orders", machine, addr, batch).hash(&mut self.hasher);
+                self.json(direct);
+            }
+            Output::Log(level, ..) => ("log", level).hash(&mut self.hasher),
+        }
+    }
+
+    fn store_call(&mut self, call: &StoreCall) {
+        match call {
+            StoreCall::NewLease { ttl_ms } => ("new lease", ttl_ms).hash(&mut self.hasher),
+            StoreCall::Touch { lease } => ("touch", lease).hash(&mut self.hasher),
+            StoreCall::EndLease { lease } => ("end lease", lease).hash(&mut self.hasher),
+            StoreCall::Txn(txn) => self.json(txn),
+            StoreCall::Get { key } => ("get", key).hash(&mut self.hasher),
+            StoreCall::List { prefix, after } => ("list", prefix, after).hash(&mut self.hasher),
+            StoreCall::Watch { prefix, after, wait_ms } => {
+                ("watch", prefix, after, wait_ms).hash(&mut self.hasher);
+            }
+        }
+    }
+
+    fn json<T: Serialize>(&mut self, value: &T) {
+        let text = serde_json::to_vec(value).expect("a message can be written as JSON");
+        text.hash(&mut self.hasher);
+    }
+
+    /// The fingerprint so far: the number of outputs, and their hash.
+    pub fn text(&self) -> String {
+        format!("{} {:016x}", self.outputs, self.hasher.finish())
+    }
+
+    /// Appends the fingerprint of a run with this seed to the file that `LEADDEAL_FINGERPRINTS` names.
+    pub(crate) fn append_to_file(&self, seed: u64) {
+        let Some(path) = std::env::var_os(FILE_VARIABLE) else { return };
+        let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
+        let line = format!("seed {seed}: {}\n", self.text());
+        if let Err(e) = file.and_then(|mut f| f.write_all(line.as_bytes())) {
+            eprintln!("fingerprint of seed {seed} not written: {e}");
+        }
+    }
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
 //! Stand-ins for workers, cloud, state service and users, written from the protocol; a seeded
 //! simulator that drives real cores against them; and a checker of every rule.
 
+pub mod fingerprint;
 pub mod gangs;
 pub mod histories;
 pub mod neglect;
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -1,5 +1,6 @@
 //! The seeded simulator: three cores, late, lost and held messages, crashes, hung machines,
 //! outages. Time is simulated; the same seed gives the same run.
+use crate::fingerprint::Fingerprint;
 use crate::gangs::Gangs;
 use crate::rules::Rules;
 use crate::script::{Fault, Marks, Moment, Written};
@@ -244,6 +245,8 @@
     pub marks: Marks,
     /// What went into the cores and came out, if that is counted.
     pub tally: Option<Tally>,
+    /// Of all that came out of the cores.
+    pub fingerprint: Fingerprint,
     looks: u64,
     outage_until: u64,
     state: State,
@@ -336,6 +339,7 @@
             polls_until: 0,
             marks: Marks::default(),
             tally: plan.counted.then(Tally::default),
+            fingerprint: Fingerprint::default(),
             looks: 0,
             outage_until: 0,
             state: State::new(match plan.sabotage {
@@ -488,6 +492,7 @@
             if let Some(t) = &mut self.tally {
                 t.output(&o);
             }
+            self.fingerprint.add(n, now, &o);
             self.output(n, o)?;
         }
         Ok(())
@@ -737,3 +742,9 @@
         Ok(())
     }
 }
+
+impl Drop for Sim {
+    fn drop(&mut self) {
+        self.fingerprint.append_to_file(self.plan.seed);
+    }
+}
