--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -11,35 +11,35 @@
 //!
 //! (Found at three and five times a fleet: decisions and what was done took all there was, so
 //! final states were not told for minutes, though nothing else was left to do for those jobs.)
-use crate::ids::Now;
+use crate::ids::Timestamp;
 
 /// In the order of importance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum WriteClass {
     /// Who owns what. Never waits; later ones wait the longer.
-    Shards,
+    Ownership,
     /// Cancellations, which somebody waits for. Never wait.
-    Answer,
+    Cancellation,
     /// Final states: their users ask until they are told.
-    Final,
+    TerminalState,
     /// Choices. A round that waits is the larger.
     Decision,
     /// New jobs: refused at once when there is no room, and the service has refused something lately.
-    Acceptance,
+    Submission,
     /// What is done of jobs that go on.
-    Fold,
+    Completion,
     /// Whatever can wait: takes only what would go unused.
-    Rest,
+    Deferrable,
 }
 
-pub const CLASSES: [Class; 7] = [
-    Class::Shards,
-    Class::Answer,
-    Class::Final,
-    Class::Decision,
-    Class::Acceptance,
-    Class::Fold,
-    Class::Rest,
+pub const CLASSES: [WriteClass; 7] = [
+    WriteClass::Ownership,
+    WriteClass::Cancellation,
+    WriteClass::TerminalState,
+    WriteClass::Decision,
+    WriteClass::Submission,
+    WriteClass::Completion,
+    WriteClass::Deferrable,
 ];
 
 /// Of what comes, so much is for each class at all times. A job takes one change to come in and two
@@ -74,13 +74,13 @@
 const AHEAD: f64 = 1.0;
 
 /// A class's own changes are saved up to this; one at least, however small the share is.
-fn saved(class: Class, most: f64) -> f64 {
+fn saved(class: WriteClass, most: f64) -> f64 {
     let i = class as usize;
     (most * FLOOR[i] * SAVED_S[i]).max(if FLOOR[i] > 0.0 { 1.0 } else { 0.0 })
 }
 
 #[derive(Debug)]
-pub struct Budget {
+pub struct WriteBudget {
     /// The service's limit a second, and the part of it that is this node's.
     limit: f64,
     share: f64,
@@ -89,24 +89,24 @@
     /// For any class; below 0, what was written ahead.
     common: f64,
     own: [f64; 7],
-    at: Now,
+    at: Timestamp,
     spent: [u64; 7],
     /// The service is over its limit until about then.
-    tight_until: Now,
+    tight_until: Timestamp,
     tight_ms: u64,
     /// What is over has waited for long until about then.
-    behind_until: Now,
-    cut_at: Now,
+    behind_until: Timestamp,
+    cut_at: Timestamp,
     /// Something found no room since the rate was last raised.
     wanted: bool,
     refusals: u64,
 }
 
-impl Budget {
+impl WriteBudget {
     /// `limit` changes a second for all of `nodes` together.
-    pub fn new(limit: f64, nodes: usize, now: Now) -> Budget {
+    pub fn new(limit: f64, nodes: usize, now: Timestamp) -> WriteBudget {
         let share = 1.0 / nodes.max(1) as f64;
-        let mut b = Budget {
+        let mut b = WriteBudget {
             limit,
             share,
             rate: 0.0,
@@ -143,7 +143,7 @@
         self.rate = self.rate.min(self.limit * USED);
     }
 
-    pub fn refill(&mut self, now: Now) {
+    pub fn refill(&mut self, now: Timestamp) {
         let s = now.saturating_sub(self.at) as f64 / 1000.0;
         self.at = now;
         if self.at >= self.cut_at {
@@ -165,7 +165,7 @@
         for c in CLASSES {
             let i = c as usize;
             // What is over comes first, too, when the service takes less than it promised.
-            let of = if c == Class::Final { promised } else { came };
+            let of = if c == WriteClass::TerminalState { promised } else { came };
             self.own[i] += of * FLOOR[i];
             common -= of * FLOOR[i];
             let over = (self.own[i] - saved(c, most)).max(0.0);
@@ -182,19 +182,19 @@
 
     /// What is over waits to be told: until that is better, no more new jobs come in than there is
     /// room for.
-    pub fn behind(&mut self, now: Now) {
+    pub fn behind(&mut self, now: Timestamp) {
         self.behind_until = now + BEHIND_MS;
     }
 
     /// How many changes of this class may be written now. Asked by who has something to write.
-    pub fn room(&mut self, class: Class) -> usize {
+    pub fn room(&mut self, class: WriteClass) -> usize {
         let i = class as usize;
         let own = self.own[i].max(0.0);
         let common = match class {
-            Class::Shards | Class::Answer => return usize::MAX,
+            WriteClass::Ownership | WriteClass::Cancellation => return usize::MAX,
             // Others may use less than their share: (found by a full score) to go by the own share
             // alone refused one submission in eight to a service that had room.
-            Class::Acceptance if !self.tight() && self.at >= self.behind_until => {
+            WriteClass::Submission if !self.tight() && self.at >= self.behind_until => {
                 return usize::MAX;
             }
             _ => self.common - RESERVE[i] * self.most(),
@@ -205,7 +205,7 @@
     }
 
     /// The service has refused to write.
-    pub fn refused(&mut self, now: Now) {
+    pub fn refused(&mut self, now: Timestamp) {
         self.refusals += 1;
         if now >= self.cut_at {
             // (Found by the simulator, at a store that took two thirds of what came: new jobs came
@@ -219,7 +219,7 @@
     }
 
     /// Counts what is written, whether there was room for it or not.
-    pub fn spend(&mut self, class: Class, n: usize) {
+    pub fn spend(&mut self, class: WriteClass, n: usize) {
         let i = class as usize;
         self.spent[i] += n as u64;
         let n = n as f64;
@@ -229,7 +229,7 @@
     }
 
     /// Changes of this class so far.
-    pub fn spent(&self, class: Class) -> u64 {
+    pub fn spent(&self, class: WriteClass) -> u64 {
         self.spent[class as usize]
     }
 
--- a/crates/core/src/ctx.rs
+++ b/crates/core/src/context.rs
@@ -1,19 +1,21 @@
 //! What parts of the core need while they handle an input: the time, names, settings, who owns
 //! what, and ways to send, write, ask and answer. Below all parts, so that none needs the node.
-use crate::budget::{Budget, Class};
+use crate::budget::{WriteBudget, WriteClass};
 use crate::health::lately;
 use crate::horizon::Horizons;
-use crate::ids::{shard_of_job, shard_of_machine, Epoch, JobId, MachineIdx, NodeIdx, Now, Shard};
-use crate::io::{CloudCall, OpId, Out, Output, ReqId, StoreCall, UserReply};
-use crate::jobs::{Aims, Job};
+use crate::ids::{
+    shard_of_job, shard_of_machine, Epoch, JobId, MachineIdx, NodeIdx, Shard, Timestamp,
+};
+use crate::io::{CloudCall, Effect, Effects, OperationId, RequestId, StoreCall, UserReply};
+use crate::jobs::{Job, Objectives};
 use crate::keys;
 use crate::names::Names;
 use crate::quota;
 use crate::shard::{Owner, ShardView};
-use leaddeal_wire::mesh::{NodeMsg, ShardMsg, Told};
-use leaddeal_wire::state::{Change, Cond, Txn};
+use leaddeal_wire::mesh::{JobAnswer, NodeMessage, ShardMessage};
+use leaddeal_wire::state::{Change, Condition, Transaction};
 use leaddeal_wire::user::{self, JobState, Status};
-use leaddeal_wire::worker::Direct;
+use leaddeal_wire::worker::CommandBatch;
 use serde_json::json;
 use std::collections::{HashMap, VecDeque};
 
@@ -33,11 +35,11 @@
     /// Between calls to the cloud, so that all together stay below its limit.
     pub cloud_gap_ms: u64,
     pub teams: Vec<leaddeal_wire::settings::Team>,
-    pub aims: Aims,
+    pub aims: Objectives,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Ask {
+pub(crate) enum LookupPurpose {
     Get,
     /// A submission of a job that is known already.
     Known,
@@ -47,77 +49,77 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProvisionerOp {
+pub enum ProvisionerOperation {
     List,
     /// The request's number.
-    Rent(u64),
+    Launch(u64),
     Release,
 }
 
 #[derive(Debug)]
-pub enum OpKind {
-    NewLease { sent: Now },
-    Touch { sent: Now, lease: u64 },
+pub enum Operation {
+    NewLease { sent: Timestamp },
+    RenewLease { sent: Timestamp, lease: u64 },
     Shards,
     ShardWatch,
     Acquire(Shard),
     Release(Shard, Epoch),
     Records { shard: Shard, epoch: Epoch },
     Decide { shard: Shard, epoch: Epoch },
-    Fold { shard: Shard, epoch: Epoch },
+    Compaction { shard: Shard, epoch: Epoch },
     Finish { shard: Shard, epoch: Epoch, job: JobId },
-    Submit { req: ReqId, id: JobId, value: serde_json::Value },
-    ReadJob { req: ReqId, id: JobId, ask: AskKind },
-    ReadFinal { req: ReqId, id: JobId, ask: AskKind },
-    Finals { shard: Shard, asked: Now },
+    Submit { req: RequestId, id: JobId, value: serde_json::Value },
+    ReadJob { req: RequestId, id: JobId, ask: Lookup },
+    ReadFinal { req: RequestId, id: JobId, ask: Lookup },
+    Finals { shard: Shard, asked: Timestamp },
     BasePut,
     BaseGet,
     Catalog,
-    Provisioner(Epoch, ProvisionerOp),
+    Provisioner(Epoch, ProvisionerOperation),
 }
 
-impl OpKind {
+impl Operation {
     /// Whether it counts against the service's limit of changes.
     pub(crate) fn writes(&self) -> bool {
         matches!(
             self,
-            OpKind::Decide { .. }
-                | OpKind::Fold { .. }
-                | OpKind::Finish { .. }
-                | OpKind::Submit { .. }
+            Operation::Decide { .. }
+                | Operation::Compaction { .. }
+                | Operation::Finish { .. }
+                | Operation::Submit { .. }
         )
     }
 }
 
 /// Opaque outside: what a lookup is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AskKind(pub(crate) Ask);
+pub struct Lookup(pub(crate) LookupPurpose);
 
-pub(crate) struct Ops {
-    pub next: OpId,
-    pub open: HashMap<OpId, OpKind>,
+pub(crate) struct PendingOperations {
+    pub next: OperationId,
+    pub open: HashMap<OperationId, Operation>,
 }
 
 /// What parts of the core need of the node while they handle an input.
-pub struct Ctx<'a> {
-    pub now: Now,
+pub struct Context<'a> {
+    pub now: Timestamp,
     pub time_ms: u64,
     pub valid: bool,
     pub wake: bool,
-    pub out: &'a mut Out,
+    pub effects: &'a mut Effects,
     pub names: &'a mut Names,
     pub cfg: &'a Config,
-    pub budget: &'a mut Budget,
+    pub budget: &'a mut WriteBudget,
     pub horizons: &'a mut Horizons,
     pub(crate) me: NodeIdx,
     pub(crate) view: &'a [ShardView],
-    pub(crate) heard: &'a [Now],
-    pub(crate) ops: &'a mut Ops,
-    pub(crate) sends: &'a mut VecDeque<(Shard, Shard, ShardMsg)>,
-    pub(crate) relays: &'a mut HashMap<ReqId, (String, u64)>,
+    pub(crate) heard: &'a [Timestamp],
+    pub(crate) ops: &'a mut PendingOperations,
+    pub(crate) sends: &'a mut VecDeque<(Shard, Shard, ShardMessage)>,
+    pub(crate) relays: &'a mut HashMap<RequestId, (String, u64)>,
 }
 
-impl Ctx<'_> {
+impl Context<'_> {
     pub fn shards(&self) -> impl Iterator<Item = Shard> {
         (0..self.view.len() as u8).map(Shard)
     }
@@ -149,85 +151,89 @@
         Some((i as u8, j.shape.need.cpu, j.shape.need.gpu))
     }
 
-    pub fn send(&mut self, from: Shard, to: Shard, msg: ShardMsg) {
+    pub fn send(&mut self, from: Shard, to: Shard, msg: ShardMessage) {
         self.sends.push_back((from, to, msg));
     }
 
-    pub fn store(&mut self, kind: OpKind, call: StoreCall) {
+    pub fn store(&mut self, kind: Operation, call: StoreCall) {
         let op = self.op(kind);
-        self.out.list.push(Output::Store { op, call });
+        self.effects.list.push(Effect::Store { op, call });
     }
 
-    pub fn cloud(&mut self, kind: OpKind, call: CloudCall) {
+    pub fn cloud(&mut self, kind: Operation, call: CloudCall) {
         let op = self.op(kind);
-        self.out.list.push(Output::Cloud { op, call });
+        self.effects.list.push(Effect::Cloud { op, call });
     }
 
-    fn op(&mut self, kind: OpKind) -> OpId {
+    fn op(&mut self, kind: Operation) -> OperationId {
         self.ops.next += 1;
         self.ops.open.insert(self.ops.next, kind);
         self.ops.next
     }
 
-    pub fn direct(&mut self, m: MachineIdx, addr: String, batch: u64, direct: Direct) {
+    pub fn direct(&mut self, m: MachineIdx, addr: String, batch: u64, direct: CommandBatch) {
         let machine = self.names.machine_name(m).to_string();
-        self.out.list.push(Output::Orders { machine, addr, batch, direct });
+        self.effects.list.push(Effect::Commands { machine, addr, batch, direct });
     }
 
     /// Creates the mark of the newest machine that was there before the service, or reads it.
     pub fn find_base(&mut self, newest: String) {
         let change = Change::Put { key: keys::BASE.into(), value: json!(newest), lease: None };
-        let txn =
-            Txn { conds: vec![Cond { key: keys::BASE.into(), version: 0 }], changes: vec![change] };
-        self.budget.spend(Class::Rest, 1);
-        self.store(OpKind::BasePut, StoreCall::Txn(txn));
+        let txn = Transaction {
+            conditions: vec![Condition { key: keys::BASE.into(), version: 0 }],
+            changes: vec![change],
+        };
+        self.budget.spend(WriteClass::Deferrable, 1);
+        self.store(Operation::BasePut, StoreCall::Transaction(txn));
     }
 
-    pub(crate) fn read_key(&mut self, req: ReqId, id: JobId, ask: AskKind) {
+    pub(crate) fn read_key(&mut self, req: RequestId, id: JobId, ask: Lookup) {
         let key = keys::job_key(self.shard_of_job(id), id);
-        self.store(OpKind::ReadJob { req, id, ask }, StoreCall::Get { key });
+        self.store(Operation::ReadJob { req, id, ask }, StoreCall::Get { key });
     }
 
-    pub(crate) fn read_final(&mut self, req: ReqId, id: JobId, ask: AskKind) {
+    pub(crate) fn read_final(&mut self, req: RequestId, id: JobId, ask: Lookup) {
         let key = keys::final_key(self.shard_of_job(id), id);
-        self.store(OpKind::ReadFinal { req, id, ask }, StoreCall::Get { key });
+        self.store(Operation::ReadFinal { req, id, ask }, StoreCall::Get { key });
     }
 
     /// Neither the job nor its final state is in the store.
-    pub(crate) fn unknown(&mut self, req: ReqId, ask: AskKind) {
+    pub(crate) fn unknown(&mut self, req: RequestId, ask: Lookup) {
         match ask.0 {
-            Ask::Wrong(400) => self.reply_error(req, 400, "malformed", None),
-            Ask::Wrong(s) => self.reply_error(req, s, "can never run", None),
-            Ask::Known => self.reply_later(req, 503, 1),
-            Ask::Get | Ask::Cancel => self.reply_error(req, 404, "unknown job", None),
+            LookupPurpose::Wrong(400) => self.reply_error(req, 400, "malformed", None),
+            LookupPurpose::Wrong(s) => self.reply_error(req, s, "can never run", None),
+            LookupPurpose::Known => self.reply_later(req, 503, 1),
+            LookupPurpose::Get | LookupPurpose::Cancel => {
+                self.reply_error(req, 404, "unknown job", None)
+            }
         }
     }
 
-    pub fn reply(&mut self, req: ReqId, reply: UserReply) {
+    pub fn reply(&mut self, req: RequestId, reply: UserReply) {
         let Some((to, call)) = self.relays.remove(&req) else {
-            self.out.list.push(Output::User { req, reply });
+            self.effects.list.push(Effect::User { req, reply });
             return;
         };
         let answer = match (reply.status, reply.state) {
-            (200 | 201, Some(s)) => Told::State(s),
-            (404, _) => Told::Unknown,
-            _ => Told::Later,
+            (200 | 201, Some(s)) => JobAnswer::State(s),
+            (404, _) => JobAnswer::Unknown,
+            _ => JobAnswer::Later,
         };
-        self.out.list.push(Output::Mesh { to, msg: NodeMsg::Told { call, answer } });
+        self.effects.list.push(Effect::Mesh { to, msg: NodeMessage::JobAnswer { call, answer } });
     }
 
-    pub fn reply_state(&mut self, req: ReqId, status: u16, state: JobState) {
+    pub fn reply_state(&mut self, req: RequestId, status: u16, state: JobState) {
         let mut r = known(state, false);
         r.status = status;
         self.reply(req, r);
     }
 
     /// Refused at once, with the time after which to ask again.
-    pub fn reply_later(&mut self, req: ReqId, status: u16, after_s: u32) {
+    pub fn reply_later(&mut self, req: RequestId, status: u16, after_s: u32) {
         self.reply_error(req, status, "try again later", Some(after_s));
     }
 
-    pub fn reply_error(&mut self, req: ReqId, status: u16, why: &str, after_s: Option<u32>) {
+    pub fn reply_error(&mut self, req: RequestId, status: u16, why: &str, after_s: Option<u32>) {
         let reply =
             UserReply { status, state: None, error: Some(why.to_string()), retry_after_s: after_s };
         self.reply(req, reply);
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -1,15 +1,15 @@
 //! What is over: done tasks are folded, final states written, cancellations answered.
-use super::{Coordinator, Fold};
+use super::{Compaction, Coordinator};
 use crate::bits::CHUNK;
-use crate::budget::Class;
-use crate::ctx::{Ctx, OpKind};
+use crate::budget::WriteClass;
+use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{JobId, Now, Shard};
-use crate::io::{ReqId, StoreResult};
-use crate::jobs::{job_state, DoneOn};
+use crate::ids::{JobId, Shard, Timestamp};
+use crate::io::{RequestId, StoreResult};
+use crate::jobs::{job_state, CompletedAttempt};
 use crate::keys;
-use crate::writes::Outcome;
-use leaddeal_wire::mesh::{AttemptRef, ShardMsg};
+use crate::writes::WriteOutcome;
+use leaddeal_wire::mesh::{AttemptRef, ShardMessage};
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{JobState, Status};
 use serde_json::Value;
@@ -53,14 +53,15 @@
     }
 
     /// Writes the cancellations that it is time for: a first time, or again.
-    pub(super) fn write_cancellations(&mut self, ctx: &mut Ctx) {
+    pub(super) fn write_cancellations(&mut self, ctx: &mut Context) {
         if !ctx.valid {
             return;
         }
         for id in self.cancelling.iter().copied().collect::<Vec<_>>() {
             let begun = self.jobs.get_mut(&id).and_then(|j| j.final_write.take());
             let mut write = begun.unwrap_or_else(|| {
-                let write = self.write(Class::Answer, self.final_changes(id, Status::Cancelled));
+                let write =
+                    self.write(WriteClass::Cancellation, self.final_changes(id, Status::Cancelled));
                 if holds(Guard::CancelVersion) {
                     write.creating(keys::final_key(self.shard, id), 0)
                 } else {
@@ -77,20 +78,20 @@
             }
             if let Some(call) = call {
                 ctx.horizons.cancelled(self.shard, self.epoch, id, ctx.now);
-                let kind = OpKind::Finish { shard: self.shard, epoch: self.epoch, job: id };
+                let kind = Operation::Finish { shard: self.shard, epoch: self.epoch, job: id };
                 ctx.store(kind, call);
             }
         }
     }
 
-    /// Outcome of writing a cancellation. False: the shard is lost.
-    pub fn finished(&mut self, ctx: &mut Ctx, id: JobId, result: &StoreResult) -> bool {
+    /// WriteOutcome of writing a cancellation. False: the shard is lost.
+    pub fn finished(&mut self, ctx: &mut Context, id: JobId, result: &StoreResult) -> bool {
         let write = self.jobs.get_mut(&id).and_then(|j| j.final_write.as_mut());
         let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else {
             return true;
         };
         match outcome {
-            Outcome::Done(_) => {
+            WriteOutcome::Done(_) => {
                 self.cancelling.remove(&id);
                 let Some(j) = self.jobs.get_mut(&id) else {
                     return true;
@@ -114,15 +115,16 @@
                 self.next_resend = 0;
                 self.resend(ctx);
             }
-            Outcome::Fenced => return false,
-            Outcome::NotDone | Outcome::Open => {
+            WriteOutcome::Fenced => return false,
+            WriteOutcome::NotDone | WriteOutcome::Open => {
                 // It may have been executed: until that is known, the job is neither started
                 // further nor called anything. Tried again by the tick.
                 if let Some(j) = self.jobs.get_mut(&id) {
                     for r in std::mem::take(&mut j.cancel_reqs) {
                         ctx.reply_later(r, 503, 1);
                     }
-                    if let Some(w) = j.final_write.as_mut().filter(|_| outcome == Outcome::NotDone)
+                    if let Some(w) =
+                        j.final_write.as_mut().filter(|_| outcome == WriteOutcome::NotDone)
                     {
                         w.again(ctx.now + REFUSED_AGAIN_MS);
                     }
@@ -132,32 +134,38 @@
         true
     }
 
-    pub(super) fn acknowledge(&mut self, ctx: &mut Ctx, id: JobId, acks: Vec<DoneOn>) {
+    pub(super) fn acknowledge(
+        &mut self,
+        ctx: &mut Context,
+        id: JobId,
+        acks: Vec<CompletedAttempt>,
+    ) {
         let mut by_shard: BTreeMap<Shard, Vec<AttemptRef>> = BTreeMap::new();
         for (task, attempt, m, round) in acks {
             self.rounds.one_less(round);
             let machine = ctx.names.machine_name(m).to_string();
             let shard = ctx.shard_of_machine(&machine);
-            let what = AttemptRef { job: id.0, task, attempt: attempt.0, machine, session: None };
+            let what =
+                AttemptRef { job: id.0, task, attempt: attempt.0, machine, incarnation: None };
             by_shard.entry(shard).or_default().push(what);
         }
         for (shard, all) in by_shard {
             for c in all.chunks(200) {
-                ctx.send(self.shard, shard, ShardMsg::Forget { what: c.to_vec() });
+                ctx.send(self.shard, shard, ShardMessage::Forget { what: c.to_vec() });
             }
         }
     }
 
     /// Writes final states and what is done, and deletes decisions that nothing depends on any
     /// more: one transaction, each part of it out of its own class.
-    pub(super) fn start_fold(&mut self, ctx: &mut Ctx) {
+    pub(super) fn start_fold(&mut self, ctx: &mut Context) {
         if !self.ready() || !ctx.valid {
             return;
         }
         if self.fold.is_some() {
             return self.write_fold(ctx);
         }
-        let mut fold = Fold::default();
+        let mut fold = Compaction::default();
         let mut changes: Vec<Change> = Vec::new();
         if !self.over.is_empty() && ctx.now >= self.finals_after {
             self.fold_finals(ctx, &mut fold, &mut changes);
@@ -169,7 +177,7 @@
         }
         let chunks = changes.len() - finals;
         let most = ctx.cfg.txn_ops.saturating_sub(changes.len());
-        let most = most.min(ctx.budget.room(Class::Rest));
+        let most = most.min(ctx.budget.room(WriteClass::Deferrable));
         // Deletions alone can wait for company.
         if !changes.is_empty() || self.rounds.waiting().min(most) >= DELETE_ALONE {
             fold.rounds = self.rounds.take_unneeded(most);
@@ -182,8 +190,9 @@
             self.finals_after = ctx.now + FINALS_MS;
         }
         let rest = fold.rounds.len();
-        let write = self.write(Class::Final, changes);
-        let mut write = write.of_which(Class::Fold, chunks).of_which(Class::Rest, rest);
+        let write = self.write(WriteClass::TerminalState, changes);
+        let mut write =
+            write.of_which(WriteClass::Completion, chunks).of_which(WriteClass::Deferrable, rest);
         // What was done of a job until then must not be written over what was done later, nor a
         // record made anew that was deleted. (Found by the simulator's check of each write: folds
         // without an answer were given up for newer ones, and a late copy undid those.)
@@ -204,17 +213,18 @@
     }
 
     /// Sends what is folded if it is time to, a first time or again.
-    fn write_fold(&mut self, ctx: &mut Ctx) {
+    fn write_fold(&mut self, ctx: &mut Context) {
         let write = self.fold.as_mut().and_then(|f| f.write.as_mut());
         if let Some(call) = write.and_then(|w| w.call(ctx.now, ctx.budget)) {
-            ctx.store(OpKind::Fold { shard: self.shard, epoch: self.epoch }, call);
+            ctx.store(Operation::Compaction { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
     /// Final states, of those first that are over for longest.
-    fn fold_finals(&mut self, ctx: &mut Ctx, fold: &mut Fold, changes: &mut Vec<Change>) {
-        let most = ctx.cfg.txn_ops.min(ctx.budget.room(Class::Final));
-        let mut over: Vec<(Now, JobId)> = self.over.iter().map(|(id, at)| (*at, *id)).collect();
+    fn fold_finals(&mut self, ctx: &mut Context, fold: &mut Compaction, changes: &mut Vec<Change>) {
+        let most = ctx.cfg.txn_ops.min(ctx.budget.room(WriteClass::TerminalState));
+        let mut over: Vec<(Timestamp, JobId)> =
+            self.over.iter().map(|(id, at)| (*at, *id)).collect();
         over.sort_unstable();
         if over.first().is_some_and(|o| ctx.now >= o.0 + BEHIND_MS) {
             ctx.budget.behind(ctx.now);
@@ -241,9 +251,9 @@
     }
 
     /// What is done of jobs that go on, of those first where a change lets the most be forgotten.
-    fn fold_chunks(&mut self, ctx: &mut Ctx, fold: &mut Fold, changes: &mut Vec<Change>) {
+    fn fold_chunks(&mut self, ctx: &mut Context, fold: &mut Compaction, changes: &mut Vec<Change>) {
         let left = ctx.cfg.txn_ops.saturating_sub(changes.len());
-        let most = changes.len() + left.min(ctx.budget.room(Class::Fold));
+        let most = changes.len() + left.min(ctx.budget.room(WriteClass::Completion));
         let mut ripe: Vec<(Reverse<usize>, JobId)> = Vec::new();
         let jobs = &self.jobs;
         self.dirty.retain(|id| {
@@ -280,10 +290,10 @@
     }
 
     /// False: the shard is lost.
-    pub fn folded(&mut self, ctx: &mut Ctx, result: &StoreResult) -> bool {
+    pub fn folded(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
         let write = self.fold.as_mut().and_then(|f| f.write.as_mut());
         let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else { return true };
-        if outcome == Outcome::Open {
+        if outcome == WriteOutcome::Open {
             // Who waits asks again: it may take as long as the service does.
             for id in self.fold.iter().flat_map(|f| &f.finals).map(|f| f.0).collect::<Vec<_>>() {
                 if let Some(j) = self.jobs.get_mut(&id) {
@@ -296,7 +306,7 @@
         }
         let Some(f) = self.fold.take() else { return true };
         match outcome {
-            Outcome::Done(revision) => {
+            WriteOutcome::Done(revision) => {
                 for (id, chunks) in f.chunks {
                     if let Some(j) = self.jobs.get_mut(&id) {
                         j.stored.extend(chunks.into_iter().map(|c| (c, revision)));
@@ -315,9 +325,9 @@
                     }
                 }
             }
-            Outcome::Fenced => return false,
-            Outcome::Open => {}
-            Outcome::NotDone => {
+            WriteOutcome::Fenced => return false,
+            WriteOutcome::Open => {}
+            WriteOutcome::NotDone => {
                 self.fold_after = ctx.now + 500;
                 self.finals_after = ctx.now + 500;
                 self.rounds.delete_again(f.rounds);
@@ -361,7 +371,7 @@
     }
 
     /// True if the job is known here; the answer follows once it is durable.
-    pub fn cancel(&mut self, ctx: &mut Ctx, req: ReqId, id: JobId) -> bool {
+    pub fn cancel(&mut self, ctx: &mut Context, req: RequestId, id: JobId) -> bool {
         if let Some(f) = self.closed.get(&id) {
             ctx.reply_state(req, 200, job_state(id, *f));
             return true;
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -1,14 +1,14 @@
 //! Limits of teams: what is used and wanted is told to the teams' shards; what their grants let in.
 use super::Coordinator;
-use crate::ctx::Ctx;
+use crate::context::Context;
 use crate::guards::{holds, Guard};
-use crate::ids::{JobId, Now};
+use crate::ids::{JobId, Timestamp};
 use crate::jobs::Job;
-use crate::names::Room;
+use crate::names::Resources;
 use crate::preemption::{victims, Candidate};
-use crate::quota::admission::{Admission, Admitted, Asking, Standing};
+use crate::quota::admission::{Admission, AdmissionRequest, Admitted, QuotaStatus};
 use crate::quota::{self, shard_of_team};
-use leaddeal_wire::mesh::{Amount, ByPriority, First, ShardMsg, TeamUse};
+use leaddeal_wire::mesh::{ByPriority, FirstInQueue, QuotaAmount, ShardMessage, TeamUsage};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -33,9 +33,9 @@
 const WAY_TASKS: u32 = 16;
 
 /// A job's place among those that wait: the least is served first.
-pub(super) type Turn = (Reverse<Priority>, u8, Now, Now, JobId);
+pub(super) type Turn = (Reverse<Priority>, u8, Timestamp, Timestamp, JobId);
 
-pub(super) fn turn(j: &Job, now: Now) -> Turn {
+pub(super) fn turn(j: &Job, now: Timestamp) -> Turn {
     let (late, due) = j.turn(now);
     (Reverse(j.wire.priority), late, due, j.created, j.id)
 }
@@ -44,12 +44,12 @@
 struct Waiting {
     id: JobId,
     team: u8,
-    asking: Asking,
+    asking: AdmissionRequest,
     admitted: Admitted,
 }
 
 /// Teams with a limit, by their place in the settings.
-fn limited(ctx: &Ctx) -> Vec<(u8, Amount)> {
+fn limited(ctx: &Context) -> Vec<(u8, QuotaAmount)> {
     let teams = ctx.cfg.teams.iter().enumerate();
     teams.filter_map(|(i, t)| Some((i as u8, quota::limit(t)?))).collect()
 }
@@ -57,7 +57,7 @@
 impl Coordinator {
     /// What the tasks that are or may be on machines take of the teams' limits, by priority; what is
     /// being decided counts.
-    fn team_usage(&self, ctx: &Ctx) -> BTreeMap<u8, ByPriority> {
+    fn team_usage(&self, ctx: &Context) -> BTreeMap<u8, ByPriority> {
         let mut used: BTreeMap<u8, ByPriority> = BTreeMap::new();
         // Each decision asks: without limits, all placements need not be gone through.
         if limited(ctx).is_empty() {
@@ -65,7 +65,7 @@
         }
         let mut count = |priority: Priority, (team, cpu, gpu): (u8, u64, u64)| {
             let sum = &mut used.entry(team).or_default()[priority as usize];
-            *sum = sum.plus(Amount { cpu, gpu });
+            *sum = sum.plus(QuotaAmount { cpu, gpu });
         };
         for j in self.jobs.values() {
             for take in j.placed.values().filter_map(|p| p.team) {
@@ -84,7 +84,7 @@
 
     /// How each team with a limit stands here, whose shard's owner of now has told since the last
     /// report.
-    pub(super) fn standings(&self, ctx: &Ctx) -> BTreeMap<u8, Standing> {
+    pub(super) fn standings(&self, ctx: &Context) -> BTreeMap<u8, QuotaStatus> {
         let mut used = self.team_usage(ctx);
         let shards = ctx.shards().count();
         let teams = limited(ctx).into_iter().filter_map(|(team, _)| {
@@ -95,14 +95,14 @@
                 .filter(|g| Some(g.0) == epoch || !holds(Guard::GrantEpoch))?
                 .1;
             let used = used.remove(&team).unwrap_or_default();
-            Some((team, Standing { may: grant.may, due: grant.due, used }))
+            Some((team, QuotaStatus { may: grant.may, due: grant.due, used }))
         });
         teams.collect()
     }
 
     /// The pending jobs of teams with a limit, in their turn, each with what may run of it.
-    fn walk(&self, ctx: &Ctx) -> Vec<Waiting> {
-        let limits: BTreeMap<u8, Amount> = limited(ctx).into_iter().collect();
+    fn walk(&self, ctx: &Context) -> Vec<Waiting> {
+        let limits: BTreeMap<u8, QuotaAmount> = limited(ctx).into_iter().collect();
         if limits.is_empty() {
             return Vec::new();
         }
@@ -120,7 +120,7 @@
         let mut seen = Vec::new();
         for (_, j, (team, cpu, gpu)) in waiting {
             let whole = j.wire.kind == Kind::Gang;
-            let task = Amount { cpu, gpu };
+            let task = QuotaAmount { cpu, gpu };
             let count = if j.doubt.in_doubt() { 1 } else { j.pending() };
             let need = task.times(if whole { count } else { 1 });
             if !limits.get(&team).is_some_and(|limit| need.within(*limit)) {
@@ -138,7 +138,7 @@
             let stuck = j.doubt.in_doubt()
                 || rests
                 || (vain.is_some_and(|ms| !keeps(ms)) && !self.has_way(j.id, now));
-            let asking = Asking { priority: j.wire.priority, task, count, whole, stuck };
+            let asking = AdmissionRequest { priority: j.wire.priority, task, count, whole, stuck };
             let admitted = admission.admit(&asking);
             seen.push(Waiting { id: j.id, team, asking, admitted });
         }
@@ -146,19 +146,19 @@
     }
 
     /// What may run of the pending jobs whose teams have limits; all others may.
-    pub(super) fn admitted(&self, ctx: &Ctx) -> HashMap<JobId, Admitted> {
+    pub(super) fn admitted(&self, ctx: &Context) -> HashMap<JobId, Admitted> {
         self.walk(ctx).into_iter().map(|w| (w.id, w.admitted)).collect()
     }
 
     /// Tells the teams' shards what is used and wanted.
-    pub fn report_teams(&mut self, ctx: &mut Ctx) {
+    pub fn report_teams(&mut self, ctx: &mut Context) {
         // A report gives the grants back for a moment: not while offers are out, if that ends soon.
         let due = self.team_at + if self.talk.is_some() { TELL_MS } else { 0 };
         if !self.ready() || ctx.now < due {
             return;
         }
-        let mut m: BTreeMap<u8, TeamUse> =
-            limited(ctx).into_iter().map(|(team, _)| (team, TeamUse::of(team))).collect();
+        let mut m: BTreeMap<u8, TeamUsage> =
+            limited(ctx).into_iter().map(|(team, _)| (team, TeamUsage::of(team))).collect();
         if m.is_empty() {
             return;
         }
@@ -186,21 +186,21 @@
             if first.is_none() && !a.stuck {
                 let waited = self.jobs.get(&w.id).map_or(0, |j| ctx.now.saturating_sub(j.created));
                 let need = a.task.times(if a.whole { a.count } else { 1 });
-                *first = Some(First { need, waited_ms: waited });
+                *first = Some(FirstInQueue { need, waited_ms: waited });
             }
         }
         self.team_serial += 1;
         self.grants.clear();
-        let usage: Vec<TeamUse> = m.into_values().collect();
+        let usage: Vec<TeamUsage> = m.into_values().collect();
         for s in ctx.shards() {
-            let msg = ShardMsg::TeamUsage { serial: self.team_serial, usage: usage.clone() };
+            let msg = ShardMessage::TeamUsage { serial: self.team_serial, usage: usage.clone() };
             ctx.send(self.shard, s, msg);
         }
     }
 
     /// For the operators' log, if there are teams with limits: how many jobs wait for one, how many
     /// tasks were stopped for others of their team, and by team what its tasks take here and may.
-    pub fn limit_figures(&mut self, ctx: &Ctx) -> Option<String> {
+    pub fn limit_figures(&mut self, ctx: &Context) -> Option<String> {
         if limited(ctx).is_empty() {
             return None;
         }
@@ -222,14 +222,20 @@
         Some(words.join(" "))
     }
 
-    fn has_way(&self, job: JobId, now: Now) -> bool {
+    fn has_way(&self, job: JobId, now: Timestamp) -> bool {
         self.ways.get(&job).is_some_and(|at| now < at + WAY_MS)
     }
 
     /// Machines have room for the job, its team's limit has not: stops lesser work of the same team,
     /// the cheapest, if that lets it in. What was stopped comes after it in turn, so it is not
     /// started again before the job has begun, or `WAY_MS` are over.
-    pub(super) fn make_way(&mut self, ctx: &Ctx, id: JobId, tasks: u32, standing: &Standing) {
+    pub(super) fn make_way(
+        &mut self,
+        ctx: &Context,
+        id: JobId,
+        tasks: u32,
+        standing: &QuotaStatus,
+    ) {
         let now = ctx.now;
         self.ways.retain(|_, at| now < *at + 2 * WAY_MS);
         let Some(j) = self.jobs.get(&id).filter(|_| !self.ways.contains_key(&id)) else { return };
@@ -237,7 +243,7 @@
         let (priority, whole) = (j.wire.priority, j.wire.kind == Kind::Gang);
         let wanted = if whole { tasks } else { tasks.min(WAY_TASKS) };
         let free = standing.free();
-        let mut free = Room { cpu: free.cpu, gpu: free.gpu, mem: 0 };
+        let mut free = Resources { cpu: free.cpu, gpu: free.gpu, mem: 0 };
         let mut lesser: Vec<Candidate<(JobId, Option<u32>)>> = Vec::new();
         // Replicas stay: what they are worth is not lost work, and users notice at once. (The seeded
         // runs of recovery did: a fifth of the replicas was down for the sake of others.)
@@ -250,12 +256,12 @@
             let mut gang = Candidate {
                 key: (o.id, None),
                 priority: o.wire.priority,
-                need: Room::default(),
+                need: Resources::default(),
                 loss: 0,
             };
             for (task, p) in o.placed.iter() {
                 let Some((_, cpu, gpu)) = p.team else { continue };
-                let need = Room { cpu, gpu, mem: 0 };
+                let need = Resources { cpu, gpu, mem: 0 };
                 if p.stop.is_some() || o.cancelled {
                     free.add(need, 1);
                     continue;
@@ -272,11 +278,11 @@
                     lesser.push(Candidate { key, priority: o.wire.priority, need, loss });
                 }
             }
-            if gang.need != Room::default() {
+            if gang.need != Resources::default() {
                 lesser.push(gang);
             }
         }
-        let need = |n: u32| Room { cpu: cpu * u64::from(n), gpu: gpu * u64::from(n), mem: 0 };
+        let need = |n: u32| Resources { cpu: cpu * u64::from(n), gpu: gpu * u64::from(n), mem: 0 };
         let fewer = if whole { wanted } else { 1 };
         let chosen = [wanted, fewer]
             .into_iter()
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -1,14 +1,14 @@
 //! Loading a shard: decisions, jobs, done tasks, in this order.
 use super::{Coordinator, Load};
-use crate::ctx::{Ctx, OpKind};
+use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
 use crate::ids::{Attempt, JobId, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::{wire_shape, Job};
 use crate::keys;
 use crate::placed::Placement;
-use crate::records::{Feed, Record};
-use leaddeal_wire::mesh::Phase;
+use crate::records::{Record, RecordReader};
+use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::user::{self};
 use serde_json::Value;
 use std::sync::Arc;
@@ -17,19 +17,19 @@
 const JOBS_WAIT_MS: u64 = 15_000;
 
 /// A record that does not decode silences only itself.
-fn unreadable(ctx: &mut Ctx, key: &str) {
-    ctx.out.log(0, "record_unreadable", || key.to_string());
+fn unreadable(ctx: &mut Context, key: &str) {
+    ctx.effects.log(0, "record_unreadable", || key.to_string());
 }
 
 impl Coordinator {
     /// Reads on: the next page, or what comes.
-    pub(super) fn read_on(&mut self, ctx: &mut Ctx) {
+    pub(super) fn read_on(&mut self, ctx: &mut Context) {
         if let Some(call) = self.feed.call(ctx.now) {
-            ctx.store(OpKind::Records { shard: self.shard, epoch: self.epoch }, call);
+            ctx.store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
-    pub fn records(&mut self, ctx: &mut Ctx, result: StoreResult) {
+    pub fn records(&mut self, ctx: &mut Context, result: StoreResult) {
         let heard = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
         for r in self.feed.take(ctx.now, result) {
             match self.load {
@@ -40,7 +40,7 @@
         }
         if !heard {
             if let Some(what) = self.feed.in_vain() {
-                ctx.out.log(1, "records_refused", || what);
+                ctx.effects.log(1, "records_refused", || what);
             }
             return;
         }
@@ -53,16 +53,16 @@
         self.read_on(ctx);
     }
 
-    fn next_load(&mut self, ctx: &mut Ctx) {
+    fn next_load(&mut self, ctx: &mut Context) {
         match self.load {
             Load::Decisions => {
                 self.load = Load::Jobs;
-                self.feed = Feed::all(keys::job_prefix(self.shard), JOBS_WAIT_MS);
+                self.feed = RecordReader::all(keys::job_prefix(self.shard), JOBS_WAIT_MS);
             }
             Load::Jobs => {
                 self.load = Load::Runs;
                 self.loaded_from = self.feed.revision();
-                let runs = Feed::pages(keys::run_prefix(self.shard));
+                let runs = RecordReader::pages(keys::run_prefix(self.shard));
                 self.jobs_feed = Some(std::mem::replace(&mut self.feed, runs));
             }
             Load::Runs => {
@@ -87,13 +87,13 @@
                 }
                 ctx.wake = true;
                 let (s, n) = (self.shard.0, self.jobs.len());
-                ctx.out.log(1, "seat_loaded", || format!("seat={s} jobs={n}"));
+                ctx.effects.log(1, "seat_loaded", || format!("seat={s} jobs={n}"));
             }
             Load::Ready => {}
         }
     }
 
-    pub fn job_created(&mut self, ctx: &mut Ctx, key: &str, value: &Value) {
+    pub fn job_created(&mut self, ctx: &mut Context, key: &str, value: &Value) {
         let Some(id) = keys::job_of_key(key) else {
             return;
         };
@@ -102,7 +102,7 @@
         }
         let Ok(wire) = serde_json::from_value::<user::Job>(value["job"].clone()) else {
             let k = key.to_string();
-            ctx.out.log(0, "job_unreadable", || k);
+            ctx.effects.log(0, "job_unreadable", || k);
             return;
         };
         let age = ctx.time_ms.saturating_sub(value["at"].as_u64().unwrap_or(ctx.time_ms));
@@ -115,7 +115,7 @@
     }
 
     /// One that can't be read counts as nothing done: its tasks run again, and exit with `done`.
-    pub(super) fn run_loaded(&mut self, ctx: &mut Ctx, r: &Record) {
+    pub(super) fn run_loaded(&mut self, ctx: &mut Context, r: &Record) {
         let found = keys::run_of_key(&r.key).map(|(id, chunk)| (self.jobs.get_mut(&id), chunk));
         let read = match found {
             Some((Some(j), chunk)) => {
@@ -133,7 +133,7 @@
 
     /// Decisions of older epochs: their winners may be on machines. Of several attempts of a
     /// task only the newest counts; it was decided after the older ones were proven gone.
-    pub(super) fn take_decisions(&mut self, ctx: &mut Ctx) {
+    pub(super) fn take_decisions(&mut self, ctx: &mut Context) {
         for Record { key, value, .. } in std::mem::take(&mut self.decisions) {
             let Some(attempt) = value["a"].as_u64().map(Attempt) else {
                 unreadable(ctx, &key);
@@ -144,7 +144,7 @@
             let mut replaced = Vec::new();
             let empty = Vec::new();
             for p in value["p"].as_array().unwrap_or(&empty) {
-                let (Some(job), Some(task), Some(machine), Some(session), Some(zone)) =
+                let (Some(job), Some(task), Some(machine), Some(incarnation), Some(zone)) =
                     (p[0].as_u64(), p[1].as_u64(), p[2].as_str(), p[3].as_u64(), p[4].as_u64())
                 else {
                     unreadable(ctx, &key);
@@ -165,9 +165,9 @@
                     attempt,
                     machine,
                     participant,
-                    session,
+                    incarnation,
                     zone: ZoneIdx(zone as u8),
-                    phase: Phase::Decided,
+                    phase: TaskPhase::Decided,
                     round,
                     placed_at: ctx.now,
                     sent_at: 0,
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -1,20 +1,21 @@
 //! A shard's jobs: asks for offers, writes the choice under the epoch, then says yes and no.
-use crate::budget::Class;
-use crate::ctx::Ctx;
+use crate::budget::WriteClass;
+use crate::context::Context;
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, JobId, Negotiation, Now, Shard};
-use crate::jobs::{DoneOn, Job};
+use crate::ids::{Attempt, Epoch, JobId, Negotiation, Shard, Timestamp};
+use crate::jobs::{CompletedAttempt, Job};
 use crate::keys;
-use crate::records::{Feed, Record};
-use crate::writes::Write;
+use crate::records::{Record, RecordReader};
+use crate::writes::PendingWrite;
 use leaddeal_wire::mesh::{
-    AttemptRef, Lack, Offer, Phase, Pick, Shape as WireShape, ShardMsg, TaskEvent, TeamGrant,
+    Assignment, AttemptRef, Offer, Shape as WireShape, ShardMessage, TaskEvent, TaskPhase,
+    TeamGrant, UnmetDemand,
 };
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{Kind, Priority, Status};
-use leaddeal_wire::worker::{TaskState, Why};
+use leaddeal_wire::worker::{ExitReason, TaskState};
 use rounds::{Record as Slot, Rounds};
-use served::Served;
+use served::ServiceStatistics;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -41,7 +42,7 @@
 type GpuWork = (u64, u64, u64, Priority);
 
 /// What a participant is told yes to, for a job: its shape and the picks.
-type Yes = (Arc<WireShape>, Vec<Pick>);
+type Yes = (Arc<WireShape>, Vec<Assignment>);
 
 #[derive(Debug)]
 enum Load {
@@ -52,7 +53,7 @@
 }
 
 #[derive(Debug)]
-struct Talk {
+struct NegotiationState {
     id: Negotiation,
     items: Vec<(JobId, u32)>,
     asked: Vec<Shard>,
@@ -60,11 +61,11 @@
     offers: Vec<(Shard, Offer)>,
     /// Items for which a participant is making room.
     coming: BTreeSet<u16>,
-    started: Now,
+    started: Timestamp,
 }
 
 #[derive(Debug)]
-struct Choice {
+struct SelectedOffer {
     job: JobId,
     task: u32,
     shard: Shard,
@@ -72,26 +73,26 @@
 }
 
 #[derive(Debug)]
-struct Writing {
+struct PendingDecision {
     slot: Slot,
     round: u64,
     attempt: Attempt,
-    choices: Vec<Choice>,
+    choices: Vec<SelectedOffer>,
     asked: Vec<Shard>,
     negotiation: Negotiation,
-    write: Write,
+    write: PendingWrite,
 }
 
 #[derive(Debug, Default)]
-struct Fold {
-    write: Option<Write>,
+struct Compaction {
+    write: Option<PendingWrite>,
     chunks: Vec<(JobId, Vec<u32>)>,
-    acks: Vec<(JobId, Vec<DoneOn>)>,
+    acks: Vec<(JobId, Vec<CompletedAttempt>)>,
     finals: Vec<(JobId, Status)>,
     rounds: Vec<String>,
 }
 
-impl Fold {
+impl Compaction {
     fn first_chunk(&self) -> Option<(JobId, u32)> {
         self.chunks.iter().find_map(|(id, chunks)| Some((*id, *chunks.first()?)))
     }
@@ -103,34 +104,34 @@
     pub epoch: Epoch,
     load: Load,
     /// What is being read, or the jobs as they come.
-    feed: Feed,
-    jobs_feed: Option<Feed>,
+    feed: RecordReader,
+    jobs_feed: Option<RecordReader>,
     decisions: Vec<Record>,
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that are over, with their final state.
     pub closed: HashMap<JobId, (Status, u32)>,
-    talk: Option<Talk>,
-    writing: Option<Writing>,
+    talk: Option<NegotiationState>,
+    writing: Option<PendingDecision>,
     next_talk: u64,
     round: u64,
     rounds: Rounds,
     /// Jobs that may have tasks to be placed; who has none any more is taken out when looked at.
     pending: BTreeSet<JobId>,
     /// Jobs whose tasks are all done and whose final state is not written, since when.
-    over: BTreeMap<JobId, Now>,
+    over: BTreeMap<JobId, Timestamp>,
     /// Jobs of which something is done that is not in the store.
     dirty: BTreeSet<JobId>,
     /// Jobs with a task that was not seen on its machine yet, or is to stop; who has none any more
     /// is taken out when looked at.
     unsettled: BTreeSet<JobId>,
     /// GPU work there is, and when to look anew.
-    gpu_work: (Now, Vec<GpuWork>),
-    served: Served,
+    gpu_work: (Timestamp, Vec<GpuWork>),
+    served: ServiceStatistics,
     /// Cancellations being written.
     cancelling: BTreeSet<JobId>,
-    fold: Option<Fold>,
-    finals_after: Now,
-    fold_after: Now,
+    fold: Option<Compaction>,
+    finals_after: Timestamp,
+    fold_after: Timestamp,
     /// Picks of all decisions, and how many decisions; for the log.
     picked: (u64, u64),
     /// Revision of the list of jobs that was loaded.
@@ -138,17 +139,17 @@
     /// Told to hand the shard over: no new rounds.
     pub leaving: bool,
     participant_epochs: Vec<Epoch>,
-    next_resend: Now,
+    next_resend: Timestamp,
     /// Grants by team, with the epoch of the team's shard.
     grants: BTreeMap<u8, (Epoch, TeamGrant)>,
     team_serial: u64,
-    team_at: Now,
+    team_at: Timestamp,
     /// Jobs that waited for their team's limit when it was last told of; for the log.
     capped: usize,
     /// The first job of each team with a limit and of each priority that waits, since when.
-    firsts: BTreeMap<(u8, Priority), (JobId, Now)>,
+    firsts: BTreeMap<(u8, Priority), (JobId, Timestamp)>,
     /// Jobs for which lesser work of their team was stopped, since when.
-    ways: BTreeMap<JobId, Now>,
+    ways: BTreeMap<JobId, Timestamp>,
     /// How many tasks were; for the log.
     gave_way: u64,
 }
@@ -159,7 +160,7 @@
             shard,
             epoch,
             load: Load::Decisions,
-            feed: Feed::pages(keys::decision_prefix(shard)),
+            feed: RecordReader::pages(keys::decision_prefix(shard)),
             jobs_feed: None,
             decisions: Vec::new(),
             jobs: BTreeMap::new(),
@@ -174,7 +175,7 @@
             dirty: BTreeSet::new(),
             unsettled: BTreeSet::new(),
             gpu_work: (0, Vec::new()),
-            served: Served::default(),
+            served: ServiceStatistics::default(),
             cancelling: BTreeSet::new(),
             fold: None,
             finals_after: 0,
@@ -206,8 +207,8 @@
     }
 
     /// Changes of this shard, conditional on its epoch.
-    fn write(&self, class: Class, changes: Vec<Change>) -> Write {
-        Write::new(class, self.shard, self.epoch, changes)
+    fn write(&self, class: WriteClass, changes: Vec<Change>) -> PendingWrite {
+        PendingWrite::new(class, self.shard, self.epoch, changes)
     }
 
     fn next_round_id(&mut self) -> u64 {
@@ -215,9 +216,9 @@
         self.round
     }
 
-    pub fn handle(&mut self, ctx: &mut Ctx, from: Shard, msg: ShardMsg) {
+    pub fn handle(&mut self, ctx: &mut Context, from: Shard, msg: ShardMessage) {
         match msg {
-            ShardMsg::Offers { negotiation, offers, coming } => {
+            ShardMessage::Offers { negotiation, offers, coming } => {
                 let current = self
                     .talk
                     .as_mut()
@@ -232,7 +233,7 @@
                 }
                 self.check_talk(ctx);
             }
-            ShardMsg::TeamGrant { serial, granted } if serial == self.team_serial => {
+            ShardMessage::TeamGrant { serial, granted } if serial == self.team_serial => {
                 if let Some(o) = ctx.owner(from) {
                     for g in granted {
                         self.grants.insert(g.team, (o.epoch, g));
@@ -240,8 +241,10 @@
                     ctx.wake = true;
                 }
             }
-            ShardMsg::AskDecision { negotiation } => self.answer_decision(ctx, from, negotiation),
-            ShardMsg::Room { priority } => {
+            ShardMessage::AskDecision { negotiation } => {
+                self.answer_decision(ctx, from, negotiation)
+            }
+            ShardMessage::CapacityFreed { priority } => {
                 // Whose tasks all have their places asks for nothing.
                 for id in &self.pending {
                     let j = self.jobs.get_mut(id).filter(|j| j.wire.priority >= priority);
@@ -251,30 +254,30 @@
                 }
                 ctx.wake = true;
             }
-            ShardMsg::Events { events } if self.ready() => {
+            ShardMessage::TaskEvents { events } if self.ready() => {
                 let mut over = Vec::new();
                 for e in events {
                     over.extend(self.event(ctx, from, e));
                 }
                 // The participant keeps telling until it is told to forget.
                 if !over.is_empty() {
-                    ctx.send(self.shard, from, ShardMsg::Forget { what: over });
+                    ctx.send(self.shard, from, ShardMessage::Forget { what: over });
                 }
             }
             _ => {}
         }
     }
 
-    fn answer_decision(&mut self, ctx: &mut Ctx, from: Shard, negotiation: u64) {
+    fn answer_decision(&mut self, ctx: &mut Context, from: Shard, negotiation: u64) {
         let open = self.talk.as_ref().is_some_and(|t| t.id.0 == negotiation)
             || self.writing.as_ref().is_some_and(|w| w.negotiation.0 == negotiation);
         if !open {
-            ctx.send(self.shard, from, ShardMsg::Close { negotiation });
+            ctx.send(self.shard, from, ShardMessage::CloseNegotiation { negotiation });
         }
     }
 
     /// Returns the attempt if the participant may forget it.
-    fn event(&mut self, ctx: &mut Ctx, from: Shard, e: TaskEvent) -> Option<AttemptRef> {
+    fn event(&mut self, ctx: &mut Context, from: Shard, e: TaskEvent) -> Option<AttemptRef> {
         let now = ctx.now;
         let id = JobId(e.job);
         let what = AttemptRef {
@@ -282,9 +285,9 @@
             task: e.task,
             attempt: e.attempt,
             machine: e.machine.clone(),
-            session: None,
+            incarnation: None,
         };
-        let over = matches!(e.phase, Phase::Exited(..) | Phase::Gone);
+        let over = matches!(e.phase, TaskPhase::Exited(..) | TaskPhase::Gone);
         let known = self.jobs.get(&id).and_then(|j| j.placed.get(e.task)).is_some_and(|p| {
             p.attempt.0 == e.attempt && ctx.names.machine_name(p.machine) == e.machine
         });
@@ -301,11 +304,14 @@
             if over {
                 return (!unfolded).then_some(what);
             }
-            ctx.send(self.shard, from, ShardMsg::Stop { what, grace_s: 0.0 });
+            ctx.send(self.shard, from, ShardMessage::Stop { what, grace_s: 0.0 });
             return None;
         }
         let j = self.jobs.get_mut(&id)?;
-        let ran = matches!(e.phase, Phase::On(TaskState::Running) | Phase::Exited(Why::Done, _));
+        let ran = matches!(
+            e.phase,
+            TaskPhase::On(TaskState::Running) | TaskPhase::Exited(ExitReason::Done, _)
+        );
         if ran && j.begun.is_none() && !j.cancelled {
             j.begun = Some(now);
             self.served.begins(j, now);
@@ -313,7 +319,7 @@
         if !over {
             j.placed.set_phase(e.task, e.phase);
             // A gang that is to save must be stopped whole, and soon.
-            if e.phase == Phase::On(TaskState::Saving) && j.wire.kind == Kind::Gang {
+            if e.phase == TaskPhase::On(TaskState::Saving) && j.wire.kind == Kind::Gang {
                 let grace = j.wire.save_s + 2.0;
                 j.placed.stop_rest(grace);
                 self.unsettled.insert(id);
@@ -323,7 +329,7 @@
             return None;
         }
         let p = j.placed.remove(e.task)?;
-        if let Phase::Exited(Why::Done, _) = e.phase {
+        if let TaskPhase::Exited(ExitReason::Done, _) = e.phase {
             if j.wire.kind != Kind::Service && !j.cancelled {
                 j.doubt.ran_well();
                 j.set_done(e.task, now);
@@ -338,7 +344,7 @@
             }
         }
         match e.phase {
-            Phase::Exited(Why::Error | Why::Other | Why::Unknown, _) => {
+            TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
                 if j.wire.kind == Kind::Service && j.placed.running() > 0 {
                     j.doubt.ran_well();
                 }
@@ -346,10 +352,10 @@
                 j.not_before = j.doubt.failed(p.machine, now, j.not_before);
                 if j.doubt.in_doubt() && !before {
                     let name = &j.wire.id;
-                    ctx.out.log(1, "job_in_doubt", || name.clone());
+                    ctx.effects.log(1, "job_in_doubt", || name.clone());
                 }
             }
-            Phase::Exited(Why::Full | Why::Busy, _) => j.not_before = now + 300,
+            TaskPhase::Exited(ExitReason::Full | ExitReason::Busy, _) => j.not_before = now + 300,
             _ if j.doubt.in_doubt() => {}
             _ => j.not_before = j.not_before.min(now),
         }
@@ -370,7 +376,7 @@
         Some(what)
     }
 
-    fn resend(&mut self, ctx: &mut Ctx) {
+    fn resend(&mut self, ctx: &mut Context) {
         if !self.ready() || ctx.now < self.next_resend {
             return;
         }
@@ -396,7 +402,7 @@
             let id = j.id;
             let mut open = false;
             for (task, p) in j.placed.iter_mut() {
-                open |= p.stop.is_some() || p.phase == Phase::Decided || j.cancelled;
+                open |= p.stop.is_some() || p.phase == TaskPhase::Decided || j.cancelled;
                 let shard = p.participant;
                 let renew = fresh[shard.0 as usize];
                 let attempt = p.attempt.0;
@@ -410,9 +416,9 @@
                             task,
                             attempt,
                             machine,
-                            session: Some(p.session),
+                            incarnation: Some(p.incarnation),
                         };
-                        stops.push((shard, ShardMsg::Stop { what, grace_s: *grace_s }));
+                        stops.push((shard, ShardMessage::Stop { what, grace_s: *grace_s }));
                     }
                     continue;
                 }
@@ -420,16 +426,16 @@
                     p.stop = Some((0.0, 0));
                     continue;
                 }
-                if renew || (p.phase == Phase::Decided && now >= p.sent_at + RESEND_MS) {
+                if renew || (p.phase == TaskPhase::Decided && now >= p.sent_at + RESEND_MS) {
                     p.sent_at = now;
                     let e = yes
                         .entry((shard, id, p.adopted))
                         .or_insert_with(|| (j.shape.wire.clone(), Vec::new()));
-                    e.1.push(Pick {
+                    e.1.push(Assignment {
                         task,
                         attempt,
                         machine: ctx.names.machine_name(p.machine).to_string(),
-                        session: p.session,
+                        incarnation: p.incarnation,
                     });
                 }
             }
@@ -441,7 +447,7 @@
                 ctx.send(
                     self.shard,
                     shard,
-                    ShardMsg::Place { job: job.0, shape: shape.clone(), picks, adopt },
+                    ShardMessage::Place { job: job.0, shape: shape.clone(), picks, adopt },
                 );
             }
         }
@@ -450,7 +456,7 @@
         }
     }
 
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         if !self.ready() {
             self.read_on(ctx);
             return;
@@ -466,7 +472,7 @@
     }
 
     /// Work without a place, for the provisioner.
-    pub fn lacks(&self, ctx: &Ctx) -> Vec<Lack> {
+    pub fn lacks(&self, ctx: &Context) -> Vec<UnmetDemand> {
         if !self.ready() {
             return Vec::new();
         }
@@ -487,7 +493,7 @@
             .into_iter()
             .map(|l| l.1)
             .take(LACKS)
-            .map(|j| Lack {
+            .map(|j| UnmetDemand {
                 job: j.id.0,
                 shape: j.shape.wire.clone(),
                 count: worth(j),
@@ -499,7 +505,7 @@
     }
 
     /// For the operators' log: what is kept and what waits to be written.
-    pub fn figures(&mut self, now: Now) -> String {
+    pub fn figures(&mut self, now: Timestamp) -> String {
         let oldest = self.over.values().min().map_or(0, |at| now.saturating_sub(*at));
         let unfolded: usize =
             self.dirty.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.unfolded.len()).sum();
@@ -516,7 +522,7 @@
     }
 
     /// The shard is lost: whoever waits for an answer has to ask again.
-    pub fn abandon(&mut self, ctx: &mut Ctx) {
+    pub fn abandon(&mut self, ctx: &mut Context) {
         for j in self.jobs.values_mut() {
             for r in std::mem::take(&mut j.cancel_reqs) {
                 ctx.reply_later(r, 503, 1);
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,21 +1,24 @@
 //! A round: ask all participants for offers, write the choice under the epoch, then say yes and no.
 use super::limits::turn;
 use super::{
-    Choice, Coordinator, GpuWork, Talk, Writing, Yes, GPU_KINDS, GPU_WORK_MS, ITEMS, OFFERS_MS,
+    Coordinator, GpuWork, NegotiationState, PendingDecision, SelectedOffer, Yes, GPU_KINDS,
+    GPU_WORK_MS, ITEMS, OFFERS_MS,
 };
-use crate::budget::Class;
-use crate::ctx::{Ctx, OpKind};
+use crate::budget::WriteClass;
+use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, JobId, Negotiation, Now, Shard, ZoneIdx};
+use crate::ids::{Attempt, Epoch, JobId, Negotiation, Shard, Timestamp, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::Job;
 use crate::keys;
 use crate::placed::Placement;
-use crate::quota::admission::{Admitted, Standing};
+use crate::quota::admission::{Admitted, QuotaStatus};
 use crate::quota::shard_of_team;
-use crate::writes::Outcome;
-use leaddeal_wire::mesh::{Amount, Line, Offer, Phase, Pick, ShardMsg, Wanted};
-use leaddeal_wire::state::{Change, Cond};
+use crate::writes::WriteOutcome;
+use leaddeal_wire::mesh::{
+    Assignment, Offer, OfferRequest, QueuePosition, QuotaAmount, ShardMessage, TaskPhase,
+};
+use leaddeal_wire::state::{Change, Condition};
 use leaddeal_wire::user::{self, Kind};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -24,7 +27,7 @@
 const CAPPED_MS: u64 = 400;
 
 /// How many of a job's tasks its team's limit lets in; of a team without one, all.
-fn may_run(ctx: &Ctx, admitted: &HashMap<JobId, Admitted>, j: &Job) -> Admitted {
+fn may_run(ctx: &Context, admitted: &HashMap<JobId, Admitted>, j: &Job) -> Admitted {
     match ctx.team_use(j) {
         Some(_) => admitted.get(&j.id).copied().unwrap_or_default(),
         None => Admitted::all(j.pending()),
@@ -33,7 +36,11 @@
 
 impl Coordinator {
     /// Jobs that may have a task placed now, the most important first.
-    pub(super) fn order(&mut self, ctx: &Ctx, admitted: &HashMap<JobId, Admitted>) -> Vec<JobId> {
+    pub(super) fn order(
+        &mut self,
+        ctx: &Context,
+        admitted: &HashMap<JobId, Admitted>,
+    ) -> Vec<JobId> {
         let now = ctx.now;
         let jobs = &self.jobs;
         self.pending.retain(|id| jobs.get(id).is_some_and(|j| !j.cancelled && j.pending() > 0));
@@ -58,7 +65,7 @@
         v.into_iter().map(|x| x.4).collect()
     }
 
-    pub fn start_round(&mut self, ctx: &mut Ctx) {
+    pub fn start_round(&mut self, ctx: &mut Context) {
         if !self.ready()
             || self.talk.is_some()
             || self.writing.is_some()
@@ -68,7 +75,7 @@
             return;
         }
         // What waits for the next change that may be written makes for a larger round.
-        if self.pending.is_empty() || ctx.budget.room(Class::Decision) == 0 {
+        if self.pending.is_empty() || ctx.budget.room(WriteClass::Decision) == 0 {
             return;
         }
         let admitted = self.admitted(ctx);
@@ -107,7 +114,7 @@
             let makes_room =
                 j.wire.priority > user::Priority::Low && !j.doubt.in_doubt() && covered;
             turns.push(j.make_room.filter(|_| makes_room));
-            wanted.push(Wanted {
+            wanted.push(OfferRequest {
                 job: id.0,
                 shape: j.shape.wire.clone(),
                 count,
@@ -115,7 +122,7 @@
                 make_room: false,
                 pressing: j.pressing(ctx.now),
                 anywhere: j.anywhere(ctx.now),
-                line: j.line(ctx.now).map(|l| Line { stands: l.stands && covered, ..l }),
+                line: j.line(ctx.now).map(|l| QueuePosition { stands: l.stands && covered, ..l }),
             });
         }
         if items.is_empty() {
@@ -134,10 +141,10 @@
                     turn.is_some_and(|t| t as usize % ctx.shards().count() == s.0 as usize);
             }
             let gpu_work = gpu_work.clone();
-            let msg = ShardMsg::Request { negotiation: id.0, items, gpu_work };
+            let msg = ShardMessage::RequestOffers { negotiation: id.0, items, gpu_work };
             ctx.send(self.shard, s, msg);
         }
-        self.talk = Some(Talk {
+        self.talk = Some(NegotiationState {
             id,
             items,
             waiting: asked.iter().copied().collect(),
@@ -151,7 +158,7 @@
 
     /// The kinds of GPU work there are, so that participants keep services from spoiling its machines
     /// before it gets its turn to be asked for.
-    fn gpu_work(&mut self, now: Now) -> Vec<GpuWork> {
+    fn gpu_work(&mut self, now: Timestamp) -> Vec<GpuWork> {
         if now < self.gpu_work.0 {
             return self.gpu_work.1.clone();
         }
@@ -165,7 +172,7 @@
         self.gpu_work.1.clone()
     }
 
-    pub(super) fn check_talk(&mut self, ctx: &mut Ctx) {
+    pub(super) fn check_talk(&mut self, ctx: &mut Context) {
         let Some(t) = &mut self.talk else { return };
         t.waiting.retain(|s| ctx.reachable(*s));
         if t.waiting.is_empty() || ctx.now >= t.started + OFFERS_MS {
@@ -173,13 +180,13 @@
         }
     }
 
-    pub(super) fn decide(&mut self, ctx: &mut Ctx) {
+    pub(super) fn decide(&mut self, ctx: &mut Context) {
         let Some(mut talk) = self.talk.take() else { return };
         // Who answered and offered nothing holds nothing, and needs no word of the end.
         let offered: BTreeSet<Shard> = talk.offers.iter().map(|o| o.0).collect();
         talk.asked.retain(|s| talk.waiting.contains(s) || offered.contains(s));
         let now = ctx.now;
-        let mut choices: Vec<Choice> = Vec::new();
+        let mut choices: Vec<SelectedOffer> = Vec::new();
         let mut offers = talk.offers;
         let mut standings = self.standings(ctx);
         let mut ways = Vec::new();
@@ -200,8 +207,8 @@
             let mut want = count.min(j.pending());
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
                 // What is granted is not known just now: it soon is.
-                let Some(free) = standings.get(&team).map(Standing::free) else { continue };
-                let fits = free.fits(Amount { cpu, gpu });
+                let Some(free) = standings.get(&team).map(QuotaStatus::free) else { continue };
+                let fits = free.fits(QuotaAmount { cpu, gpu });
                 let n =
                     if holds(Guard::GrantKept) { fits.min(u64::from(want)) as u32 } else { want };
                 let offered: u32 = mine.iter().map(|o| o.1.count).sum();
@@ -264,7 +271,7 @@
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
                 if let Some(s) = standings.get_mut(&team) {
                     let used = &mut s.used[j.wire.priority as usize];
-                    *used = used.plus(Amount { cpu, gpu }.times(picks.len() as u32));
+                    *used = used.plus(QuotaAmount { cpu, gpu }.times(picks.len() as u32));
                 }
             }
             j.served();
@@ -273,7 +280,7 @@
             j.make_room = short.then(|| j.make_room.map_or(0, |t| t + step));
             for (shard, offer) in picks {
                 let Some(task) = j.take() else { break };
-                choices.push(Choice { job: id, task, shard, offer });
+                choices.push(SelectedOffer { job: id, task, shard, offer });
             }
         }
         for (id, team, tasks) in ways {
@@ -297,15 +304,15 @@
                 let o = &c.offer;
                 match self.jobs.get(&c.job).and_then(|j| ctx.team_use(j)) {
                     Some(t) => {
-                        json!([c.job.0, c.task, o.machine, o.session, o.zone, t.0, t.1, t.2])
+                        json!([c.job.0, c.task, o.machine, o.incarnation, o.zone, t.0, t.1, t.2])
                     }
-                    None => json!([c.job.0, c.task, o.machine, o.session, o.zone]),
+                    None => json!([c.job.0, c.task, o.machine, o.incarnation, o.zone]),
                 }
             })
             .collect();
         let value = json!({"a": attempt.0, "p": picks});
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
-        let mut write = self.write(Class::Decision, vec![put]);
+        let mut write = self.write(WriteClass::Decision, vec![put]);
         if holds(Guard::DecisionVersion) {
             write = write.creating(slot.key.clone(), slot.version);
         }
@@ -315,7 +322,7 @@
                 let t = self.jobs.get(&c.job).and_then(|j| ctx.team_use(j));
                 t.is_some_and(|t| t.0 == *team)
             });
-            let cond = Cond {
+            let cond = Condition {
                 key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
                 version: g.0 .0,
             };
@@ -323,7 +330,7 @@
                 write = write.also_if(cond);
             }
         }
-        self.writing = Some(Writing {
+        self.writing = Some(PendingDecision {
             slot,
             round,
             attempt,
@@ -335,22 +342,22 @@
         self.write_decision(ctx);
     }
 
-    pub(super) fn write_decision(&mut self, ctx: &mut Ctx) {
+    pub(super) fn write_decision(&mut self, ctx: &mut Context) {
         let Some(w) = self.writing.as_mut().filter(|_| ctx.valid) else { return };
         if let Some(call) = w.write.call(ctx.now, ctx.budget) {
-            ctx.store(OpKind::Decide { shard: self.shard, epoch: self.epoch }, call);
+            ctx.store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
-    /// Outcome of the decision's transaction. False: the shard is lost.
-    pub fn decided(&mut self, ctx: &mut Ctx, result: &StoreResult) -> bool {
+    /// WriteOutcome of the decision's transaction. False: the shard is lost.
+    pub fn decided(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
         let Some(w) = &mut self.writing else {
             return true;
         };
         match w.write.take(ctx.now, result) {
-            Outcome::Done(revision) => self.winners(ctx, revision),
-            Outcome::Fenced => return false,
-            Outcome::NotDone => {
+            WriteOutcome::Done(revision) => self.winners(ctx, revision),
+            WriteOutcome::Fenced => return false,
+            WriteOutcome::NotDone => {
                 let slot = w.slot.clone();
                 let lost = matches!(result, StoreResult::Conflict(f) if f.contains(&slot.key));
                 // Somebody else wrote to it, which nobody does: it is left alone.
@@ -359,13 +366,13 @@
                 }
                 self.losers(ctx);
             }
-            Outcome::Open if holds(Guard::DecidedDurable) => {}
-            Outcome::Open => self.winners(ctx, 0),
+            WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
+            WriteOutcome::Open => self.winners(ctx, 0),
         }
         true
     }
 
-    fn winners(&mut self, ctx: &mut Ctx, version: u64) {
+    fn winners(&mut self, ctx: &mut Context, version: u64) {
         let Some(w) = self.writing.take() else { return };
         let mut live = 0;
         let mut yes: BTreeMap<(Shard, JobId), Yes> = BTreeMap::new();
@@ -377,9 +384,9 @@
                 attempt: w.attempt,
                 machine: ctx.names.machine(&c.offer.machine),
                 participant: c.shard,
-                session: c.offer.session,
+                incarnation: c.offer.incarnation,
                 zone: ZoneIdx(c.offer.zone),
-                phase: Phase::Decided,
+                phase: TaskPhase::Decided,
                 round: w.round,
                 placed_at: ctx.now,
                 sent_at: ctx.now,
@@ -397,22 +404,26 @@
             self.unsettled.insert(c.job);
             live += 1;
             let e = yes.entry((c.shard, c.job)).or_insert((j.shape.wire.clone(), Vec::new()));
-            e.1.push(Pick {
+            e.1.push(Assignment {
                 task: c.task,
                 attempt: w.attempt.0,
                 machine: c.offer.machine,
-                session: c.offer.session,
+                incarnation: c.offer.incarnation,
             });
         }
         self.rounds.open(w.round, w.slot.key, Some(version), live);
         for ((shard, job), (shape, picks)) in yes {
-            ctx.send(self.shard, shard, ShardMsg::Place { job: job.0, shape, picks, adopt: false });
+            ctx.send(
+                self.shard,
+                shard,
+                ShardMessage::Place { job: job.0, shape, picks, adopt: false },
+            );
         }
         self.close(ctx, w.negotiation, &w.asked);
         ctx.wake = true;
     }
 
-    fn losers(&mut self, ctx: &mut Ctx) {
+    fn losers(&mut self, ctx: &mut Context) {
         let Some(w) = self.writing.take() else { return };
         for c in &w.choices {
             if let Some(j) = self.jobs.get_mut(&c.job) {
@@ -424,9 +435,9 @@
         self.close(ctx, w.negotiation, &w.asked);
     }
 
-    pub(super) fn close(&mut self, ctx: &mut Ctx, n: Negotiation, asked: &[Shard]) {
+    pub(super) fn close(&mut self, ctx: &mut Context, n: Negotiation, asked: &[Shard]) {
         for &s in asked {
-            ctx.send(self.shard, s, ShardMsg::Close { negotiation: n.0 });
+            ctx.send(self.shard, s, ShardMessage::CloseNegotiation { negotiation: n.0 });
         }
     }
 }
--- a/crates/core/src/coordinator/served.rs
+++ b/crates/core/src/coordinator/served.rs
@@ -4,7 +4,7 @@
 //! begun, and of those that have not how long the one that waits longest does. A day on which less
 //! than half of a class or a team is served counts as failed: this is where it shows first.
 use super::Coordinator;
-use crate::ids::{JobId, Now};
+use crate::ids::{JobId, Timestamp};
 use crate::jobs::Job;
 use std::collections::BTreeMap;
 
@@ -20,11 +20,11 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Served {
+pub(super) struct ServiceStatistics {
     groups: BTreeMap<String, Count>,
 }
 
-impl Served {
+impl ServiceStatistics {
     fn of(&mut self, what: &str, name: &str) -> &mut Count {
         let key = format!("{what}.{name}");
         let known = self.groups.contains_key(&key) || self.groups.len() < MOST;
@@ -42,7 +42,7 @@
         self.of("team", &j.wire.team).begun += 1;
     }
 
-    pub fn begins(&mut self, j: &Job, now: Now) {
+    pub fn begins(&mut self, j: &Job, now: Timestamp) {
         let waited = now.saturating_sub(j.created);
         for (what, name) in [("class", &j.wire.class), ("team", &j.wire.team)] {
             let c = self.of(what, name);
@@ -55,7 +55,7 @@
 impl Coordinator {
     /// Groups as `class.x=begun/asked/longest wait in seconds`, and the largest job of all that has
     /// not begun, with how long it has waited.
-    pub fn served(&self, now: Now) -> String {
+    pub fn served(&self, now: Timestamp) -> String {
         let groups = self.served.groups.iter().map(|(who, c)| {
             format!("{who}={}/{}/{}", c.begun, c.asked, c.longest_ms.div_ceil(1000))
         });
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -6,20 +6,20 @@
 //!   that it acts for that shard under no older one again;
 //! - silence proves nothing. A sibling that is not heard may act on for its whole grace.
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, NodeIdx, Now, Shard};
-use leaddeal_wire::mesh::Beat;
+use crate::ids::{Epoch, NodeIdx, Shard, Timestamp};
+use leaddeal_wire::mesh::NodeHeartbeat;
 
 /// A sibling not heard of for this long is taken for unreachable.
 const SILENT_MS: u64 = 3000;
 
 /// Whether a sibling heard at that time is taken for reachable.
-pub(crate) fn lately(heard: Now, now: Now) -> bool {
+pub(crate) fn lately(heard: Timestamp, now: Timestamp) -> bool {
     now < heard + SILENT_MS
 }
 
 /// What a sibling said last.
 #[derive(Clone, Debug, Default)]
-struct Word {
+struct LastStatement {
     /// The newest epoch it knows of, by shard.
     knows: Vec<Epoch>,
     ready: bool,
@@ -29,26 +29,26 @@
 #[derive(Debug)]
 pub struct Health {
     me: NodeIdx,
-    heard: Vec<Now>,
-    words: Vec<Word>,
+    heard: Vec<Timestamp>,
+    words: Vec<LastStatement>,
 }
 
 impl Health {
     /// So many nodes, with as many shards.
     pub fn new(me: NodeIdx, nodes: usize) -> Health {
-        let word = Word { knows: vec![Epoch(0); nodes], ready: false };
+        let word = LastStatement { knows: vec![Epoch(0); nodes], ready: false };
         Health { me, heard: vec![0; nodes], words: vec![word; nodes] }
     }
 
     /// Something came from a sibling.
-    pub fn hear(&mut self, node: NodeIdx, now: Now) {
+    pub fn hear(&mut self, node: NodeIdx, now: Timestamp) {
         if let Some(h) = self.heard.get_mut(node.0 as usize) {
             *h = now;
         }
     }
 
     /// Its beat. Epochs never go back, whatever order beats come in.
-    pub fn beat(&mut self, node: NodeIdx, b: &Beat) {
+    pub fn beat(&mut self, node: NodeIdx, b: &NodeHeartbeat) {
         let Some(w) = self.words.get_mut(node.0 as usize) else { return };
         w.ready = b.ready;
         for &(shard, _, epoch) in &b.known {
@@ -58,7 +58,7 @@
         }
     }
 
-    pub fn heard(&self) -> &[Now] {
+    pub fn heard(&self) -> &[Timestamp] {
         &self.heard
     }
 
@@ -67,13 +67,13 @@
     }
 
     /// A sibling is heard, or there is none.
-    pub fn hears_any(&self, now: Now) -> bool {
+    pub fn hears_any(&self, now: Timestamp) -> bool {
         let mut siblings = self.siblings().peekable();
         siblings.peek().is_none() || siblings.any(|i| lately(self.heard[i], now))
     }
 
     /// A sibling is heard that takes users' requests.
-    pub fn another_serves(&self, now: Now) -> bool {
+    pub fn another_serves(&self, now: Timestamp) -> bool {
         self.siblings().any(|i| lately(self.heard[i], now) && self.words[i].ready)
     }
 
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn beat(known: &[(u8, u8, u64)], ready: bool) -> Beat {
-    Beat { known: known.to_vec(), ready, ..Beat::default() }
+fn beat(known: &[(u8, u8, u64)], ready: bool) -> NodeHeartbeat {
+    NodeHeartbeat { known: known.to_vec(), ready, ..NodeHeartbeat::default() }
 }
 
 #[test]
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -16,9 +16,9 @@
 //!   `patience_ms`: `cancel_s` less what a lease takes. No owner answers later than that after it lost
 //!   its shard, which is what a new owner of a silent machine waits for.
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, JobId, NodeIdx, Now, Shard};
+use crate::ids::{Epoch, JobId, NodeIdx, Shard, Timestamp};
 use crate::shard::{at_least, at_most, ShardView};
-use leaddeal_wire::mesh::{Beat, Stamp, Word};
+use leaddeal_wire::mesh::{NodeHeartbeat, ShardAssertion, Stamp};
 use std::collections::{HashMap, VecDeque};
 
 /// What was cancelled is remembered for so long beyond what a cancellation may take.
@@ -32,41 +32,41 @@
 const STORED: Epoch = Epoch(u64::MAX);
 
 #[derive(Clone, Copy, Debug)]
-struct Over {
+struct Cancellation {
     by: Epoch,
-    at: Now,
+    at: Timestamp,
 }
 
 /// A cancellation of a shard that is acted for here, by its number.
 #[derive(Clone, Copy, Debug)]
-struct Logged {
+struct LoggedCancellation {
     number: u64,
     job: JobId,
-    at: Now,
+    at: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
-    horizon: Option<Now>,
+struct ShardHorizon {
+    horizon: Option<Timestamp>,
     /// Who spoke for it last: under which epoch, and after which of our times.
-    spoken: Option<(Epoch, Now)>,
+    spoken: Option<(Epoch, Timestamp)>,
     /// When its owner, or the store, last said all without doubt.
-    sure: Option<Now>,
+    sure: Option<Timestamp>,
     /// Cancellations up to this number of that epoch are known.
     heeded: (Epoch, u64),
     /// Of our own, while we act for it.
-    log: VecDeque<Logged>,
+    log: VecDeque<LoggedCancellation>,
     numbered: u64,
     /// Nothing was done by processes of this node before under a newer epoch; none: not read yet.
     floor: Option<Epoch>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Peer {
+struct PeerStatements {
     /// Its newest stamp.
     stamp: Option<Stamp>,
     /// By shard: it acted under no newer epoch than this, said after that time of ours.
-    vouched: Vec<(Epoch, Now)>,
+    vouched: Vec<(Epoch, Timestamp)>,
     /// What it has heeded of our shards.
     heeded: Vec<(Epoch, u64)>,
 }
@@ -74,7 +74,7 @@
 /// A shard that this node acts for and whose coordinator knows all: its epoch, and for how long the
 /// lease has been in doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mine {
+pub struct OwnedShard {
     pub epoch: Epoch,
     pub doubt_ms: u64,
 }
@@ -85,11 +85,11 @@
     boot: u64,
     patience_ms: u64,
     keep_ms: u64,
-    over: HashMap<JobId, Over>,
+    over: HashMap<JobId, Cancellation>,
     /// Learned since they were last taken.
     fresh: Vec<JobId>,
-    shards: Vec<Known>,
-    peers: Vec<Peer>,
+    shards: Vec<ShardHorizon>,
+    peers: Vec<PeerStatements>,
 }
 
 /// How long after a shard's horizon workers may be answered, for these settings.
@@ -112,8 +112,8 @@
             keep_ms: cancel_ms + KEEP_MS,
             over: HashMap::new(),
             fresh: Vec::new(),
-            shards: vec![Known::default(); nodes],
-            peers: vec![Peer::default(); nodes],
+            shards: vec![ShardHorizon::default(); nodes],
+            peers: vec![PeerStatements::default(); nodes],
         }
     }
 
@@ -122,20 +122,20 @@
     }
 
     /// Whether an answer now keeps no task of a cancelled job of this shard alive for too long.
-    pub fn permits(&self, shard: Shard, now: Now) -> bool {
+    pub fn permits(&self, shard: Shard, now: Timestamp) -> bool {
         let horizon = self.shards.get(shard.0 as usize).and_then(|s| s.horizon);
         horizon.is_some_and(|h| now < h + self.patience_ms || !holds(Guard::HorizonStops))
     }
 
     /// How long ago the horizon is; none: nothing is known.
-    pub fn behind_ms(&self, shard: Shard, now: Now) -> Option<u64> {
+    pub fn behind_ms(&self, shard: Shard, now: Timestamp) -> Option<u64> {
         let horizon = self.shards.get(shard.0 as usize).and_then(|s| s.horizon);
         horizon.map(|h| now.saturating_sub(h))
     }
 
     /// The revision from which on the store has to be read is that of this time; none: its owner
     /// speaks for the shard.
-    pub fn to_be_read(&self, shard: Shard, back_ms: u64, now: Now) -> Option<Now> {
+    pub fn to_be_read(&self, shard: Shard, back_ms: u64, now: Timestamp) -> Option<Timestamp> {
         let s = self.shards.get(shard.0 as usize)?;
         let silent = s.sure.is_none_or(|at| now >= at + STALE_MS);
         silent.then(|| s.horizon.unwrap_or(now).saturating_sub(back_ms))
@@ -150,21 +150,21 @@
         std::mem::take(&mut self.fresh)
     }
 
-    fn learn(&mut self, job: JobId, by: Epoch, now: Now) {
+    fn learn(&mut self, job: JobId, by: Epoch, now: Timestamp) {
         if self.over.get(&job).is_none_or(|o| o.by < by) {
-            self.over.insert(job, Over { by, at: now });
+            self.over.insert(job, Cancellation { by, at: now });
             self.fresh.push(job);
         }
     }
 
     /// The owner under this epoch, which is us, writes that the job is cancelled, or found it so.
     /// Named before it is known to be written: whoever reads the store may tell of it first.
-    pub fn cancelled(&mut self, shard: Shard, epoch: Epoch, job: JobId, now: Now) {
+    pub fn cancelled(&mut self, shard: Shard, epoch: Epoch, job: JobId, now: Timestamp) {
         self.learn(job, epoch, now);
         let shard = self.shards.get_mut(shard.0 as usize);
         if let Some(s) = shard.filter(|s| s.log.iter().all(|l| l.job != job)) {
             s.numbered += 1;
-            s.log.push_back(Logged { number: s.numbered, job, at: now });
+            s.log.push_back(LoggedCancellation { number: s.numbered, job, at: now });
         }
     }
 
@@ -185,14 +185,14 @@
     }
 
     /// The store was read, asked at that time, and these jobs are over.
-    pub fn stored(&mut self, jobs: impl IntoIterator<Item = JobId>, now: Now) {
+    pub fn stored(&mut self, jobs: impl IntoIterator<Item = JobId>, now: Timestamp) {
         for job in jobs {
             self.learn(job, STORED, now);
         }
     }
 
     /// All that the store held of the shard at that time was read.
-    pub fn read(&mut self, shard: Shard, asked: Now) {
+    pub fn read(&mut self, shard: Shard, asked: Timestamp) {
         if let Some(s) = self.shards.get_mut(shard.0 as usize) {
             s.horizon = s.horizon.max(Some(asked));
             s.sure = s.sure.max(Some(asked));
@@ -209,11 +209,17 @@
 
     /// A beat of a sibling, after what it says of owners was taken in. True: a process that was not
     /// heard before, which waits for our stamp.
-    pub fn hear(&mut self, from: NodeIdx, b: &Beat, view: &[ShardView], now: Now) -> bool {
+    pub fn hear(
+        &mut self,
+        from: NodeIdx,
+        b: &NodeHeartbeat,
+        view: &[ShardView],
+        now: Timestamp,
+    ) -> bool {
         let Some(peer) = self.peers.get_mut(from.0 as usize) else { return false };
         let new = peer.stamp.is_none_or(|s| s.boot != b.stamp.boot);
         if new {
-            *peer = Peer::default();
+            *peer = PeerStatements::default();
         }
         peer.stamp = Some(b.stamp);
         let n = self.shards.len();
@@ -235,7 +241,13 @@
         new
     }
 
-    fn word(&mut self, w: &Word, view: &[ShardView], said: Option<Now>, now: Now) {
+    fn word(
+        &mut self,
+        w: &ShardAssertion,
+        view: &[ShardView],
+        said: Option<Timestamp>,
+        now: Timestamp,
+    ) {
         let (i, epoch) = (w.shard as usize, Epoch(w.epoch));
         let newest = view.get(i).and_then(|v| v.last).map_or(Epoch(0), |o| o.epoch);
         let Some(s) = self.shards.get_mut(i).filter(|_| epoch >= newest) else { return };
@@ -261,7 +273,7 @@
     }
 
     /// Time has passed, or something was heard; `mine`: what this node acts for, by shard.
-    pub fn advance(&mut self, mine: &[Option<Mine>], view: &[ShardView], now: Now) {
+    pub fn advance(&mut self, mine: &[Option<OwnedShard>], view: &[ShardView], now: Timestamp) {
         for (i, s) in self.shards.iter_mut().enumerate() {
             if let Some(m) = mine.get(i).copied().flatten() {
                 s.spoken = Some((m.epoch, now));
@@ -291,7 +303,7 @@
     }
 
     /// What was cancelled long ago is forgotten.
-    pub fn expire(&mut self, now: Now) {
+    pub fn expire(&mut self, now: Timestamp) {
         let keep = self.keep_ms;
         self.over.retain(|_, o| now < o.at + keep);
         for s in &mut self.shards {
@@ -305,15 +317,15 @@
     pub fn tell(
         &self,
         to: NodeIdx,
-        mine: &[Option<Mine>],
+        mine: &[Option<OwnedShard>],
         view: &[ShardView],
-        now: Now,
-        b: &mut Beat,
+        now: Timestamp,
+        b: &mut NodeHeartbeat,
     ) {
         b.stamp = Stamp { boot: self.boot, at: now };
         let Some(peer) = self.peers.get(to.0 as usize) else { return };
         b.echo = peer.stamp;
-        let newest = |(s, v): (&Known, &ShardView)| {
+        let newest = |(s, v): (&ShardHorizon, &ShardView)| {
             let last = v.last.map_or(0, |o| o.epoch.0);
             let floor =
                 if holds(Guard::HorizonFloor) { s.floor } else { s.floor.or(Some(Epoch(0))) };
@@ -327,9 +339,9 @@
             let Some(m) = m else { continue };
             let heeded = peer.heeded.get(i).filter(|h| h.0 == m.epoch).map_or(0, |h| h.1);
             let untold = s.log.iter().filter(|l| l.number > heeded);
-            let named: Vec<&Logged> = untold.take(MOST_NAMED).collect();
+            let named: Vec<&LoggedCancellation> = untold.take(MOST_NAMED).collect();
             let upto = named.last().map_or(heeded, |l| l.number);
-            b.words.push(Word {
+            b.words.push(ShardAssertion {
                 shard: i as u8,
                 epoch: m.epoch.0,
                 doubt_ms: m.doubt_ms,
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -20,19 +20,25 @@
     Horizons::new(NodeIdx(node), u64::from(node) + 1, NODES, CANCEL_MS, WORKER_LEASE_MS)
 }
 
-fn mine(shard: Shard, epoch: u64, doubt_ms: u64) -> Vec<Option<Mine>> {
+fn mine(shard: Shard, epoch: u64, doubt_ms: u64) -> Vec<Option<OwnedShard>> {
     let mut v = vec![None; NODES];
-    v[shard.0 as usize] = Some(Mine { epoch: Epoch(epoch), doubt_ms });
+    v[shard.0 as usize] = Some(OwnedShard { epoch: Epoch(epoch), doubt_ms });
     v
 }
 
 /// One asks and the other answers; returns what the asker hears.
-fn exchange(a: &mut Horizons, b: &mut Horizons, at: Now, of_b: &[Option<Mine>], v: &[ShardView]) {
+fn exchange(
+    a: &mut Horizons,
+    b: &mut Horizons,
+    at: Timestamp,
+    of_b: &[Option<OwnedShard>],
+    v: &[ShardView],
+) {
     let (me, other) = (a.me, b.me);
-    let mut ask = Beat::default();
+    let mut ask = NodeHeartbeat::default();
     a.tell(other, &[None; NODES], v, at, &mut ask);
     b.hear(me, &ask, v, at);
-    let mut answer = Beat::default();
+    let mut answer = NodeHeartbeat::default();
     b.tell(me, of_b, v, at, &mut answer);
     a.hear(other, &answer, v, at + 700);
 }
@@ -41,7 +47,7 @@
 fn only_a_word_that_echoes_us_moves_a_horizon_on() {
     let (mut a, mut b, v) = (horizons(0), horizons(1), views());
     let of_b = mine(JOBS, 5, 0);
-    let mut unasked = Beat::default();
+    let mut unasked = NodeHeartbeat::default();
     b.tell(NodeIdx(0), &of_b, &v, 50_000, &mut unasked);
     a.hear(NodeIdx(1), &unasked, &v, 90_000);
     assert!(!a.permits(JOBS, 90_000), "said when?");
@@ -54,7 +60,7 @@
     assert!((3900..4500).contains(&a.behind_ms(JOBS, 95_700).unwrap_or(0)));
     // A stamp of a process before this one is none of ours.
     let mut again = Horizons { boot: 99, ..horizons(0) };
-    let mut late = Beat::default();
+    let mut late = NodeHeartbeat::default();
     b.tell(NodeIdx(0), &of_b, &v, 96_000, &mut late);
     again.hear(NodeIdx(1), &late, &v, 96_000);
     assert!(!again.permits(JOBS, 96_000));
@@ -102,17 +108,33 @@
 #[test]
 fn impossible_words_change_nothing() {
     let (mut a, v) = (horizons(0), views());
-    let word = Word { shard: 99, epoch: u64::MAX, whole: true, upto: u64::MAX, ..Word::default() };
+    let word = ShardAssertion {
+        shard: 99,
+        epoch: u64::MAX,
+        whole: true,
+        upto: u64::MAX,
+        ..ShardAssertion::default()
+    };
     let echo = Some(Stamp { boot: 1, at: u64::MAX });
     let heeded = vec![(200, u64::MAX, u64::MAX)];
-    let beat =
-        Beat { echo, newest: vec![0; 900], words: vec![word.clone()], heeded, ..Beat::default() };
+    let beat = NodeHeartbeat {
+        echo,
+        newest: vec![0; 900],
+        words: vec![word.clone()],
+        heeded,
+        ..NodeHeartbeat::default()
+    };
     a.hear(NodeIdx(1), &beat, &v, 5000);
     a.hear(NodeIdx(77), &beat, &v, 5000);
     // Of the future, and with a doubt longer than the clock has run.
-    let doubt = Word { shard: 1, doubt_ms: 1 << 60, ..word };
+    let doubt = ShardAssertion { shard: 1, doubt_ms: 1 << 60, ..word };
     let said = Some(Stamp { boot: 1, at: 4000 });
-    a.hear(NodeIdx(1), &Beat { echo: said, words: vec![doubt], ..Beat::default() }, &v, 5000);
+    a.hear(
+        NodeIdx(1),
+        &NodeHeartbeat { echo: said, words: vec![doubt], ..NodeHeartbeat::default() },
+        &v,
+        5000,
+    );
     a.advance(&[], &v, 5000);
     assert!((0..NODES as u8).all(|s| !a.permits(Shard(s), 5000)));
 }
@@ -173,7 +195,7 @@
     lease: Lease,
     lease_id: u64,
     owns: [Option<Epoch>; NODES],
-    heard: [Now; NODES],
+    heard: [Timestamp; NODES],
 }
 
 #[derive(Clone, Copy)]
@@ -185,23 +207,23 @@
 }
 
 struct World {
-    now: Now,
+    now: Timestamp,
     troubles: Vec<(u64, Trouble)>,
     broken: Broken,
     nodes: Vec<Node>,
     revision: u64,
     keys: [Option<Key>; NODES],
     /// When a key was there last.
-    vacated: [Now; NODES],
+    vacated: [Timestamp; NODES],
     /// Leases of the store, by number: until when.
-    leases: Vec<Now>,
+    leases: Vec<Timestamp>,
     is_final: bool,
     pending: Option<(u64, u64)>,
-    told: Option<Now>,
+    told: Option<Timestamp>,
     /// The worker: where it reports, its token, since when its lease runs; whether the task is on it.
     at: usize,
     token: u64,
-    granted: Now,
+    granted: Timestamp,
     on: bool,
 }
 
@@ -345,10 +367,10 @@
         }
     }
 
-    fn mine(&self, n: usize) -> Vec<Option<Mine>> {
+    fn mine(&self, n: usize) -> Vec<Option<OwnedShard>> {
         let node = &self.nodes[n];
         let doubt_ms = node.lease.in_doubt_ms(self.now);
-        node.owns.iter().map(|e| e.map(|epoch| Mine { epoch, doubt_ms })).collect()
+        node.owns.iter().map(|e| e.map(|epoch| OwnedShard { epoch, doubt_ms })).collect()
     }
 
     fn beats(&mut self) {
@@ -359,7 +381,7 @@
                 }
                 let (now, mine) = (self.now, self.mine(a));
                 let from = &self.nodes[a];
-                let mut beat = Beat::default();
+                let mut beat = NodeHeartbeat::default();
                 from.h.tell(NodeIdx(b as u8), &mine, &from.view, now, &mut beat);
                 let last = from.view.iter().enumerate();
                 let known: Vec<(usize, Owner)> =
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -32,7 +32,7 @@
 pub const PROVISIONER_SHARD: Shard = Shard(0);
 
 /// Milliseconds of this process's steady clock.
-pub type Now = u64;
+pub type Timestamp = u64;
 
 /// Decision rounds within one epoch; the rest of an attempt's number is the epoch.
 pub const ROUND_BITS: u32 = 20;
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,61 +1,61 @@
 //! What goes into the core and what comes out.
-use crate::ids::{JobId, Now};
-use leaddeal_wire::mesh::NodeMsg;
-use leaddeal_wire::state::{Events, Item, Page, Txn};
+use crate::ids::{JobId, Timestamp};
+use leaddeal_wire::mesh::NodeMessage;
+use leaddeal_wire::state::{Events, Item, Page, Transaction};
 use leaddeal_wire::user::{BadJob, Job, JobState};
-use leaddeal_wire::worker::{Answer, Direct, Report};
+use leaddeal_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
 use leaddeal_wire::{cloud, mesh};
 
 /// Ties a reply to its request at the gateway.
-pub type ReqId = u64;
+pub type RequestId = u64;
 /// Ties an answer of an outside service to the core's call.
-pub type OpId = u64;
+pub type OperationId = u64;
 
 #[derive(Debug)]
 pub enum Input {
     Tick,
     Submit {
-        req: ReqId,
+        req: RequestId,
         id: Option<JobId>,
         job: Result<Box<Job>, BadJob>,
     },
     Get {
-        req: ReqId,
+        req: RequestId,
         id: JobId,
     },
     Cancel {
-        req: ReqId,
+        req: RequestId,
         id: JobId,
     },
-    Report {
-        req: ReqId,
-        report: Box<Report>,
+    WorkerHeartbeat {
+        req: RequestId,
+        report: Box<WorkerHeartbeat>,
     },
     /// Answer to direct commands.
-    Orders {
+    CommandOutcome {
         machine: String,
         batch: u64,
-        outcome: DirectOutcome,
+        outcome: CommandOutcome,
     },
     Mesh {
         from: String,
-        msg: Box<NodeMsg>,
+        msg: Box<NodeMessage>,
     },
     Store {
-        op: OpId,
+        op: OperationId,
         result: StoreResult,
     },
     Cloud {
-        op: OpId,
+        op: OperationId,
         result: CloudResult,
     },
 }
 
 #[derive(Debug)]
-pub enum DirectOutcome {
+pub enum CommandOutcome {
     /// 200 or 409, with the worker's report.
-    Executed(Box<Report>),
-    Refused(Box<Report>),
+    Executed(Box<WorkerHeartbeat>),
+    Refused(Box<WorkerHeartbeat>),
     /// The connection never came about: nothing will be executed.
     NotSent,
     /// No answer: the commands may still be executed, even minutes later.
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub enum StoreResult {
     Lease(u64),
-    Touched,
+    LeaseRenewed,
     NoLease,
     Committed(u64),
     Conflict(Vec<String>),
@@ -73,11 +73,11 @@
     Page(Page),
     Events(Events),
     /// The watch is too far behind.
-    TooOld,
+    Compacted,
     /// Certainly not executed (503).
     Refused,
     /// Certainly not executed: over the service's limits (429).
-    TooMany,
+    RateLimited,
     /// May have been executed, or may yet be.
     Unknown,
 }
@@ -85,10 +85,10 @@
 #[derive(Debug)]
 pub enum CloudResult {
     Catalog(cloud::Catalog),
-    Rented(Vec<String>),
+    Launched(Vec<String>),
     NoCapacity,
     Released,
-    Listing(cloud::Listing),
+    InstanceList(cloud::InstanceList),
     /// Not executed: over the limit, or an outage.
     Refused,
     Unknown,
@@ -97,9 +97,9 @@
 #[derive(Debug)]
 pub enum StoreCall {
     NewLease { ttl_ms: u64 },
-    Touch { lease: u64 },
+    RenewLease { lease: u64 },
     EndLease { lease: u64 },
-    Txn(Txn),
+    Transaction(Transaction),
     Get { key: String },
     List { prefix: String, after: Option<String> },
     Watch { prefix: String, after: u64, wait_ms: u64 },
@@ -108,7 +108,7 @@
 #[derive(Debug)]
 pub enum CloudCall {
     Catalog,
-    Rent(cloud::Rent),
+    Launch(cloud::InstanceRequest),
     Release(Vec<String>),
     List { after: Option<String> },
 }
@@ -123,53 +123,53 @@
 
 #[derive(Debug, Clone)]
 pub enum WorkerReply {
-    Answer(Answer),
+    HeartbeatResponse(HeartbeatResponse),
     Redirect(Option<String>),
     Unavailable,
 }
 
 #[derive(Debug)]
-pub enum Output {
+pub enum Effect {
     User {
-        req: ReqId,
+        req: RequestId,
         reply: UserReply,
     },
     Worker {
-        req: ReqId,
+        req: RequestId,
         reply: WorkerReply,
     },
     Mesh {
         to: String,
-        msg: mesh::NodeMsg,
+        msg: mesh::NodeMessage,
     },
     Store {
-        op: OpId,
+        op: OperationId,
         call: StoreCall,
     },
     Cloud {
-        op: OpId,
+        op: OperationId,
         call: CloudCall,
     },
-    Orders {
+    Commands {
         machine: String,
         addr: String,
         batch: u64,
-        direct: Direct,
+        direct: CommandBatch,
     },
     /// (level, event, details); level 0 is an error, 1 info, 2 debug.
     Log(u8, &'static str, String),
 }
 
 /// Where the core puts its outputs while it handles one input.
-pub struct Out {
-    pub now: Now,
-    pub list: Vec<Output>,
+pub struct Effects {
+    pub now: Timestamp,
+    pub list: Vec<Effect>,
     /// How often a machine was looked at to judge it for a job.
     pub looked: u64,
 }
 
-impl Out {
+impl Effects {
     pub fn log(&mut self, level: u8, event: &'static str, what: impl FnOnce() -> String) {
-        self.list.push(Output::Log(level, event, what()));
+        self.list.push(Effect::Log(level, event, what()));
     }
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,10 +1,10 @@
 //! The jobs of a shard: what is done, placed and still to be placed.
 use crate::bits::{Bits, CHUNK};
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, JobId, MachineIdx, Now, ZoneIdx};
+use crate::ids::{Attempt, JobId, MachineIdx, Timestamp, ZoneIdx};
 use crate::names::Shape;
 use crate::placed::Placed;
-use crate::writes::Write;
+use crate::writes::PendingWrite;
 use leaddeal_wire::mesh;
 use leaddeal_wire::settings::Objective;
 use leaddeal_wire::user::{self, JobState, Kind, Status};
@@ -25,16 +25,16 @@
 const RAREST_MS: u64 = 60_000;
 
 /// A task's completion: task, attempt, machine, round.
-pub type DoneOn = (u32, Attempt, MachineIdx, u64);
+pub type CompletedAttempt = (u32, Attempt, MachineIdx, u64);
 
 #[derive(Debug)]
 pub struct Job {
     pub id: JobId,
     pub wire: user::Job,
     pub shape: Shape,
-    pub created: Now,
+    pub created: Timestamp,
     /// When a task of it was first known to run, by this owner of its shard.
-    pub begun: Option<Now>,
+    pub begun: Option<Timestamp>,
     pub done: Bits,
     next_fresh: u32,
     again: BTreeSet<u32>,
@@ -42,33 +42,33 @@
     /// Latest starts that meet its aims, in milliseconds from the submission, in order.
     starts: Vec<f64>,
     /// Not asked for before this time.
-    pub not_before: Now,
+    pub not_before: Timestamp,
     pub refusals: u32,
     /// Since when it has been asked for in vain.
-    refused_since: Option<Now>,
+    refused_since: Option<Timestamp>,
     /// When it is asked for again though no participant has told of free room.
-    next_try: Now,
+    next_try: Timestamp,
     /// Whose turn it is to make room by preemption; none: nobody was short of it.
     pub make_room: Option<u32>,
     /// When a participant last said that it makes room for it.
-    pub coming_at: Option<Now>,
+    pub coming_at: Option<Timestamp>,
     /// A gang that waits does so for this zone.
     pub target: Option<ZoneIdx>,
     /// Failures since anything of it last ran well.
-    pub doubt: Doubt,
+    pub doubt: FailureSuspicion,
     /// Durable and told: no task of it may start any more.
     pub cancelled: bool,
     pub dirty: BTreeSet<u32>,
     /// Since when something is done that is not in the store.
-    pub dirty_since: Option<Now>,
+    pub dirty_since: Option<Timestamp>,
     /// Chunks of what is done that are in the store, or may be, with their versions as far as they
     /// were told; 0: perhaps not there.
     pub stored: BTreeMap<u32, u64>,
     /// Done events to be acknowledged once they are durable.
-    pub unfolded: Vec<DoneOn>,
+    pub unfolded: Vec<CompletedAttempt>,
     /// Being written as final.
     pub finishing: Option<Status>,
-    pub final_write: Option<Write>,
+    pub final_write: Option<PendingWrite>,
     pub cancel_reqs: Vec<u64>,
 }
 
@@ -80,15 +80,15 @@
 /// fails: tried at once on all machines, an array of hundreds takes fetches, starts and changes from
 /// the others for as long as its user waits.)
 #[derive(Clone, Debug, Default)]
-pub struct Doubt {
+pub struct FailureSuspicion {
     failed_on: BTreeSet<MachineIdx>,
     tries: u32,
 }
 
-impl Doubt {
+impl FailureSuspicion {
     /// A task failed on this machine; returns how long to wait before the next try, given when the
     /// last wait ends. What was started together fails together, and counts as one try.
-    pub fn failed(&mut self, m: MachineIdx, now: Now, not_before: Now) -> Now {
+    pub fn failed(&mut self, m: MachineIdx, now: Timestamp, not_before: Timestamp) -> Timestamp {
         if self.failed_on.len() < FAILS_ITSELF {
             self.failed_on.insert(m);
         }
@@ -102,7 +102,7 @@
     }
 
     pub fn ran_well(&mut self) {
-        *self = Doubt::default();
+        *self = FailureSuspicion::default();
     }
 
     /// It fails wherever it is tried, as far as is known.
@@ -118,23 +118,23 @@
 
 /// What the users ask for, by class: limits in milliseconds from the submission.
 #[derive(Clone, Debug, Default)]
-pub struct Aims {
+pub struct Objectives {
     /// Placing one task after another of the same job takes so long each.
     task_ms: f64,
-    by_class: HashMap<String, ClassAims>,
+    by_class: HashMap<String, ClassObjectives>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct ClassAims {
+struct ClassObjectives {
     start: Vec<f64>,
     finish: Vec<f64>,
     /// Multiples of the job's own deadline.
     deadline: Vec<f64>,
 }
 
-impl Aims {
-    pub fn new(objectives: &[Objective], task_ms: f64) -> Aims {
-        let mut a = Aims { task_ms, ..Aims::default() };
+impl Objectives {
+    pub fn new(objectives: &[Objective], task_ms: f64) -> Objectives {
+        let mut a = Objectives { task_ms, ..Objectives::default() };
         for o in objectives {
             let c = a.by_class.entry(o.class.clone()).or_default();
             match (o.kind.as_str(), o.within_s) {
@@ -148,10 +148,10 @@
     }
 }
 
-impl Aims {
+impl Objectives {
     /// The latest starts that meet what is asked of a job, in milliseconds from its submission.
     fn starts(&self, wire: &user::Job) -> Vec<f64> {
-        let none = ClassAims::default();
+        let none = ClassObjectives::default();
         let a = self.by_class.get(&wire.class).unwrap_or(&none);
         let run = wire.estimate_s * 1200.0;
         let mut starts: Vec<f64> = a.start.clone();
@@ -192,7 +192,13 @@
 }
 
 impl Job {
-    pub fn new(id: JobId, wire: user::Job, shape: Shape, created: Now, aims: &Aims) -> Job {
+    pub fn new(
+        id: JobId,
+        wire: user::Job,
+        shape: Shape,
+        created: Timestamp,
+        aims: &Objectives,
+    ) -> Job {
         Job {
             id,
             shape,
@@ -211,7 +217,7 @@
             make_room: None,
             coming_at: None,
             target: None,
-            doubt: Doubt::default(),
+            doubt: FailureSuspicion::default(),
             cancelled: false,
             dirty: BTreeSet::new(),
             dirty_since: None,
@@ -248,14 +254,14 @@
             deadline_s: None,
         };
         let shape = names.shape(&Arc::new(wire_shape(&wire)));
-        let mut j = Job::new(id, wire, shape, 0, &Aims::default());
+        let mut j = Job::new(id, wire, shape, 0, &Objectives::default());
         j.cancelled = true;
         j
     }
 
     /// Which of its aims come next: how many were missed already, and the latest start that
     /// meets the next one. What is late makes way for what can still be in time.
-    pub fn urgency(&self, now: Now) -> (u8, Now) {
+    pub fn urgency(&self, now: Timestamp) -> (u8, Timestamp) {
         let age = now.saturating_sub(self.created) as f64;
         let missed = self.starts.partition_point(|&s| s < age);
         let next = self.starts.get(missed).copied().unwrap_or(600_000.0);
@@ -266,7 +272,7 @@
     /// nearer ones, a job that has waited for so long without a single start comes first: the
     /// operators' largest and idle-time jobs have to begin within four minutes. (Found on their
     /// sites: arrays without an aim began after 500 to 590 s, behind a stream of small ones.)
-    pub fn turn(&self, now: Now) -> (u8, Now) {
+    pub fn turn(&self, now: Timestamp) -> (u8, Timestamp) {
         let due = self.created + BEGINS_MS;
         if self.begun.is_none() && now >= due {
             return (0, due);
@@ -275,7 +281,7 @@
     }
 
     /// More than a third of the time to its next aim is over.
-    pub fn pressing(&self, now: Now) -> bool {
+    pub fn pressing(&self, now: Timestamp) -> bool {
         let (_, due) = self.urgency(now);
         now.saturating_sub(self.created) > due.saturating_sub(self.created) / 3
     }
@@ -287,7 +293,7 @@
 
     /// A service that is late and finds no place may use any: people notice it sooner than GPU
     /// work that waits, and it is moved out of the way later.
-    pub fn anywhere(&self, now: Now) -> bool {
+    pub fn anywhere(&self, now: Timestamp) -> bool {
         let late = self.urgency(now).0 > 0;
         let long = self.refused_since.is_some_and(|t| now >= t + LONG_REFUSED_MS);
         self.wire.kind == Kind::Service && late && long
@@ -296,7 +302,7 @@
     /// Asked for in vain. Participants tell when room becomes free, so the next try by itself may wait;
     /// soon at first, since room is made by one participant after the other. Tries fall on common
     /// moments, so that one round serves many jobs. True if this was a try by itself.
-    pub fn refused(&mut self, now: Now) -> bool {
+    pub fn refused(&mut self, now: Timestamp) -> bool {
         self.refused_since.get_or_insert(now);
         let tried = now >= self.next_try;
         if tried {
@@ -319,7 +325,7 @@
     }
 
     /// For how long it has been asked for in vain.
-    pub fn refused_for(&self, now: Now) -> Option<u64> {
+    pub fn refused_for(&self, now: Timestamp) -> Option<u64> {
         self.refused_since.map(|t| now.saturating_sub(t))
     }
 
@@ -330,16 +336,16 @@
     }
 
     /// A participant has got free room.
-    pub fn room_somewhere(&mut self, now: Now) {
+    pub fn room_somewhere(&mut self, now: Timestamp) {
         if self.refused_since.is_some() && self.not_before == self.next_try {
             self.not_before = self.not_before.min(now);
         }
     }
 
     /// A gang's place among those that wait.
-    pub fn line(&self, now: Now) -> Option<mesh::Line> {
+    pub fn line(&self, now: Timestamp) -> Option<mesh::QueuePosition> {
         let (late, due) = self.urgency(now);
-        (self.wire.kind == Kind::Gang).then(|| mesh::Line {
+        (self.wire.kind == Kind::Gang).then(|| mesh::QueuePosition {
             late,
             // Below zero once it is over: cut off there, all that were late by so much took
             // themselves for later than whoever had asked before them, and none was ever first.
@@ -399,7 +405,7 @@
         }
     }
 
-    pub fn set_done(&mut self, task: u32, now: Now) {
+    pub fn set_done(&mut self, task: u32, now: Timestamp) {
         if task < self.wire.tasks && self.done.set(task) {
             self.dirty_since.get_or_insert(now);
             self.again.remove(&task);
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -55,8 +55,8 @@
 
 #[test]
 fn a_job_that_fails_everywhere_is_tried_rarely_and_one_that_met_a_bad_machine_is_not() {
-    let mut d = Doubt::default();
-    let at = |d: &mut Doubt, m, now, before| d.failed(MachineIdx(m), now, before);
+    let mut d = FailureSuspicion::default();
+    let at = |d: &mut FailureSuspicion, m, now, before| d.failed(MachineIdx(m), now, before);
     for _ in 0..50 {
         assert_eq!(at(&mut d, 1, 1000, 0), 1200, "all on one machine");
     }
@@ -84,9 +84,9 @@
         attempt: Attempt(1),
         machine: MachineIdx(0),
         participant: Shard(0),
-        session: 1,
+        incarnation: 1,
         zone: ZoneIdx(zone),
-        phase: mesh::Phase::Decided,
+        phase: mesh::TaskPhase::Decided,
         round: 1,
         placed_at: 0,
         sent_at: 0,
@@ -111,7 +111,7 @@
     let mut j = Job::leftover(JobId(7), &mut names);
     j.wire.kind = Kind::Gang;
     // When its turn was, as a participant reckons it from what it is told.
-    let turn = |j: &Job, now: Now| {
+    let turn = |j: &Job, now: Timestamp| {
         let line = j.line(now).expect("a gang's");
         (line.late, now.saturating_add_signed(line.due_ms))
     };
@@ -137,7 +137,7 @@
         times: None,
     };
     j.wire.class = "c".into();
-    j.starts = Aims::new(&[objective(80.0), objective(350.0)], 0.0).starts(&j.wire);
+    j.starts = Objectives::new(&[objective(80.0), objective(350.0)], 0.0).starts(&j.wire);
     j.created = 1_000_000;
     assert_eq!(j.urgency(1_050_000), (0, 1_080_000));
     assert_eq!(j.urgency(1_100_000), (1, 1_350_000));
@@ -148,7 +148,7 @@
     assert_eq!(j.turn(1_200_000), j.urgency(1_200_000));
     // A large one takes so long to be placed that it is due earlier.
     j.wire.tasks = 25_000;
-    j.starts = Aims::new(&[objective(80.0), objective(350.0)], 4.0).starts(&j.wire);
+    j.starts = Objectives::new(&[objective(80.0), objective(350.0)], 4.0).starts(&j.wire);
     assert_eq!(j.urgency(1_050_000), (1, 1_250_000));
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,17 +3,16 @@
 
 pub mod bits;
 pub mod budget;
+pub mod context;
 pub mod coordinator;
-pub mod ctx;
-pub mod fleet;
 pub mod guards;
 pub mod health;
-pub mod hearing;
 pub mod horizon;
 pub mod ids;
 pub mod io;
 pub mod jobs;
 pub mod keys;
+pub mod machine;
 pub mod names;
 pub mod node;
 pub mod participant;
@@ -21,9 +20,10 @@
 pub mod preemption;
 pub mod provisioner;
 pub mod quota;
+pub mod reachability;
 pub mod records;
 pub mod shard;
 pub mod writes;
 
-pub use io::{Input, Output};
+pub use io::{Effect, Input};
 pub use node::Node;
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/machine.rs
@@ -1,29 +1,29 @@
 //! What is known of a machine: its worker's newest report, and the attempts on it.
 use crate::guards::{holds, Guard};
-use crate::hearing::Hearing;
-use crate::ids::{Attempt, Epoch, ImageIdx, JobId, Now, TypeIdx, ZoneIdx};
-use crate::names::{Room, Shape};
+use crate::ids::{Attempt, Epoch, ImageIdx, JobId, Timestamp, TypeIdx, ZoneIdx};
+use crate::names::{Resources, Shape};
+use crate::reachability::Reachability;
 use crate::shard::at_least;
-use leaddeal_wire::mesh::Phase;
+use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::user::Priority;
-use leaddeal_wire::worker::{Op, Order, Report, TaskId, TaskState, Why};
+use leaddeal_wire::worker::{Command, CommandKind, ExitReason, TaskId, TaskState, WorkerHeartbeat};
 use std::collections::{BTreeMap, VecDeque};
 
-pub type Key = (JobId, u32, Attempt);
+pub type AttemptKey = (JobId, u32, Attempt);
 
 /// A wish to stop an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StopWish {
+pub struct StopRequest {
     pub grace_s: f64,
-    pub since: Now,
+    pub since: Timestamp,
 }
 
 #[derive(Clone, Debug)]
-pub struct TaskOn {
+pub struct TaskOnMachine {
     pub shape: Option<Shape>,
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// The worker's session that it belongs to. It is started in no other.
-    pub session: u64,
+    pub incarnation: u64,
     /// Named in the last answer to a report.
     pub answered: bool,
     /// Participant of the direct commands under way.
@@ -33,22 +33,22 @@
     pub risky: bool,
     /// The worker listed it in its newest report.
     pub listed: bool,
-    pub stop: Option<StopWish>,
+    pub stop: Option<StopRequest>,
     /// Taken over by a new coordinator: kept if it is on the machine, never started.
     pub adopted: bool,
     /// The coordinator has taken note of its end.
     pub acked: bool,
-    pub told: Option<(Epoch, Phase)>,
-    pub told_at: Now,
-    pub on_since: Option<Now>,
+    pub told: Option<(Epoch, TaskPhase)>,
+    pub told_at: Timestamp,
+    pub on_since: Option<Timestamp>,
 }
 
-impl TaskOn {
-    pub fn new(shape: Option<Shape>, phase: Phase, session: u64) -> TaskOn {
-        TaskOn {
+impl TaskOnMachine {
+    pub fn new(shape: Option<Shape>, phase: TaskPhase, incarnation: u64) -> TaskOnMachine {
+        TaskOnMachine {
             shape,
             phase,
-            session,
+            incarnation,
             answered: false,
             direct: None,
             risky: false,
@@ -63,8 +63,8 @@
     }
 
     /// Decided for this session of its machine's worker.
-    fn in_session(&self, session: u64) -> bool {
-        self.session == session || !holds(Guard::OfferSession)
+    fn in_session(&self, incarnation: u64) -> bool {
+        self.incarnation == incarnation || !holds(Guard::OfferSession)
     }
 
     /// A direct copy of its start may be executed yet.
@@ -77,7 +77,7 @@
     }
 
     pub fn over(&self) -> bool {
-        matches!(self.phase, Phase::Exited(..) | Phase::Gone)
+        matches!(self.phase, TaskPhase::Exited(..) | TaskPhase::Gone)
     }
 }
 
@@ -87,36 +87,36 @@
     pub kind: Option<TypeIdx>,
     pub zone: Option<ZoneIdx>,
     pub spot: bool,
-    pub session: u64,
+    pub incarnation: u64,
     pub seq: u64,
     /// Of its newest report.
     token: u64,
     /// The worker has shown that it knows our token: what older owners grant or command is void.
     pub confirmed: bool,
     /// When a report was last answered by us, or may have been by an owner before us.
-    pub granted: Now,
-    pub heard: Now,
+    pub granted: Timestamp,
+    pub heard: Timestamp,
     /// The newest report that was not an answer to commands: session and number.
     checkin: (u64, u64),
-    pub hearing: Hearing,
-    pub notice: Option<Now>,
-    pub tasks: BTreeMap<Key, TaskOn>,
+    pub reachability: Reachability,
+    pub notice: Option<Timestamp>,
+    pub tasks: BTreeMap<AttemptKey, TaskOnMachine>,
     pub cached: VecDeque<(ImageIdx, f64)>,
-    pub busy_at: Now,
+    pub busy_at: Timestamp,
     pub draining: bool,
     pub released: bool,
     /// No offers before this time.
-    pub shunned_until: Now,
+    pub shunned_until: Timestamp,
     /// Jobs that failed here since anything last ran well, and when each first did.
-    pub failed: Vec<(JobId, Now)>,
+    pub failed: Vec<(JobId, Timestamp)>,
     /// They were said to speak against it.
     pub suspected: bool,
     pub direct: Option<u64>,
-    pub direct_after: Now,
+    pub direct_after: Timestamp,
     /// The lease ran out by our count; whatever ran there is gone.
     pub lapsed: bool,
     /// When its participant next looks at it though nothing was heard.
-    pub due: Now,
+    pub due: Timestamp,
     load: Load,
 }
 
@@ -124,21 +124,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Load {
     /// None: something unknown is on it.
-    used: Option<Room>,
+    used: Option<Resources>,
     /// Of services and GPU work, which stay for long.
-    lasting: Room,
+    lasting: Resources,
     gpu_work: bool,
     /// Of tasks that are being stopped.
-    stopping: Room,
+    stopping: Resources,
     /// Of the others by priority: without GPUs, and with.
-    stoppable: [[Room; 2]; PRIORITIES],
+    stoppable: [[Resources; 2]; PRIORITIES],
 }
 
 const PRIORITIES: usize = 4;
 
 impl Default for Load {
     fn default() -> Load {
-        let none = Room::default();
+        let none = Resources::default();
         Load {
             used: Some(none),
             lasting: none,
@@ -150,20 +150,20 @@
 }
 
 impl Machine {
-    pub fn new(now: Now) -> Machine {
+    pub fn new(now: Timestamp) -> Machine {
         Machine {
             addr: String::new(),
             kind: None,
             zone: None,
             spot: false,
-            session: 0,
+            incarnation: 0,
             seq: 0,
             token: 0,
             confirmed: false,
             granted: now,
             heard: now,
             checkin: (0, 0),
-            hearing: Hearing::default(),
+            reachability: Reachability::default(),
             notice: None,
             tasks: BTreeMap::new(),
             cached: VecDeque::new(),
@@ -184,38 +184,46 @@
     /// Takes note of a report that came by itself. False: the worker does not wait for an answer to
     /// it, since it has sent a newer one by now, or its session is over. A late copy grants nothing,
     /// or it would keep a machine that is gone for as long as copies of its reports arrive.
-    pub fn waits(&mut self, r: &Report) -> bool {
-        let this = (r.session, r.seq);
-        let waits = this > self.checkin && r.session >= self.session || !holds(Guard::Waits);
+    pub fn waits(&mut self, r: &WorkerHeartbeat) -> bool {
+        let this = (r.incarnation, r.seq);
+        let waits =
+            this > self.checkin && r.incarnation >= self.incarnation || !holds(Guard::Waits);
         self.checkin = self.checkin.max(this);
         waits
     }
 
     /// The moment from which the worker's lease is surely over, unless it is renewed.
     /// Owners before us may have answered it until `older`.
-    pub fn lease_over_at(&self, lease_ms: u64, older: Now) -> Now {
+    pub fn lease_over_at(&self, lease_ms: u64, older: Timestamp) -> Timestamp {
         let granted = if self.confirmed { self.granted } else { self.granted.max(older) };
         granted + at_least(lease_ms)
     }
 
     /// Takes in a report. False if it is not newer than what is known; then nothing changes.
-    pub fn apply(&mut self, r: &Report, epoch: Epoch, checkin: bool, now: Now) -> bool {
-        let old = (r.session, r.seq) <= (self.session, self.seq) && holds(Guard::NewestReport);
+    pub fn apply(
+        &mut self,
+        r: &WorkerHeartbeat,
+        epoch: Epoch,
+        checkin: bool,
+        now: Timestamp,
+    ) -> bool {
+        let old =
+            (r.incarnation, r.seq) <= (self.incarnation, self.seq) && holds(Guard::NewestReport);
         if old || self.released {
             return false;
         }
         // The lease is over, so the session must be: a report of it can only be a late one.
-        if self.lapsed && r.session == self.session {
+        if self.lapsed && r.incarnation == self.incarnation {
             return false;
         }
-        if r.session > self.session {
-            if self.session > 0 {
-                self.hearing.lease_ended(now);
+        if r.incarnation > self.incarnation {
+            if self.incarnation > 0 {
+                self.reachability.lease_ended(now);
             }
             for t in self.tasks.values_mut() {
-                if t.session < r.session {
+                if t.incarnation < r.incarnation {
                     if !t.over() {
-                        t.phase = Phase::Gone;
+                        t.phase = TaskPhase::Gone;
                     }
                     t.listed = false;
                     t.risky = false;
@@ -231,13 +239,13 @@
                 self.granted = self.granted.max(now);
             }
         }
-        self.session = r.session;
+        self.incarnation = r.incarnation;
         self.seq = r.seq;
         self.heard = now;
         self.addr.clone_from(&r.addr);
         self.spot = r.spot;
         if r.token == epoch.0 && self.token < r.token {
-            self.hearing.proven();
+            self.reachability.proven();
         }
         self.token = r.token;
         // Of a worker that came back without its token, older owners' answers count again.
@@ -261,20 +269,20 @@
             let on = self
                 .tasks
                 .entry(key)
-                .or_insert_with(|| TaskOn::new(None, Phase::Decided, r.session));
+                .or_insert_with(|| TaskOnMachine::new(None, TaskPhase::Decided, r.incarnation));
             // Started by a command of ours.
-            if on.phase == Phase::Decided && (on.answered || on.risky || on.direct.is_some()) {
-                self.hearing.proven();
+            if on.phase == TaskPhase::Decided && (on.answered || on.risky || on.direct.is_some()) {
+                self.reachability.proven();
             }
             on.listed = true;
-            if on.phase == Phase::Gone {
+            if on.phase == TaskPhase::Gone {
                 continue;
             }
             on.phase = match t.state {
                 TaskState::Exited => {
-                    Phase::Exited(t.why.unwrap_or(Why::Other), t.saved.unwrap_or(false))
+                    TaskPhase::Exited(t.why.unwrap_or(ExitReason::Other), t.saved.unwrap_or(false))
                 }
-                s => Phase::On(s),
+                s => TaskPhase::On(s),
             };
             if matches!(t.state, TaskState::Running) && on.on_since.is_none() {
                 on.on_since = Some(now);
@@ -283,7 +291,7 @@
         let confirmed = self.confirmed || !holds(Guard::TokenShown);
         for t in self.tasks.values_mut().filter(|t| !t.listed) {
             match t.phase {
-                Phase::Decided => {
+                TaskPhase::Decided => {
                     // The answer that named it was dropped: a worker's reports follow one
                     // another, and it executes an answer before its next report.
                     if checkin {
@@ -293,13 +301,13 @@
                     if (t.stop.is_some() || t.adopted)
                         && never
                         && confirmed
-                        && t.session <= r.session
+                        && t.incarnation <= r.incarnation
                     {
-                        t.phase = Phase::Gone;
+                        t.phase = TaskPhase::Gone;
                     }
                 }
-                Phase::On(_) => t.phase = Phase::Gone,
-                Phase::Exited(..) | Phase::Gone => {}
+                TaskPhase::On(_) => t.phase = TaskPhase::Gone,
+                TaskPhase::Exited(..) | TaskPhase::Gone => {}
             }
         }
         if self.tasks.values().any(|t| !t.over()) {
@@ -312,7 +320,7 @@
 
     /// Drops what the coordinator has noted and the worker has forgotten.
     pub fn sweep(&mut self) {
-        let open = |t: &TaskOn| t.listed || t.risky || t.direct.is_some();
+        let open = |t: &TaskOnMachine| t.listed || t.risky || t.direct.is_some();
         self.tasks.retain(|_, t| !(t.acked && t.over() && !open(t)));
     }
 
@@ -320,7 +328,7 @@
     pub fn all_gone(&mut self) {
         for t in self.tasks.values_mut() {
             if !t.over() {
-                t.phase = Phase::Gone;
+                t.phase = TaskPhase::Gone;
             }
             t.listed = false;
             t.risky = false;
@@ -367,20 +375,20 @@
     }
 
     /// Room taken by what is, or may come to be, on it. None: something unknown is on it.
-    pub fn used(&self) -> Option<Room> {
+    pub fn used(&self) -> Option<Resources> {
         self.load().used
     }
 
     /// Room taken by services and GPU work.
-    pub fn lasting(&self) -> Room {
+    pub fn lasting(&self) -> Resources {
         self.load().lasting
     }
 
     /// The most room that work of this priority could get by stopping lesser tasks; those with
     /// GPUs only if it takes GPUs itself.
-    pub fn yields(&self, priority: Priority, gpus: bool) -> Room {
+    pub fn yields(&self, priority: Priority, gpus: bool) -> Resources {
         let l = self.load();
-        let mut room = Room::default();
+        let mut room = Resources::default();
         for [without, with] in &l.stoppable[..priority as usize] {
             room.add(*without, 1);
             if gpus {
@@ -391,7 +399,7 @@
     }
 
     /// Room of tasks that are being stopped.
-    pub fn stopping(&self) -> Room {
+    pub fn stopping(&self) -> Resources {
         self.load().stopping
     }
 
@@ -401,10 +409,10 @@
 
     /// Commands for the answer to a report; `starts`: the lease under which they are given is
     /// certainly not over.
-    pub fn orders(&mut self, now: Now, most: usize, starts: bool) -> Vec<Order> {
+    pub fn orders(&mut self, now: Timestamp, most: usize, starts: bool) -> Vec<Command> {
         let mut v = Vec::new();
-        let session = self.session;
-        let order = |op, k: &Key, grace_s| Order {
+        let incarnation = self.incarnation;
+        let order = |op, k: &AttemptKey, grace_s| Command {
             op,
             task: TaskId { job: k.0 .0, task: k.1 },
             attempt: k.2 .0,
@@ -415,28 +423,28 @@
                 break;
             }
             match (t.phase, t.stop) {
-                (Phase::Decided, _) if !starts && holds(Guard::DoubtStarts) => {}
-                (Phase::On(_), Some(_)) if !starts && !holds(Guard::DoubtStops) => {}
-                (Phase::Decided, None) if t.in_session(session) && t.may_start() => {
+                (TaskPhase::Decided, _) if !starts && holds(Guard::DoubtStarts) => {}
+                (TaskPhase::On(_), Some(_)) if !starts && !holds(Guard::DoubtStops) => {}
+                (TaskPhase::Decided, None) if t.in_session(incarnation) && t.may_start() => {
                     t.answered = true;
-                    v.push(order(Op::Start, k, None));
+                    v.push(order(CommandKind::Start, k, None));
                 }
                 // A start command without an answer may be executed at any time. Started and
                 // stopped at once, the attempt stays known to the worker, and a late copy does
                 // nothing. Only for a while, since a cancelled job must not start late.
-                (Phase::Decided, Some(s)) if t.risky && t.session == session => {
+                (TaskPhase::Decided, Some(s)) if t.risky && t.incarnation == incarnation => {
                     if now < s.since + 8000 {
-                        v.push(order(Op::Start, k, None));
+                        v.push(order(CommandKind::Start, k, None));
                     }
-                    v.push(order(Op::Stop, k, Some(0.0)));
+                    v.push(order(CommandKind::Stop, k, Some(0.0)));
                 }
-                (Phase::On(s), Some(w)) if s != TaskState::Saving || w.grace_s == 0.0 => {
-                    v.push(order(Op::Stop, k, Some(w.grace_s)));
+                (TaskPhase::On(s), Some(w)) if s != TaskState::Saving || w.grace_s == 0.0 => {
+                    v.push(order(CommandKind::Stop, k, Some(w.grace_s)));
                 }
                 // Not while a direct copy of its start is under way: that would start it anew.
                 // (Found by the simulator.)
-                (Phase::Exited(..), _) if t.acked && t.listed && !t.risky && !t.under_way() => {
-                    v.push(order(Op::Forget, k, None));
+                (TaskPhase::Exited(..), _) if t.acked && t.listed && !t.risky && !t.under_way() => {
+                    v.push(order(CommandKind::Forget, k, None));
                 }
                 _ => {}
             }
@@ -445,24 +453,29 @@
     }
 
     /// Commands worth sending at once: starts and stops not on their way yet.
-    pub fn direct_orders(&mut self, batch: u64, most: usize) -> Vec<Order> {
+    pub fn direct_orders(&mut self, batch: u64, most: usize) -> Vec<Command> {
         let mut v = Vec::new();
-        let session = self.session;
+        let incarnation = self.incarnation;
         for (k, t) in &mut self.tasks {
             if v.len() >= most {
                 break;
             }
             let task = TaskId { job: k.0 .0, task: k.1 };
             match (t.phase, t.stop) {
-                (Phase::Decided, None)
-                    if t.in_session(session) && !t.risky && !t.answered && t.may_start() =>
+                (TaskPhase::Decided, None)
+                    if t.in_session(incarnation) && !t.risky && !t.answered && t.may_start() =>
                 {
                     t.direct = Some(batch);
-                    v.push(Order { op: Op::Start, task, attempt: k.2 .0, grace_s: None });
+                    v.push(Command {
+                        op: CommandKind::Start,
+                        task,
+                        attempt: k.2 .0,
+                        grace_s: None,
+                    });
                 }
-                (Phase::On(s), Some(w)) if s != TaskState::Saving || w.grace_s == 0.0 => {
+                (TaskPhase::On(s), Some(w)) if s != TaskState::Saving || w.grace_s == 0.0 => {
                     let grace_s = Some(w.grace_s);
-                    v.push(Order { op: Op::Stop, task, attempt: k.2 .0, grace_s });
+                    v.push(Command { op: CommandKind::Stop, task, attempt: k.2 .0, grace_s });
                 }
                 _ => {}
             }
@@ -482,7 +495,13 @@
     }
 
     /// Tasks of these jobs failed here, and then perhaps something ran well.
-    pub fn note_failures(&mut self, jobs: &[JobId], ran_well: bool, now: Now, forget_ms: u64) {
+    pub fn note_failures(
+        &mut self,
+        jobs: &[JobId],
+        ran_well: bool,
+        now: Timestamp,
+        forget_ms: u64,
+    ) {
         if ran_well {
             self.failed.clear();
         }
--- a/crates/core/src/fleet/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn report(session: u64, token: u64) -> Report {
-    Report {
+fn report(incarnation: u64, token: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         machine: "n-000001".into(),
         addr: String::new(),
         type_name: "small".into(),
         zone: "a".into(),
         spot: false,
-        session,
+        incarnation,
         seq: 1,
         token,
         notice_s: None,
@@ -43,7 +43,7 @@
     // A copy of a report from before the takeover: answered, but nobody waits for that.
     assert!(m.waits(&report(1, 4)) && m.apply(&report(1, 4), Epoch(5), true, 1000));
     m.granted = 1000;
-    let shown = Report { seq: 9, ..report(1, 5) };
+    let shown = WorkerHeartbeat { seq: 9, ..report(1, 5) };
     assert!(m.apply(&shown, Epoch(5), false, 4000));
     assert!(
         m.confirmed && m.lease_over_at(8000, 90_000) >= 12_000,
@@ -55,27 +55,28 @@
 #[test]
 fn in_doubt_nothing_is_started_and_stops_go_on() {
     let mut m = Machine::new(0);
-    m.session = 1;
+    m.incarnation = 1;
     let key = |task| (JobId(7), task, Attempt(9));
-    m.tasks.insert(key(0), TaskOn::new(None, Phase::Decided, 1));
-    let mut runs = TaskOn::new(None, Phase::On(TaskState::Running), 1);
-    runs.stop = Some(StopWish { grace_s: 0.0, since: 0 });
+    m.tasks.insert(key(0), TaskOnMachine::new(None, TaskPhase::Decided, 1));
+    let mut runs = TaskOnMachine::new(None, TaskPhase::On(TaskState::Running), 1);
+    runs.stop = Some(StopRequest { grace_s: 0.0, since: 0 });
     m.tasks.insert(key(1), runs);
-    let ops = |m: &mut Machine, starts| -> Vec<(Op, u32)> {
+    let ops = |m: &mut Machine, starts| -> Vec<(CommandKind, u32)> {
         m.orders(0, 9, starts).iter().map(|o| (o.op, o.task.task)).collect()
     };
-    assert_eq!(ops(&mut m, false), [(Op::Stop, 1)]);
-    assert_eq!(ops(&mut m, true), [(Op::Start, 0), (Op::Stop, 1)]);
+    assert_eq!(ops(&mut m, false), [(CommandKind::Stop, 1)]);
+    assert_eq!(ops(&mut m, true), [(CommandKind::Start, 0), (CommandKind::Stop, 1)]);
 }
 
 /// What an owner before us decided is kept if it is there, and what was offered in another session of the
 /// worker is none of this one's.
 #[test]
 fn only_what_was_decided_here_for_this_session_is_started() {
-    let starts = |adopted, session| {
+    let starts = |adopted, incarnation| {
         let mut m = Machine::new(0);
-        m.session = 2;
-        let task = TaskOn { adopted, ..TaskOn::new(None, Phase::Decided, session) };
+        m.incarnation = 2;
+        let task =
+            TaskOnMachine { adopted, ..TaskOnMachine::new(None, TaskPhase::Decided, incarnation) };
         m.tasks.insert((JobId(7), 0, Attempt(9)), task);
         m.orders(0, 9, true).len() + m.direct_orders(1, 9).len()
     };
@@ -88,9 +89,9 @@
 fn nothing_is_forgotten_while_its_start_is_under_way() {
     let forgets = |direct| {
         let mut m = Machine::new(0);
-        m.session = 1;
-        let ended = TaskOn::new(None, Phase::Exited(Why::Done, false), 1);
-        let task = TaskOn { acked: true, listed: true, direct, ..ended };
+        m.incarnation = 1;
+        let ended = TaskOnMachine::new(None, TaskPhase::Exited(ExitReason::Done, false), 1);
+        let task = TaskOnMachine { acked: true, listed: true, direct, ..ended };
         m.tasks.insert((JobId(7), 0, Attempt(9)), task);
         m.orders(0, 9, true).len()
     };
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -40,7 +40,7 @@
 
 /// What a task takes or a machine has: thousandths of cores and GPUs, MB.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct Resources {
     pub cpu: u64,
     pub gpu: u64,
     pub mem: u64,
@@ -51,26 +51,26 @@
     (v * 1000.0 + 1e-6).floor() as u64
 }
 
-impl Room {
+impl Resources {
     /// What a task of this shape takes.
-    pub fn of(s: &mesh::Shape) -> Room {
-        Room { cpu: s.cpu, gpu: s.gpu, mem: s.mem }
+    pub fn of(s: &mesh::Shape) -> Resources {
+        Resources { cpu: s.cpu, gpu: s.gpu, mem: s.mem }
     }
 
-    pub fn add(&mut self, o: Room, n: u64) {
+    pub fn add(&mut self, o: Resources, n: u64) {
         self.cpu = self.cpu.saturating_add(o.cpu.saturating_mul(n));
         self.gpu = self.gpu.saturating_add(o.gpu.saturating_mul(n));
         self.mem = self.mem.saturating_add(o.mem.saturating_mul(n));
     }
 
-    pub fn sub(&mut self, o: Room, n: u64) {
+    pub fn sub(&mut self, o: Resources, n: u64) {
         self.cpu = self.cpu.saturating_sub(o.cpu.saturating_mul(n));
         self.gpu = self.gpu.saturating_sub(o.gpu.saturating_mul(n));
         self.mem = self.mem.saturating_sub(o.mem.saturating_mul(n));
     }
 
     /// How many times `o` fits in.
-    pub fn fits(&self, o: Room) -> u64 {
+    pub fn fits(&self, o: Resources) -> u64 {
         let f = |a: u64, b: u64| a.checked_div(b).unwrap_or(u64::MAX);
         f(self.cpu, o.cpu).min(f(self.gpu, o.gpu)).min(f(self.mem, o.mem))
     }
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub wire: Arc<mesh::Shape>,
-    pub need: Room,
+    pub need: Resources,
     pub image: ImageIdx,
 }
 
@@ -98,7 +98,7 @@
     pub zones: Vec<String>,
     pub catalog: Vec<MachineType>,
     /// Room of each type in the catalog: asked for at every look at a machine.
-    rooms: Vec<Room>,
+    rooms: Vec<Resources>,
 }
 
 impl Names {
@@ -132,7 +132,7 @@
                 None => {}
             }
         }
-        let room = |t: &MachineType| Room {
+        let room = |t: &MachineType| Resources {
             cpu: thousandths(t.cpus),
             gpu: thousandths(t.gpus),
             mem: thousandths(t.memory_gb),
@@ -140,13 +140,13 @@
         self.rooms = self.catalog.iter().map(room).collect();
     }
 
-    pub fn room_of_type(&self, t: TypeIdx) -> Room {
+    pub fn room_of_type(&self, t: TypeIdx) -> Resources {
         self.rooms[t.0 as usize]
     }
 
     pub fn shape(&mut self, wire: &Arc<mesh::Shape>) -> Shape {
         Shape {
-            need: Room::of(wire),
+            need: Resources::of(wire),
             image: ImageIdx(self.images.intern(&wire.image)),
             wire: wire.clone(),
         }
@@ -171,7 +171,7 @@
     /// Whether a task's place on such a machine costs no more than it is worth: a multiple of
     /// the cheapest place there is, whether that can be had now or not.
     pub fn affordable(&self, shape: &mesh::Shape, t: TypeIdx, spot: bool, pressing: bool) -> bool {
-        let need = Room::of(shape);
+        let need = Resources::of(shape);
         let place = |t: TypeIdx, spot| {
             let fits = self.room_of_type(t).fits(need);
             (fits > 0 && self.allows(shape, t, spot)).then(|| self.price(t, spot) / fits as f64)
--- a/crates/core/src/node/finals.rs
+++ b/crates/core/src/node/finals.rs
@@ -1,29 +1,29 @@
 //! Final states of a shard whose owner does not speak for it, read from the store.
 use super::{Node, FINALS_BACK_MS};
-use crate::ctx::{Ctx, OpKind};
+use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{Now, Shard};
-use crate::io::{Out, StoreCall, StoreResult};
+use crate::ids::{Shard, Timestamp};
+use crate::io::{Effects, StoreCall, StoreResult};
 use crate::keys;
-use crate::records::Feed;
+use crate::records::RecordReader;
 
 /// So long a watch for final states waits.
 const WAIT_MS: u64 = 3000;
 
 #[derive(Debug)]
 pub(super) struct Reading {
-    feed: Feed,
+    feed: RecordReader,
     /// When its last call was made, and the first one of what is being read.
-    asked: Now,
-    as_of: Now,
+    asked: Timestamp,
+    as_of: Timestamp,
 }
 
 impl Node {
     /// A sibling that is alive but not heard can't tell which jobs were cancelled, nor can one that
     /// is gone: the store can. (Found on hunts: controllers reached all but each other for longer than
     /// a cancellation may take, and cancelled tasks ran on.)
-    pub(super) fn tick_finals(&mut self, out: &mut Out) {
-        let now = out.now;
+    pub(super) fn tick_finals(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         let acts = self.lease.valid(now)
             && self.owned.iter().any(Option::is_some)
             && holds(Guard::SilentFinals);
@@ -39,7 +39,7 @@
             };
             let mark = || self.marks.iter().rev().find(|m| m.0 <= since).map_or(0, |m| m.1);
             let r = self.finals[i].get_or_insert_with(|| Reading {
-                feed: Feed::since(keys::final_prefix(shard), mark(), WAIT_MS),
+                feed: RecordReader::since(keys::final_prefix(shard), mark(), WAIT_MS),
                 asked: now,
                 as_of: now,
             });
@@ -49,14 +49,20 @@
                 if !matches!(call, StoreCall::List { after: Some(_), .. }) {
                     r.as_of = now;
                 }
-                let mut c = ctx!(self, out);
-                c.store(OpKind::Finals { shard, asked: now }, call);
+                let mut c = ctx!(self, effects);
+                c.store(Operation::Finals { shard, asked: now }, call);
             }
         }
     }
 
     /// `asked`: when. The answer to a call of a reading that was given up says nothing of a later one.
-    pub(super) fn finals_read(&mut self, now: Now, shard: Shard, asked: Now, result: StoreResult) {
+    pub(super) fn finals_read(
+        &mut self,
+        now: Timestamp,
+        shard: Shard,
+        asked: Timestamp,
+        result: StoreResult,
+    ) {
         let reading = self.finals.get_mut(shard.0 as usize).and_then(Option::as_mut);
         let Some(r) = reading.filter(|r| r.asked == asked) else { return };
         let told = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,19 +1,19 @@
 //! One controller: the lease, the shards it owns, and what each input means for them.
-use crate::budget::{Budget, CLASSES};
+use crate::budget::{WriteBudget, CLASSES};
+use crate::context::{Config, Context, LookupPurpose, Operation, PendingOperations};
 use crate::coordinator::Coordinator;
-use crate::ctx::{Ask, Config, Ctx, OpKind, Ops};
 use crate::guards::{holds, Guard};
 use crate::health::Health;
-use crate::horizon::{Horizons, Mine};
-use crate::ids::{Epoch, JobId, NodeIdx, Now, Shard, PROVISIONER_SHARD};
-use crate::io::{CloudCall, CloudResult, Input, Out, Output, ReqId, StoreResult};
-use crate::jobs::Aims;
+use crate::horizon::{Horizons, OwnedShard};
+use crate::ids::{Epoch, JobId, NodeIdx, Shard, Timestamp, PROVISIONER_SHARD};
+use crate::io::{CloudCall, CloudResult, Effect, Effects, Input, RequestId, StoreResult};
+use crate::jobs::Objectives;
 use crate::names::Names;
 use crate::participant::Participant;
 use crate::provisioner::Provisioner;
 use crate::quota::QuotaManager;
 use crate::shard::{at_least, Lease, ShardView};
-use leaddeal_wire::mesh::{NodeMsg, ShardMsg};
+use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 use leaddeal_wire::settings::Settings;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -40,13 +40,13 @@
 
 /// The context of one input, made anew so that other fields of the node can be used beside it.
 macro_rules! ctx {
-    ($n:expr, $out:expr) => {
-        Ctx {
-            now: $out.now,
+    ($n:expr, $effects:expr) => {
+        Context {
+            now: $effects.now,
             time_ms: $n.time_ms,
-            valid: $n.lease.valid($out.now),
+            valid: $n.lease.valid($effects.now),
             wake: false,
-            out: $out,
+            effects: $effects,
             names: &mut $n.names,
             cfg: &$n.cfg,
             budget: &mut $n.budget,
@@ -61,8 +61,8 @@
     };
 }
 
-mod detour;
 mod finals;
+mod relay;
 mod shards;
 mod siblings;
 mod stored;
@@ -71,16 +71,16 @@
 mod users;
 mod workers;
 
-use detour::Detours;
 use finals::Reading;
-use workers::Passed;
+use relay::RelayTable;
+use workers::PendingRelay;
 
 #[derive(Debug)]
 struct Call {
-    req: ReqId,
+    req: RequestId,
     id: JobId,
-    ask: Ask,
-    until: Now,
+    ask: LookupPurpose,
+    until: Timestamp,
 }
 
 #[derive(Debug)]
@@ -90,51 +90,51 @@
     participant: Participant,
     quota: QuotaManager,
     releasing: bool,
-    leave_until: Now,
+    leave_until: Timestamp,
 }
 
 pub struct Node {
     me: NodeIdx,
     boot: u64,
-    started: Now,
-    ticked: Now,
+    started: Timestamp,
+    ticked: Timestamp,
     /// Its home shard is not asked for before this time.
-    steady_from: Now,
+    steady_from: Timestamp,
     time_ms: u64,
     nodes: Vec<String>,
     cfg: Config,
     names: Names,
-    budget: Budget,
+    budget: WriteBudget,
     lease: Lease,
     view: Vec<ShardView>,
     view_known: bool,
-    shards_at: Now,
+    shards_at: Timestamp,
     shards_busy: bool,
     health: Health,
     /// What was cancelled, and up to when it is known.
     horizons: Horizons,
     /// Workers of a shard were let go, since what was cancelled is not known.
     let_go: bool,
-    state_ok_at: Now,
+    state_ok_at: Timestamp,
     owned: Vec<Option<Owned>>,
     /// The newest epoch of each shard that this process acted under and acts under no more.
     given_up: Vec<Epoch>,
     provisioner: Option<(Epoch, Provisioner)>,
-    ops: Ops,
-    sends: VecDeque<(Shard, Shard, ShardMsg)>,
+    ops: PendingOperations,
+    sends: VecDeque<(Shard, Shard, ShardMessage)>,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    relays: HashMap<ReqId, (String, u64)>,
+    relays: HashMap<RequestId, (String, u64)>,
     /// Workers that don't reach their owners.
-    detours: Detours,
+    relay_table: RelayTable,
     /// Their reports that were passed on, by the number of the call.
-    passed: BTreeMap<u64, Passed>,
-    catalog_at: Now,
-    slow_at: Now,
-    figures_at: Now,
+    pending_relays: BTreeMap<u64, PendingRelay>,
+    catalog_at: Timestamp,
+    slow_at: Timestamp,
+    figures_at: Timestamp,
     /// Changes by class that were logged already.
     logged: [u64; CLASSES.len()],
-    next_acquire: Vec<Now>,
+    next_acquire: Vec<Timestamp>,
     wake: bool,
     looked: u64,
     /// Final states of shards whose owners do not speak for them.
@@ -142,11 +142,11 @@
     /// Newest revision heard of.
     revision: u64,
     /// When which revision was the newest.
-    marks: VecDeque<(Now, u64)>,
+    marks: VecDeque<(Timestamp, u64)>,
 }
 
 impl Node {
-    pub fn new(s: &Settings, boot: u64, now: Now) -> Node {
+    pub fn new(s: &Settings, boot: u64, now: Timestamp) -> Node {
         let nodes = s.nodes();
         let n = nodes.len();
         let me = nodes.iter().position(|x| *x == s.node).unwrap_or(0);
@@ -174,10 +174,10 @@
                 cloud_gap_ms: (1100.0 / p.cloud.rps) as u64,
                 list_lag_ms: (p.cloud.list_lag_s * 1000.0) as u64,
                 teams: p.teams.clone(),
-                aims: Aims::new(&p.objectives, 1000.0 / placed_s.max(1.0)),
+                aims: Objectives::new(&p.objectives, 1000.0 / placed_s.max(1.0)),
             },
             names,
-            budget: Budget::new(p.state.write_rps, n, now),
+            budget: WriteBudget::new(p.state.write_rps, n, now),
             lease: Lease::default(),
             view: vec![ShardView::default(); n],
             view_known: false,
@@ -196,13 +196,13 @@
             owned: (0..n).map(|_| None).collect(),
             given_up: vec![Epoch(0); n],
             provisioner: None,
-            ops: Ops { next: 0, open: HashMap::new() },
+            ops: PendingOperations { next: 0, open: HashMap::new() },
             sends: VecDeque::new(),
             calls: BTreeMap::new(),
             next_call: boot << 20,
             relays: HashMap::new(),
-            detours: Detours::default(),
-            passed: BTreeMap::new(),
+            relay_table: RelayTable::default(),
+            pending_relays: BTreeMap::new(),
             catalog_at: now,
             slow_at: now,
             figures_at: now + FIGURES_MS,
@@ -218,7 +218,7 @@
     }
 
     /// Whether this node can do what users ask for.
-    fn ready(&self, now: Now) -> bool {
+    fn ready(&self, now: Timestamp) -> bool {
         let served = now < self.state_ok_at + UNSERVED_MS;
         !self.names.catalog.is_empty() && self.view_known && served
     }
@@ -229,7 +229,7 @@
     ///
     /// Who hears neither the state service nor any sibling can't tell whether they could: it is cut
     /// off, more likely than all of them.
-    pub fn healthy(&self, now: Now) -> bool {
+    pub fn healthy(&self, now: Timestamp) -> bool {
         let best = !self.health.another_serves(now) && self.health.hears_any(now);
         self.ready(now) || (now >= self.started + LISTEN_MS && best)
     }
@@ -248,29 +248,29 @@
     }
 
     /// Takes one input; returns what to send, write and answer.
-    pub fn step(&mut self, now: Now, time_ms: u64, input: Input) -> Vec<Output> {
+    pub fn step(&mut self, now: Timestamp, time_ms: u64, input: Input) -> Vec<Effect> {
         self.time_ms = time_ms;
         self.budget.refill(now);
-        let mut out = Out { now, list: Vec::new(), looked: 0 };
+        let mut effects = Effects { now, list: Vec::new(), looked: 0 };
         match input {
-            Input::Tick => self.tick(&mut out),
-            Input::Submit { req, id, job } => self.submit(&mut out, req, id, job),
-            Input::Get { req, id } => self.lookup(&mut out, req, id, Ask::Get),
-            Input::Cancel { req, id } => self.lookup(&mut out, req, id, Ask::Cancel),
-            Input::Report { req, report } => self.report(&mut out, req, report),
-            Input::Orders { machine, batch, outcome } => {
-                self.direct_outcome(&mut out, &machine, batch, &outcome);
+            Input::Tick => self.tick(&mut effects),
+            Input::Submit { req, id, job } => self.submit(&mut effects, req, id, job),
+            Input::Get { req, id } => self.lookup(&mut effects, req, id, LookupPurpose::Get),
+            Input::Cancel { req, id } => self.lookup(&mut effects, req, id, LookupPurpose::Cancel),
+            Input::WorkerHeartbeat { req, report } => self.report(&mut effects, req, report),
+            Input::CommandOutcome { machine, batch, outcome } => {
+                self.direct_outcome(&mut effects, &machine, batch, &outcome);
             }
-            Input::Mesh { from, msg } => self.mesh(&mut out, &from, *msg),
+            Input::Mesh { from, msg } => self.mesh(&mut effects, &from, *msg),
             Input::Store { op, result } => {
                 if let Some(kind) = self.ops.open.remove(&op) {
                     if !matches!(
                         result,
-                        StoreResult::Refused | StoreResult::TooMany | StoreResult::Unknown
+                        StoreResult::Refused | StoreResult::RateLimited | StoreResult::Unknown
                     ) {
                         self.state_ok_at = now;
                     }
-                    if matches!(result, StoreResult::TooMany) && kind.writes() {
+                    if matches!(result, StoreResult::RateLimited) && kind.writes() {
                         self.budget.refused(now);
                     }
                     self.revision = self.revision.max(match &result {
@@ -279,36 +279,36 @@
                         StoreResult::Events(e) => e.revision,
                         _ => 0,
                     });
-                    self.stored(&mut out, kind, result);
+                    self.stored(&mut effects, kind, result);
                 }
             }
             Input::Cloud { op, result } => {
                 if let Some(kind) = self.ops.open.remove(&op) {
-                    self.clouded(&mut out, kind, result);
+                    self.clouded(&mut effects, kind, result);
                 }
             }
         }
-        self.settle(&mut out);
-        self.looked += out.looked;
-        out.list
+        self.settle(&mut effects);
+        self.looked += effects.looked;
+        effects.list
     }
 
     /// What this node acts for and knows all of, by shard. Not while it is given back: that may have
     /// been done already.
-    fn mine(&self, now: Now) -> Vec<Option<Mine>> {
+    fn mine(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let doubt_ms = self.lease.in_doubt_ms(now);
         let all = self.owned.iter().map(|o| {
             let o = o.as_ref().filter(|o| o.coordinator.ready() && !o.releasing)?;
-            Some(Mine { epoch: o.epoch, doubt_ms })
+            Some(OwnedShard { epoch: o.epoch, doubt_ms })
         });
         all.collect()
     }
 
     /// Stops everywhere here what was learned to be over.
-    fn stop_what_is_over(&mut self, out: &mut Out) {
+    fn stop_what_is_over(&mut self, effects: &mut Effects) {
         for job in self.horizons.take_fresh() {
             for i in 0..self.owned.len() {
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 if let Some(o) = self.owned[i].as_mut().filter(|_| holds(Guard::StopOver)) {
                     o.participant.job_over(&mut c, job);
                 }
@@ -317,11 +317,11 @@
     }
 
     /// Delivers messages between shards until there are none.
-    fn settle(&mut self, out: &mut Out) {
+    fn settle(&mut self, effects: &mut Effects) {
         for _ in 0..50 {
             if std::mem::take(&mut self.wake) {
                 for i in 0..self.owned.len() {
-                    let mut c = ctx!(self, out);
+                    let mut c = ctx!(self, effects);
                     if let Some(o) = &mut self.owned[i] {
                         o.coordinator.start_round(&mut c);
                     }
@@ -337,23 +337,23 @@
                 };
                 if o.node == self.me {
                     if self.owned[to.0 as usize].as_ref().is_some_and(|x| x.epoch == o.epoch) {
-                        self.deliver(out, from, epoch, to, msg);
+                        self.deliver(effects, from, epoch, to, msg);
                     }
                 } else {
                     let node = self.nodes[o.node.0 as usize].clone();
-                    let msg = NodeMsg::Shard {
+                    let msg = NodeMessage::Shard {
                         from: from.0,
                         from_epoch: epoch.0,
                         to: to.0,
                         to_epoch: o.epoch.0,
                         msg,
                     };
-                    out.list.push(Output::Mesh { to: node, msg });
+                    effects.list.push(Effect::Mesh { to: node, msg });
                 }
             }
-            self.stop_what_is_over(out);
+            self.stop_what_is_over(effects);
             for i in 0..self.owned.len() {
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 if let Some(o) = &mut self.owned[i] {
                     o.participant.flush(&mut c);
                 }
@@ -364,35 +364,42 @@
         }
     }
 
-    fn deliver(&mut self, out: &mut Out, from: Shard, from_epoch: Epoch, to: Shard, msg: ShardMsg) {
-        let mut c = ctx!(self, out);
+    fn deliver(
+        &mut self,
+        effects: &mut Effects,
+        from: Shard,
+        from_epoch: Epoch,
+        to: Shard,
+        msg: ShardMessage,
+    ) {
+        let mut c = ctx!(self, effects);
         let Some(o) = &mut self.owned[to.0 as usize] else {
             return;
         };
         match msg {
-            ShardMsg::Request { .. }
-            | ShardMsg::Close { .. }
-            | ShardMsg::Place { .. }
-            | ShardMsg::Stop { .. }
-            | ShardMsg::Forget { .. } => o.participant.handle(&mut c, from, from_epoch, msg),
-            ShardMsg::Offers { .. }
-            | ShardMsg::AskDecision { .. }
-            | ShardMsg::TeamGrant { .. }
-            | ShardMsg::Room { .. }
-            | ShardMsg::Events { .. } => {
+            ShardMessage::RequestOffers { .. }
+            | ShardMessage::CloseNegotiation { .. }
+            | ShardMessage::Place { .. }
+            | ShardMessage::Stop { .. }
+            | ShardMessage::Forget { .. } => o.participant.handle(&mut c, from, from_epoch, msg),
+            ShardMessage::Offers { .. }
+            | ShardMessage::AskDecision { .. }
+            | ShardMessage::TeamGrant { .. }
+            | ShardMessage::CapacityFreed { .. }
+            | ShardMessage::TaskEvents { .. } => {
                 o.coordinator.handle(&mut c, from, msg);
             }
-            ShardMsg::Drain { machine } => {
+            ShardMessage::Drain { machine } => {
                 if from == PROVISIONER_SHARD && o.participant.drain(&mut c, &machine) {
-                    c.send(to, PROVISIONER_SHARD, ShardMsg::Drained { machine });
+                    c.send(to, PROVISIONER_SHARD, ShardMessage::Drained { machine });
                 }
             }
-            ShardMsg::Base { newest } => {
+            ShardMessage::OperatorMachines { newest } => {
                 if from == PROVISIONER_SHARD {
                     o.participant.base = Some(newest);
                 }
             }
-            ShardMsg::MachinesAgain => {
+            ShardMessage::ResendInventory => {
                 if from == PROVISIONER_SHARD {
                     o.participant.tell_all();
                     for msg in o.participant.inventory(&c) {
@@ -400,42 +407,44 @@
                     }
                 }
             }
-            ShardMsg::Released { machine } => {
+            ShardMessage::Released { machine } => {
                 if from == PROVISIONER_SHARD {
                     o.participant.released(&mut c, &machine);
                 }
             }
-            ShardMsg::Lacks { .. } | ShardMsg::Machines { .. } | ShardMsg::Drained { .. } => {
+            ShardMessage::UnmetDemand { .. }
+            | ShardMessage::Inventory { .. }
+            | ShardMessage::Drained { .. } => {
                 if let Some((_, b)) = &mut self.provisioner {
                     b.handle(&mut c, from, msg);
                 }
             }
-            ShardMsg::TeamUsage { serial, usage } => {
+            ShardMessage::TeamUsage { serial, usage } => {
                 let granted = o.quota.report(c.now, from, from_epoch, serial, &usage);
                 if let Some(granted) = granted {
-                    c.send(to, from, ShardMsg::TeamGrant { serial, granted });
+                    c.send(to, from, ShardMessage::TeamGrant { serial, granted });
                 }
             }
         }
         self.wake |= c.wake;
     }
 
-    fn tick(&mut self, out: &mut Out) {
-        let now = out.now;
+    fn tick(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         if now >= self.ticked + STOOD_STILL_MS {
             let ms = now - self.ticked;
-            out.log(1, "stood_still", || format!("ms={ms}"));
+            effects.log(1, "stood_still", || format!("ms={ms}"));
             self.unsteady(now);
         }
         self.ticked = now;
-        self.tick_lease(out);
+        self.tick_lease(effects);
         let mine = self.mine(now);
         self.horizons.advance(&mine, &self.view, now);
-        self.tick_shards(out);
+        self.tick_shards(effects);
         if self.names.catalog.is_empty() && now >= self.catalog_at {
             self.catalog_at = now + 1000;
-            let mut c = ctx!(self, out);
-            c.cloud(OpKind::Catalog, CloudCall::Catalog);
+            let mut c = ctx!(self, effects);
+            c.cloud(Operation::Catalog, CloudCall::Catalog);
         }
         // Calls to siblings that got no answer: the store knows.
         let late: Vec<u64> =
@@ -444,15 +453,15 @@
             let Some(call) = self.calls.remove(&k) else {
                 continue;
             };
-            if call.ask == Ask::Cancel {
-                let mut c = ctx!(self, out);
+            if call.ask == LookupPurpose::Cancel {
+                let mut c = ctx!(self, effects);
                 c.reply_later(call.req, 503, 1);
             } else {
-                self.read_job(out, call.req, call.id, call.ask);
+                self.read_job(effects, call.req, call.id, call.ask);
             }
         }
         for i in 0..self.owned.len() {
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             if let Some(o) = &mut self.owned[i] {
                 o.participant.tick(&mut c);
                 if c.valid {
@@ -461,14 +470,14 @@
             }
             self.wake |= c.wake;
         }
-        self.tick_detours(out);
-        self.tick_finals(out);
+        self.tick_detours(effects);
+        self.tick_finals(effects);
         if now >= self.slow_at {
             self.slow_at = now + TICK_SLOW_MS;
-            self.slow_tick(out);
+            self.slow_tick(effects);
         }
         if let Some((_, b)) = &mut self.provisioner {
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             b.tick(&mut c);
         }
     }
@@ -476,53 +485,53 @@
     /// Whoever stood still or lost its lease may do so again: its shard stays where it is for a
     /// while. (Found on hunts: a controller that woke after 25 s was given its shard back a second
     /// later, so that one freeze cost two takeovers.)
-    fn unsteady(&mut self, now: Now) {
+    fn unsteady(&mut self, now: Timestamp) {
         self.steady_from = self.steady_from.max(now + STEADY_MS);
     }
 
     /// What was written and what waits to be: in the log, once a minute.
-    fn log_figures(&mut self, out: &mut Out) {
+    fn log_figures(&mut self, effects: &mut Effects) {
         let spent = CLASSES.map(|c| self.budget.spent(c));
         let (rate, refusals) = (self.budget.rate(), self.budget.refusals());
         let logged = std::mem::replace(&mut self.logged, spent);
-        out.log(1, "changes", || {
+        effects.log(1, "changes", || {
             let by = CLASSES.iter().zip(spent.iter().zip(logged));
             let by: Vec<String> = by.map(|(c, (n, was))| format!("{c:?}={}", n - was)).collect();
             format!("{} rate={rate:.1}/s refused={refusals}", by.join(" ").to_lowercase())
         });
-        let detours = self.detours.count(out.now);
-        if detours > 0 {
-            out.log(1, "detours", || format!("workers={detours}"));
+        let relay_table = self.relay_table.count(effects.now);
+        if relay_table > 0 {
+            effects.log(1, "detours", || format!("workers={relay_table}"));
         }
         for i in 0..self.owned.len() {
-            let c = ctx!(self, out);
+            let c = ctx!(self, effects);
             let Some(o) = &mut self.owned[i] else { continue };
             let (shard, room) = (o.coordinator.figures(c.now), o.participant.figures(&c));
             let served = o.coordinator.served(c.now);
             let limits = o.coordinator.limit_figures(&c);
-            out.log(1, "served", || served);
-            out.log(1, "seat", || shard);
-            out.log(1, "room", || room);
+            effects.log(1, "served", || served);
+            effects.log(1, "seat", || shard);
+            effects.log(1, "room", || room);
             if let Some(limits) = limits {
-                out.log(1, "limits", || limits);
+                effects.log(1, "limits", || limits);
             }
         }
     }
 
-    fn slow_tick(&mut self, out: &mut Out) {
-        let now = out.now;
+    fn slow_tick(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         if now >= self.figures_at {
             self.figures_at = now + FIGURES_MS;
-            self.log_figures(out);
+            self.log_figures(effects);
         }
         self.marks.push_back((now, self.revision));
         if self.marks.len() > MARKS + self.cfg.cancel_ms as usize / 1000 {
             self.marks.pop_front();
         }
-        self.detours.expire(now);
+        self.relay_table.expire(now);
         self.horizons.expire(now);
-        self.note_let_go(out);
-        self.beat(out, |_| true);
+        self.note_let_go(effects);
+        self.beat(effects, |_| true);
         // At home again and ready: ask for the own shard.
         let me = self.me.0 as usize;
         if let Some(o) = self.view[me].owner {
@@ -532,11 +541,13 @@
                 && !self.names.catalog.is_empty()
             {
                 let to = self.nodes[o.node.0 as usize].clone();
-                out.list.push(Output::Mesh { to, msg: NodeMsg::WantShard { shard: me as u8 } });
+                effects
+                    .list
+                    .push(Effect::Mesh { to, msg: NodeMessage::ReclaimShard { shard: me as u8 } });
             }
         }
         for i in 0..self.owned.len() {
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             let Some(o) = &mut self.owned[i] else {
                 continue;
             };
@@ -544,7 +555,7 @@
             let lacks = o.coordinator.lacks(&c);
             let machines = o.participant.inventory(&c);
             if o.coordinator.ready() {
-                c.send(shard, PROVISIONER_SHARD, ShardMsg::Lacks { lacks });
+                c.send(shard, PROVISIONER_SHARD, ShardMessage::UnmetDemand { lacks });
             }
             for msg in machines {
                 c.send(shard, PROVISIONER_SHARD, msg);
@@ -552,14 +563,14 @@
         }
     }
 
-    fn clouded(&mut self, out: &mut Out, kind: OpKind, result: CloudResult) {
+    fn clouded(&mut self, effects: &mut Effects, kind: Operation, result: CloudResult) {
         match (kind, result) {
-            (OpKind::Catalog, CloudResult::Catalog(cat)) => {
+            (Operation::Catalog, CloudResult::Catalog(cat)) => {
                 self.names.set_catalog(cat);
-                self.tick_shards(out);
+                self.tick_shards(effects);
             }
-            (OpKind::Provisioner(epoch, what), result) => {
-                let mut c = ctx!(self, out);
+            (Operation::Provisioner(epoch, what), result) => {
+                let mut c = ctx!(self, effects);
                 if let Some((e, b)) = &mut self.provisioner {
                     if *e == epoch {
                         b.cloud(&mut c, what, result);
--- a/crates/core/src/node/detour.rs
+++ b/crates/core/src/node/relay.rs
@@ -8,7 +8,7 @@
 //! - a worker is tried on the direct way again, ever more rarely, and only just after an answer, so
 //!   that its lease outlasts a try in vain;
 //! - who comes here because its owner is new is sent there at once: a takeover brings them all.
-use crate::ids::{MachineIdx, Now};
+use crate::ids::{MachineIdx, Timestamp};
 use std::collections::HashMap;
 
 /// Who comes back so soon after it was sent to its owner did not reach it: a worker waits 4 s for an
@@ -25,7 +25,7 @@
 const NEW_OWNER_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Way {
+pub(super) enum Route {
     /// It is sent to the owner.
     Direct,
     /// Its report is passed on.
@@ -34,26 +34,26 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Visit {
-    seen: Now,
+    seen: Timestamp,
     /// When it was last sent to the owner, and not come back yet.
-    sent_on: Option<Now>,
+    sent_on: Option<Timestamp>,
     /// When a report of it was last passed on.
-    passed_at: Option<Now>,
+    passed_at: Option<Timestamp>,
     /// The direct way is not tried before.
-    try_at: Now,
+    try_at: Timestamp,
     wait_ms: u64,
 }
 
 /// Workers that came here though their machines' shards are a sibling's.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Detours {
+pub(super) struct RelayTable {
     visits: HashMap<MachineIdx, Visit>,
 }
 
-impl Detours {
+impl RelayTable {
     /// A worker of a sibling's shard has come; `busy`: it has tasks, which its lease keeps alive;
     /// `owner_for`: so long the shard has had this owner.
-    pub fn way(&mut self, m: MachineIdx, busy: bool, owner_for: u64, now: Now) -> Way {
+    pub fn way(&mut self, m: MachineIdx, busy: bool, owner_for: u64, now: Timestamp) -> Route {
         let (sent_on, passed_at) = (None, None);
         let new = Visit { seen: now, sent_on, passed_at, try_at: now, wait_ms: FIRST_MS };
         let v = self.visits.entry(m).or_insert(new);
@@ -70,19 +70,19 @@
         let in_need = !fresh && busy && owner_for >= NEW_OWNER_MS;
         if in_need || now < v.try_at {
             v.passed_at = Some(now);
-            return Way::Detour;
+            return Route::Detour;
         }
         v.sent_on = Some(now);
-        Way::Direct
+        Route::Direct
     }
 
     /// Forgets who has not come for long.
-    pub fn expire(&mut self, now: Now) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.visits.retain(|_, v| now < v.seen + FORGET_MS);
     }
 
     /// How many workers are on a detour now.
-    pub fn count(&self, now: Now) -> usize {
+    pub fn count(&self, now: Timestamp) -> usize {
         self.visits.values().filter(|v| now < v.try_at).count()
     }
 }
--- a/crates/core/src/node/detour/tests.rs
+++ b/crates/core/src/node/relay/tests.rs
@@ -10,19 +10,19 @@
 
 /// Plays a worker that can't reach its owner; returns the longest time between two reports that
 /// were answered, and how many were sent on in vain.
-fn cut_off(d: &mut Detours, minutes: u64) -> (Now, u32) {
+fn cut_off(d: &mut RelayTable, minutes: u64) -> (Timestamp, u32) {
     // Its last report to the owner that was answered, then one that was not.
     let mut granted = 100_000;
     let mut now = granted + REPORT_MS + TIMEOUT_MS + NEXT_MS;
     let (mut longest, mut vain) = (0, 0);
     while now < granted + minutes * 60_000 && now < 100_000 + minutes * 60_000 {
         match d.way(M, true, 60_000, now) {
-            Way::Detour => {
+            Route::Detour => {
                 longest = longest.max(now - granted);
                 granted = now;
                 now += REPORT_MS;
             }
-            Way::Direct => {
+            Route::Direct => {
                 vain += 1;
                 now += TIMEOUT_MS + NEXT_MS;
             }
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_lease_outlasts_every_try_of_the_direct_way() {
-    let mut d = Detours::default();
+    let mut d = RelayTable::default();
     let (longest, vain) = cut_off(&mut d, 10);
     assert!(longest < LEASE_MS, "no answer for {longest} ms");
     assert!((2..12).contains(&vain), "{vain} tries in ten minutes");
@@ -43,10 +43,10 @@
 /// A worker somewhere in a bounded search: where its next report goes, and when it was answered.
 #[derive(Clone)]
 struct Step {
-    detours: Detours,
+    relay_table: RelayTable,
     at_owner: bool,
-    granted: Now,
-    now: Now,
+    granted: Timestamp,
+    now: Timestamp,
 }
 
 /// Every way in which the direct way can come and go over so many reports: as long as the sibling
@@ -58,12 +58,12 @@
     }
     let mut next = s.clone();
     if !s.at_owner {
-        match next.detours.way(M, true, 60_000, s.now) {
-            Way::Detour => {
+        match next.relay_table.way(M, true, 60_000, s.now) {
+            Route::Detour => {
                 (next.granted, next.now) = (s.now, s.now + REPORT_MS);
             }
             // At once or after up to half a second.
-            Way::Direct => (next.at_owner, next.now) = (true, s.now + 500),
+            Route::Direct => (next.at_owner, next.now) = (true, s.now + 500),
         }
         return search(&next, depth - 1);
     }
@@ -75,20 +75,21 @@
 #[test]
 fn no_history_of_a_direct_way_that_comes_and_goes_ends_a_lease() {
     let (at_owner, granted) = (true, 100_000);
-    let first = Step { detours: Detours::default(), at_owner, granted, now: granted + REPORT_MS };
+    let first =
+        Step { relay_table: RelayTable::default(), at_owner, granted, now: granted + REPORT_MS };
     let histories = search(&first, 32);
     assert!(histories > 10_000, "{histories} histories");
 }
 
 #[test]
 fn who_can_reach_its_owner_is_sent_there() {
-    let mut d = Detours::default();
-    assert_eq!(d.way(M, false, 60_000, 1000), Way::Direct, "nothing to lose");
-    assert_eq!(d.way(M, true, 500, 80_000), Way::Direct, "its owner is new");
+    let mut d = RelayTable::default();
+    assert_eq!(d.way(M, false, 60_000, 1000), Route::Direct, "nothing to lose");
+    assert_eq!(d.way(M, true, 500, 80_000), Route::Direct, "its owner is new");
     let n = MachineIdx(4);
-    assert_eq!(d.way(n, true, 60_000, 1000), Way::Detour);
-    assert_eq!(d.way(n, true, 60_000, 3500), Way::Direct, "with a fresh lease it is tried");
-    assert_eq!(d.way(n, true, 60_000, 90_000), Way::Detour, "much later it is in need again");
+    assert_eq!(d.way(n, true, 60_000, 1000), Route::Detour);
+    assert_eq!(d.way(n, true, 60_000, 3500), Route::Direct, "with a fresh lease it is tried");
+    assert_eq!(d.way(n, true, 60_000, 90_000), Route::Detour, "much later it is in need again");
     d.expire(90_000 + FORGET_MS);
     assert!(d.visits.is_empty());
 }
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -1,23 +1,23 @@
 //! The lease, and which shards are acquired, kept, handed over and lost.
 use super::{Node, Owned};
-use crate::budget::Class;
+use crate::budget::WriteClass;
+use crate::context::{Context, Operation};
 use crate::coordinator::Coordinator;
-use crate::ctx::{Ctx, OpKind};
 use crate::guards::{holds, Guard};
 use crate::health::lately;
 use crate::ids::{Epoch, NodeIdx, Shard, PROVISIONER_SHARD};
-use crate::io::{Out, StoreCall};
+use crate::io::{Effects, StoreCall};
 use crate::keys;
 use crate::participant::Participant;
 use crate::provisioner::Provisioner;
 use crate::quota::QuotaManager;
 use crate::shard::{Owner, Seen, LEASE_MS, RENEW_MS};
-use leaddeal_wire::state::{Change, Cond, Txn};
+use leaddeal_wire::state::{Change, Condition, Transaction};
 use serde_json::json;
 
 impl Node {
-    pub(super) fn own(&mut self, out: &mut Out, shard: Shard, epoch: Epoch) {
-        let now = out.now;
+    pub(super) fn own(&mut self, effects: &mut Effects, shard: Shard, epoch: Epoch) {
+        let now = effects.now;
         let i = shard.0 as usize;
         // The second: an answer of the store that comes late, when a newer owner is known.
         if self.owned[i].as_ref().is_some_and(|o| o.epoch >= epoch)
@@ -26,9 +26,9 @@
         {
             return;
         }
-        self.drop_shard(out, shard);
+        self.drop_shard(effects, shard);
         let n = self.view.len();
-        out.log(1, "seat_acquired", || format!("seat={} epoch={}", shard.0, epoch.0));
+        effects.log(1, "seat_acquired", || format!("seat={} epoch={}", shard.0, epoch.0));
         self.view[i].own(Owner { node: self.me, boot: self.boot, epoch }, now);
         self.owned[i] = Some(Owned {
             epoch,
@@ -44,20 +44,20 @@
         self.horizons.begin(shard);
         self.spread_view();
         self.share_writes();
-        let mut c = ctx!(self, out);
+        let mut c = ctx!(self, effects);
         if let Some(o) = &mut self.owned[i] {
             o.coordinator.tick(&mut c);
         }
     }
 
-    pub(super) fn drop_shard(&mut self, out: &mut Out, shard: Shard) {
-        let mut c = ctx!(self, out);
+    pub(super) fn drop_shard(&mut self, effects: &mut Effects, shard: Shard) {
+        let mut c = ctx!(self, effects);
         if let Some(mut o) = self.owned[shard.0 as usize].take() {
             // Its numbers of rounds and attempts are used, and what gave the shard back may yet be
             // executed: it is never acted under again.
             self.given_up[shard.0 as usize] = o.epoch;
             o.coordinator.abandon(&mut c);
-            c.out.log(1, "seat_lost", || format!("seat={} epoch={}", shard.0, o.epoch.0));
+            c.effects.log(1, "seat_lost", || format!("seat={} epoch={}", shard.0, o.epoch.0));
             if shard == PROVISIONER_SHARD {
                 self.provisioner = None;
             }
@@ -70,9 +70,9 @@
         self.budget.own(owned, self.owned.len());
     }
 
-    pub(super) fn drop_all(&mut self, out: &mut Out) {
+    pub(super) fn drop_all(&mut self, effects: &mut Effects) {
         for i in 0..self.owned.len() {
-            self.drop_shard(out, Shard(i as u8));
+            self.drop_shard(effects, Shard(i as u8));
         }
     }
 
@@ -87,8 +87,8 @@
         }
     }
 
-    pub(super) fn see_shard(&mut self, out: &mut Out, key: &str, seen: Seen) {
-        let now = out.now;
+    pub(super) fn see_shard(&mut self, effects: &mut Effects, key: &str, seen: Seen) {
+        let now = effects.now;
         let Some(shard) = keys::parse_shard_key(key).filter(|s| (s.0 as usize) < self.view.len())
         else {
             return;
@@ -105,7 +105,7 @@
             Seen::Vacant(revision) => {
                 self.view[i].vacate(revision, now);
                 if self.owned[i].as_ref().is_some_and(|o| o.epoch.0 <= revision) {
-                    self.drop_shard(out, shard);
+                    self.drop_shard(effects, shard);
                 }
                 return;
             }
@@ -123,41 +123,45 @@
         self.view[i].own(owner, now);
         let mine = owner.node == self.me && boot == self.boot;
         if mine && self.lease.valid(now) {
-            self.own(out, shard, epoch);
+            self.own(effects, shard, epoch);
         } else if !mine && self.owned[i].is_some() {
-            self.drop_shard(out, shard);
+            self.drop_shard(effects, shard);
         }
         self.spread_view();
         self.wake = true;
     }
 
-    pub(super) fn tick_lease(&mut self, out: &mut Out) {
-        let now = out.now;
+    pub(super) fn tick_lease(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         let stuck = self.lease.sent.is_none_or(|s| now > s + 2500);
         if now >= self.lease.next && stuck {
             self.lease.sent = Some(now);
             self.lease.next = now + RENEW_MS;
             let id = self.lease.id;
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             match id {
-                Some(lease) => {
-                    c.store(OpKind::Touch { sent: now, lease }, StoreCall::Touch { lease })
-                }
+                Some(lease) => c.store(
+                    Operation::RenewLease { sent: now, lease },
+                    StoreCall::RenewLease { lease },
+                ),
                 None => c.store(
-                    OpKind::NewLease { sent: now },
+                    Operation::NewLease { sent: now },
                     StoreCall::NewLease { ttl_ms: LEASE_MS },
                 ),
             }
         }
         if !self.shards_busy && now >= self.shards_at && !self.view_known {
             self.shards_busy = true;
-            let mut c = ctx!(self, out);
-            c.store(OpKind::Shards, StoreCall::List { prefix: keys::SHARDS.into(), after: None });
+            let mut c = ctx!(self, effects);
+            c.store(
+                Operation::Shards,
+                StoreCall::List { prefix: keys::SHARDS.into(), after: None },
+            );
         }
     }
 
-    pub(super) fn tick_shards(&mut self, out: &mut Out) {
-        let now = out.now;
+    pub(super) fn tick_shards(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         if !self.view_known || !self.lease.valid(now) || self.names.catalog.is_empty() {
             return;
         }
@@ -201,13 +205,13 @@
             self.view[i].trying = true;
             let key = keys::shard_key(Shard(i as u8));
             let value = json!({"node": self.nodes[self.me.0 as usize], "boot": self.boot});
-            let txn = Txn {
-                conds: vec![Cond { key: key.clone(), version }],
+            let txn = Transaction {
+                conditions: vec![Condition { key: key.clone(), version }],
                 changes: vec![Change::Put { key, value, lease: self.lease.id }],
             };
-            self.budget.spend(Class::Shards, 1);
-            let mut c = ctx!(self, out);
-            c.store(OpKind::Acquire(Shard(i as u8)), StoreCall::Txn(txn));
+            self.budget.spend(WriteClass::Ownership, 1);
+            let mut c = ctx!(self, effects);
+            c.store(Operation::Acquire(Shard(i as u8)), StoreCall::Transaction(txn));
         }
         // Orderly handover to the shard's home.
         for i in 0..n {
@@ -225,20 +229,20 @@
                 o.releasing = true;
                 let key = keys::shard_key(Shard(i as u8));
                 let epoch = o.epoch;
-                let txn = Txn {
-                    conds: vec![Cond { key: key.clone(), version: epoch.0 }],
+                let txn = Transaction {
+                    conditions: vec![Condition { key: key.clone(), version: epoch.0 }],
                     changes: vec![Change::Delete { key }],
                 };
-                self.budget.spend(Class::Shards, 1);
-                let mut c = ctx!(self, out);
-                c.store(OpKind::Release(Shard(i as u8), epoch), StoreCall::Txn(txn));
+                self.budget.spend(WriteClass::Ownership, 1);
+                let mut c = ctx!(self, effects);
+                c.store(Operation::Release(Shard(i as u8), epoch), StoreCall::Transaction(txn));
             }
         }
     }
 
-    pub(super) fn watch_shards(&mut self, out: &mut Out, after: u64) {
-        let mut c = ctx!(self, out);
+    pub(super) fn watch_shards(&mut self, effects: &mut Effects, after: u64) {
+        let mut c = ctx!(self, effects);
         let call = StoreCall::Watch { prefix: keys::SHARDS.into(), after, wait_ms: 15_000 };
-        c.store(OpKind::ShardWatch, call);
+        c.store(Operation::ShardWatch, call);
     }
 }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -1,9 +1,9 @@
 //! Answers of the state service, to whom they belong.
 use super::Node;
-use crate::ctx::{queued, Ask, Ctx, OpKind};
+use crate::context::{queued, Context, LookupPurpose, Operation};
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, Shard};
-use crate::io::{Out, StoreCall, StoreResult};
+use crate::io::{Effects, StoreCall, StoreResult};
 use crate::jobs::job_state;
 use crate::keys;
 use crate::shard::{Lease, Seen};
@@ -14,36 +14,36 @@
         self.owned[i].as_ref().is_some_and(|o| o.epoch == epoch).then_some(i)
     }
 
-    pub(super) fn stored(&mut self, out: &mut Out, kind: OpKind, result: StoreResult) {
-        let now = out.now;
+    pub(super) fn stored(&mut self, effects: &mut Effects, kind: Operation, result: StoreResult) {
+        let now = effects.now;
         match kind {
-            OpKind::NewLease { sent } => {
+            Operation::NewLease { sent } => {
                 self.lease.sent = None;
                 // Counted from when this very request was sent, not a later try.
                 if let (StoreResult::Lease(id), None) = (result, self.lease.id) {
                     self.lease.id = Some(id);
                     self.lease.renewed = sent;
-                    self.tick_shards(out);
+                    self.tick_shards(effects);
                 }
             }
-            OpKind::Touch { lease, .. } if self.lease.id != Some(lease) => {}
-            OpKind::Touch { sent, .. } => {
+            Operation::RenewLease { lease, .. } if self.lease.id != Some(lease) => {}
+            Operation::RenewLease { sent, .. } => {
                 self.lease.sent = None;
                 match result {
-                    StoreResult::Touched => {
+                    StoreResult::LeaseRenewed => {
                         let from = if holds(Guard::LeaseFromSent) { sent } else { now };
                         self.lease.renewed = self.lease.renewed.max(from);
                     }
                     StoreResult::NoLease => {
-                        out.log(1, "lease_lost", String::new);
+                        effects.log(1, "lease_lost", String::new);
                         self.unsteady(now);
                         self.lease = Lease { next: now, ..Lease::default() };
-                        self.drop_all(out);
+                        self.drop_all(effects);
                     }
                     _ => self.lease.next = now + 300,
                 }
             }
-            OpKind::Shards => {
+            Operation::Shards => {
                 self.shards_busy = false;
                 let StoreResult::Page(p) = result else {
                     self.shards_at = now + 300;
@@ -54,60 +54,60 @@
                     let item = p.items.iter().find(|x| x.key == key);
                     let seen =
                         item.map_or(Seen::Vacant(p.revision), |x| Seen::Owned(&x.value, x.version));
-                    self.see_shard(out, &key, seen);
+                    self.see_shard(effects, &key, seen);
                 }
                 self.view_known = true;
-                self.watch_shards(out, p.revision);
-                self.tick_shards(out);
+                self.watch_shards(effects, p.revision);
+                self.tick_shards(effects);
             }
-            OpKind::ShardWatch => match result {
+            Operation::ShardWatch => match result {
                 StoreResult::Events(e) => {
                     for ev in &e.events {
                         if let Some(k) = &ev.put {
-                            self.see_shard(out, k, Seen::Owned(&ev.value, ev.version));
+                            self.see_shard(effects, k, Seen::Owned(&ev.value, ev.version));
                         } else if let Some(k) = &ev.delete {
                             // Older than the acquisition we know of, it says nothing.
-                            self.see_shard(out, k, Seen::Vacant(ev.version));
+                            self.see_shard(effects, k, Seen::Vacant(ev.version));
                         }
                     }
-                    self.watch_shards(out, e.revision);
-                    self.tick_shards(out);
+                    self.watch_shards(effects, e.revision);
+                    self.tick_shards(effects);
                 }
                 _ => {
                     self.view_known = false;
                     self.shards_at = now + 200;
                 }
             },
-            OpKind::Acquire(shard) => {
+            Operation::Acquire(shard) => {
                 self.view[shard.0 as usize].trying = false;
                 match result {
                     StoreResult::Committed(rev)
                         if self.lease.valid(now) || !holds(Guard::DoubtOwns) =>
                     {
-                        self.own(out, shard, Epoch(rev));
+                        self.own(effects, shard, Epoch(rev));
                     }
                     StoreResult::NoLease => {
                         self.lease = Lease { next: now, ..Lease::default() };
-                        self.drop_all(out);
+                        self.drop_all(effects);
                     }
                     // Whoever owns it, the watch will tell.
                     _ => {}
                 }
             }
-            OpKind::Release(shard, epoch) => {
+            Operation::Release(shard, epoch) => {
                 let Some(i) = self.coordinator(shard, epoch) else {
                     return;
                 };
                 match result {
                     StoreResult::Committed(revision) => {
-                        self.drop_shard(out, shard);
+                        self.drop_shard(effects, shard);
                         self.view[i].vacate(revision, now);
                         self.next_acquire[i] = now + 2000;
                     }
-                    StoreResult::Conflict(_) => self.drop_shard(out, shard),
+                    StoreResult::Conflict(_) => self.drop_shard(effects, shard),
                     // It may be gone already: stop acting, and let the lease or the watch tell.
                     StoreResult::Unknown if holds(Guard::ReleaseUnsure) => {
-                        self.drop_shard(out, shard);
+                        self.drop_shard(effects, shard);
                     }
                     _ => {
                         if let Some(o) = &mut self.owned[i] {
@@ -116,44 +116,46 @@
                     }
                 }
             }
-            OpKind::Records { shard, epoch } => {
+            Operation::Records { shard, epoch } => {
                 let Some(i) = self.coordinator(shard, epoch) else {
                     return;
                 };
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 if let Some(o) = &mut self.owned[i] {
                     o.coordinator.records(&mut c, result);
                 }
                 self.wake |= c.wake;
             }
-            OpKind::Decide { shard, epoch }
-            | OpKind::Fold { shard, epoch }
-            | OpKind::Finish { shard, epoch, .. } => {
+            Operation::Decide { shard, epoch }
+            | Operation::Compaction { shard, epoch }
+            | Operation::Finish { shard, epoch, .. } => {
                 let Some(i) = self.coordinator(shard, epoch) else {
                     return;
                 };
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 let Some(o) = &mut self.owned[i] else { return };
                 let k = &mut o.coordinator;
                 let kept = match kind {
-                    OpKind::Decide { .. } => k.decided(&mut c, &result),
-                    OpKind::Fold { .. } => k.folded(&mut c, &result),
-                    OpKind::Finish { job, .. } => k.finished(&mut c, job, &result),
+                    Operation::Decide { .. } => k.decided(&mut c, &result),
+                    Operation::Compaction { .. } => k.folded(&mut c, &result),
+                    Operation::Finish { job, .. } => k.finished(&mut c, job, &result),
                     _ => true,
                 };
                 self.wake |= c.wake;
                 if !kept {
-                    self.drop_shard(out, shard);
+                    self.drop_shard(effects, shard);
                     self.view_known = false;
                     self.shards_at = now;
                 }
             }
-            OpKind::Submit { req, id, value } => self.submitted(out, req, id, &value, result),
-            OpKind::ReadJob { req, id, ask } => {
-                let mut c = ctx!(self, out);
+            Operation::Submit { req, id, value } => {
+                self.submitted(effects, req, id, &value, result)
+            }
+            Operation::ReadJob { req, id, ask } => {
+                let mut c = ctx!(self, effects);
                 match result {
                     // Its owner does not answer, so it can't be cancelled now.
-                    StoreResult::Item(Some(_)) if ask.0 == Ask::Cancel => {
+                    StoreResult::Item(Some(_)) if ask.0 == LookupPurpose::Cancel => {
                         c.reply_later(req, 503, 1);
                     }
                     StoreResult::Item(Some(_)) => c.reply_state(req, 200, queued(id)),
@@ -164,13 +166,13 @@
                     _ => c.reply_later(req, 503, 1),
                 }
             }
-            OpKind::ReadFinal { req, id, ask } => {
-                let mut c = ctx!(self, out);
+            Operation::ReadFinal { req, id, ask } => {
+                let mut c = ctx!(self, effects);
                 match result {
                     StoreResult::Item(Some(i)) => match keys::parse_final(&i.value) {
                         Some(f) => c.reply_state(req, 200, job_state(id, f)),
                         None => {
-                            c.out.log(0, "record_unreadable", || i.key);
+                            c.effects.log(0, "record_unreadable", || i.key);
                             c.reply_later(req, 503, 5);
                         }
                     },
@@ -179,12 +181,12 @@
                     _ => c.reply_later(req, 503, 1),
                 }
             }
-            OpKind::Finals { shard, asked } => self.finals_read(now, shard, asked, result),
-            OpKind::BasePut => {
-                let mut c = ctx!(self, out);
+            Operation::Finals { shard, asked } => self.finals_read(now, shard, asked, result),
+            Operation::BasePut => {
+                let mut c = ctx!(self, effects);
                 match result {
                     StoreResult::Committed(_) | StoreResult::Conflict(_) => {
-                        c.store(OpKind::BaseGet, StoreCall::Get { key: keys::BASE.into() });
+                        c.store(Operation::BaseGet, StoreCall::Get { key: keys::BASE.into() });
                     }
                     _ => {
                         if let Some((_, b)) = &mut self.provisioner {
@@ -193,7 +195,7 @@
                     }
                 }
             }
-            OpKind::BaseGet => {
+            Operation::BaseGet => {
                 if let Some((_, b)) = &mut self.provisioner {
                     b.set_base(match result {
                         StoreResult::Item(Some(i)) => i.value.as_str().map(str::to_string),
@@ -201,7 +203,7 @@
                     });
                 }
             }
-            OpKind::Catalog | OpKind::Provisioner(..) => {}
+            Operation::Catalog | Operation::Provisioner(..) => {}
         }
     }
 }
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -23,19 +23,19 @@
 /// One shard, alone; what it asked of the store last.
 struct World {
     node: Node,
-    now: Now,
+    now: Timestamp,
     asked: Vec<(u64, crate::io::StoreCall)>,
     /// Requests that users were answered.
-    told: Vec<ReqId>,
+    told: Vec<RequestId>,
 }
 
 impl World {
     fn step(&mut self, input: Input) {
         for o in self.node.step(self.now, self.now, input) {
             match o {
-                Output::Store { op, call } => self.asked.push((op, call)),
-                Output::User { req, .. } => self.told.push(req),
-                Output::Cloud { op, call: CloudCall::Catalog } => {
+                Effect::Store { op, call } => self.asked.push((op, call)),
+                Effect::User { req, .. } => self.told.push(req),
+                Effect::Cloud { op, call: CloudCall::Catalog } => {
                     let small = MachineType {
                         name: "small".into(),
                         zones: vec!["a".into()],
@@ -73,9 +73,9 @@
 
 /// The acquisitions of the shard that were asked for: the version that its key should have.
 fn acquires(call: &crate::io::StoreCall) -> Option<u64> {
-    let crate::io::StoreCall::Txn(t) = call else { return None };
+    let crate::io::StoreCall::Transaction(t) = call else { return None };
     let puts = t.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if key == "seat/0"));
-    puts.then(|| t.conds.iter().find(|c| c.key == "seat/0").map_or(0, |c| c.version))
+    puts.then(|| t.conditions.iter().find(|c| c.key == "seat/0").map_or(0, |c| c.version))
 }
 
 /// The shard is listed as the node's own, and holds nothing; transactions are not answered.
@@ -92,7 +92,7 @@
     };
     match call {
         StoreCall::NewLease { .. } => Some(StoreResult::Lease(1)),
-        StoreCall::Touch { .. } => Some(StoreResult::Touched),
+        StoreCall::RenewLease { .. } => Some(StoreResult::LeaseRenewed),
         StoreCall::List { prefix, .. } => Some(listed(prefix)),
         _ => None,
     }
@@ -106,8 +106,8 @@
     let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
     w.answer(store);
     assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
-    let mut out = Out { now: w.now, list: Vec::new(), looked: 0 };
-    w.node.drop_shard(&mut out, Shard(0));
+    let mut effects = Effects { now: w.now, list: Vec::new(), looked: 0 };
+    w.node.drop_shard(&mut effects, Shard(0));
     w.node.view_known = false;
     w.asked.clear();
     w.answer(store);
@@ -136,7 +136,7 @@
     let submit = |req, id| Input::Submit { req, id: Some(JobId(id)), job: Ok(Box::new(job(id))) };
     w.step(submit(1, 5));
     w.step(submit(2, 6));
-    let txns = w.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Txn(_)));
+    let txns = w.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Transaction(_)));
     let ops: Vec<u64> = txns.map(|(op, _)| *op).collect();
     assert_eq!(ops.len(), 2, "{ops:?}");
     w.answer(store);
@@ -171,12 +171,12 @@
     };
     w.answer(jobs);
     w.step(Input::Cancel { req: 1, id });
-    let ask = NodeMsg::Ask { call: 2, job: id.0, cancel: true };
+    let ask = NodeMessage::QueryJob { call: 2, job: id.0, cancel: true };
     w.step(Input::Mesh { from: "n-0".into(), msg: Box::new(ask) });
     w.answer(jobs);
     let runs = |c: &StoreCall| matches!(c, StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard));
     assert!(w.asked.iter().any(|(_, c)| runs(c)), "it is being loaded: {:?}", w.asked);
-    let written = w.asked.iter().any(|(_, c)| matches!(c, StoreCall::Txn(_)));
+    let written = w.asked.iter().any(|(_, c)| matches!(c, StoreCall::Transaction(_)));
     assert!(!written, "{:?}", w.asked);
 }
 
