--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -1,70 +1,70 @@
 //! Users: submissions, questions, cancellations, here or by a sibling.
 use super::{Call, Node, CALL_MS, CANCEL_CALL_MS, MOST_CALLS};
-use crate::budget::Class;
-use crate::ctx::{known, queued, Ask, AskKind, Ctx, OpKind};
+use crate::budget::WriteClass;
+use crate::context::{known, queued, Context, Lookup, LookupPurpose, Operation};
 use crate::guards::{holds, Guard};
 use crate::ids::{shard_of_job, JobId};
-use crate::io::{Out, Output, ReqId, StoreCall, StoreResult};
+use crate::io::{Effect, Effects, RequestId, StoreCall, StoreResult};
 use crate::jobs::wire_shape;
 use crate::keys;
-use crate::names::Room;
-use leaddeal_wire::mesh::NodeMsg;
-use leaddeal_wire::state::{Change, Cond, Txn};
+use crate::names::Resources;
+use leaddeal_wire::mesh::NodeMessage;
+use leaddeal_wire::state::{Change, Condition, Transaction};
 use leaddeal_wire::user;
 use serde_json::json;
 
 impl Node {
     pub(super) fn submit(
         &mut self,
-        out: &mut Out,
-        req: ReqId,
+        effects: &mut Effects,
+        req: RequestId,
         id: Option<JobId>,
         job: Result<Box<user::Job>, user::BadJob>,
     ) {
         let job = match (job, id) {
             (Ok(j), Some(_)) => j,
             (Ok(_), None) | (Err(_), None) => {
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 c.reply_error(req, 400, "malformed", None);
                 return;
             }
-            (Err(_), Some(id)) => return self.lookup(out, req, id, Ask::Wrong(400)),
+            (Err(_), Some(id)) => return self.lookup(effects, req, id, LookupPurpose::Wrong(400)),
         };
         let id = id.unwrap_or_default();
         if self.names.catalog.is_empty() {
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             return c.reply_later(req, 503, 1);
         }
         if !self.can_run(&job) {
-            return self.lookup(out, req, id, Ask::Wrong(422));
+            return self.lookup(effects, req, id, LookupPurpose::Wrong(422));
         }
         if self.ops.open.len() > MOST_CALLS || self.calls.len() > MOST_CALLS {
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             return c.reply_later(req, 503, 2);
         }
-        if self.budget.room(Class::Acceptance) == 0 {
+        if self.budget.room(WriteClass::Submission) == 0 {
             // Known jobs' retries, too, are told later: to look them up is a request as well.
             let after_s = self.budget.acceptance_after_s();
-            let mut c = ctx!(self, out);
+            let mut c = ctx!(self, effects);
             return c.reply_later(req, 503, after_s);
         }
         let shard = shard_of_job(id, self.view.len());
         let value = json!({"job": *job, "at": self.time_ms});
-        let mut conds = vec![Cond { key: keys::job_key(shard, id), version: 0 }];
+        let mut conditions = vec![Condition { key: keys::job_key(shard, id), version: 0 }];
         if holds(Guard::SubmittedOnce) {
-            conds.push(Cond { key: keys::final_key(shard, id), version: 0 });
+            conditions.push(Condition { key: keys::final_key(shard, id), version: 0 });
         }
-        let txn = Txn {
-            conds,
+        let txn = Transaction {
+            conditions,
             changes: vec![Change::Put {
                 key: keys::job_key(shard, id),
                 value: value.clone(),
                 lease: None,
             }],
         };
-        self.budget.spend(Class::Acceptance, 1);
-        let mut c = ctx!(self, out);
-        c.store(OpKind::Submit { req, id, value }, StoreCall::Txn(txn));
+        self.budget.spend(WriteClass::Submission, 1);
+        let mut c = ctx!(self, effects);
+        c.store(Operation::Submit { req, id, value }, StoreCall::Transaction(txn));
     }
 
     pub(super) fn can_run(&self, j: &user::Job) -> bool {
@@ -72,7 +72,7 @@
             return false;
         };
         let shape = wire_shape(j);
-        let need = Room::of(&shape);
+        let need = Resources::of(&shape);
         let fits = self.names.catalog.iter().enumerate().any(|(i, t)| {
             let idx = crate::ids::TypeIdx(i as u8);
             self.names.allows(&shape, idx, false)
@@ -84,17 +84,23 @@
         fits && within(team.cpus_max, j.cpus) && within(team.gpus_max, j.gpus)
     }
 
-    pub(super) fn lookup(&mut self, out: &mut Out, req: ReqId, id: JobId, ask: Ask) {
-        let now = out.now;
+    pub(super) fn lookup(
+        &mut self,
+        effects: &mut Effects,
+        req: RequestId,
+        id: JobId,
+        ask: LookupPurpose,
+    ) {
+        let now = effects.now;
         let valid = self.lease.valid(now) || !holds(Guard::DoubtTells);
         let shard = shard_of_job(id, self.view.len());
         let view = self.view[shard.0 as usize].owner;
         let busy = self.ops.open.len() > MOST_CALLS || self.calls.len() > MOST_CALLS;
-        let mut c = ctx!(self, out);
+        let mut c = ctx!(self, effects);
         if let Some(o) =
             self.owned[shard.0 as usize].as_mut().filter(|o| valid && o.coordinator.ready())
         {
-            if ask == Ask::Cancel {
+            if ask == LookupPurpose::Cancel {
                 if o.coordinator.cancel(&mut c, req, id) {
                     return;
                 }
@@ -105,34 +111,41 @@
             self.next_call += 1;
             let call = self.next_call;
             let to = self.nodes[o.node.0 as usize].clone();
-            let msg = NodeMsg::Ask { call, job: id.0, cancel: ask == Ask::Cancel };
-            out.list.push(Output::Mesh { to, msg });
-            let until = now + if ask == Ask::Cancel { CANCEL_CALL_MS } else { CALL_MS };
+            let msg =
+                NodeMessage::QueryJob { call, job: id.0, cancel: ask == LookupPurpose::Cancel };
+            effects.list.push(Effect::Mesh { to, msg });
+            let until = now + if ask == LookupPurpose::Cancel { CANCEL_CALL_MS } else { CALL_MS };
             self.calls.insert(call, Call { req, id, ask, until });
             return;
         }
-        self.read_job(out, req, id, ask);
+        self.read_job(effects, req, id, ask);
     }
 
     /// Reads the store: the job first, then the final state. A job's final state is written in
     /// the same transaction that deletes the job, so one of the two is found if it is known.
-    pub(super) fn read_job(&mut self, out: &mut Out, req: ReqId, id: JobId, ask: Ask) {
+    pub(super) fn read_job(
+        &mut self,
+        effects: &mut Effects,
+        req: RequestId,
+        id: JobId,
+        ask: LookupPurpose,
+    ) {
         let busy = self.ops.open.len() > MOST_CALLS;
-        let mut c = ctx!(self, out);
+        let mut c = ctx!(self, effects);
         if busy {
             return c.reply_later(req, 503, 2);
         }
         if holds(Guard::KeyBeforeFinal) {
-            c.read_key(req, id, AskKind(ask));
+            c.read_key(req, id, Lookup(ask));
         } else {
-            c.read_final(req, id, AskKind(ask));
+            c.read_final(req, id, Lookup(ask));
         }
     }
 
     pub(super) fn submitted(
         &mut self,
-        out: &mut Out,
-        req: ReqId,
+        effects: &mut Effects,
+        req: RequestId,
         id: JobId,
         value: &serde_json::Value,
         result: StoreResult,
@@ -140,7 +153,7 @@
         match result {
             StoreResult::Committed(rev) => {
                 let shard = shard_of_job(id, self.view.len());
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 if let Some(o) = &mut self.owned[shard.0 as usize] {
                     // While it loads, the list brings it. And if the list is newer than the
                     // creation but lacks the job, then it is over already: this answer is a
@@ -153,13 +166,13 @@
                 c.reply(req, known(queued(id), true));
                 self.wake |= c.wake;
             }
-            StoreResult::Conflict(_) => self.lookup(out, req, id, Ask::Known),
+            StoreResult::Conflict(_) => self.lookup(effects, req, id, LookupPurpose::Known),
             StoreResult::Unknown if !holds(Guard::AcceptedDurable) => {
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 c.reply(req, known(queued(id), true));
             }
             _ => {
-                let mut c = ctx!(self, out);
+                let mut c = ctx!(self, effects);
                 c.reply_later(req, 503, 1);
             }
         }
--- a/crates/core/src/participant/stock.rs
+++ b/crates/core/src/participant/capacity_index.rs
@@ -14,7 +14,7 @@
 
 /// Where a machine stands: its group, its free processors, and the images that it has.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Place {
+pub(super) struct CapacityEntry {
     pub group: Group,
     pub free: Free,
     pub images: Vec<ImageIdx>,
@@ -23,15 +23,15 @@
 type ByFree = BTreeSet<(Reverse<Free>, MachineIdx)>;
 
 #[derive(Debug, Default)]
-pub(super) struct Stock {
+pub(super) struct FreeCapacityIndex {
     groups: BTreeMap<Group, ByFree>,
     with_image: HashMap<(Group, ImageIdx), ByFree>,
-    places: HashMap<MachineIdx, Place>,
+    places: HashMap<MachineIdx, CapacityEntry>,
 }
 
-impl Stock {
+impl FreeCapacityIndex {
     /// Puts a machine where it belongs now.
-    pub fn set(&mut self, m: MachineIdx, to: Option<Place>) {
+    pub fn set(&mut self, m: MachineIdx, to: Option<CapacityEntry>) {
         if self.places.get(&m) == to.as_ref() {
             return;
         }
@@ -78,7 +78,7 @@
         from_most(self.with_image.get(&(g, image)), least)
     }
 
-    pub fn place(&self, m: MachineIdx) -> Option<&Place> {
+    pub fn place(&self, m: MachineIdx) -> Option<&CapacityEntry> {
         self.places.get(&m)
     }
 }
--- a/crates/core/src/participant/stock/tests.rs
+++ b/crates/core/src/participant/capacity_index/tests.rs
@@ -2,17 +2,17 @@
 
 #[test]
 fn only_machines_with_room_are_looked_at() {
-    let mut s = Stock::default();
+    let mut s = FreeCapacityIndex::default();
     let group = |spot| (TypeIdx(0), ZoneIdx(0), spot);
     let image = ImageIdx(4);
-    let place = |spot, free| Some(Place { group: group(spot), free, images: vec![image] });
+    let place = |spot, free| Some(CapacityEntry { group: group(spot), free, images: vec![image] });
     for i in 0..100 {
         s.set(MachineIdx(i), place(i % 2 == 0, 0));
     }
-    s.set(MachineIdx(7), Some(Place { images: Vec::new(), ..place(false, 2000).unwrap() }));
+    s.set(MachineIdx(7), Some(CapacityEntry { images: Vec::new(), ..place(false, 2000).unwrap() }));
     s.set(MachineIdx(9), place(false, 4000));
     s.set(MachineIdx(9), place(false, 3000));
-    let cached = |s: &Stock, least| s.with_image(group(false), image, least).count();
+    let cached = |s: &FreeCapacityIndex, least| s.with_image(group(false), image, least).count();
     assert_eq!((cached(&s, 1), cached(&s, 0)), (1, 49));
     let found = |least| s.with_free(group(false), least).collect::<Vec<_>>();
     assert_eq!(found(1), [MachineIdx(9), MachineIdx(7)]);
--- a/crates/core/src/participant/blame.rs
+++ b/crates/core/src/participant/failure_attribution.rs
@@ -13,7 +13,7 @@
 //!
 //! (On the operators' sites one job in 25 is submitted with a mistake. Any two of them on a machine
 //! had it shunned for a minute, and it was told from a faulty one by nothing.)
-use crate::ids::{JobId, MachineIdx, Now};
+use crate::ids::{JobId, MachineIdx, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that fails on so many machines and runs well on none is at fault itself.
@@ -29,23 +29,23 @@
 struct Record {
     ran_well: bool,
     failed_on: BTreeSet<MachineIdx>,
-    at: Now,
+    at: Timestamp,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Blame {
+pub(super) struct FailureAttribution {
     jobs: BTreeMap<JobId, Record>,
 }
 
-impl Blame {
-    fn record(&mut self, job: JobId, now: Now) -> &mut Record {
+impl FailureAttribution {
+    fn record(&mut self, job: JobId, now: Timestamp) -> &mut Record {
         let r = self.jobs.entry(job).or_default();
         r.at = now;
         r
     }
 
     /// A task of the job failed on this machine.
-    pub fn failed(&mut self, job: JobId, m: MachineIdx, now: Now) {
+    pub fn failed(&mut self, job: JobId, m: MachineIdx, now: Timestamp) {
         let r = self.record(job, now);
         if r.failed_on.len() < DISCREDIT {
             r.failed_on.insert(m);
@@ -53,7 +53,7 @@
     }
 
     /// A task of the job completed, or has run for long.
-    pub fn ran_well(&mut self, job: JobId, now: Now) {
+    pub fn ran_well(&mut self, job: JobId, now: Timestamp) {
         let r = self.record(job, now);
         r.ran_well = true;
         r.failed_on.clear();
@@ -78,7 +78,7 @@
         strangers >= STRANGERS
     }
 
-    pub fn expire(&mut self, now: Now) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.jobs.retain(|_, r| now < r.at + REMEMBER_MS);
         while self.jobs.len() > MOST_JOBS {
             let oldest = self.jobs.iter().min_by_key(|(_, r)| r.at).map(|(j, _)| *j);
--- a/crates/core/src/participant/blame/tests.rs
+++ b/crates/core/src/participant/failure_attribution/tests.rs
@@ -10,7 +10,7 @@
     let (mut healthy_shunned, mut found, mut faulty) = (0, 0, 0);
     for seed in 0..100 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut b = Blame::default();
+        let mut b = FailureAttribution::default();
         let mut here: Vec<Vec<JobId>> = vec![Vec::new(); 20];
         let bad_machines = rng.random_range(0..3);
         let mistaken = |job: u64| job.is_multiple_of(8);
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_single_failure_is_no_verdict_and_later_evidence_takes_one_back() {
-    let mut b = Blame::default();
+    let mut b = FailureAttribution::default();
     let m = MachineIdx;
     let here = [JobId(1), JobId(2), JobId(3)];
     b.failed(JobId(1), m(0), 0);
--- a/crates/core/src/participant/line.rs
+++ b/crates/core/src/participant/gang_queue.rs
@@ -3,10 +3,10 @@
 //!
 //! Invariant: after `settle`, `heads` says of each group who is first in line for its machines
 //! and what those in line need there; what changes the line in between makes it stale.
-use super::offer::{fit, Fits, Rank};
-use super::stock::Group;
-use crate::ids::{JobId, Now, ZoneIdx};
-use crate::names::Room;
+use super::capacity_index::Group;
+use super::offer::{fit, EligibilityTable, Rank};
+use crate::ids::{JobId, Timestamp, ZoneIdx};
+use crate::names::Resources;
 use leaddeal_wire::mesh::Shape as WireShape;
 use leaddeal_wire::user::Priority;
 use std::collections::BTreeMap;
@@ -21,8 +21,8 @@
     zone: ZoneIdx,
     count: u32,
     shape: Arc<WireShape>,
-    fits: Fits,
-    until: Now,
+    fits: EligibilityTable,
+    until: Timestamp,
 }
 
 impl Waiting {
@@ -36,19 +36,19 @@
 struct Head {
     first: Option<Rank>,
     /// Each need once, with the highest priority that has it.
-    needs: Vec<(Priority, Room)>,
+    needs: Vec<(Priority, Resources)>,
 }
 
 /// (Found by a profile at three times a fleet: every look at a machine went through the whole
 /// line, which grows with the fleet as well.)
 #[derive(Debug, Default)]
-pub(super) struct InLine {
+pub(super) struct GangQueue {
     waiting: BTreeMap<JobId, Waiting>,
     heads: BTreeMap<Group, Head>,
     stale: bool,
 }
 
-impl InLine {
+impl GangQueue {
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -64,12 +64,12 @@
     /// Stands in line from now on, or still.
     pub fn stand(
         &mut self,
-        now: Now,
+        now: Timestamp,
         rank: Rank,
         zone: ZoneIdx,
         count: u32,
         shape: &Arc<WireShape>,
-        fits: &Fits,
+        fits: &EligibilityTable,
     ) {
         let (shape, fits, until) = (shape.clone(), fits.clone(), now + STANDS_MS);
         self.waiting.insert(rank.3, Waiting { rank, zone, count, shape, fits, until });
@@ -81,7 +81,7 @@
     }
 
     /// Drops who has not asked again, and sums the line up by group.
-    pub fn settle(&mut self, now: Now, groups: impl Iterator<Item = Group>) {
+    pub fn settle(&mut self, now: Timestamp, groups: impl Iterator<Item = Group>) {
         let before = self.waiting.len();
         self.waiting.retain(|_, w| w.until > now);
         self.stale |= self.waiting.len() != before;
@@ -95,7 +95,7 @@
             let mut head = Head::default();
             for w in self.waiting.values().filter(|w| w.could_use(g)) {
                 head.first = Some(head.first.map_or(w.rank, |f| f.min(w.rank)));
-                let need = Room::of(&w.shape);
+                let need = Resources::of(&w.shape);
                 match head.needs.iter_mut().find(|n| n.1 == need) {
                     Some(n) => n.0 = n.0.max(w.shape.priority),
                     None => head.needs.push((w.shape.priority, need)),
@@ -112,7 +112,7 @@
     }
 
     /// What gangs of at least this priority need of a machine of the group.
-    pub fn needs(&self, g: Group, least: Priority) -> impl Iterator<Item = Room> + '_ {
+    pub fn needs(&self, g: Group, least: Priority) -> impl Iterator<Item = Resources> + '_ {
         let all = self.heads.get(&g).into_iter().flat_map(|h| &h.needs);
         all.filter(move |n| n.0 >= least).map(|n| n.1)
     }
--- a/crates/core/src/participant/showcase.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -3,35 +3,35 @@
 //! Invariant: `told` is what a provisioner knows that has taken every message since the first one. A
 //! provisioner that missed one sees it by the serial number and asks for all anew. (Each list in full
 //! every second took a tenth of the bytes between controllers, and grew with the fleet.)
-use crate::ids::{MachineIdx, Now, TypeIdx, ZoneIdx};
+use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
 use crate::names::Names;
-use leaddeal_wire::mesh::{MachineInfo, ShardMsg};
+use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message names at most this many machines: a frame holds several times as many.
 const MOST: usize = 1000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Shown {
+pub(super) struct MachineSummary {
     pub kind: TypeIdx,
     pub zone: Option<ZoneIdx>,
     pub spot: bool,
-    pub idle_since: Option<Now>,
+    pub idle_since: Option<Timestamp>,
     pub dead: bool,
     pub draining: bool,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Showcase {
-    now: BTreeMap<MachineIdx, Shown>,
-    told: BTreeMap<MachineIdx, Shown>,
+pub(super) struct InventoryPublisher {
+    now: BTreeMap<MachineIdx, MachineSummary>,
+    told: BTreeMap<MachineIdx, MachineSummary>,
     changed: BTreeSet<MachineIdx>,
     serial: u64,
     started: bool,
 }
 
-impl Showcase {
-    pub fn set(&mut self, idx: MachineIdx, shown: Option<Shown>) {
+impl InventoryPublisher {
+    pub fn set(&mut self, idx: MachineIdx, shown: Option<MachineSummary>) {
         let was = match shown {
             Some(s) => self.now.insert(idx, s),
             None => self.now.remove(&idx),
@@ -50,7 +50,7 @@
     }
 
     /// What to tell; at least one message, which says that this participant is alive.
-    pub fn changes(&mut self, now: Now, names: &Names) -> Vec<ShardMsg> {
+    pub fn changes(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
         let mut first = !std::mem::replace(&mut self.started, true);
         if first {
             self.told.clear();
@@ -84,7 +84,7 @@
             let gone = std::mem::replace(&mut gone, left);
             self.serial += 1;
             let serial = self.serial;
-            messages.push(ShardMsg::Machines { serial, first, machines: participant, gone });
+            messages.push(ShardMessage::Inventory { serial, first, machines: participant, gone });
             first = false;
             if machines.is_empty() {
                 return messages;
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -1,34 +1,38 @@
 //! A shard's machines: holds room, offers it, starts what was decided, and proves what is gone.
-use crate::ctx::Ctx;
-use crate::fleet::{Key, Machine, StopWish, TaskOn};
+use crate::context::Context;
 use crate::guards::{holds, Guard};
-use crate::hearing::Via;
 use crate::horizon::Horizons;
-use crate::ids::{Attempt, Epoch, JobId, MachineIdx, Negotiation, Now, Shard, PROVISIONER_SHARD};
-use crate::names::{Names, Room, Shape};
+use crate::ids::{
+    Attempt, Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD,
+};
+use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
+use crate::names::{Names, Resources, Shape};
+use crate::reachability::HeartbeatPath;
 use crate::shard::at_least;
-use leaddeal_wire::mesh::{AttemptRef, Phase, Pick, ShardMsg, TaskEvent};
+use leaddeal_wire::mesh::{Assignment, AttemptRef, ShardMessage, TaskEvent, TaskPhase};
 use leaddeal_wire::user::Priority;
-use leaddeal_wire::worker::{Answer, Direct, Report, TaskState, Why};
+use leaddeal_wire::worker::{
+    CommandBatch, ExitReason, HeartbeatResponse, TaskState, WorkerHeartbeat,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-mod blame;
-mod claims;
+mod capacity_index;
+mod failure_attribution;
 mod figures;
-mod line;
+mod gang_queue;
+mod inventory;
 mod offer;
+mod reservations;
 mod room;
-mod showcase;
-mod stock;
 #[cfg(test)]
 mod tests;
 
-use blame::Blame;
-use claims::Claims;
-use line::InLine;
+use capacity_index::{CapacityEntry, FreeCapacityIndex};
+use failure_attribution::FailureAttribution;
+use gang_queue::GangQueue;
+use inventory::{InventoryPublisher, MachineSummary};
 use offer::Rank;
-use showcase::{Showcase, Shown};
-use stock::{Place, Stock};
+use reservations::Reservations;
 
 /// Answers to a report name at most this many commands.
 const ORDERS: usize = 150;
@@ -55,7 +59,7 @@
     shard: Shard,
     negotiation: Negotiation,
     job: JobId,
-    need: Room,
+    need: Resources,
     count: u64,
     /// For a service or GPU work, which stays for long.
     lasting: bool,
@@ -65,61 +69,63 @@
 pub struct Participant {
     pub shard: Shard,
     pub epoch: Epoch,
-    pub since: Now,
+    pub since: Timestamp,
     /// Owners before us may have answered workers until then, not later.
-    older_until: Now,
+    older_until: Timestamp,
     pub machines: BTreeMap<MachineIdx, Machine>,
     /// Machines up to this name are the operator's own.
     pub base: Option<String>,
     /// When to look whether a machine's lease is over, or it may be forgotten: one entry each,
     /// at `Machine::due`.
-    due: BTreeSet<(Now, MachineIdx)>,
+    due: BTreeSet<(Timestamp, MachineIdx)>,
     /// Machines with an end that was told, and when to tell it again unless it was noted.
-    retell: VecDeque<(Now, MachineIdx)>,
-    showcase: Showcase,
+    retell: VecDeque<(Timestamp, MachineIdx)>,
+    inventory_publisher: InventoryPublisher,
     holds: BTreeMap<MachineIdx, Vec<Hold>>,
-    claims: Claims,
-    blame: Blame,
+    reservations: Reservations,
+    failure_attribution: FailureAttribution,
     /// Of the machines that are not `dirty`; `reindex` brings it up to date.
-    stock: Stock,
-    asked_at: Now,
+    capacity_index: FreeCapacityIndex,
+    asked_at: Timestamp,
     /// The newest epoch heard of, by coordinator's shard.
     coordinators: Vec<Epoch>,
     dirty: BTreeSet<MachineIdx>,
     next_batch: u64,
     /// GPU work asked for lately: room is kept for it on machines with GPUs.
-    gpu_work: HashMap<(u64, u64, u64), (Now, Priority)>,
-    line: InLine,
-    move_at: Now,
+    gpu_work: HashMap<(u64, u64, u64), (Timestamp, Priority)>,
+    gang_queue: GangQueue,
+    move_at: Timestamp,
     short: Vec<Short>,
     /// Room became free that the short shards were not told of.
     freed: bool,
     /// When those with the most important shortage were told; the others follow.
-    top_told_at: Option<Now>,
+    top_told_at: Option<Timestamp>,
     /// Machines with something to tell that can wait.
     lazy: BTreeSet<MachineIdx>,
-    lazy_at: Now,
+    lazy_at: Timestamp,
 }
 
 /// Where requests find a machine: nowhere if no work may come to it any more.
-fn place_of(m: &Machine, names: &Names) -> Option<Place> {
+fn place_of(m: &Machine, names: &Names) -> Option<CapacityEntry> {
     let alive = !m.lapsed && !m.released;
     m.kind.zip(m.zone).filter(|_| alive).map(|(kind, zone)| {
         let mut free = names.room_of_type(kind);
         let known = m.used().map(|used| free.sub(used, 1));
         let images = m.cached.iter().map(|c| c.0).collect();
-        Place { group: (kind, zone, m.spot), free: known.map_or(0, |()| free.cpu), images }
+        CapacityEntry { group: (kind, zone, m.spot), free: known.map_or(0, |()| free.cpu), images }
     })
 }
 
 /// Whether a coordinator has to act on it soon. The other phases it shows to users, and writes
 /// together what is done; a worker goes through several of them within a second.
-fn acted_on(p: Phase) -> bool {
+fn acted_on(p: TaskPhase) -> bool {
     match p {
-        Phase::Exited(Why::Done, _) => false,
-        Phase::Exited(..) | Phase::Gone | Phase::On(TaskState::Saving | TaskState::Exited) => true,
-        Phase::Decided
-        | Phase::On(TaskState::Fetching | TaskState::Waiting | TaskState::Running) => false,
+        TaskPhase::Exited(ExitReason::Done, _) => false,
+        TaskPhase::Exited(..)
+        | TaskPhase::Gone
+        | TaskPhase::On(TaskState::Saving | TaskState::Exited) => true,
+        TaskPhase::Decided
+        | TaskPhase::On(TaskState::Fetching | TaskState::Waiting | TaskState::Running) => false,
     }
 }
 
@@ -128,7 +134,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Short {
     wants: Option<Priority>,
-    told_at: Now,
+    told_at: Timestamp,
 }
 
 impl Participant {
@@ -136,7 +142,7 @@
     pub fn new(
         shard: Shard,
         epoch: Epoch,
-        now: Now,
+        now: Timestamp,
         shards: usize,
         patience_ms: u64,
     ) -> Participant {
@@ -149,17 +155,17 @@
             base: None,
             due: BTreeSet::new(),
             retell: VecDeque::new(),
-            showcase: Showcase::default(),
+            inventory_publisher: InventoryPublisher::default(),
             holds: BTreeMap::new(),
-            claims: Claims::default(),
-            blame: Blame::default(),
-            stock: Stock::default(),
+            reservations: Reservations::default(),
+            failure_attribution: FailureAttribution::default(),
+            capacity_index: FreeCapacityIndex::default(),
             asked_at: now,
             coordinators: vec![Epoch(0); shards],
             dirty: BTreeSet::new(),
             next_batch: epoch.0 << 20,
             gpu_work: HashMap::new(),
-            line: InLine::default(),
+            gang_queue: GangQueue::default(),
             move_at: now,
             short: vec![Short::default(); shards],
             freed: false,
@@ -182,7 +188,7 @@
     /// All siblings know our epoch: owners before us grant nothing any more. A machine that stays
     /// silent is waited for no longer than its worker's own lease. (Found on the bench: after a
     /// crash of all, hung machines' work was placed anew only 71 s later.)
-    pub fn older_let_go(&mut self, now: Now) {
+    pub fn older_let_go(&mut self, now: Timestamp) {
         if now >= self.older_until {
             return;
         }
@@ -195,7 +201,7 @@
     }
 
     /// Looks at the machine at that time, if not earlier.
-    fn look_at(&mut self, idx: MachineIdx, at: Now) {
+    fn look_at(&mut self, idx: MachineIdx, at: Timestamp) {
         if let Some(m) = self.machines.get_mut(&idx).filter(|m| at < m.due) {
             self.due.remove(&(m.due, idx));
             m.due = at;
@@ -207,7 +213,7 @@
     fn reindex(&mut self, names: &Names) {
         for &idx in &self.dirty {
             if let Some(m) = self.machines.get(&idx) {
-                self.stock.set(idx, place_of(m, names));
+                self.capacity_index.set(idx, place_of(m, names));
             }
         }
         // Of a large fleet it would take all the time of a test.
@@ -216,13 +222,18 @@
                 || self
                     .machines
                     .iter()
-                    .all(|(&idx, m)| self.stock.place(idx) == place_of(m, names).as_ref()),
+                    .all(|(&idx, m)| self.capacity_index.place(idx) == place_of(m, names).as_ref()),
             "a change was not indexed"
         );
     }
 
     /// A report to be answered. None: the worker knows a newer owner, or waits for no answer.
-    pub fn report(&mut self, ctx: &mut Ctx, r: &Report, via: Via) -> Option<Answer> {
+    pub fn report(
+        &mut self,
+        ctx: &mut Context,
+        r: &WorkerHeartbeat,
+        via: HeartbeatPath,
+    ) -> Option<HeartbeatResponse> {
         if r.token > self.epoch.0 {
             return None;
         }
@@ -231,7 +242,7 @@
         if m.released || !m.waits(r) {
             return None;
         }
-        m.hearing.report(via, ctx.cfg.report_due_ms, ctx.now);
+        m.reachability.report(via, ctx.cfg.report_due_ms, ctx.now);
         self.take_report(ctx, idx, r, true);
         let now = ctx.now;
         let epoch = self.epoch;
@@ -240,23 +251,30 @@
         if m.lapsed {
             return None;
         }
-        let stale = (r.session, r.seq) != (m.session, m.seq);
+        let stale = (r.incarnation, r.seq) != (m.incarnation, m.seq);
         m.granted = now;
         // Stops go on while our lease is in doubt: what was to stop is durable, and a stop is never
         // wrong. (Found by the simulator: a cancelled task ran on with an owner that the store's
         // outage had caught between the cancellation and the worker's first report to it.)
         let orders = if stale { Vec::new() } else { m.orders(now, ORDERS, ctx.valid) };
-        Some(Answer { token: epoch.0, orders })
+        Some(HeartbeatResponse { token: epoch.0, orders })
     }
 
-    fn take_report(&mut self, ctx: &mut Ctx, idx: MachineIdx, r: &Report, checkin: bool) {
+    fn take_report(
+        &mut self,
+        ctx: &mut Context,
+        idx: MachineIdx,
+        r: &WorkerHeartbeat,
+        checkin: bool,
+    ) {
         let now = ctx.now;
         let epoch = self.epoch;
         let kind = ctx.names.type_idx(&r.type_name);
         let zone = ctx.names.zone(&r.zone);
         let older = self.older_until;
         let m = self.machine(idx);
-        let before: Vec<Key> = m.tasks.iter().filter(|(_, t)| t.over()).map(|(k, _)| *k).collect();
+        let before: Vec<AttemptKey> =
+            m.tasks.iter().filter(|(_, t)| t.over()).map(|(k, _)| *k).collect();
         let known = m.confirmed;
         if !m.apply(r, epoch, checkin, now) {
             return;
@@ -268,7 +286,7 @@
         // Jobs of which tasks failed here, and of which some ran well.
         let (mut failed, mut ran_well) = (Vec::new(), Vec::new());
         for (k, t) in &m.tasks {
-            if let (Some(s), Phase::On(TaskState::Running | TaskState::Waiting)) =
+            if let (Some(s), TaskPhase::On(TaskState::Running | TaskState::Waiting)) =
                 (&t.shape, t.phase)
             {
                 images.push((s.image, s.wire.image_gb));
@@ -281,14 +299,16 @@
             }
             freed |= t.over();
             match t.phase {
-                Phase::Exited(Why::Error | Why::Other, _) => failed.push(k.0),
-                Phase::Exited(Why::Done, _) => {
+                TaskPhase::Exited(ExitReason::Error | ExitReason::Other, _) => failed.push(k.0),
+                TaskPhase::Exited(ExitReason::Done, _) => {
                     ran_well.push(k.0);
                     if let Some(s) = &t.shape {
                         images.push((s.image, s.wire.image_gb));
                     }
                 }
-                Phase::Exited(Why::Full, _) => m.shunned_until = m.shunned_until.max(now + 2000),
+                TaskPhase::Exited(ExitReason::Full, _) => {
+                    m.shunned_until = m.shunned_until.max(now + 2000)
+                }
                 _ => {}
             }
         }
@@ -300,10 +320,10 @@
         // Notice from the cloud: what can save does so and moves; the rest may still finish.
         if m.notice.is_some() {
             for t in m.tasks.values_mut() {
-                if t.stop.is_none() && matches!(t.phase, Phase::On(TaskState::Running)) {
+                if t.stop.is_none() && matches!(t.phase, TaskPhase::On(TaskState::Running)) {
                     if let Some(s) = t.shape.as_ref().filter(|s| s.wire.checkpoint_s > 0.0) {
                         let grace_s = s.wire.save_s + 5.0;
-                        t.stop = Some(StopWish { grace_s, since: now });
+                        t.stop = Some(StopRequest { grace_s, since: now });
                     }
                 }
             }
@@ -318,37 +338,37 @@
     }
 
     /// Takes what failed and what ran well on a machine as evidence for and against it.
-    fn weigh(&mut self, ctx: &mut Ctx, idx: MachineIdx, failed: &[JobId], ran_well: &[JobId]) {
+    fn weigh(&mut self, ctx: &mut Context, idx: MachineIdx, failed: &[JobId], ran_well: &[JobId]) {
         for &job in failed {
-            self.blame.failed(job, idx, ctx.now);
+            self.failure_attribution.failed(job, idx, ctx.now);
         }
         for &job in ran_well {
-            self.blame.ran_well(job, ctx.now);
+            self.failure_attribution.ran_well(job, ctx.now);
         }
         let suspected = self.suspected(idx, ctx.now);
         let Some(m) = self.machines.get_mut(&idx) else { return };
         if suspected && !m.suspected {
             let n = ctx.names.machine_name(idx).to_string();
-            ctx.out.log(1, "machine_suspected", || n);
+            ctx.effects.log(1, "machine_suspected", || n);
         }
         m.suspected = suspected;
     }
 
     /// Whether what failed there lately speaks against the machine, by all that is known now.
-    fn suspected(&self, idx: MachineIdx, now: Now) -> bool {
+    fn suspected(&self, idx: MachineIdx, now: Timestamp) -> bool {
         let m = self.machines.get(&idx).filter(|m| !m.failed.is_empty());
         m.is_some_and(|m| {
             let lately = m.failed.iter().filter(|f| now < f.1 + SHUN_MS);
-            self.blame.suspects(lately.map(|f| f.0))
+            self.failure_attribution.suspects(lately.map(|f| f.0))
         })
     }
 
     pub fn direct_outcome(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         machine: &str,
         batch: u64,
-        report: Option<&Report>,
+        report: Option<&WorkerHeartbeat>,
         unknown: bool,
     ) {
         let Some(idx) = ctx.names.find_machine(machine) else {
@@ -361,13 +381,13 @@
         match report {
             Some(r) => {
                 // What was executed is in this report or a newer one.
-                let newer = (r.session, r.seq) > (m.session, m.seq);
+                let newer = (r.incarnation, r.seq) > (m.incarnation, m.seq);
                 if newer {
                     self.take_report(ctx, idx, r, false);
                 }
                 let m = self.machine(idx);
                 m.direct_over(batch, false);
-                m.hearing.proven();
+                m.reachability.proven();
             }
             None => {
                 m.direct_over(batch, unknown);
@@ -378,38 +398,38 @@
     }
 
     /// A message of a coordinator. `epoch` is the sender's.
-    pub fn handle(&mut self, ctx: &mut Ctx, from: Shard, epoch: Epoch, msg: ShardMsg) {
+    pub fn handle(&mut self, ctx: &mut Context, from: Shard, epoch: Epoch, msg: ShardMessage) {
         if !self.see_coordinator(from, epoch) {
             return;
         }
         match msg {
-            ShardMsg::Request { negotiation, items, gpu_work } => {
+            ShardMessage::RequestOffers { negotiation, items, gpu_work } => {
                 for (cpu, gpu, mem, priority) in gpu_work {
                     self.gpu_work.insert((cpu, gpu, mem), (ctx.now, priority));
                 }
                 self.offer(ctx, from, Negotiation(negotiation), &items);
             }
-            ShardMsg::Close { negotiation } => {
+            ShardMessage::CloseNegotiation { negotiation } => {
                 self.release_holds(|h| h.shard == from && h.negotiation.0 == negotiation);
             }
-            ShardMsg::Place { job, shape, picks, adopt } => {
+            ShardMessage::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
-                self.line.leave(job);
+                self.gang_queue.leave(job);
                 ctx.horizons.goes_on(job, epoch);
                 let shape = ctx.names.shape(&shape);
                 for p in picks {
                     self.place(ctx, from, job, &shape, &p, adopt);
                     if ctx.horizons.is_over(job) && holds(Guard::LatePlace) {
                         // On its way since before the cancellation, which came another way.
-                        let (machine, session) = (p.machine, Some(p.session));
+                        let (machine, incarnation) = (p.machine, Some(p.incarnation));
                         let (task, attempt) = (p.task, p.attempt);
-                        let what = AttemptRef { job: job.0, task, attempt, machine, session };
+                        let what = AttemptRef { job: job.0, task, attempt, machine, incarnation };
                         self.stop(ctx, &what, 0.0);
                     }
                 }
             }
-            ShardMsg::Stop { what, grace_s } => self.stop(ctx, &what, grace_s),
-            ShardMsg::Forget { what } => {
+            ShardMessage::Stop { what, grace_s } => self.stop(ctx, &what, grace_s),
+            ShardMessage::Forget { what } => {
                 let mut swept = BTreeSet::new();
                 for w in what {
                     let idx = ctx.names.machine(&w.machine);
@@ -442,7 +462,7 @@
         if epoch > *known {
             *known = epoch;
             if shard == PROVISIONER_SHARD {
-                self.showcase.start_again();
+                self.inventory_publisher.start_again();
             }
             self.release_holds(|h| h.shard == shard);
             self.dirty.extend(self.machines.keys().copied());
@@ -463,11 +483,11 @@
 
     fn place(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         from: Shard,
         job: JobId,
         shape: &Shape,
-        p: &Pick,
+        p: &Assignment,
         adopt: bool,
     ) {
         let idx = ctx.names.machine(&p.machine);
@@ -475,18 +495,18 @@
         if let Some(h) = held.find(|h| h.shard == from && h.job == job && h.count > 0) {
             h.count -= 1;
         }
-        self.claims.give_up(job, idx);
+        self.reservations.give_up(job, idx);
         let m = self.machine(idx);
-        let earlier = p.session < m.session && holds(Guard::OfferSession);
-        let gone = m.released || earlier || (m.lapsed && p.session <= m.session);
+        let earlier = p.incarnation < m.incarnation && holds(Guard::OfferSession);
+        let gone = m.released || earlier || (m.lapsed && p.incarnation <= m.incarnation);
         let confirmed = m.confirmed || !holds(Guard::TokenShown);
         let t = m.tasks.entry((job, p.task, Attempt(p.attempt))).or_insert_with(|| {
             // Not known here: never said yes to, or over and forgotten. What it took of zones
             // and teams may be in use again, so it must not start now. (Found by the simulator:
             // a handover started stopped tasks anew, beyond their team's limit.)
             let over = gone || (adopt && confirmed);
-            let phase = if over { Phase::Gone } else { Phase::Decided };
-            TaskOn { adopted: adopt, ..TaskOn::new(None, phase, p.session) }
+            let phase = if over { TaskPhase::Gone } else { TaskPhase::Decided };
+            TaskOnMachine { adopted: adopt, ..TaskOnMachine::new(None, phase, p.incarnation) }
         });
         t.shape = Some(shape.clone());
         // Tell again whatever there is to tell: the sender does not know it.
@@ -495,33 +515,35 @@
         self.dirty.insert(idx);
     }
 
-    fn stop(&mut self, ctx: &mut Ctx, what: &AttemptRef, grace_s: f64) {
+    fn stop(&mut self, ctx: &mut Context, what: &AttemptRef, grace_s: f64) {
         let now = ctx.now;
         let idx = ctx.names.machine(&what.machine);
         let m = self.machine(idx);
         let confirmed = m.confirmed || !holds(Guard::TokenShown);
         let released = m.released || m.lapsed;
         let key = (JobId(what.job), what.task, Attempt(what.attempt));
-        let t = match (m.tasks.get_mut(&key), what.session) {
+        let t = match (m.tasks.get_mut(&key), what.incarnation) {
             (Some(t), _) => t,
             // Under the session it was decided for: before the machine's first report to us, a
             // guess would make the attempt look like one of an ended session. (Found by the
             // simulator: a running task was called gone.)
-            (None, Some(session)) => {
-                m.tasks.entry(key).or_insert(TaskOn::new(None, Phase::Decided, session))
-            }
+            (None, Some(incarnation)) => m.tasks.entry(key).or_insert(TaskOnMachine::new(
+                None,
+                TaskPhase::Decided,
+                incarnation,
+            )),
             (None, None) => return,
         };
-        if t.session < m.session && t.phase == Phase::Decided {
-            t.phase = Phase::Gone;
+        if t.incarnation < m.incarnation && t.phase == TaskPhase::Decided {
+            t.phase = TaskPhase::Gone;
         }
         if t.stop.is_none_or(|s| s.grace_s > grace_s) {
-            t.stop = Some(StopWish { grace_s, since: now });
+            t.stop = Some(StopRequest { grace_s, since: now });
         }
         // Never sent by us, and no older owner's command counts any more.
         let never = !t.answered && !t.risky && t.direct.is_none() && !t.listed;
-        if t.phase == Phase::Decided && never && (confirmed || released) {
-            t.phase = Phase::Gone;
+        if t.phase == TaskPhase::Decided && never && (confirmed || released) {
+            t.phase = TaskPhase::Gone;
         }
         t.told = None;
         m.recount();
@@ -530,15 +552,15 @@
 
     /// The job's final state is written: whatever of it is here stops, told so by its
     /// coordinator or not.
-    pub fn job_over(&mut self, ctx: &mut Ctx, job: JobId) {
+    pub fn job_over(&mut self, ctx: &mut Context, job: JobId) {
         let here = (job, 0, Attempt(0))..=(job, u32::MAX, Attempt(u64::MAX));
         let mut all = Vec::new();
         for (&idx, m) in &self.machines {
             for (k, t) in m.tasks.range(here.clone()).filter(|(_, t)| !t.over()) {
                 let machine = ctx.names.machine_name(idx).to_string();
-                let session = Some(t.session);
+                let incarnation = Some(t.incarnation);
                 let (task, attempt) = (k.1, k.2 .0);
-                all.push(AttemptRef { job: job.0, task, attempt, machine, session });
+                all.push(AttemptRef { job: job.0, task, attempt, machine, incarnation });
             }
         }
         for what in &all {
@@ -548,12 +570,12 @@
 
     /// Stops what a machine reports of jobs that are over. (Found by the simulator: a task was
     /// reported only after its job's end had been read.)
-    fn stop_over(&mut self, idx: MachineIdx, horizons: &Horizons, now: Now) {
+    fn stop_over(&mut self, idx: MachineIdx, horizons: &Horizons, now: Timestamp) {
         let Some(m) = self.machines.get_mut(&idx) else { return };
         let mut stops = false;
         for (k, t) in m.tasks.iter_mut().filter(|(_, t)| t.stop.is_none() && !t.over()) {
             if horizons.is_over(k.0) && holds(Guard::StopOver) {
-                t.stop = Some(StopWish { grace_s: 0.0, since: now });
+                t.stop = Some(StopRequest { grace_s: 0.0, since: now });
                 stops = true;
             }
         }
@@ -569,7 +591,7 @@
     }
 
     /// Tells the coordinators what changed, and commands the workers.
-    pub fn flush(&mut self, ctx: &mut Ctx) {
+    pub fn flush(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         let mut events: BTreeMap<u8, Vec<TaskEvent>> = BTreeMap::new();
         let all = now >= self.lazy_at;
@@ -617,7 +639,7 @@
                 && m.direct.is_none()
                 && !m.released
                 && !m.lapsed
-                && m.session > 0
+                && m.incarnation > 0
             {
                 let quiet = now >= m.heard + ctx.cfg.quiet_ms;
                 if now >= m.direct_after && !quiet && !m.addr.is_empty() {
@@ -626,7 +648,11 @@
                     let orders = m.direct_orders(batch, ORDERS);
                     if !orders.is_empty() {
                         m.direct = Some(batch);
-                        let direct = Direct { token: self.epoch.0, session: m.session, orders };
+                        let direct = CommandBatch {
+                            token: self.epoch.0,
+                            incarnation: m.incarnation,
+                            orders,
+                        };
                         ctx.direct(idx, m.addr.clone(), batch, direct);
                     }
                 }
@@ -634,7 +660,7 @@
         }
         for (shard, events) in events {
             for c in events.chunks(200) {
-                ctx.send(self.shard, Shard(shard), ShardMsg::Events { events: c.to_vec() });
+                ctx.send(self.shard, Shard(shard), ShardMessage::TaskEvents { events: c.to_vec() });
             }
         }
         self.tell_room(ctx);
@@ -644,7 +670,7 @@
     /// for. (Found by counting: with a fleet that was booting, asking took most of the time.)
     /// The most important first: told all at once, arrays filled new machines before replicas
     /// that had waited longer were asked for.
-    fn tell_room(&mut self, ctx: &mut Ctx) {
+    fn tell_room(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         if !self.freed {
             return;
@@ -658,14 +684,14 @@
             let told = s.wants.filter(|w| top.is_none_or(|t| *w == t));
             if let Some(priority) = told.filter(|_| now >= s.told_at + TELL_MS) {
                 *s = Short { wants: None, told_at: now };
-                ctx.send(self.shard, Shard(i as u8), ShardMsg::Room { priority });
+                ctx.send(self.shard, Shard(i as u8), ShardMessage::CapacityFreed { priority });
             }
         }
         self.top_told_at = top.map(|_| now);
         self.freed = top.is_some();
     }
 
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         self.move_replicas(ctx);
         let now = ctx.now;
         while let Some(&(at, idx)) = self.due.first().filter(|d| d.0 < now) {
@@ -678,17 +704,17 @@
         // Holds end by decision. If none came, it got lost: ask for it.
         if now >= self.asked_at + 2000 {
             self.asked_at = now;
-            self.blame.expire(now);
+            self.failure_attribution.expire(now);
             let open: BTreeSet<(u8, u64)> =
                 self.holds.values().flatten().map(|h| (h.shard.0, h.negotiation.0)).collect();
             for (shard, negotiation) in open {
-                ctx.send(self.shard, Shard(shard), ShardMsg::AskDecision { negotiation });
+                ctx.send(self.shard, Shard(shard), ShardMessage::AskDecision { negotiation });
             }
         }
     }
 
     /// The lease may be over by now, or the machine long gone.
-    fn due_look(&mut self, ctx: &mut Ctx, idx: MachineIdx) {
+    fn due_look(&mut self, ctx: &mut Context, idx: MachineIdx) {
         let now = ctx.now;
         let Some(m) = self.machines.get_mut(&idx) else { return };
         let mut next = m.lease_over_at(ctx.cfg.worker_lease_ms, self.older_until);
@@ -704,14 +730,14 @@
             m.lapsed = true;
             m.all_gone();
             let n = ctx.names.machine_name(idx).to_string();
-            ctx.out.log(1, "machine_lost", || n);
+            ctx.effects.log(1, "machine_lost", || n);
             self.dirty.insert(idx);
         }
         if m.released || m.lapsed {
             let forget_at = m.heard + FORGET_MS;
             if m.tasks.is_empty() && now > forget_at {
                 self.machines.remove(&idx);
-                self.showcase.gone(idx);
+                self.inventory_publisher.gone(idx);
                 return;
             }
             next = forget_at.max(now + 10_000);
@@ -721,16 +747,17 @@
     }
 
     /// What changed of the machines, for the provisioner.
-    pub fn inventory(&mut self, ctx: &Ctx) -> Vec<ShardMsg> {
+    pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let (now, lease) = (ctx.now, at_least(ctx.cfg.worker_lease_ms));
-        let is_deaf = |m: &Machine| m.hearing.deaf_since().is_some_and(|t| now >= t + DEAF_MS);
+        let is_deaf = |m: &Machine| m.reachability.deaf_since().is_some_and(|t| now >= t + DEAF_MS);
         // Where many don't hear us, it is us.
         let deaf = self.machines.values().filter(|m| !m.released && is_deaf(m)).count();
         let few_deaf = deaf * DEAF_SHARE < self.machines.len();
         for (&idx, m) in &self.machines {
             let shown = m.kind.filter(|_| !m.released).map(|kind| {
-                let idle = !self.holds.contains_key(&idx) && m.tasks.values().all(TaskOn::over);
-                Shown {
+                let idle =
+                    !self.holds.contains_key(&idx) && m.tasks.values().all(TaskOnMachine::over);
+                MachineSummary {
                     kind,
                     zone: m.zone,
                     spot: m.spot,
@@ -739,18 +766,18 @@
                     draining: m.draining,
                 }
             });
-            self.showcase.set(idx, shown);
+            self.inventory_publisher.set(idx, shown);
         }
-        self.showcase.changes(now, ctx.names)
+        self.inventory_publisher.changes(now, ctx.names)
     }
 
     /// The provisioner lacks what was told before.
     pub fn tell_all(&mut self) {
-        self.showcase.start_again();
+        self.inventory_publisher.start_again();
     }
 
     /// Sets an idle machine aside. False: it has work, or may get some.
-    pub fn drain(&mut self, ctx: &mut Ctx, machine: &str) -> bool {
+    pub fn drain(&mut self, ctx: &mut Context, machine: &str) -> bool {
         let idx = ctx.names.machine(machine);
         if self.holds.contains_key(&idx) {
             return false;
@@ -763,7 +790,7 @@
         true
     }
 
-    pub fn released(&mut self, ctx: &mut Ctx, machine: &str) {
+    pub fn released(&mut self, ctx: &mut Context, machine: &str) {
         let idx = ctx.names.machine(machine);
         let m = self.machine(idx);
         m.released = true;
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,11 +1,11 @@
 //! Offers: which machines of the participant a request may have, and which of them it gets.
-use super::stock::Group;
+use super::capacity_index::Group;
 use super::{Hold, Participant, SHUN_MS};
-use crate::ctx::Ctx;
-use crate::fleet::Machine;
-use crate::ids::{JobId, MachineIdx, Negotiation, Now, Shard, TypeIdx, ZoneIdx};
-use crate::names::{older, Names, Room};
-use leaddeal_wire::mesh::{Line, Offer, Shape as WireShape, ShardMsg, Wanted};
+use crate::context::Context;
+use crate::ids::{JobId, MachineIdx, Negotiation, Shard, Timestamp, TypeIdx, ZoneIdx};
+use crate::machine::Machine;
+use crate::names::{older, Names, Resources};
+use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, Shape as WireShape, ShardMessage};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 
 /// What holds for a job on a type of machine, ordinary or spot: worked out once for all of them.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Fit {
+pub(super) struct Eligibility {
     /// Allowed, and a whole machine has room for a task.
     pub allowed: bool,
     /// A GPU machine that is dear for work without GPUs.
@@ -23,13 +23,13 @@
 }
 
 /// By type, for ordinary and spot machines.
-pub(super) type Fits = Vec<[Fit; 2]>;
+pub(super) type EligibilityTable = Vec<[Eligibility; 2]>;
 
-pub(super) fn fits_of(names: &Names, shape: &WireShape, pressing: bool) -> Fits {
-    let need = Room::of(shape);
+pub(super) fn fits_of(names: &Names, shape: &WireShape, pressing: bool) -> EligibilityTable {
+    let need = Resources::of(shape);
     let fit = |t: TypeIdx, spot: bool| {
         let whole = names.room_of_type(t);
-        Fit {
+        Eligibility {
             allowed: names.allows(shape, t, spot) && whole.fits(need) > 0,
             dear: shape.gpu == 0 && whole.gpu > 0 && !names.affordable(shape, t, spot, pressing),
         }
@@ -40,18 +40,18 @@
 }
 
 /// What is known of a type of machine; none: a type that came later than the request.
-pub(super) fn fit(fits: &Fits, kind: TypeIdx, spot: bool) -> Option<&Fit> {
+pub(super) fn fit(fits: &EligibilityTable, kind: TypeIdx, spot: bool) -> Option<&Eligibility> {
     Some(&fits.get(kind.0 as usize)?[usize::from(spot)])
 }
 
 /// Priority, aims missed, when the next is due, and the job: the lesser is served first.
-pub(super) type Rank = (Reverse<Priority>, u8, Now, JobId);
+pub(super) type Rank = (Reverse<Priority>, u8, Timestamp, JobId);
 
 /// What decides whether room can be made for a job, beside its zones.
 #[derive(PartialEq)]
 struct Like<'a> {
     types: &'a Option<Vec<String>>,
-    need: Room,
+    need: Resources,
     priority: Priority,
     kind: Kind,
     flags: [bool; 5],
@@ -65,8 +65,8 @@
         names: &Names,
         job: JobId,
         rank: Option<Rank>,
-    ) -> Option<Room> {
-        self.free_with(Room::default(), idx, m, names, job, rank)
+    ) -> Option<Resources> {
+        self.free_with(Resources::default(), idx, m, names, job, rank)
     }
 
     /// The same, once `more` of what is used has become free. Holds and claims count against that
@@ -74,20 +74,20 @@
     /// nothing, and the room of one stopped task was claimed over and over.
     pub(super) fn free_with(
         &self,
-        more: Room,
+        more: Resources,
         idx: MachineIdx,
         m: &Machine,
         names: &Names,
         job: JobId,
         rank: Option<Rank>,
-    ) -> Option<Room> {
+    ) -> Option<Resources> {
         let mut free = names.room_of_type(m.kind?);
         free.sub(m.used()?, 1);
         free.add(more, 1);
         for h in self.held(idx) {
             free.sub(h.need, h.count);
         }
-        for c in self.claims.on(idx).iter().filter(|c| c.bars(job, rank)) {
+        for c in self.reservations.on(idx).iter().filter(|c| c.bars(job, rank)) {
             free.sub(c.need, 1);
         }
         Some(free)
@@ -96,11 +96,11 @@
     /// Whether a machine may get work of this job at all, now.
     pub(super) fn usable(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         idx: MachineIdx,
         m: &Machine,
-        w: &Wanted,
-        fits: &Fits,
+        w: &OfferRequest,
+        fits: &EligibilityTable,
     ) -> bool {
         let now = ctx.now;
         let Some(fit) = m.kind.and_then(|kind| fit(fits, kind, m.spot)) else { return false };
@@ -110,7 +110,7 @@
             && !m.lapsed
             && m.confirmed
             && m.notice.is_none()
-            && m.hearing.deaf_since().is_none()
+            && m.reachability.deaf_since().is_none()
             && m.shunned_until <= now
             && !self.suspected(idx, now)
             && now < m.heard + ctx.cfg.quiet_ms
@@ -130,7 +130,7 @@
     }
 
     /// A machine's room less what stays there for long: services, and GPU work.
-    pub(super) fn lasting_room(&self, idx: MachineIdx, m: &Machine, whole: Room) -> Room {
+    pub(super) fn lasting_room(&self, idx: MachineIdx, m: &Machine, whole: Resources) -> Resources {
         let mut later = whole;
         later.sub(m.lasting(), 1);
         for h in self.held(idx).iter().filter(|h| h.lasting) {
@@ -143,11 +143,11 @@
     pub(super) fn gpu_machines<'a>(
         &'a self,
         names: &'a Names,
-    ) -> impl Iterator<Item = (MachineIdx, &'a Machine, Group, Room)> {
-        let with_gpus = self.stock.groups().filter(|g| names.room_of_type(g.0).gpu > 0);
+    ) -> impl Iterator<Item = (MachineIdx, &'a Machine, Group, Resources)> {
+        let with_gpus = self.capacity_index.groups().filter(|g| names.room_of_type(g.0).gpu > 0);
         with_gpus.flat_map(move |g| {
             let whole = names.room_of_type(g.0);
-            self.stock.with_free(g, 0).filter_map(move |idx| {
+            self.capacity_index.with_free(g, 0).filter_map(move |idx| {
                 let m = self.machines.get(&idx)?;
                 Some((idx, m, g, self.lasting_room(idx, m, whole)))
             })
@@ -157,17 +157,17 @@
     /// What a service may use of a GPU machine whose lasting room this is: it stays, and leaves
     /// enough for the GPU work that is known. Seen from the room that is free just now, a machine
     /// full of short tasks looked lost to GPU work anyway, and services filled it for good.
-    pub(super) fn spare(&self, later: Room, pressing: bool, anywhere: bool) -> Room {
+    pub(super) fn spare(&self, later: Resources, pressing: bool, anywhere: bool) -> Resources {
         if anywhere {
             return later;
         }
         // Which GPU work there will be may not be known yet.
         if self.gpu_work.is_empty() && !pressing {
-            return Room::default();
+            return Resources::default();
         }
         let mut left = later;
         for &(cpu, gpu, mem) in self.gpu_work.keys() {
-            let n = Room { cpu, gpu, mem };
+            let n = Resources { cpu, gpu, mem };
             let mut l = later;
             l.sub(n, later.fits(n));
             left.cpu = left.cpu.min(l.cpu);
@@ -178,28 +178,28 @@
 
     /// Machines that work of this priority keeps off, since gangs of several tasks that it would
     /// keep waiting wait for their zone and could use them once the tasks on them end: as many as
-    /// this participant's share of those gangs, the least busy first. (Claims do it for lone tasks.)
-    fn expected(&self, ctx: &mut Ctx, priority: Priority) -> BTreeSet<MachineIdx> {
+    /// this participant's share of those gangs, the least busy first. (Reservations do it for lone tasks.)
+    fn expected(&self, ctx: &mut Context, priority: Priority) -> BTreeSet<MachineIdx> {
         let mut kept = BTreeSet::new();
         let shards = ctx.shards().count();
-        for (zone, tasks) in self.line.tasks(priority) {
+        for (zone, tasks) in self.gang_queue.tasks(priority) {
             let share = (tasks as usize).div_ceil(shards);
             let mut machines: Vec<(u64, MachineIdx)> = Vec::new();
-            for g in self.stock.groups().filter(|g| g.1 == zone) {
+            for g in self.capacity_index.groups().filter(|g| g.1 == zone) {
                 let whole = ctx.names.room_of_type(g.0);
-                if whole.gpu == 0 || self.line.needs(g, priority).next().is_none() {
+                if whole.gpu == 0 || self.gang_queue.needs(g, priority).next().is_none() {
                     continue;
                 }
                 // The most free of a group are the least busy.
                 let mut left = share;
-                for idx in self.stock.with_free(g, 0) {
+                for idx in self.capacity_index.with_free(g, 0) {
                     if left == 0 {
                         break;
                     }
-                    ctx.out.looked += 1;
+                    ctx.effects.looked += 1;
                     let Some(m) = self.machines.get(&idx) else { continue };
                     let later = self.lasting_room(idx, m, whole);
-                    let wanted = self.line.needs(g, priority).any(|n| later.fits(n) > 0);
+                    let wanted = self.gang_queue.needs(g, priority).any(|n| later.fits(n) > 0);
                     if let (true, Some(used)) = (wanted, m.used()) {
                         machines.push((used.cpu, idx));
                         left -= 1;
@@ -212,7 +212,13 @@
         kept
     }
 
-    fn take_place(&mut self, now: Now, w: &Wanted, line: Line, fits: &Fits) -> Rank {
+    fn take_place(
+        &mut self,
+        now: Timestamp,
+        w: &OfferRequest,
+        line: QueuePosition,
+        fits: &EligibilityTable,
+    ) -> Rank {
         let rank = (
             Reverse(w.shape.priority),
             line.late,
@@ -220,25 +226,25 @@
             JobId(w.job),
         );
         if let (true, Some(zone)) = (line.stands, line.zone.map(ZoneIdx)) {
-            self.line.stand(now, rank, zone, w.count, &w.shape, fits);
+            self.gang_queue.stand(now, rank, zone, w.count, &w.shape, fits);
         }
         rank
     }
 
     pub(super) fn offer(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         from: Shard,
         negotiation: Negotiation,
-        items: &[Wanted],
+        items: &[OfferRequest],
     ) {
         let now = ctx.now;
         let mut offers = Vec::new();
         let mut coming = Vec::new();
         self.gpu_work.retain(|_, t| t.0 + 300_000 > now);
-        self.claims.expire(now);
+        self.reservations.expire(now);
         self.reindex(ctx.names);
-        let judged: Vec<(Fits, Option<Rank>)> = items
+        let judged: Vec<(EligibilityTable, Option<Rank>)> = items
             .iter()
             .map(|w| {
                 let fits = fits_of(ctx.names, &w.shape, w.pressing);
@@ -246,7 +252,7 @@
                 (fits, rank)
             })
             .collect();
-        self.line.settle(now, self.stock.groups());
+        self.gang_queue.settle(now, self.capacity_index.groups());
         // Jobs for which nothing could be done, and the zones that were open to them.
         let mut vain: Vec<(Like, Vec<bool>)> = Vec::new();
         let mut expected: BTreeMap<Priority, BTreeSet<MachineIdx>> = BTreeMap::new();
@@ -263,11 +269,11 @@
             };
             let mut choices = Vec::new();
             let lasting = self.gpu_work.values().any(|g| g.1 <= w.shape.priority);
-            for g in self.stock.groups() {
+            for g in self.capacity_index.groups() {
                 let (kind, zone, spot) = g;
                 if !fit(fits, kind, spot).is_some_and(|f| f.allowed)
                     || w.zone_room.get(zone.0 as usize).is_none_or(|&r| r == 0)
-                    || rank.is_some_and(|r| self.line.behind(r, g))
+                    || rank.is_some_and(|r| self.gang_queue.behind(r, g))
                 {
                     continue;
                 }
@@ -284,14 +290,15 @@
                 let far = ((fetch_s / 4.0) as u32).saturating_add(1);
                 // Of each group as many as could be taken, those with the image first.
                 let mut enough = u64::from(w.count);
-                let near = self.stock.with_image(g, shape.image, shape.need.cpu).map(|m| (0, m));
-                let rest = self.stock.with_free(g, shape.need.cpu).map(|m| (far, m));
+                let near =
+                    self.capacity_index.with_image(g, shape.image, shape.need.cpu).map(|m| (0, m));
+                let rest = self.capacity_index.with_free(g, shape.need.cpu).map(|m| (far, m));
                 for (fetch, idx) in near.chain(rest) {
                     if enough == 0 {
                         break;
                     }
                     let Some(m) = self.machines.get(&idx) else { continue };
-                    ctx.out.looked += 1;
+                    ctx.effects.looked += 1;
                     if (fetch > 0 && m.has_image(shape.image))
                         || kept.contains(&idx)
                         || !self.usable(ctx, idx, m, w, fits)
@@ -314,13 +321,21 @@
                         continue;
                     }
                     enough = enough.saturating_sub(n);
-                    choices.push((gpu_waste, fetch, -(free.cpu as i64), idx, zone, n, m.session));
+                    choices.push((
+                        gpu_waste,
+                        fetch,
+                        -(free.cpu as i64),
+                        idx,
+                        zone,
+                        n,
+                        m.incarnation,
+                    ));
                 }
             }
             choices.sort_unstable();
             let mut zone_room = w.zone_room.clone();
             let mut wanted = w.count;
-            for (gpu_waste, fetch, neg_free, idx, zone, n, session) in choices {
+            for (gpu_waste, fetch, neg_free, idx, zone, n, incarnation) in choices {
                 let Some(zr) = zone_room.get_mut(zone.0 as usize) else {
                     continue;
                 };
@@ -341,7 +356,7 @@
                 offers.push(Offer {
                     item: i as u16,
                     machine: ctx.names.machine_name(idx).to_string(),
-                    session,
+                    incarnation,
                     zone: zone.0,
                     count,
                     cached: fetch == 0,
@@ -363,9 +378,10 @@
                         *r = if i == z as usize { *r } else { 0 };
                     }
                 }
-                let rank = self.line.rank(JobId(w.job));
+                let rank = self.gang_queue.rank(JobId(w.job));
                 let (shape, zones) = (&shape, &zone_room);
-                let seek = super::room::Seek { w, shape, fits, rank, zones, gpus: true };
+                let seek =
+                    super::room::PreemptionSearch { w, shape, fits, rank, zones, gpus: true };
                 // What cannot be done for one job cannot be for the next of its kind either, which
                 // is served after it. (At three times a fleet most of a request asked in vain.)
                 let several = w.line.is_some_and(|l| l.zone.is_some());
@@ -383,12 +399,16 @@
                 {
                     vain.push((like, zones.iter().map(|&z| z > 0).collect()));
                 }
-                if self.claims.count(JobId(w.job)) >= wanted {
+                if self.reservations.count(JobId(w.job)) >= wanted {
                     coming.push(i as u16);
                 }
             }
         }
-        ctx.send(self.shard, from, ShardMsg::Offers { negotiation: negotiation.0, offers, coming });
+        ctx.send(
+            self.shard,
+            from,
+            ShardMessage::Offers { negotiation: negotiation.0, offers, coming },
+        );
     }
 }
 
--- a/crates/core/src/participant/offer/tests.rs
+++ b/crates/core/src/participant/offer/tests.rs
@@ -1,15 +1,15 @@
-use super::super::claims::Claim;
+use super::super::reservations::Reservation;
 use super::*;
-use crate::fleet::{StopWish, TaskOn};
 use crate::ids::{Attempt, Epoch, ImageIdx};
+use crate::machine::{StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use leaddeal_wire::cloud::{Catalog, MachineType};
-use leaddeal_wire::mesh::Phase;
+use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::TaskState;
 use std::sync::Arc;
 
 const GPU_TASK: (u64, u64, u64) = (10_000, 2000, 38_000);
-const WHOLE: Room = Room { cpu: 12_000, gpu: 2000, mem: 48_000 };
+const WHOLE: Resources = Resources { cpu: 12_000, gpu: 2000, mem: 48_000 };
 
 fn shape(kind: Kind, cpu: u64) -> Shape {
     let wire = WireShape {
@@ -27,7 +27,7 @@
         estimate_s: 0.0,
     };
     let wire = Arc::new(wire);
-    Shape { need: Room::of(&wire), image: ImageIdx(0), wire }
+    Shape { need: Resources::of(&wire), image: ImageIdx(0), wire }
 }
 
 /// Found on a grown deployment: machines full of short tasks were filled with replicas.
@@ -39,7 +39,7 @@
     p.gpu_work.insert(GPU_TASK, (1, Priority::Normal));
     let mut m = Machine::new(1);
     for (task, s) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
-        let t = TaskOn::new(Some(s), Phase::On(TaskState::Running), 1);
+        let t = TaskOnMachine::new(Some(s), TaskPhase::On(TaskState::Running), 1);
         m.tasks.insert((JobId(9), task, Attempt(1)), t);
     }
     m.recount();
@@ -71,8 +71,8 @@
     let mut m = Machine::new(1);
     m.kind = names.type_idx("small");
     for task in 0..4 {
-        let mut t = TaskOn::new(Some(shape(Kind::Array, 1000)), Phase::Decided, 1);
-        t.stop = (task == 0).then_some(StopWish { grace_s: 0.0, since: 1 });
+        let mut t = TaskOnMachine::new(Some(shape(Kind::Array, 1000)), TaskPhase::Decided, 1);
+        t.stop = (task == 0).then_some(StopRequest { grace_s: 0.0, since: 1 });
         m.tasks.insert((JobId(9), task, Attempt(1)), t);
     }
     m.recount();
@@ -84,7 +84,7 @@
         soon.expect("known tasks").fits(need)
     };
     assert_eq!(room(&p), 1);
-    let claim = Claim { job: JobId(5), need, until: 9000, patient: false, rank: None };
-    p.claims.add(idx, claim);
+    let claim = Reservation { job: JobId(5), need, until: 9000, patient: false, rank: None };
+    p.reservations.add(idx, claim);
     assert_eq!(room(&p), 0);
 }
--- a/crates/core/src/participant/claims.rs
+++ b/crates/core/src/participant/reservations.rs
@@ -1,24 +1,24 @@
 //! Room made for a job by stopping others: nobody else gets it for a while.
 //!
 //! Invariant: `by_job` names every claim of `by_machine` once, and neither has empty lists.
-use crate::ids::{JobId, MachineIdx, Now};
-use crate::names::Room;
+use crate::ids::{JobId, MachineIdx, Timestamp};
+use crate::names::Resources;
 use std::collections::BTreeMap;
 
 use super::Rank;
 
 #[derive(Clone, Debug)]
-pub(super) struct Claim {
+pub(super) struct Reservation {
     pub job: JobId,
-    pub need: Room,
-    pub until: Now,
+    pub need: Resources,
+    pub until: Timestamp,
     /// Waits for tasks to end by themselves.
     pub patient: bool,
     /// Of a gang: whoever is to be served before it may use the room.
     pub rank: Option<Rank>,
 }
 
-impl Claim {
+impl Reservation {
     /// Whether the room is not for a job of this rank.
     pub fn bars(&self, job: JobId, rank: Option<Rank>) -> bool {
         let yields = matches!((self.rank, rank), (Some(c), Some(r)) if self.patient && r < c);
@@ -29,15 +29,15 @@
 /// Found by machine and by job. (Found by a profile: as one list, searched at every look at a
 /// machine, claims took half of the time of a fleet three times as large.)
 #[derive(Debug, Default)]
-pub(super) struct Claims {
-    by_machine: BTreeMap<MachineIdx, Vec<Claim>>,
+pub(super) struct Reservations {
+    by_machine: BTreeMap<MachineIdx, Vec<Reservation>>,
     by_job: BTreeMap<JobId, Vec<MachineIdx>>,
     /// No claim ends before this time.
-    soonest: Now,
+    soonest: Timestamp,
 }
 
-impl Claims {
-    pub fn on(&self, m: MachineIdx) -> &[Claim] {
+impl Reservations {
+    pub fn on(&self, m: MachineIdx) -> &[Reservation] {
         self.by_machine.get(&m).map_or(&[], Vec::as_slice)
     }
 
@@ -45,7 +45,7 @@
         self.by_job.get(&job).map_or(0, |l| l.len() as u32)
     }
 
-    pub fn add(&mut self, m: MachineIdx, c: Claim) {
+    pub fn add(&mut self, m: MachineIdx, c: Reservation) {
         self.soonest = self.soonest.min(c.until);
         self.by_job.entry(c.job).or_default().push(m);
         self.by_machine.entry(m).or_default().push(c);
@@ -72,7 +72,7 @@
         &mut self,
         job: JobId,
         rank: Option<Rank>,
-        until: Now,
+        until: Timestamp,
         lasts: impl Fn(MachineIdx) -> bool,
     ) {
         for m in self.by_job.get(&job).into_iter().flatten() {
@@ -87,12 +87,12 @@
     }
 
     /// Drops those whose time is over.
-    pub fn expire(&mut self, now: Now) {
+    pub fn expire(&mut self, now: Timestamp) {
         if now < self.soonest {
             return;
         }
         let mut over = Vec::new();
-        let mut soonest = Now::MAX;
+        let mut soonest = Timestamp::MAX;
         self.by_machine.retain(|&m, list| {
             list.retain(|c| {
                 let lasts = c.until > now;
--- a/crates/core/src/participant/claims/tests.rs
+++ b/crates/core/src/participant/reservations/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use leaddeal_wire::user::Priority;
 
-fn claim(job: u64, until: Now, patient: bool) -> Claim {
+fn claim(job: u64, until: Timestamp, patient: bool) -> Reservation {
     let rank = |due| (std::cmp::Reverse(Priority::Normal), 0, due, JobId(due));
-    Claim { job: JobId(job), need: Room::default(), until, patient, rank: Some(rank(5)) }
+    Reservation { job: JobId(job), need: Resources::default(), until, patient, rank: Some(rank(5)) }
 }
 
 /// Found on a grown deployment: gangs that each held some machines all stood still.
@@ -20,7 +20,7 @@
 
 #[test]
 fn claims_are_found_by_machine_and_by_job_until_they_end() {
-    let mut all = Claims::default();
+    let mut all = Reservations::default();
     let (a, b) = (MachineIdx(1), MachineIdx(2));
     for (m, job, until) in [(a, 1, 10), (a, 2, 20), (b, 1, 30), (b, 1, 10)] {
         all.add(m, claim(job, until, true));
@@ -28,7 +28,7 @@
     let rank = (std::cmp::Reverse(Priority::Normal), 1, 900, JobId(1));
     all.prolong(JobId(1), Some(rank), 25, |m| m == a);
     let first = (std::cmp::Reverse(Priority::Normal), 0, 905, JobId(7));
-    let of = |c: &&Claim| c.job == JobId(1);
+    let of = |c: &&Reservation| c.job == JobId(1);
     let late = all.on(a).iter().find(of).expect("a claim");
     assert!(!late.bars(JobId(7), Some(first)), "it missed an aim: who is first now may");
     all.expire(15);
--- a/crates/core/src/participant/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -1,14 +1,14 @@
 //! Making room: whom to stop, which machine to set aside, which replica to move.
-use super::claims::Claim;
-use super::offer::{fit, fits_of, Fits, Rank};
-use super::stock::Group;
-use super::{InLine, Participant};
-use crate::ctx::Ctx;
-use crate::fleet::{Key, Machine, StopWish, TaskOn};
+use super::capacity_index::Group;
+use super::offer::{fit, fits_of, EligibilityTable, Rank};
+use super::reservations::Reservation;
+use super::{GangQueue, Participant};
+use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, ZoneIdx};
+use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use crate::preemption::{victims, Candidate};
-use leaddeal_wire::mesh::{Phase, Wanted};
+use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
 use leaddeal_wire::user::{Kind, Priority};
 use leaddeal_wire::worker::TaskState;
 use std::cmp::Reverse;
@@ -22,10 +22,10 @@
 const PATIENT: u64 = 1 << 50;
 
 /// What room is to be made for.
-pub(super) struct Seek<'a> {
-    pub w: &'a Wanted,
+pub(super) struct PreemptionSearch<'a> {
+    pub w: &'a OfferRequest,
     pub shape: &'a Shape,
-    pub fits: &'a Fits,
+    pub fits: &'a EligibilityTable,
     pub rank: Option<Rank>,
     /// How many tasks each zone may take.
     pub zones: &'a [u32],
@@ -33,10 +33,10 @@
     pub gpus: bool,
 }
 
-impl Seek<'_> {
+impl PreemptionSearch<'_> {
     /// Of gangs of several tasks, which wait for a zone, only the first in line has machines set
     /// aside: when each held some, all stood still. Whether this is one that is not the first.
-    fn behind(&self, line: &InLine, g: Group) -> bool {
+    fn behind(&self, line: &GangQueue, g: Group) -> bool {
         let several = self.w.line.is_some_and(|l| l.zone.is_some());
         several && self.rank.is_some_and(|r| line.behind(r, g))
     }
@@ -45,14 +45,19 @@
 impl Participant {
     /// Stops less important tasks so that up to `count` tasks of the job find room soon.
     /// False: there was no machine on which anything could be done for it.
-    pub(super) fn make_room(&mut self, ctx: &mut Ctx, seek: &Seek, count: u32) -> bool {
+    pub(super) fn make_room(
+        &mut self,
+        ctx: &mut Context,
+        seek: &PreemptionSearch,
+        count: u32,
+    ) -> bool {
         let now = ctx.now;
-        let Seek { w, shape, rank, zones, .. } = *seek;
+        let PreemptionSearch { w, shape, rank, zones, .. } = *seek;
         let job = JobId(w.job);
-        let have = self.claims.count(job);
+        let have = self.reservations.count(job);
         let machines = &self.machines;
-        let line = &self.line;
-        self.claims.prolong(job, rank, now + 3000, |idx| {
+        let line = &self.gang_queue;
+        self.reservations.prolong(job, rank, now + 3000, |idx| {
             let m = machines.get(&idx).filter(|m| !m.lapsed && m.notice.is_none());
             let group = m.and_then(|m| Some((m.kind?, m.zone?, m.spot)));
             let room = group.and_then(|g| zones.get(g.1 .0 as usize));
@@ -61,7 +66,7 @@
         });
         // What is done to one machine leaves the others as they are: each is judged once, and
         // again only after it was chosen.
-        let look = |p: &Participant, ctx: &Ctx, g: Group, idx: MachineIdx| {
+        let look = |p: &Participant, ctx: &Context, g: Group, idx: MachineIdx| {
             let (cost, keys) = p.sacrifice(ctx, seek, g, idx, p.machines.get(&idx)?)?;
             Some((Reverse((cost, idx)), g, keys))
         };
@@ -70,12 +75,12 @@
             return true;
         }
         let mut best = BinaryHeap::new();
-        for g in self.stock.groups() {
+        for g in self.capacity_index.groups() {
             if !self.may_make_room(ctx, seek, g) {
                 continue;
             }
-            for idx in self.stock.with_free(g, 0) {
-                ctx.out.looked += 1;
+            for idx in self.capacity_index.with_free(g, 0) {
+                ctx.effects.looked += 1;
                 best.extend(look(self, ctx, g, idx));
             }
         }
@@ -89,14 +94,14 @@
                 let Some(t) = m.tasks.get_mut(&k) else { continue };
                 let save = t.shape.as_ref().filter(|s| s.wire.checkpoint_s > 0.0);
                 let grace_s = match (save, t.phase) {
-                    (Some(s), Phase::On(TaskState::Running)) => s.wire.save_s + 2.0,
+                    (Some(s), TaskPhase::On(TaskState::Running)) => s.wire.save_s + 2.0,
                     _ => 0.0,
                 };
                 until = until.max(now + 3000 + (grace_s * 1000.0) as u64);
-                t.stop = Some(StopWish { grace_s, since: now });
+                t.stop = Some(StopRequest { grace_s, since: now });
             }
             m.recount();
-            self.claims.add(idx, Claim { job, need: shape.need, until, patient, rank });
+            self.reservations.add(idx, Reservation { job, need: shape.need, until, patient, rank });
             self.dirty.insert(idx);
             best.extend(look(self, ctx, g, idx));
         }
@@ -104,25 +109,25 @@
     }
 
     /// Whether room for the job may be made on machines of this group at all.
-    fn may_make_room(&self, ctx: &Ctx, seek: &Seek, g: Group) -> bool {
+    fn may_make_room(&self, ctx: &Context, seek: &PreemptionSearch, g: Group) -> bool {
         let (kind, zone, spot) = g;
         fit(seek.fits, kind, spot).is_some_and(|f| f.allowed)
             && seek.zones.get(zone.0 as usize).is_some_and(|&r| r > 0)
             && (seek.gpus || ctx.names.room_of_type(kind).gpu == 0)
-            && !seek.behind(&self.line, g)
+            && !seek.behind(&self.gang_queue, g)
     }
 
     /// What it would cost to make room for a task of the job on this machine of that group, and
     /// whom to stop.
     fn sacrifice(
         &self,
-        ctx: &Ctx,
-        seek: &Seek,
+        ctx: &Context,
+        seek: &PreemptionSearch,
         (kind, _, _): Group,
         idx: MachineIdx,
         m: &Machine,
-    ) -> Option<((u64, bool), Vec<Key>)> {
-        let Seek { w, shape, fits, rank, .. } = *seek;
+    ) -> Option<((u64, bool), Vec<AttemptKey>)> {
+        let PreemptionSearch { w, shape, fits, rank, .. } = *seek;
         let now = ctx.now;
         let job = JobId(w.job);
         // What is idle and was not offered is kept for others: not claimed from under them. (Found
@@ -143,7 +148,7 @@
         }
         let whole = ctx.names.room_of_type(kind);
         // Set aside for work that waits for it: not taken from under it.
-        if self.claims.on(idx).iter().any(|c| c.patient && c.bars(job, rank)) {
+        if self.reservations.on(idx).iter().any(|c| c.patient && c.bars(job, rank)) {
             return None;
         }
         let mut cands = Vec::new();
@@ -180,7 +185,7 @@
             // it becomes free.
             None if waits => {
                 let mut later = self.lasting_room(idx, m, whole);
-                let others = self.claims.on(idx).iter();
+                let others = self.reservations.on(idx).iter();
                 for c in others.filter(|c| c.bars(JobId(u64::MAX), rank)) {
                     later.sub(c.need, 1);
                 }
@@ -200,27 +205,27 @@
 
     /// A replica that keeps a machine from a gang that waits for it: one of the machine with the
     /// fewest of them.
-    fn in_the_way(&self, ctx: &Ctx) -> Option<(MachineIdx, Key, Shape, ZoneIdx)> {
+    fn in_the_way(&self, ctx: &Context) -> Option<(MachineIdx, AttemptKey, Shape, ZoneIdx)> {
         let now = ctx.now;
-        let replica = |t: &&TaskOn| {
+        let replica = |t: &&TaskOnMachine| {
             !t.over() && t.shape.as_ref().is_some_and(|s| s.wire.kind == Kind::Service)
         };
-        let mut best: Option<(usize, MachineIdx, Key, Shape, ZoneIdx)> = None;
+        let mut best: Option<(usize, MachineIdx, AttemptKey, Shape, ZoneIdx)> = None;
         for (idx, m, g, later) in self.gpu_machines(ctx.names) {
             let mut bare = later;
             for s in m.tasks.values().filter(replica).filter_map(|t| t.shape.as_ref()) {
                 bare.add(s.need, 1);
             }
-            let mut needs = self.line.needs(g, Priority::Low);
+            let mut needs = self.gang_queue.needs(g, Priority::Low);
             let blocked = needs.any(|need| later.fits(need) == 0 && bare.fits(need) > 0);
             let count = m.tasks.values().filter(replica).count();
             if !blocked || best.as_ref().is_some_and(|b| (b.0, b.1) <= (count, idx)) {
                 continue;
             }
             // Not one that has just come.
-            let settled = |t: &TaskOn| {
+            let settled = |t: &TaskOnMachine| {
                 t.stop.is_none()
-                    && t.phase == Phase::On(TaskState::Running)
+                    && t.phase == TaskPhase::On(TaskState::Running)
                     && t.on_since.is_some_and(|s| now > s + SETTLED_MS)
             };
             let movable = m.tasks.iter().find(|(_, t)| replica(t) && settled(t));
@@ -233,19 +238,19 @@
 
     /// Moves replicas from machines that gangs wait for to others, where room is made for them
     /// first. They got there when there was no other room, and would stay for good.
-    pub(super) fn move_replicas(&mut self, ctx: &mut Ctx) {
+    pub(super) fn move_replicas(&mut self, ctx: &mut Context) {
         let now = ctx.now;
-        if now < self.move_at || !ctx.valid || self.line.is_empty() {
+        if now < self.move_at || !ctx.valid || self.gang_queue.is_empty() {
             return;
         }
         self.move_at = now + MOVE_MS;
-        self.claims.expire(now);
+        self.reservations.expire(now);
         self.reindex(ctx.names);
-        self.line.settle(now, self.stock.groups());
+        self.gang_queue.settle(now, self.capacity_index.groups());
         let Some((idx, key, shape, zone)) = self.in_the_way(ctx) else { return };
         let mut zone_room = vec![0; ctx.names.zones.len()];
         zone_room[zone.0 as usize] = 1;
-        let w = Wanted {
+        let w = OfferRequest {
             job: key.0 .0,
             shape: shape.wire.clone(),
             count: 1,
@@ -255,8 +260,8 @@
             anywhere: false,
             line: None,
         };
-        let before = self.claims.count(key.0);
-        let seek = Seek {
+        let before = self.reservations.count(key.0);
+        let seek = PreemptionSearch {
             w: &w,
             shape: &shape,
             fits: &fits_of(ctx.names, &w.shape, w.pressing),
@@ -265,13 +270,14 @@
             gpus: false,
         };
         self.make_room(ctx, &seek, before + 1);
-        if self.claims.count(key.0) == before {
+        if self.reservations.count(key.0) == before {
             return;
         }
-        ctx.out.log(2, "replica_moved", || format!("{} task {} from {}", key.0 .0, key.1, idx.0));
+        ctx.effects
+            .log(2, "replica_moved", || format!("{} task {} from {}", key.0 .0, key.1, idx.0));
         if let Some(m) = self.machines.get_mut(&idx) {
             if let Some(t) = m.tasks.get_mut(&key) {
-                t.stop = Some(StopWish { grace_s: 0.0, since: now });
+                t.stop = Some(StopRequest { grace_s: 0.0, since: now });
             }
             m.recount();
             self.dirty.insert(idx);
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -1,13 +1,13 @@
 //! A participant by itself: what it offers, claims and calls lost.
 use super::*;
-use crate::budget::Budget;
-use crate::ctx::{Config, Ops};
+use crate::budget::WriteBudget;
+use crate::context::{Config, PendingOperations};
 use crate::ids::NodeIdx;
-use crate::io::{Out, Output};
-use crate::jobs::Aims;
+use crate::io::{Effect, Effects};
+use crate::jobs::Objectives;
 use crate::shard::{Owner, ShardView};
 use leaddeal_wire::cloud::{Catalog, MachineType};
-use leaddeal_wire::mesh::{Line, Shape as WireShape, Wanted};
+use leaddeal_wire::mesh::{OfferRequest, QueuePosition, Shape as WireShape};
 use leaddeal_wire::user::Kind;
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 struct World {
     names: Names,
     cfg: Config,
-    budget: Budget,
+    budget: WriteBudget,
     horizons: Horizons,
     view: Vec<ShardView>,
 }
@@ -51,25 +51,29 @@
             list_lag_ms: 3000,
             cloud_gap_ms: 100,
             teams: Vec::new(),
-            aims: Aims::default(),
+            aims: Objectives::default(),
         };
         let mut shard = ShardView::default();
         shard.own(Owner { node: NodeIdx(0), boot: 1, epoch: EPOCH }, 0);
         let horizons = Horizons::new(NodeIdx(0), 1, 1, cfg.cancel_ms, LEASE_MS);
-        World { names, cfg, budget: Budget::new(50.0, 1, 1), horizons, view: vec![shard] }
+        World { names, cfg, budget: WriteBudget::new(50.0, 1, 1), horizons, view: vec![shard] }
     }
 
     /// Does something at that time; returns the messages sent and the events logged.
-    fn at(&mut self, now: Now, f: impl FnOnce(&mut Ctx)) -> (Vec<ShardMsg>, Vec<&'static str>) {
-        let mut out = Out { now, list: Vec::new(), looked: 0 };
-        let mut ops = Ops { next: 0, open: HashMap::new() };
+    fn at(
+        &mut self,
+        now: Timestamp,
+        f: impl FnOnce(&mut Context),
+    ) -> (Vec<ShardMessage>, Vec<&'static str>) {
+        let mut effects = Effects { now, list: Vec::new(), looked: 0 };
+        let mut ops = PendingOperations { next: 0, open: HashMap::new() };
         let (mut sends, mut relays) = (VecDeque::new(), HashMap::new());
-        f(&mut Ctx {
+        f(&mut Context {
             now,
             time_ms: now,
             valid: true,
             wake: false,
-            out: &mut out,
+            effects: &mut effects,
             names: &mut self.names,
             cfg: &self.cfg,
             budget: &mut self.budget,
@@ -81,22 +85,22 @@
             sends: &mut sends,
             relays: &mut relays,
         });
-        let logged = out.list.iter().filter_map(|o| match o {
-            Output::Log(_, event, _) => Some(*event),
+        let logged = effects.list.iter().filter_map(|o| match o {
+            Effect::Log(_, event, _) => Some(*event),
             _ => None,
         });
         (sends.into_iter().map(|s| s.2).collect(), logged.collect())
     }
 }
 
-fn report(machine: &str, seq: u64) -> Report {
-    Report {
+fn report(machine: &str, seq: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         machine: machine.into(),
         addr: "10.9.0.1:1".into(),
         type_name: "big".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         seq,
         token: EPOCH.0,
         notice_s: None,
@@ -104,7 +108,7 @@
     }
 }
 
-fn wanted(job: u64, kind: Kind, count: u32, line: Option<Line>) -> Wanted {
+fn wanted(job: u64, kind: Kind, count: u32, line: Option<QueuePosition>) -> OfferRequest {
     let gang = kind == Kind::Gang;
     let shape = WireShape {
         kind,
@@ -120,7 +124,7 @@
         checkpoint_s: 0.0,
         estimate_s: 30.0,
     };
-    Wanted {
+    OfferRequest {
         job,
         shape: Arc::new(shape),
         count,
@@ -143,24 +147,26 @@
             p.report(c, &report(m, 1), None).expect("an answer");
         }
     });
-    let mut ask = |p: &mut Participant, now, negotiation, item: Wanted| {
+    let mut ask = |p: &mut Participant, now, negotiation, item: OfferRequest| {
         let items = vec![item];
-        let msg = ShardMsg::Request { negotiation, items, gpu_work: Vec::new() };
+        let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
         let (sent, _) = w.at(now, |c| p.handle(c, Shard(0), EPOCH, msg));
         let offered = sent.iter().find_map(|m| match m {
-            ShardMsg::Offers { offers, .. } => Some(offers.iter().map(|o| o.count).sum::<u32>()),
+            ShardMessage::Offers { offers, .. } => {
+                Some(offers.iter().map(|o| o.count).sum::<u32>())
+            }
             _ => None,
         });
         w.at(now, |c| {
-            p.handle(c, Shard(0), EPOCH, ShardMsg::Close { negotiation });
+            p.handle(c, Shard(0), EPOCH, ShardMessage::CloseNegotiation { negotiation });
         });
         offered.expect("an answer")
     };
     // Two of its four tasks would fit: it stands in line for the zone.
-    let line = Line { late: 0, due_ms: 9000, stands: true, zone: Some(0) };
+    let line = QueuePosition { late: 0, due_ms: 9000, stands: true, zone: Some(0) };
     ask(&mut p, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
     assert_eq!(ask(&mut p, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
-    assert_eq!(p.claims.count(JobId(8)), 0, "and it claims nothing");
+    assert_eq!(p.reservations.count(JobId(8)), 0, "and it claims nothing");
     assert_eq!(ask(&mut p, 400, 3, wanted(7, Kind::Gang, 4, Some(line))), 2, "the gang may");
 }
 
@@ -195,12 +201,12 @@
 fn copies_of_an_ended_session_prove_nothing() {
     let mut w = World::new();
     let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
-    let new = Report { session: 2, ..report("n-000001", 1) };
+    let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
     w.at(1000, |c| {
         p.report(c, &report("n-000001", 7), None).expect("the first session's");
         p.report(c, &new, None).expect("the second's");
     });
-    let granted = |p: &Participant| p.machines.values().next().map(|m| (m.granted, m.session));
+    let granted = |p: &Participant| p.machines.values().next().map(|m| (m.granted, m.incarnation));
     let before = granted(&p);
     w.at(9000, |c| assert!(p.report(c, &report("n-000001", 9), None).is_none()));
     assert_eq!(granted(&p), before);
@@ -211,12 +217,12 @@
 fn a_deaf_machine_gets_no_work_until_it_hears() {
     let mut w = World::new();
     let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
-    let offered = |w: &mut World, p: &mut Participant, now: Now, negotiation| {
+    let offered = |w: &mut World, p: &mut Participant, now: Timestamp, negotiation| {
         let items = vec![wanted(8, Kind::Array, 1, None)];
-        let ask = ShardMsg::Request { negotiation, items, gpu_work: Vec::new() };
+        let ask = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
         let (sent, _) = w.at(now, |c| p.handle(c, Shard(0), EPOCH, ask));
-        w.at(now, |c| p.handle(c, Shard(0), EPOCH, ShardMsg::Close { negotiation }));
-        sent.iter().any(|m| matches!(m, ShardMsg::Offers { offers, .. } if !offers.is_empty()))
+        w.at(now, |c| p.handle(c, Shard(0), EPOCH, ShardMessage::CloseNegotiation { negotiation }));
+        sent.iter().any(|m| matches!(m, ShardMessage::Offers { offers, .. } if !offers.is_empty()))
     };
     let hear = |w: &mut World, p: &mut Participant, now, seq, via: Option<u8>| {
         let via = via.map(NodeIdx);
@@ -241,12 +247,12 @@
 /// After a takeover a silent machine is waited for until no older owner can have answered it.
 #[test]
 fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
-    let lost_at = |let_go: Option<Now>| {
+    let lost_at = |let_go: Option<Timestamp>| {
         let mut w = World::new();
         let mut p = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
-        let pick = Pick { task: 0, attempt: 3, machine: "n-000001".into(), session: 1 };
+        let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
-        let place = ShardMsg::Place { job: 7, shape, picks: vec![pick], adopt: true };
+        let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
         w.at(1100, |c| p.handle(c, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
             if let_go.is_some_and(|at| now >= at) {
@@ -278,14 +284,14 @@
         if over {
             w.horizons.cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
-        let pick = Pick { task: 0, attempt: 3, machine: "n-000001".into(), session: 1 };
+        let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
-        let place = ShardMsg::Place { job: 7, shape, picks: vec![pick], adopt: false };
+        let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         w.at(1100, |c| {
             p.handle(c, Shard(0), Epoch(epoch), place);
             p.flush(c);
-            sent = c.out.list.iter().filter(|o| matches!(o, Output::Orders { .. })).count();
+            sent = c.effects.list.iter().filter(|o| matches!(o, Effect::Commands { .. })).count();
         });
         sent
     };
--- a/crates/core/src/placed.rs
+++ b/crates/core/src/placed.rs
@@ -3,8 +3,8 @@
 //! Invariant: `in_zone` and `running` are the sums over `by_task`; only this file changes a
 //! placement's zone or phase. (They were summed up at every question of a user and twice a round,
 //! which grew with the job.)
-use crate::ids::{Attempt, MachineIdx, Now, Shard, ZoneIdx};
-use leaddeal_wire::mesh::Phase;
+use crate::ids::{Attempt, MachineIdx, Shard, Timestamp, ZoneIdx};
+use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::TaskState;
 use std::collections::BTreeMap;
 
@@ -14,25 +14,25 @@
     pub machine: MachineIdx,
     /// The participant that the machine belongs to.
     pub participant: Shard,
-    pub session: u64,
+    pub incarnation: u64,
     pub zone: ZoneIdx,
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// Number of the decision that holds it.
     pub round: u64,
-    pub placed_at: Now,
+    pub placed_at: Timestamp,
     /// When `Place` was last sent.
-    pub sent_at: Now,
+    pub sent_at: Timestamp,
     /// Grace and the time at which `Stop` was last sent.
-    pub stop: Option<(f64, Now)>,
+    pub stop: Option<(f64, Timestamp)>,
     /// From a decision of an older epoch, and not seen on its machine yet.
     pub adopted: bool,
     /// Team with a limit, and what the task takes of it.
     pub team: Option<(u8, u64, u64)>,
 }
 
-/// Shown to users as running.
-fn runs(p: Phase) -> bool {
-    matches!(p, Phase::On(TaskState::Running | TaskState::Saving))
+/// MachineSummary to users as running.
+fn runs(p: TaskPhase) -> bool {
+    matches!(p, TaskPhase::On(TaskState::Running | TaskState::Saving))
 }
 
 #[derive(Clone, Debug, Default)]
@@ -112,12 +112,12 @@
         Some(p)
     }
 
-    pub fn set_phase(&mut self, task: u32, phase: Phase) {
+    pub fn set_phase(&mut self, task: u32, phase: TaskPhase) {
         if let Some(p) = self.by_task.get_mut(&task) {
             self.running -= u32::from(runs(p.phase));
             self.running += u32::from(runs(phase));
             p.phase = phase;
-            p.adopted &= phase == Phase::Decided;
+            p.adopted &= phase == TaskPhase::Decided;
         }
     }
 
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -1,5 +1,5 @@
 //! Whom to stop so that more important work finds room.
-use crate::names::Room;
+use crate::names::Resources;
 use leaddeal_wire::user::Priority;
 
 /// A task that could be stopped.
@@ -7,7 +7,7 @@
 pub struct Candidate<K> {
     pub key: K,
     pub priority: Priority,
-    pub need: Room,
+    pub need: Resources,
     /// Work lost by stopping it, in thousandths of core-seconds or the like.
     pub loss: u64,
 }
@@ -15,8 +15,8 @@
 /// The cheapest set of less important tasks whose room, added to `free`, lets `need` in at
 /// least once. Least important first, then the least loss.
 pub fn victims<K: Clone>(
-    free: Room,
-    need: Room,
+    free: Resources,
+    need: Resources,
     priority: Priority,
     mut tasks: Vec<Candidate<K>>,
 ) -> Option<(Vec<K>, u64)> {
--- a/crates/core/src/preemption/tests.rs
+++ b/crates/core/src/preemption/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn stops_only_lower_and_no_more_than_needed() {
-    let r = |cpu| Room { cpu, gpu: 0, mem: 0 };
+    let r = |cpu| Resources { cpu, gpu: 0, mem: 0 };
     let c = |key, priority, cpu, loss| Candidate { key, priority, need: r(cpu), loss };
     let tasks = vec![
         c(1, Priority::Normal, 2, 0),
--- a/crates/core/src/provisioner/boots/tests.rs
+++ b/crates/core/src/provisioner/boot_times/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn at(zone: &str) -> Where {
+fn at(zone: &str) -> BootLocation {
     ("mule".into(), zone.into())
 }
 
 #[test]
 fn slow_boots_are_waited_for_where_they_were_seen() {
-    let mut b = Boots::default();
+    let mut b = BootTimes::default();
     let (a, said) = (at("a"), 25_000);
     assert_eq!((b.counts_ms(&a, said), b.given_up_ms(&a, said)), (42_000, 85_000));
     for ms in [400, 700, 600] {
@@ -26,7 +26,7 @@
 
 #[test]
 fn several_late_ones_are_trouble_until_they_came_or_went() {
-    let mut b = Boots::default();
+    let mut b = BootTimes::default();
     b.set_late([at("a"), at("b"), at("a")].into_iter());
     assert!(b.in_trouble(&at("a")) && !b.in_trouble(&at("b")));
     b.set_late([at("a")].into_iter());
--- a/crates/core/src/provisioner/rentals.rs
+++ b/crates/core/src/provisioner/instance_requests.rs
@@ -1,4 +1,4 @@
-//! Rentals under way: each named, and repeated under its name until its outcome is known.
+//! InstanceRequests under way: each named, and repeated under its name until its outcome is known.
 //!
 //! Invariants:
 //! - a name is used for one request only: it contains the provisioner's epoch, and a number that grows;
@@ -9,9 +9,9 @@
 //! (There was one at a time: from an empty fleet waits grew in step with the fleet, whatever the
 //! cloud allowed.)
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, Now};
+use crate::ids::{Epoch, Timestamp};
 use crate::io::CloudResult;
-use leaddeal_wire::cloud::Rent;
+use leaddeal_wire::cloud::InstanceRequest;
 use std::collections::BTreeMap;
 
 /// Under way at once. The cloud's limit of calls keeps them apart; so many may wait for answers.
@@ -22,33 +22,33 @@
 
 #[derive(Clone, Debug)]
 struct Asked {
-    rent: Rent,
-    since: Now,
+    rent: InstanceRequest,
+    since: Timestamp,
     /// Its outcome is unknown: the same name is asked again until there is an answer.
     unsure: bool,
-    retry_at: Now,
+    retry_at: Timestamp,
     in_flight: bool,
 }
 
 /// What became of a request.
 #[derive(Debug, PartialEq)]
-pub enum Came {
+pub enum RequestOutcome {
     /// Rented, perhaps fewer than asked for.
-    Machines(Rent, Vec<String>),
+    Machines(InstanceRequest, Vec<String>),
     /// There are none to be had.
-    Nothing(Rent),
+    Nothing(InstanceRequest),
     /// Not executed, or not known yet.
     NotYet,
 }
 
 #[derive(Debug, Default)]
-pub struct Rentals {
+pub struct InstanceRequests {
     /// By number, in the order of urgency.
     asked: BTreeMap<u64, Asked>,
     next: u64,
 }
 
-impl Rentals {
+impl InstanceRequests {
     pub fn room(&self) -> usize {
         MOST.saturating_sub(self.asked.len())
     }
@@ -58,7 +58,7 @@
         self.asked.values().any(|a| !a.in_flight && !a.unsure)
     }
 
-    pub fn add(&mut self, epoch: Epoch, mut rent: Rent, now: Now) {
+    pub fn add(&mut self, epoch: Epoch, mut rent: InstanceRequest, now: Timestamp) {
         self.next += 1;
         // The epoch makes the name one that no other owner ever uses.
         rent.request = {
@@ -71,47 +71,47 @@
     }
 
     /// The next request to be sent, with its number.
-    pub fn send(&mut self, now: Now) -> Option<(u64, Rent)> {
+    pub fn send(&mut self, now: Timestamp) -> Option<(u64, InstanceRequest)> {
         let due = |a: &&mut Asked| !a.in_flight && now >= a.retry_at;
         let (&number, a) = self.asked.iter_mut().find(|(_, a)| due(a))?;
         a.in_flight = true;
         Some((number, a.rent.clone()))
     }
 
-    pub fn take(&mut self, now: Now, number: u64, result: CloudResult) -> Came {
+    pub fn take(&mut self, now: Timestamp, number: u64, result: CloudResult) -> RequestOutcome {
         let Some(a) = self.asked.get_mut(&number) else {
-            return Came::NotYet;
+            return RequestOutcome::NotYet;
         };
         a.in_flight = false;
         let over = match result {
-            CloudResult::Rented(names) => Some(Ok(names)),
+            CloudResult::Launched(names) => Some(Ok(names)),
             CloudResult::NoCapacity => Some(Err(())),
             CloudResult::Refused if !a.unsure => {
                 self.asked.remove(&number);
-                return Came::NotYet;
+                return RequestOutcome::NotYet;
             }
             CloudResult::Refused => None,
             CloudResult::Catalog(_)
             | CloudResult::Released
-            | CloudResult::Listing(_)
+            | CloudResult::InstanceList(_)
             | CloudResult::Unknown => {
                 a.unsure = true;
                 None
             }
         };
         match (over, self.asked.remove(&number)) {
-            (Some(Ok(names)), Some(a)) => Came::Machines(a.rent, names),
-            (Some(Err(())), Some(a)) => Came::Nothing(a.rent),
+            (Some(Ok(names)), Some(a)) => RequestOutcome::Machines(a.rent, names),
+            (Some(Err(())), Some(a)) => RequestOutcome::Nothing(a.rent),
             (None, Some(a)) => {
                 self.asked.insert(number, Asked { retry_at: now + AGAIN_MS, ..a });
-                Came::NotYet
+                RequestOutcome::NotYet
             }
-            (_, None) => Came::NotYet,
+            (_, None) => RequestOutcome::NotYet,
         }
     }
 
     /// What is coming if all of it is rented: counted as room already asked for.
-    pub fn coming(&self) -> impl Iterator<Item = (&Rent, Now)> {
+    pub fn coming(&self) -> impl Iterator<Item = (&InstanceRequest, Timestamp)> {
         self.asked.values().map(|a| (&a.rent, a.since))
     }
 }
--- a/crates/core/src/provisioner/rentals/tests.rs
+++ b/crates/core/src/provisioner/instance_requests/tests.rs
@@ -3,9 +3,9 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap};
 
-fn rent(count: u32) -> Rent {
+fn rent(count: u32) -> InstanceRequest {
     let (type_name, zone) = ("mule".to_string(), "a".to_string());
-    Rent { request: String::new(), type_name, zone, spot: false, count }
+    InstanceRequest { request: String::new(), type_name, zone, spot: false, count }
 }
 
 /// A cloud that executes requests and loses the answers, answers late, refuses, runs out: every
@@ -14,7 +14,7 @@
 fn every_machine_rented_is_heard_of_once() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut r = Rentals::default();
+        let mut r = InstanceRequests::default();
         let mut cloud: HashMap<String, (u32, Vec<String>)> = HashMap::new();
         let mut heard = BTreeSet::new();
         let mut late: Vec<(u64, CloudResult)> = Vec::new();
@@ -31,7 +31,7 @@
                     _ if refused => CloudResult::Refused,
                     Some((count, names)) => {
                         assert_eq!(*count, rent.count, "a name means one thing");
-                        CloudResult::Rented(names.clone())
+                        CloudResult::Launched(names.clone())
                     }
                     None if rng.random_bool(0.2) => CloudResult::NoCapacity,
                     None => {
@@ -40,7 +40,7 @@
                             (0..n).map(|i| format!("n-{}", machines + i)).collect();
                         machines += n;
                         cloud.insert(rent.request.clone(), (rent.count, names.clone()));
-                        CloudResult::Rented(names)
+                        CloudResult::Launched(names)
                     }
                 };
                 let lost = step < 2500 && rng.random_bool(0.3);
@@ -49,7 +49,7 @@
             most = most.max(r.coming().count());
             while !late.is_empty() && rng.random_bool(0.5) {
                 let (number, result) = late.swap_remove(rng.random_range(0..late.len()));
-                if let Came::Machines(_, names) = r.take(now, number, result) {
+                if let RequestOutcome::Machines(_, names) = r.take(now, number, result) {
                     for n in names {
                         assert!(heard.insert(n), "seed {seed}: heard of twice");
                     }
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -1,19 +1,19 @@
 //! Rents and returns machines for all participants, from the owner of one fixed shard.
-use crate::ctx::{Ctx, OpKind, ProvisionerOp};
-use crate::ids::{Epoch, Now, Shard, TypeIdx, ZoneIdx, PROVISIONER_SHARD};
+use crate::context::{Context, Operation, ProvisionerOperation};
+use crate::ids::{Epoch, Shard, Timestamp, TypeIdx, ZoneIdx, PROVISIONER_SHARD};
 use crate::io::{CloudCall, CloudResult};
-use crate::names::{older, Room};
-use leaddeal_wire::cloud::{Listed, ListedStatus, Rent};
-use leaddeal_wire::mesh::{Lack, MachineInfo, ShardMsg};
+use crate::names::{older, Resources};
+use leaddeal_wire::cloud::{Instance, InstanceRequest, InstanceStatus};
+use leaddeal_wire::mesh::{MachineInfo, ShardMessage, UnmetDemand};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-mod boots;
-mod rentals;
+mod boot_times;
+mod instance_requests;
 
-use boots::{Boots, Where};
-use rentals::{Came, Rentals, MOST_A_CALL};
+use boot_times::{BootLocation, BootTimes};
+use instance_requests::{InstanceRequests, RequestOutcome, MOST_A_CALL};
 
 const LIST_MS: u64 = 3000;
 const PLAN_MS: u64 = 1000;
@@ -31,88 +31,95 @@
     type_name: String,
     zone: String,
     spot: bool,
-    since: Now,
+    since: Timestamp,
 }
 
 /// What a participant has told of its machines.
 #[derive(Debug, Default)]
 struct ParticipantView {
     /// When its last message came, and that one's number.
-    at: Now,
+    at: Timestamp,
     serial: u64,
     /// With when each was told.
-    machines: BTreeMap<String, (Now, MachineInfo)>,
+    machines: BTreeMap<String, (Timestamp, MachineInfo)>,
 }
 
 #[derive(Debug)]
 pub struct Provisioner {
     epoch: Epoch,
-    since: Now,
-    lacks: BTreeMap<Shard, (Now, Vec<Lack>)>,
+    since: Timestamp,
+    lacks: BTreeMap<Shard, (Timestamp, Vec<UnmetDemand>)>,
     participants: BTreeMap<Shard, ParticipantView>,
     booting: BTreeMap<String, Booting>,
-    listed: BTreeMap<String, Listed>,
-    page: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, Instance>,
+    page: BTreeMap<String, Instance>,
     list_in_flight: bool,
     /// No call to the cloud before this time: its limit is kept to.
-    next_call: Now,
-    list_at: Now,
+    next_call: Timestamp,
+    list_at: Timestamp,
     /// Last complete list, and when the call for it was sent.
     list_known: bool,
-    plan_at: Now,
-    rentals: Rentals,
-    boots: Boots,
+    plan_at: Timestamp,
+    instance_requests: InstanceRequests,
+    boot_times: BootTimes,
     /// Spent on machines that never came up, in the prices' unit.
     vain: f64,
-    refused: HashMap<(String, String, bool), Now>,
-    draining: BTreeMap<String, Now>,
+    refused: HashMap<(String, String, bool), Timestamp>,
+    draining: BTreeMap<String, Timestamp>,
     to_release: BTreeSet<String>,
     releasing: Vec<String>,
-    release_retry: Now,
+    release_retry: Timestamp,
     /// Never reported though listed as running, by name, since when.
-    silent: BTreeMap<String, Now>,
+    silent: BTreeMap<String, Timestamp>,
     gone: BTreeSet<String>,
     /// Machines up to this name were there before the service: the operator's own.
     base: Option<String>,
     base_asked: bool,
-    prices_at: Now,
+    prices_at: Timestamp,
 }
 
 impl Booting {
-    fn of(rent: &Rent, since: Now) -> Booting {
+    fn of(rent: &InstanceRequest, since: Timestamp) -> Booting {
         let (type_name, zone) = (rent.type_name.clone(), rent.zone.clone());
         Booting { type_name, zone, spot: rent.spot, since }
     }
 
-    fn place(&self) -> Where {
+    fn place(&self) -> BootLocation {
         (self.type_name.clone(), self.zone.clone())
     }
 }
 
 /// What the catalog says that a boot of this type takes.
-fn said_ms(ctx: &Ctx, type_name: &str) -> u64 {
+fn said_ms(ctx: &Context, type_name: &str) -> u64 {
     let kind = ctx.names.type_idx(type_name);
     (kind.map_or(60.0, |i| ctx.names.catalog[i.0 as usize].boot_s).max(0.0) * 1000.0) as u64
 }
 
 /// A machine that is coming up, or asked for, with the room that nobody's lack has taken.
 #[derive(Clone, Debug)]
-struct Coming {
+struct PendingInstance {
     kind: TypeIdx,
     zone: Option<ZoneIdx>,
     spot: bool,
-    room: Room,
+    room: Resources,
 }
 
-impl Coming {
-    fn of(ctx: &Ctx, b: &Booting) -> Option<Coming> {
+impl PendingInstance {
+    fn of(ctx: &Context, b: &Booting) -> Option<PendingInstance> {
         let kind = ctx.names.type_idx(&b.type_name)?;
         let (room, zone) = (ctx.names.room_of_type(kind), ctx.names.zone(&b.zone));
-        Some(Coming { kind, zone, spot: b.spot, room })
+        Some(PendingInstance { kind, zone, spot: b.spot, room })
     }
 
     /// Takes room for at most `left` tasks of a lack; `zones`: how many more each zone may have.
-    fn take(&mut self, ctx: &Ctx, l: &Lack, need: Room, left: u64, zones: &mut [u64]) -> u64 {
+    fn take(
+        &mut self,
+        ctx: &Context,
+        l: &UnmetDemand,
+        need: Resources,
+        left: u64,
+        zones: &mut [u64],
+    ) -> u64 {
         let zone = self.zone.and_then(|z| zones.get_mut(z.0 as usize));
         let Some(zone) = zone.filter(|z| **z > 0) else { return 0 };
         let n = self.room.fits(need).min(left).min(*zone);
@@ -126,7 +133,7 @@
 }
 
 impl Provisioner {
-    pub fn new(epoch: Epoch, now: Now) -> Provisioner {
+    pub fn new(epoch: Epoch, now: Timestamp) -> Provisioner {
         Provisioner {
             epoch,
             since: now,
@@ -140,8 +147,8 @@
             list_at: now,
             list_known: false,
             plan_at: now,
-            rentals: Rentals::default(),
-            boots: Boots::default(),
+            instance_requests: InstanceRequests::default(),
+            boot_times: BootTimes::default(),
             vain: 0.0,
             refused: HashMap::new(),
             draining: BTreeMap::new(),
@@ -156,15 +163,15 @@
         }
     }
 
-    pub fn handle(&mut self, ctx: &mut Ctx, from: Shard, msg: ShardMsg) {
+    pub fn handle(&mut self, ctx: &mut Context, from: Shard, msg: ShardMessage) {
         match msg {
-            ShardMsg::Lacks { lacks } => {
+            ShardMessage::UnmetDemand { lacks } => {
                 self.lacks.insert(from, (ctx.now, lacks));
             }
-            ShardMsg::Machines { serial, first, machines, gone } => {
+            ShardMessage::Inventory { serial, first, machines, gone } => {
                 let view = self.participants.entry(from).or_default();
                 if !first && view.serial.checked_add(1) != Some(serial) {
-                    ctx.send(PROVISIONER_SHARD, from, ShardMsg::MachinesAgain);
+                    ctx.send(PROVISIONER_SHARD, from, ShardMessage::ResendInventory);
                     return;
                 }
                 if first {
@@ -177,7 +184,7 @@
                 let told = machines.into_iter().map(|m| (m.machine.clone(), (ctx.now, m)));
                 view.machines.extend(told);
             }
-            ShardMsg::Drained { machine } => {
+            ShardMessage::Drained { machine } => {
                 self.draining.remove(&machine);
                 self.to_release.insert(machine);
             }
@@ -199,10 +206,10 @@
 }
 
 impl Provisioner {
-    pub fn cloud(&mut self, ctx: &mut Ctx, what: ProvisionerOp, result: CloudResult) {
+    pub fn cloud(&mut self, ctx: &mut Context, what: ProvisionerOperation, result: CloudResult) {
         let now = ctx.now;
         match (what, result) {
-            (ProvisionerOp::List, CloudResult::Listing(l)) => {
+            (ProvisionerOperation::List, CloudResult::InstanceList(l)) => {
                 self.list_in_flight = false;
                 let last = l.machines.last().map(|m| m.id.clone());
                 for m in l.machines {
@@ -212,7 +219,7 @@
                     self.list_in_flight = true;
                     self.next_call = self.next_call.max(now) + ctx.cfg.cloud_gap_ms;
                     ctx.cloud(
-                        OpKind::Provisioner(self.epoch, ProvisionerOp::List),
+                        Operation::Provisioner(self.epoch, ProvisionerOperation::List),
                         CloudCall::List { after: Some(after) },
                     );
                     return;
@@ -223,44 +230,46 @@
                 self.list_known = true;
                 self.check_list(ctx);
             }
-            (ProvisionerOp::List, _) => {
+            (ProvisionerOperation::List, _) => {
                 self.list_in_flight = false;
                 self.page.clear();
                 self.list_at = now + 2000;
             }
-            (ProvisionerOp::Rent(number), result) => match self.rentals.take(now, number, result) {
-                Came::Machines(rent, names) => {
-                    if (names.len() as u32) < rent.count {
-                        self.refuse(now, &rent);
+            (ProvisionerOperation::Launch(number), result) => {
+                match self.instance_requests.take(now, number, result) {
+                    RequestOutcome::Machines(rent, names) => {
+                        if (names.len() as u32) < rent.count {
+                            self.refuse(now, &rent);
+                        }
+                        ctx.effects.log(1, "rented", || {
+                            format!(
+                                "{} {} {} spot={} {names:?}",
+                                rent.request, rent.type_name, rent.zone, rent.spot
+                            )
+                        });
+                        for n in names {
+                            self.booting.insert(n, Booting::of(&rent, now));
+                        }
+                        self.plan_soon(now);
                     }
-                    ctx.out.log(1, "rented", || {
-                        format!(
-                            "{} {} {} spot={} {names:?}",
-                            rent.request, rent.type_name, rent.zone, rent.spot
-                        )
-                    });
-                    for n in names {
-                        self.booting.insert(n, Booting::of(&rent, now));
+                    RequestOutcome::Nothing(rent) => {
+                        self.refuse(now, &rent);
+                        // Something else may be had at once.
+                        self.plan_soon(now);
                     }
-                    self.plan_soon(now);
-                }
-                Came::Nothing(rent) => {
-                    self.refuse(now, &rent);
-                    // Something else may be had at once.
-                    self.plan_soon(now);
+                    RequestOutcome::NotYet => {}
                 }
-                Came::NotYet => {}
-            },
-            (ProvisionerOp::Release, result) => {
+            }
+            (ProvisionerOperation::Release, result) => {
                 let names = std::mem::take(&mut self.releasing);
                 if matches!(result, CloudResult::Released) {
                     for n in names {
-                        ctx.out.log(1, "released", || n.clone());
+                        ctx.effects.log(1, "released", || n.clone());
                         self.booting.remove(&n);
                         self.listed.remove(&n);
                         self.gone.insert(n.clone());
                         let shard = ctx.shard_of_machine(&n);
-                        ctx.send(PROVISIONER_SHARD, shard, ShardMsg::Released { machine: n });
+                        ctx.send(PROVISIONER_SHARD, shard, ShardMessage::Released { machine: n });
                     }
                 } else {
                     self.release_retry = now + 1000;
@@ -270,38 +279,42 @@
         }
     }
 
-    fn plan_soon(&mut self, now: Now) {
+    fn plan_soon(&mut self, now: Timestamp) {
         self.plan_at = self.plan_at.min(now);
     }
 
-    fn refuse(&mut self, now: Now, r: &Rent) {
+    fn refuse(&mut self, now: Timestamp, r: &InstanceRequest) {
         self.refused.insert((r.type_name.clone(), r.zone.clone(), r.spot), now + REFUSED_MS);
     }
 
     /// Whether the machine's participant has heard of its worker.
-    fn reports(participants: &BTreeMap<Shard, ParticipantView>, ctx: &Ctx, machine: &str) -> bool {
+    fn reports(
+        participants: &BTreeMap<Shard, ParticipantView>,
+        ctx: &Context,
+        machine: &str,
+    ) -> bool {
         let participant = participants.get(&ctx.shard_of_machine(machine));
         participant.is_some_and(|p| p.machines.contains_key(machine))
     }
 
-    fn check_list(&mut self, ctx: &mut Ctx) {
+    fn check_list(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         let participants = &self.participants;
         let mut release = Vec::new();
         for (name, l) in &self.listed {
             let place = (l.type_name.clone(), l.zone.clone());
-            let given_up_ms = self.boots.given_up_ms(&place, said_ms(ctx, &l.type_name));
+            let given_up_ms = self.boot_times.given_up_ms(&place, said_ms(ctx, &l.type_name));
             let overdue = l.age_s * 1000.0 > given_up_ms as f64;
             match l.status {
-                ListedStatus::Failed => release.push(name.clone()),
+                InstanceStatus::Failed => release.push(name.clone()),
                 // Never came up, and is charged until it is returned.
-                ListedStatus::Starting if overdue && !Self::reports(participants, ctx, name) => {
+                InstanceStatus::Starting if overdue && !Self::reports(participants, ctx, name) => {
                     if !self.to_release.contains(name) && !self.releasing.contains(name) {
                         let kind = ctx.names.type_idx(&l.type_name);
                         let price = kind.map_or(0.0, |i| ctx.names.price(i, l.spot));
                         self.vain += price * l.age_s / 3600.0;
                         let (at, vain) = (&place, self.vain);
-                        ctx.out.log(1, "never_up", || {
+                        ctx.effects.log(1, "never_up", || {
                             format!(
                                 "{name} {} {} after {:.0} s, spent on such {vain:.2}",
                                 at.0, at.1, l.age_s
@@ -310,7 +323,7 @@
                     }
                     release.push(name.clone());
                 }
-                ListedStatus::Starting => {
+                InstanceStatus::Starting => {
                     let age = (l.age_s * 1000.0) as u64;
                     self.booting.entry(name.clone()).or_insert_with(|| Booting {
                         type_name: l.type_name.clone(),
@@ -319,9 +332,9 @@
                         since: now.saturating_sub(age),
                     });
                 }
-                ListedStatus::Running => {}
+                InstanceStatus::Running => {}
             }
-            if l.status == ListedStatus::Running && !Self::reports(participants, ctx, name) {
+            if l.status == InstanceStatus::Running && !Self::reports(participants, ctx, name) {
                 self.silent.entry(name.clone()).or_insert(now);
             } else {
                 self.silent.remove(name);
@@ -347,7 +360,7 @@
         }
     }
 
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         if !ctx.valid {
             return;
@@ -357,20 +370,20 @@
             self.list_in_flight = true;
             self.list_at = now + LIST_MS;
             ctx.cloud(
-                OpKind::Provisioner(self.epoch, ProvisionerOp::List),
+                Operation::Provisioner(self.epoch, ProvisionerOperation::List),
                 CloudCall::List { after: None },
             );
         }
         if now >= self.prices_at {
             self.prices_at = now + 60_000;
-            ctx.cloud(OpKind::Catalog, CloudCall::Catalog);
+            ctx.cloud(Operation::Catalog, CloudCall::Catalog);
         }
         if now >= self.next_call {
-            if let Some((number, rent)) = self.rentals.send(now) {
+            if let Some((number, rent)) = self.instance_requests.send(now) {
                 self.next_call = now + ctx.cfg.cloud_gap_ms;
                 ctx.cloud(
-                    OpKind::Provisioner(self.epoch, ProvisionerOp::Rent(number)),
-                    CloudCall::Rent(rent),
+                    Operation::Provisioner(self.epoch, ProvisionerOperation::Launch(number)),
+                    CloudCall::Launch(rent),
                 );
             }
         }
@@ -383,7 +396,7 @@
             }
             self.releasing.clone_from(&names);
             ctx.cloud(
-                OpKind::Provisioner(self.epoch, ProvisionerOp::Release),
+                Operation::Provisioner(self.epoch, ProvisionerOperation::Release),
                 CloudCall::Release(names),
             );
         }
@@ -393,11 +406,11 @@
         }
     }
 
-    fn plan(&mut self, ctx: &mut Ctx) {
+    fn plan(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         // Every participant must have spoken lately; otherwise nothing is known of its free room.
         for s in ctx.shards() {
-            let fresh = |t: Option<Now>| t.is_some_and(|t| now < t + 4000);
+            let fresh = |t: Option<Timestamp>| t.is_some_and(|t| now < t + 4000);
             if !fresh(self.participants.get(&s).map(|p| p.at)) || !self.list_known {
                 return;
             }
@@ -406,55 +419,63 @@
         self.return_idle(ctx);
         if let Some(base) = &self.base {
             for s in ctx.shards() {
-                ctx.send(PROVISIONER_SHARD, s, ShardMsg::Base { newest: base.clone() });
+                ctx.send(
+                    PROVISIONER_SHARD,
+                    s,
+                    ShardMessage::OperatorMachines { newest: base.clone() },
+                );
             }
         }
         // What waits to be sent was planned from what is known now.
-        if self.rentals.unsent() || self.rentals.room() == 0 {
+        if self.instance_requests.unsent() || self.instance_requests.room() == 0 {
             return;
         }
         for rent in self.wanted(ctx) {
-            self.rentals.add(self.epoch, rent, now);
+            self.instance_requests.add(self.epoch, rent, now);
         }
     }
 
     /// Whether a machine has been booting for so long that nobody counts on it any more.
-    fn late(&self, ctx: &Ctx, b: &Booting) -> bool {
-        let counts_ms = self.boots.counts_ms(&b.place(), said_ms(ctx, &b.type_name));
+    fn late(&self, ctx: &Context, b: &Booting) -> bool {
+        let counts_ms = self.boot_times.counts_ms(&b.place(), said_ms(ctx, &b.type_name));
         ctx.now >= b.since + counts_ms
     }
 
     /// Learns from machines that came up, and notes where they are late.
-    fn see_boots(&mut self, ctx: &Ctx) {
-        let (participants, boots) = (&self.participants, &mut self.boots);
+    fn see_boots(&mut self, ctx: &Context) {
+        let (participants, boot_times) = (&self.participants, &mut self.boot_times);
         self.booting.retain(|n, b| {
             let up = Self::reports(participants, ctx, n);
             if up {
-                boots.came_up(&b.place(), ctx.now, ctx.now.saturating_sub(b.since));
+                boot_times.came_up(&b.place(), ctx.now, ctx.now.saturating_sub(b.since));
             }
             !up
         });
-        let late: Vec<Where> =
+        let late: Vec<BootLocation> =
             self.booting.values().filter(|b| self.late(ctx, b)).map(Booting::place).collect();
-        self.boots.set_late(late.into_iter());
+        self.boot_times.set_late(late.into_iter());
     }
 
     /// What to rent, the most urgent first: each lack takes what is coming up, then what is asked
     /// for in this plan, then asks for more.
-    fn wanted(&mut self, ctx: &Ctx) -> Vec<Rent> {
+    fn wanted(&mut self, ctx: &Context) -> Vec<InstanceRequest> {
         self.see_boots(ctx);
         let counts = |b: &&Booting| !self.late(ctx, b);
-        let mut coming: Vec<Coming> =
-            self.booting.values().filter(counts).filter_map(|b| Coming::of(ctx, b)).collect();
-        for (rent, since) in self.rentals.coming() {
-            let one = Coming::of(ctx, &Booting::of(rent, since));
+        let mut coming: Vec<PendingInstance> = self
+            .booting
+            .values()
+            .filter(counts)
+            .filter_map(|b| PendingInstance::of(ctx, b))
+            .collect();
+        for (rent, since) in self.instance_requests.coming() {
+            let one = PendingInstance::of(ctx, &Booting::of(rent, since));
             coming.extend(one.into_iter().flat_map(|c| (0..rent.count).map(move |_| c.clone())));
         }
-        let mut lacks: Vec<&Lack> = self.lacks.values().flat_map(|l| l.1.iter()).collect();
+        let mut lacks: Vec<&UnmetDemand> = self.lacks.values().flat_map(|l| l.1.iter()).collect();
         lacks.sort_by_key(|l| (Reverse(l.shape.priority), Reverse(l.waited_ms)));
-        let mut rents: Vec<Rent> = Vec::new();
+        let mut rents: Vec<InstanceRequest> = Vec::new();
         for l in lacks {
-            let need = Room::of(&l.shape);
+            let need = Resources::of(&l.shape);
             let mut left = u64::from(l.count);
             let mut zones: Vec<u64> = l.zone_room.iter().map(|&r| u64::from(r)).collect();
             if l.shape.kind == Kind::Gang && l.count > 1 {
@@ -474,7 +495,7 @@
                 let Some(rent) = self.choose(ctx, l, need, left, &zones) else {
                     break;
                 };
-                let one = Coming::of(ctx, &Booting::of(&rent, 0));
+                let one = PendingInstance::of(ctx, &Booting::of(&rent, 0));
                 let Some(one) = one else { break };
                 let count = u64::from(rent.count).min(machines);
                 machines -= count;
@@ -489,10 +510,10 @@
                 });
                 match same {
                     Some(r) => r.count += count as u32,
-                    None => rents.push(Rent { count: count as u32, ..rent }),
+                    None => rents.push(InstanceRequest { count: count as u32, ..rent }),
                 }
             }
-            if rents.len() >= self.rentals.room().min(PLANNED) {
+            if rents.len() >= self.instance_requests.room().min(PLANNED) {
                 break;
             }
         }
@@ -504,11 +525,11 @@
     /// of two zones, and the gang waited in front of both.)
     fn zone_for(
         &self,
-        ctx: &Ctx,
-        l: &Lack,
-        need: Room,
+        ctx: &Context,
+        l: &UnmetDemand,
+        need: Resources,
         zones: &[u64],
-        coming: &[Coming],
+        coming: &[PendingInstance],
     ) -> Option<usize> {
         let count = u64::from(l.count);
         let mut here = vec![0; zones.len()];
@@ -527,8 +548,15 @@
     }
 
     /// The cheapest way to get room for `left` tasks.
-    fn choose(&self, ctx: &Ctx, l: &Lack, need: Room, left: u64, zones: &[u64]) -> Option<Rent> {
-        let mut best: Option<(f64, Rent)> = None;
+    fn choose(
+        &self,
+        ctx: &Context,
+        l: &UnmetDemand,
+        need: Resources,
+        left: u64,
+        zones: &[u64],
+    ) -> Option<InstanceRequest> {
+        let mut best: Option<(f64, InstanceRequest)> = None;
         for (i, t) in ctx.names.catalog.iter().enumerate() {
             let idx = crate::ids::TypeIdx(i as u8);
             let fits = ctx.names.room_of_type(idx).fits(need);
@@ -554,11 +582,11 @@
                     let used = fits.min(room);
                     let place = (t.name.clone(), z.clone());
                     // Elsewhere, if that is not much dearer.
-                    let trouble = if self.boots.in_trouble(&place) { TROUBLED } else { 1.0 };
+                    let trouble = if self.boot_times.in_trouble(&place) { TROUBLED } else { 1.0 };
                     let cost = price * trouble / used as f64;
                     if best.as_ref().is_none_or(|b| cost < b.0) {
                         let count = room.div_ceil(fits).clamp(1, u64::from(MOST_A_CALL)) as u32;
-                        let rent = Rent {
+                        let rent = InstanceRequest {
                             request: String::new(),
                             type_name: t.name.clone(),
                             zone: z.clone(),
@@ -573,7 +601,7 @@
         best.map(|b| b.1)
     }
 
-    fn return_idle(&mut self, ctx: &mut Ctx) {
+    fn return_idle(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         self.draining.retain(|_, t| *t + 10_000 > now);
         let mut drains = Vec::new();
@@ -608,7 +636,7 @@
         for machine in drains.into_iter().take(most) {
             self.draining.insert(machine.clone(), now);
             let shard = ctx.shard_of_machine(&machine);
-            ctx.send(PROVISIONER_SHARD, shard, ShardMsg::Drain { machine });
+            ctx.send(PROVISIONER_SHARD, shard, ShardMessage::Drain { machine });
         }
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -9,9 +9,9 @@
 //! Invariant: a coordinator's share is at least what its tasks take, or were granted to take, and
 //! what is granted beyond what is in use never makes the shares more than the limit.
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, Now, Shard};
+use crate::ids::{Epoch, Shard, Timestamp};
 use crate::names::thousandths;
-use leaddeal_wire::mesh::{Amount, TeamGrant, TeamUse};
+use leaddeal_wire::mesh::{QuotaAmount, TeamGrant, TeamUsage};
 use leaddeal_wire::settings::Team;
 use std::collections::BTreeMap;
 
@@ -22,10 +22,10 @@
 const ASKS_MS: u64 = 2000;
 
 /// The limit of a team in thousandths; none: no limit.
-pub fn limit(t: &Team) -> Option<Amount> {
+pub fn limit(t: &Team) -> Option<QuotaAmount> {
     let m = |v: f64| if v > 0.0 { thousandths(v) } else { u64::MAX };
     (t.cpus_max > 0.0 || t.gpus_max > 0.0)
-        .then(|| Amount { cpu: m(t.cpus_max), gpu: m(t.gpus_max) })
+        .then(|| QuotaAmount { cpu: m(t.cpus_max), gpu: m(t.gpus_max) })
 }
 
 pub fn shard_of_team(team: u8, shards: usize) -> Shard {
@@ -34,27 +34,27 @@
 
 /// What is known of a coordinator's share of a team's limit.
 #[derive(Clone, Debug)]
-struct Account {
-    told: TeamUse,
+struct TeamShare {
+    told: TeamUsage,
     /// What its tasks may take in all.
-    share: Amount,
+    share: QuotaAmount,
 }
 
 /// The last report of a coordinator.
 #[derive(Debug)]
-struct Told {
+struct UsageReport {
     epoch: Epoch,
     serial: u64,
-    at: Now,
-    teams: BTreeMap<u8, Account>,
+    at: Timestamp,
+    teams: BTreeMap<u8, TeamShare>,
 }
 
 /// The books of a team's shard.
 #[derive(Debug)]
 pub struct QuotaManager {
     shard: Shard,
-    limits: Vec<Option<Amount>>,
-    told: BTreeMap<Shard, Told>,
+    limits: Vec<Option<QuotaAmount>>,
+    told: BTreeMap<Shard, UsageReport>,
     shards: usize,
 }
 
@@ -72,11 +72,11 @@
     /// beyond what it tells. None: an older report than the last, which says nothing.
     pub fn report(
         &mut self,
-        now: Now,
+        now: Timestamp,
         from: Shard,
         epoch: Epoch,
         serial: u64,
-        usage: &[TeamUse],
+        usage: &[TeamUsage],
     ) -> Option<Vec<TeamGrant>> {
         if from.0 as usize >= self.shards
             || self.told.get(&from).is_some_and(|t| (t.epoch, t.serial) >= (epoch, serial))
@@ -87,18 +87,18 @@
             .iter()
             .filter(|u| shard_of_team(u.team, self.shards) == self.shard)
             .filter(|u| self.limits.get(u.team as usize).is_some_and(Option::is_some));
-        let teams = mine.map(|u| (u.team, Account { told: *u, share: u.in_use() })).collect();
-        self.told.insert(from, Told { epoch, serial, at: now, teams });
+        let teams = mine.map(|u| (u.team, TeamShare { told: *u, share: u.in_use() })).collect();
+        self.told.insert(from, UsageReport { epoch, serial, at: now, teams });
         let complete = self.told.len() == self.shards || !holds(Guard::GrantsComplete);
         let teams: Vec<u8> = self.told[&from].teams.keys().copied().collect();
         let granted = teams.into_iter().filter(|_| complete);
         Some(granted.filter_map(|team| self.grant(now, from, team)).collect())
     }
 
-    fn grant(&mut self, now: Now, from: Shard, team: u8) -> Option<TeamGrant> {
+    fn grant(&mut self, now: Timestamp, from: Shard, team: u8) -> Option<TeamGrant> {
         let limit = (*self.limits.get(team as usize)?)?;
         let accounts = self.told.iter().filter_map(|(s, t)| Some((s, t.at, t.teams.get(&team)?)));
-        let mut others = Amount::default();
+        let mut others = QuotaAmount::default();
         let mut asks = Vec::new();
         for (s, at, account) in accounts {
             if *s != from && holds(Guard::GrantsShared) {
@@ -113,7 +113,7 @@
             asks.push((*s, told));
         }
         let me = asks.iter().position(|a| a.0 == from)?;
-        let asks: Vec<TeamUse> = asks.into_iter().map(|a| a.1).collect();
+        let asks: Vec<TeamUsage> = asks.into_iter().map(|a| a.1).collect();
         let used = asks[me].in_use();
         // What may be in use after a takeover is counted in full, and can be more than the limit;
         // a grant never is. (Found by the simulator.)
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -6,26 +6,26 @@
 //! decides goes by it; the rest waits without cost.
 //!
 //! Invariant: what is let in now and counts is never more than the grant less what is used.
-use leaddeal_wire::mesh::{Amount, ByPriority};
+use leaddeal_wire::mesh::{ByPriority, QuotaAmount};
 use leaddeal_wire::user::Priority;
 
 /// What a coordinator's tasks may take of a team's limit, and what they take.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standing {
+pub struct QuotaStatus {
     /// What the grant covers in all; nothing: there is none.
-    pub may: Amount,
+    pub may: QuotaAmount,
     /// What it would, in the team's order.
-    pub due: Amount,
+    pub due: QuotaAmount,
     /// By priority, the least first.
     pub used: ByPriority,
 }
 
 /// A pending job as the limit sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking {
+pub struct AdmissionRequest {
     pub priority: Priority,
     /// What a task takes.
-    pub task: Amount,
+    pub task: QuotaAmount,
     pub count: u32,
     /// All of its tasks or none: a gang.
     pub whole: bool,
@@ -49,13 +49,13 @@
     }
 }
 
-impl Standing {
-    pub fn in_use(&self) -> Amount {
-        self.used.iter().fold(Amount::default(), |sum, u| sum.plus(*u))
+impl QuotaStatus {
+    pub fn in_use(&self) -> QuotaAmount {
+        self.used.iter().fold(QuotaAmount::default(), |sum, u| sum.plus(*u))
     }
 
     /// What the grant still covers.
-    pub fn free(&self) -> Amount {
+    pub fn free(&self) -> QuotaAmount {
         self.may.minus(self.in_use())
     }
 }
@@ -63,30 +63,30 @@
 /// The walk, for one team.
 #[derive(Debug)]
 pub struct Admission {
-    standing: Standing,
+    standing: QuotaStatus,
     /// Let in so far: now, in turn, and worth a machine.
-    now: Amount,
-    in_turn: Amount,
-    worth: Amount,
+    now: QuotaAmount,
+    in_turn: QuotaAmount,
+    worth: QuotaAmount,
 }
 
 impl Admission {
-    pub fn new(standing: Standing) -> Admission {
-        let none = Amount::default();
+    pub fn new(standing: QuotaStatus) -> Admission {
+        let none = QuotaAmount::default();
         Admission { standing, now: none, in_turn: none, worth: none }
     }
 
     /// What the team's order still leaves to this priority.
-    fn free_in_turn(&self, priority: Priority, taken: Amount) -> Amount {
+    fn free_in_turn(&self, priority: Priority, taken: QuotaAmount) -> QuotaAmount {
         let before = &self.standing.used[priority as usize..];
         let before = before.iter().fold(taken, |sum, u| sum.plus(*u));
         self.standing.due.minus(before)
     }
 
     /// The next in the coordinator's order.
-    pub fn admit(&mut self, job: &Asking) -> Admitted {
+    pub fn admit(&mut self, job: &AdmissionRequest) -> Admitted {
         let free = self.standing.free().minus(self.now);
-        let fits = |left: Amount| {
+        let fits = |left: QuotaAmount| {
             let n = left.fits(job.task).min(u64::from(job.count)) as u32;
             if job.whole && n < job.count {
                 0
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -1,21 +1,21 @@
-use super::admission::{Admission, Asking, Standing};
+use super::admission::{Admission, AdmissionRequest, QuotaStatus};
 use super::*;
-use leaddeal_wire::mesh::First;
+use leaddeal_wire::mesh::FirstInQueue;
 use leaddeal_wire::user::Priority;
 use proptest::prelude::*;
 
-const NONE: Amount = Amount { cpu: 0, gpu: 0 };
+const NONE: QuotaAmount = QuotaAmount { cpu: 0, gpu: 0 };
 
 fn team(cpus_max: f64, gpus_max: f64) -> Team {
     Team { name: "t".into(), cpus: 0.0, cpus_max, gpus: 0.0, gpus_max }
 }
 
-fn cpus(cpu: u64) -> Amount {
-    Amount { cpu, gpu: 0 }
+fn cpus(cpu: u64) -> QuotaAmount {
+    QuotaAmount { cpu, gpu: 0 }
 }
 
-fn told(used: u64, wanted: u64) -> TeamUse {
-    let mut u = TeamUse::of(0);
+fn told(used: u64, wanted: u64) -> TeamUsage {
+    let mut u = TeamUsage::of(0);
     u.used[0] = cpus(used);
     u.wanted[0] = cpus(wanted);
     u
@@ -25,7 +25,7 @@
 struct Books {
     quota: QuotaManager,
     serial: u64,
-    now: Now,
+    now: Timestamp,
 }
 
 impl Books {
@@ -33,14 +33,14 @@
         Books { quota: QuotaManager::new(Shard(0), &[t], 3), serial: 0, now: 0 }
     }
 
-    fn report(&mut self, from: u8, u: TeamUse) -> Option<TeamGrant> {
+    fn report(&mut self, from: u8, u: TeamUsage) -> Option<TeamGrant> {
         self.serial += 1;
         self.now += 100;
         let granted = self.quota.report(self.now, Shard(from), Epoch(5), self.serial, &[u]);
         granted.and_then(|g| g.first().copied())
     }
 
-    fn may(&mut self, from: u8, u: TeamUse) -> Amount {
+    fn may(&mut self, from: u8, u: TeamUsage) -> QuotaAmount {
         self.report(from, u).map_or(NONE, |g| g.may)
     }
 }
@@ -94,9 +94,9 @@
 #[test]
 fn what_is_first_is_served_whole() {
     let gang = |waited_ms| {
-        let mut u = TeamUse::of(0);
+        let mut u = TeamUsage::of(0);
         u.wanted[1] = cpus(6000);
-        u.first[1] = Some(First { need: cpus(6000), waited_ms });
+        u.first[1] = Some(FirstInQueue { need: cpus(6000), waited_ms });
         u
     };
     let mut b = Books::new(team(10.0, 0.0));
@@ -107,9 +107,9 @@
     assert_eq!(b.may(1, gang(1)), NONE, "what is left is kept for the next");
     // Small work of lesser priority does not take it bit by bit.
     let mut small = told(0, 9000);
-    small.first[0] = Some(First { need: cpus(100), waited_ms: 9 });
+    small.first[0] = Some(FirstInQueue { need: cpus(100), waited_ms: 9 });
     assert_eq!(b.may(0, small), NONE);
-    assert_eq!(b.may(2, TeamUse::of(0)), NONE);
+    assert_eq!(b.may(2, TeamUsage::of(0)), NONE);
     assert_eq!(b.may(1, gang(1)), cpus(6000));
     assert_eq!(b.may(0, small), cpus(4000));
 }
@@ -118,9 +118,9 @@
 fn a_task_as_large_as_the_limit_gets_all_of_it_and_a_larger_one_keeps_nothing() {
     let mut b = Books::new(team(10.0, 0.0));
     let large = |cpu| {
-        let mut u = TeamUse::of(0);
+        let mut u = TeamUsage::of(0);
         u.wanted[3] = cpus(cpu);
-        u.first[3] = Some(First { need: cpus(cpu), waited_ms: 1 });
+        u.first[3] = Some(FirstInQueue { need: cpus(cpu), waited_ms: 1 });
         u
     };
     b.report(0, large(10_000));
@@ -128,7 +128,7 @@
     b.report(2, told(0, 5000));
     assert_eq!(b.may(1, told(0, 5000)), NONE);
     assert_eq!(b.may(0, large(10_000)), cpus(10_000));
-    b.report(0, TeamUse::of(0));
+    b.report(0, TeamUsage::of(0));
     let mut never = large(10_001);
     never.wanted = Default::default();
     b.report(0, never);
@@ -139,12 +139,12 @@
 #[test]
 fn limits_of_gpus_and_of_processors_are_apart() {
     let mut b = Books::new(team(10.0, 2.0));
-    let mut gpus = TeamUse::of(0);
-    let need = Amount { cpu: 3000, gpu: 2000 };
+    let mut gpus = TeamUsage::of(0);
+    let need = QuotaAmount { cpu: 3000, gpu: 2000 };
     gpus.wanted[3] = need;
-    gpus.first[3] = Some(First { need, waited_ms: 1 });
-    let mut busy = TeamUse::of(0);
-    busy.used[3] = Amount { cpu: 1000, gpu: 1000 };
+    gpus.first[3] = Some(FirstInQueue { need, waited_ms: 1 });
+    let mut busy = TeamUsage::of(0);
+    busy.used[3] = QuotaAmount { cpu: 1000, gpu: 1000 };
     b.report(0, gpus);
     b.report(1, busy);
     b.report(2, told(0, 9000));
@@ -165,7 +165,7 @@
     assert!(b.report(0, other).is_none());
     assert_eq!(b.may(1, told(2000, 1000)), cpus(3000), "nobody's report is not missed");
     assert!(b.may(1, told(u64::MAX, u64::MAX)).within(cpus(10_000)));
-    b.report(0, TeamUse::of(0));
+    b.report(0, TeamUsage::of(0));
     assert_eq!(b.may(2, told(0, 2000)), NONE, "what is told to be in use counts");
 }
 
@@ -175,18 +175,18 @@
     let mut b = Books::new(team(10.0, 0.0));
     b.report(1, told(1000, 9000));
     b.report(0, told(0, 9000));
-    b.report(2, TeamUse::of(0));
+    b.report(2, TeamUsage::of(0));
     assert_eq!(b.may(0, told(0, 9000)), cpus(4500));
     b.now += 3000;
     assert_eq!(b.may(0, told(0, 9000)), cpus(9000));
 }
 
-fn standing(may: u64, due: u64, used: [u64; 4]) -> Standing {
-    Standing { may: cpus(may), due: cpus(due), used: used.map(cpus) }
+fn standing(may: u64, due: u64, used: [u64; 4]) -> QuotaStatus {
+    QuotaStatus { may: cpus(may), due: cpus(due), used: used.map(cpus) }
 }
 
-fn asking(priority: Priority, cpu: u64, count: u32) -> Asking {
-    Asking { priority, task: cpus(cpu), count, whole: false, stuck: false }
+fn asking(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
+    AdmissionRequest { priority, task: cpus(cpu), count, whole: false, stuck: false }
 }
 
 /// An array of 5,000 tasks at low priority fills the limit; a service of the same team comes first.
@@ -206,17 +206,17 @@
 
 #[test]
 fn what_a_gang_lacks_is_kept_for_it_unless_it_finds_no_machine() {
-    let gang = Asking { whole: true, ..asking(Priority::Normal, 3000, 2) };
+    let gang = AdmissionRequest { whole: true, ..asking(Priority::Normal, 3000, 2) };
     let array = asking(Priority::Low, 1000, 50);
     let free = standing(5000, 5000, [0; 4]);
     let mut a = Admission::new(free);
     assert_eq!((a.admit(&gang).in_turn, a.admit(&array).now), (0, 0));
     let mut a = Admission::new(free);
-    let got = a.admit(&Asking { stuck: true, ..gang });
+    let got = a.admit(&AdmissionRequest { stuck: true, ..gang });
     assert_eq!((got.now, a.admit(&array).now), (0, 5));
     // It is worth a machine in turn, which nobody after it is then.
     let mut a = Admission::new(standing(6000, 6000, [6000, 0, 0, 0]));
-    let got = a.admit(&Asking { stuck: true, ..gang });
+    let got = a.admit(&AdmissionRequest { stuck: true, ..gang });
     assert_eq!((got.now, got.in_turn, got.worth), (0, 2, 2));
 }
 
@@ -228,9 +228,9 @@
     used: [u64; 4],
     wants: [u64; 4],
     /// With the epoch of the team's shard that gave it.
-    grant: Option<(u64, Amount)>,
+    grant: Option<(u64, QuotaAmount)>,
     /// Reports that may come again.
-    sent: Vec<(u64, (u64, u64, TeamUse))>,
+    sent: Vec<(u64, (u64, u64, TeamUsage))>,
 }
 
 impl Coord {
@@ -238,13 +238,13 @@
         self.used.iter().sum()
     }
 
-    fn told(&self) -> TeamUse {
-        let mut u = TeamUse::of(0);
+    fn told(&self) -> TeamUsage {
+        let mut u = TeamUsage::of(0);
         u.used = self.used.map(cpus);
         u.wanted = self.wants.map(cpus);
         for (p, first) in u.first.iter_mut().enumerate() {
             let need = cpus(self.wants[p].min(700));
-            *first = (self.wants[p] > 0).then_some(First { need, waited_ms: self.serial });
+            *first = (self.wants[p] > 0).then_some(FirstInQueue { need, waited_ms: self.serial });
         }
         u
     }
@@ -286,7 +286,7 @@
     limit: u64,
     quota: QuotaManager,
     owner: u64,
-    now: Now,
+    now: Timestamp,
     coords: Vec<Coord>,
 }
 
@@ -300,7 +300,7 @@
         QuotaManager::new(Shard(0), &[team(limit as f64 / 1000.0, 0.0)], 3)
     }
 
-    fn hear(&mut self, c: usize, r: (u64, u64, TeamUse)) -> Option<Amount> {
+    fn hear(&mut self, c: usize, r: (u64, u64, TeamUsage)) -> Option<QuotaAmount> {
         let g = self.quota.report(self.now, Shard(c as u8), Epoch(r.0), r.1, &[r.2])?;
         g.first().map(|g| g.may)
     }
@@ -419,7 +419,7 @@
         for (p, cpu, count, whole) in jobs {
             let priority =
                 [Priority::Low, Priority::Normal, Priority::High, Priority::Production][p];
-            let got = a.admit(&Asking { whole, ..asking(priority, cpu, count) });
+            let got = a.admit(&AdmissionRequest { whole, ..asking(priority, cpu, count) });
             prop_assert!(got.in_turn <= count && got.now <= got.in_turn);
             prop_assert!(!whole || got.now == 0 || got.now == count);
             taken += cpu * u64::from(got.now);
--- a/crates/core/src/hearing.rs
+++ b/crates/core/src/reachability.rs
@@ -8,24 +8,24 @@
 //! Invariants: only what the worker itself did proves that it hears; a worker that is not known to
 //! hear after two reports in a row, or whose lease ran out although it was answered, gets no new work
 //! until that is proven again; its tasks are not called gone for it.
-use crate::ids::{NodeIdx, Now};
+use crate::ids::{NodeIdx, Timestamp};
 
 /// So many reports without proof make a machine deaf.
 const SIGNS: u32 = 2;
 
 /// The way a report came: straight, or passed on by a sibling.
-pub type Via = Option<NodeIdx>;
+pub type HeartbeatPath = Option<NodeIdx>;
 
 #[derive(Clone, Debug, Default)]
-pub struct Hearing {
-    last: Option<(Via, Now)>,
+pub struct Reachability {
+    last: Option<(HeartbeatPath, Timestamp)>,
     signs: u32,
-    deaf_since: Option<Now>,
+    deaf_since: Option<Timestamp>,
 }
 
-impl Hearing {
+impl Reachability {
     /// A new report came; `due_ms`: the next report of a worker that was answered comes so soon.
-    pub fn report(&mut self, via: Via, due_ms: u64, now: Now) {
+    pub fn report(&mut self, via: HeartbeatPath, due_ms: u64, now: Timestamp) {
         let same_way = self.last.is_some_and(|(v, at)| v == via && now <= at + due_ms);
         self.last = Some((via, now));
         if same_way {
@@ -36,7 +36,7 @@
     }
 
     /// Its lease ran out although it was answered, or it began anew: it has to prove itself.
-    pub fn lease_ended(&mut self, now: Now) {
+    pub fn lease_ended(&mut self, now: Timestamp) {
         self.last = None;
         self.sign(SIGNS, now);
     }
@@ -46,7 +46,7 @@
         (self.signs, self.deaf_since) = (0, None);
     }
 
-    fn sign(&mut self, n: u32, now: Now) {
+    fn sign(&mut self, n: u32, now: Timestamp) {
         self.signs = self.signs.saturating_add(n);
         if self.signs >= SIGNS {
             self.deaf_since.get_or_insert(now);
@@ -54,7 +54,7 @@
     }
 
     /// Since when it is taken not to hear.
-    pub fn deaf_since(&self) -> Option<Now> {
+    pub fn deaf_since(&self) -> Option<Timestamp> {
         self.deaf_since
     }
 }
--- a/crates/core/src/hearing/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_worker_that_goes_round_is_deaf_and_one_that_stays_is_not() {
-    let mut h = Hearing::default();
+    let mut h = Reachability::default();
     let ways = [None, Some(NodeIdx(1)), Some(NodeIdx(2))];
     for (i, &via) in ways.iter().cycle().take(9).enumerate() {
         let now = 1000 + 5000 * i as u64;
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,10 +1,10 @@
-//! Reading what is kept under a prefix: page by page, then as it changes.
+//! ReadingState what is kept under a prefix: page by page, then as it changes.
 //!
 //! Invariant: whoever takes every item and change that a feed gives has seen each key that was
 //! there when the first page was read, and each change since, some of them twice. What a service
 //! no longer keeps (410) is read anew from the beginning; a truncated page is followed by the
 //! next; a call without an answer is made again.
-use crate::ids::Now;
+use crate::ids::Timestamp;
 use crate::io::{StoreCall, StoreResult};
 use leaddeal_wire::state::{Event, Item};
 use serde_json::Value;
@@ -17,7 +17,7 @@
 const WORTH_TELLING: u32 = 8;
 
 #[derive(Clone, Debug, PartialEq)]
-enum Reading {
+enum ReadingState {
     /// The next page: from the beginning, or after this key.
     Page(Option<String>),
     /// All pages are read; changes are not followed.
@@ -26,15 +26,15 @@
 }
 
 #[derive(Debug)]
-pub struct Feed {
+pub struct RecordReader {
     prefix: String,
-    how: Reading,
+    how: ReadingState,
     /// How long a watch waits; none: only the pages are read.
     wait_ms: Option<u64>,
     /// Revision of the first page, and then of the newest change.
     revision: u64,
     busy: bool,
-    retry_at: Now,
+    retry_at: Timestamp,
     /// Calls in a row that were refused or had no answer.
     in_vain: u32,
 }
@@ -47,26 +47,34 @@
     pub version: u64,
 }
 
-impl Feed {
+impl RecordReader {
     /// All there is, once.
-    pub fn pages(prefix: String) -> Feed {
-        let how = Reading::Page(None);
-        Feed { prefix, how, wait_ms: None, revision: 0, busy: false, retry_at: 0, in_vain: 0 }
+    pub fn pages(prefix: String) -> RecordReader {
+        let how = ReadingState::Page(None);
+        RecordReader {
+            prefix,
+            how,
+            wait_ms: None,
+            revision: 0,
+            busy: false,
+            retry_at: 0,
+            in_vain: 0,
+        }
     }
 
     /// All there is, and then what is written.
-    pub fn all(prefix: String, wait_ms: u64) -> Feed {
-        Feed { wait_ms: Some(wait_ms), ..Feed::pages(prefix) }
+    pub fn all(prefix: String, wait_ms: u64) -> RecordReader {
+        RecordReader { wait_ms: Some(wait_ms), ..RecordReader::pages(prefix) }
     }
 
     /// What is written after this revision.
-    pub fn since(prefix: String, revision: u64, wait_ms: u64) -> Feed {
-        Feed { how: Reading::Changes, revision, ..Feed::all(prefix, wait_ms) }
+    pub fn since(prefix: String, revision: u64, wait_ms: u64) -> RecordReader {
+        RecordReader { how: ReadingState::Changes, revision, ..RecordReader::all(prefix, wait_ms) }
     }
 
     /// Every page has been read.
     pub fn caught_up(&self) -> bool {
-        !matches!(self.how, Reading::Page(_))
+        !matches!(self.how, ReadingState::Page(_))
     }
 
     /// What to log, if the last call was one more in vain of many.
@@ -80,36 +88,36 @@
     }
 
     /// The next call, if it is time for one; its answer goes to `take`.
-    pub fn call(&mut self, now: Now) -> Option<StoreCall> {
+    pub fn call(&mut self, now: Timestamp) -> Option<StoreCall> {
         if self.busy || now < self.retry_at {
             return None;
         }
         let prefix = self.prefix.clone();
         let call = match (&self.how, self.wait_ms) {
-            (Reading::Page(after), _) => StoreCall::List { prefix, after: after.clone() },
-            (Reading::Changes, Some(wait_ms)) => {
+            (ReadingState::Page(after), _) => StoreCall::List { prefix, after: after.clone() },
+            (ReadingState::Changes, Some(wait_ms)) => {
                 StoreCall::Watch { prefix, after: self.revision, wait_ms }
             }
-            (Reading::Over | Reading::Changes, _) => return None,
+            (ReadingState::Over | ReadingState::Changes, _) => return None,
         };
         self.busy = true;
         Some(call)
     }
 
     /// Takes an answer; returns what it tells of.
-    pub fn take(&mut self, now: Now, result: StoreResult) -> Vec<Record> {
+    pub fn take(&mut self, now: Timestamp, result: StoreResult) -> Vec<Record> {
         self.busy = false;
         let tries = std::mem::take(&mut self.in_vain);
         match result {
             StoreResult::Page(p) => {
-                if self.how == Reading::Page(None) {
+                if self.how == ReadingState::Page(None) {
                     self.revision = p.revision;
                 }
                 let more = p.items.last().filter(|_| p.more).map(|i| i.key.clone());
                 self.how = match (more, self.wait_ms) {
-                    (Some(key), _) => Reading::Page(Some(key)),
-                    (None, Some(_)) => Reading::Changes,
-                    (None, None) => Reading::Over,
+                    (Some(key), _) => ReadingState::Page(Some(key)),
+                    (None, Some(_)) => ReadingState::Changes,
+                    (None, None) => ReadingState::Over,
                 };
                 let record = |i: Item| Record { key: i.key, value: i.value, version: i.version };
                 p.items.into_iter().map(record).collect()
@@ -120,8 +128,8 @@
                     |e: Event| Some(Record { key: e.put?, value: e.value, version: e.version });
                 e.events.into_iter().filter_map(record).collect()
             }
-            StoreResult::TooOld => {
-                self.how = Reading::Page(None);
+            StoreResult::Compacted => {
+                self.how = ReadingState::Page(None);
                 Vec::new()
             }
             _ => {
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn truncated_pages_lost_answers_and_forgotten_changes_lose_nothing() {
-    let mut f = Feed::all("j/".into(), 9);
+    let mut f = RecordReader::all("j/".into(), 9);
     assert!(matches!(f.call(0), Some(StoreCall::List { after: None, .. })));
     assert!(f.call(0).is_none(), "one call at a time");
     assert_eq!(keys(f.take(0, page(&["j/1", "j/2"], true, 5))), ["j/1", "j/2"]);
@@ -28,14 +28,14 @@
     let events = StoreResult::Events(Events { revision: 9, events: vec![put] });
     assert_eq!(keys(f.take(1000, events)), ["j/4"]);
     assert!(matches!(f.call(1000), Some(StoreCall::Watch { after: 9, .. })));
-    f.take(1000, StoreResult::TooOld);
+    f.take(1000, StoreResult::Compacted);
     assert!(matches!(f.call(1000), Some(StoreCall::List { after: None, .. })), "all anew");
 }
 
 /// A page that is refused time and again is asked for ever more rarely, and told of.
 #[test]
 fn what_is_refused_is_tried_again_with_longer_waits() {
-    let mut f = Feed::pages("d/".into());
+    let mut f = RecordReader::pages("d/".into());
     let mut now = 0;
     let mut calls = Vec::new();
     while calls.len() < 8 {
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_feed_of_pages_ends() {
-    let mut f = Feed::pages("d/".into());
+    let mut f = RecordReader::pages("d/".into());
     f.call(0);
     f.take(0, page(&[], false, 3));
     assert!(f.caught_up() && f.call(0).is_none());
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,6 +1,6 @@
 //! Lease and shards: who acts for which participant and which jobs.
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, NodeIdx, Now};
+use crate::ids::{Epoch, NodeIdx, Timestamp};
 
 /// Life of a controller's lease at the state service.
 pub const LEASE_MS: u64 = 4000;
@@ -30,9 +30,9 @@
     pub last: Option<Owner>,
     /// Whoever owned it at this revision or before owns it no more.
     pub vacated: u64,
-    pub vacant_since: Now,
+    pub vacant_since: Timestamp,
     /// When the present owner was first known of.
-    pub owned_since: Now,
+    pub owned_since: Timestamp,
     /// An acquisition is under way.
     pub trying: bool,
 }
@@ -48,7 +48,7 @@
 
 impl ShardView {
     /// Nobody owns it at that revision; the time is counted from when that was first seen.
-    pub fn vacate(&mut self, revision: u64, now: Now) {
+    pub fn vacate(&mut self, revision: u64, now: Timestamp) {
         self.vacated = self.vacated.max(revision);
         if self.owner.is_some_and(|o| o.epoch.0 <= revision) {
             self.owner = None;
@@ -62,7 +62,7 @@
     ///
     /// (Found by the simulator: beats of an owner in doubt told nothing of its shards, and the owner
     /// before, whom the store refused, kept workers with cancelled tasks.)
-    pub fn claimed(&mut self, by: Owner, now: Now) -> bool {
+    pub fn claimed(&mut self, by: Owner, now: Timestamp) -> bool {
         let news = self.owner.is_none_or(|o| o.epoch < by.epoch) && by.epoch.0 > self.vacated;
         if news {
             self.own(by, now);
@@ -71,7 +71,7 @@
     }
 
     /// The store says, or a sibling is believed, that this is the owner.
-    pub fn own(&mut self, by: Owner, now: Now) {
+    pub fn own(&mut self, by: Owner, now: Timestamp) {
         if self.owner.is_none_or(|o| o.epoch != by.epoch) {
             self.owned_since = now;
         }
@@ -86,19 +86,19 @@
 pub struct Lease {
     pub id: Option<u64>,
     /// When the renewal last answered was sent.
-    pub renewed: Now,
-    pub sent: Option<Now>,
-    pub next: Now,
+    pub renewed: Timestamp,
+    pub sent: Option<Timestamp>,
+    pub next: Timestamp,
 }
 
 impl Lease {
     /// Certainly not over yet.
-    pub fn valid(&self, now: Now) -> bool {
+    pub fn valid(&self, now: Timestamp) -> bool {
         self.id.is_some() && now < self.renewed + at_most(LEASE_MS)
     }
 
     /// For how long it has been in doubt.
-    pub fn in_doubt_ms(&self, now: Now) -> u64 {
+    pub fn in_doubt_ms(&self, now: Timestamp) -> u64 {
         now.saturating_sub(self.renewed + at_most(LEASE_MS))
     }
 }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -1,17 +1,20 @@
 //! Impossible values from workers, users and siblings: the core ends by none of them, and accepts no job
 //! that can't run.
 use leaddeal_core::ids::JobId;
-use leaddeal_core::io::{CloudCall, CloudResult, DirectOutcome, StoreCall, StoreResult};
-use leaddeal_core::{Input, Node, Output};
-use leaddeal_wire::cloud::{Catalog, Listing, MachineType};
+use leaddeal_core::io::{CloudCall, CloudResult, CommandOutcome, StoreCall, StoreResult};
+use leaddeal_core::{Effect, Input, Node};
+use leaddeal_wire::cloud::{Catalog, InstanceList, MachineType};
 use leaddeal_wire::mesh::{
-    Amount, AttemptRef, Beat, First, Lack, Line, MachineInfo, NodeMsg, Offer, Phase, Pick, Shape,
-    ShardMsg, Stamp, TaskEvent, TeamGrant, TeamUse, Told, Wanted, Word,
+    Assignment, AttemptRef, FirstInQueue, JobAnswer, MachineInfo, NodeHeartbeat, NodeMessage,
+    Offer, OfferRequest, QueuePosition, QuotaAmount, Shape, ShardAssertion, ShardMessage, Stamp,
+    TaskEvent, TaskPhase, TeamGrant, TeamUsage, UnmetDemand,
 };
 use leaddeal_wire::settings::Settings;
 use leaddeal_wire::state::{Events, Page};
 use leaddeal_wire::user::{job_id, parse_job_id, Job, JobState, Kind, Priority, Status};
-use leaddeal_wire::worker::{Answer, Report, TaskId, TaskReport, TaskState, Why};
+use leaddeal_wire::worker::{
+    ExitReason, HeartbeatResponse, TaskId, TaskReport, TaskState, WorkerHeartbeat,
+};
 use proptest::prelude::*;
 use proptest::sample::select;
 use proptest::test_runner::RngSeed;
@@ -105,23 +108,24 @@
     fn step(&mut self, input: Input) {
         for o in self.node.step(self.now, 1_700_000_000_000 + self.now, input) {
             match o {
-                Output::Store { op, call } => {
+                Effect::Store { op, call } => {
                     if let Some(result) = self.store(&call) {
                         self.step(Input::Store { op, result });
                     }
                 }
-                Output::Cloud { op, call } => {
+                Effect::Cloud { op, call } => {
                     let result = match call {
                         CloudCall::Catalog => CloudResult::Catalog(Catalog { types: types() }),
-                        CloudCall::Rent(_) => CloudResult::NoCapacity,
+                        CloudCall::Launch(_) => CloudResult::NoCapacity,
                         CloudCall::Release(_) => CloudResult::Released,
-                        CloudCall::List { .. } => {
-                            CloudResult::Listing(Listing { machines: Vec::new(), more: false })
-                        }
+                        CloudCall::List { .. } => CloudResult::InstanceList(InstanceList {
+                            machines: Vec::new(),
+                            more: false,
+                        }),
                     };
                     self.step(Input::Cloud { op, result });
                 }
-                Output::User { req, reply } if reply.status / 100 == 2 => self.accepted.push(req),
+                Effect::User { req, reply } if reply.status / 100 == 2 => self.accepted.push(req),
                 _ => {}
             }
         }
@@ -132,8 +136,8 @@
         let revision = self.revision;
         Some(match call {
             StoreCall::NewLease { .. } => StoreResult::Lease(1),
-            StoreCall::Touch { .. } | StoreCall::EndLease { .. } => StoreResult::Touched,
-            StoreCall::Txn(_) => StoreResult::Committed(revision),
+            StoreCall::RenewLease { .. } | StoreCall::EndLease { .. } => StoreResult::LeaseRenewed,
+            StoreCall::Transaction(_) => StoreResult::Committed(revision),
             StoreCall::Get { .. } => StoreResult::Item(None),
             StoreCall::List { .. } => {
                 StoreResult::Page(Page { items: Vec::new(), more: false, revision })
@@ -191,12 +195,20 @@
     select([&all[..], &[TaskState::Exited]].concat())
 }
 
-fn why() -> impl Strategy<Value = Why> + Clone {
-    let all = [Why::Done, Why::Stopped, Why::Peers, Why::Alone, Why::Error, Why::Full, Why::Busy];
-    select([&all[..], &[Why::Unknown, Why::Other]].concat())
+fn why() -> impl Strategy<Value = ExitReason> + Clone {
+    let all = [
+        ExitReason::Done,
+        ExitReason::Stopped,
+        ExitReason::Peers,
+        ExitReason::Alone,
+        ExitReason::Error,
+        ExitReason::Full,
+        ExitReason::Busy,
+    ];
+    select([&all[..], &[ExitReason::Unknown, ExitReason::Other]].concat())
 }
 
-fn report() -> impl Strategy<Value = Report> {
+fn report() -> impl Strategy<Value = WorkerHeartbeat> {
     let task = (prop::option::of((number(), small())), number(), state(), prop::option::of(why()))
         .prop_map(|(task, attempt, state, why)| TaskReport {
             task: task.map(|(job, task)| TaskId { job, task }),
@@ -208,17 +220,19 @@
     let who = (name(), kind_of_machine(), zone(), any::<bool>());
     let when = (number(), number(), number(), prop::option::of(amount()));
     (who, when, prop::collection::vec(task, 0..4)).prop_map(
-        |((machine, type_name, zone, spot), (session, seq, token, notice_s), tasks)| Report {
-            machine,
-            addr: "10.9.0.1:1".into(),
-            type_name,
-            zone,
-            spot,
-            session,
-            seq,
-            token,
-            notice_s,
-            tasks,
+        |((machine, type_name, zone, spot), (incarnation, seq, token, notice_s), tasks)| {
+            WorkerHeartbeat {
+                machine,
+                addr: "10.9.0.1:1".into(),
+                type_name,
+                zone,
+                spot,
+                incarnation,
+                seq,
+                token,
+                notice_s,
+                tasks,
+            }
         },
     )
 }
@@ -255,23 +269,23 @@
 
 fn attempt_ref() -> impl Strategy<Value = AttemptRef> {
     (number(), small(), number(), name(), prop::option::of(number())).prop_map(
-        |(job, task, attempt, machine, session)| AttemptRef {
+        |(job, task, attempt, machine, incarnation)| AttemptRef {
             job,
             task,
             attempt,
             machine,
-            session,
+            incarnation,
         },
     )
 }
 
-fn wanted() -> impl Strategy<Value = Wanted> {
+fn wanted() -> impl Strategy<Value = OfferRequest> {
     let line = (any::<u8>(), any::<i64>(), any::<bool>(), prop::option::of(any::<u8>()))
-        .prop_map(|(late, due_ms, stands, zone)| Line { late, due_ms, stands, zone });
+        .prop_map(|(late, due_ms, stands, zone)| QueuePosition { late, due_ms, stands, zone });
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
     let room = prop::collection::vec(small(), 0..4);
     (number(), shape(), small(), room, flags, prop::option::of(line)).prop_map(
-        |(job, shape, count, zone_room, (make_room, pressing, anywhere), line)| Wanted {
+        |(job, shape, count, zone_room, (make_room, pressing, anywhere), line)| OfferRequest {
             job,
             shape,
             count,
@@ -284,54 +298,61 @@
     )
 }
 
-fn to_participant() -> impl Strategy<Value = ShardMsg> {
-    let pick = (small(), number(), name(), number())
-        .prop_map(|(task, attempt, machine, session)| Pick { task, attempt, machine, session });
+fn to_participant() -> impl Strategy<Value = ShardMessage> {
+    let pick =
+        (small(), number(), name(), number()).prop_map(|(task, attempt, machine, incarnation)| {
+            Assignment { task, attempt, machine, incarnation }
+        });
     let gpu_work = prop::collection::vec((number(), number(), number(), priority()), 0..3);
     prop_oneof![
         (number(), prop::collection::vec(wanted(), 0..3), gpu_work).prop_map(
-            |(negotiation, items, gpu_work)| ShardMsg::Request { negotiation, items, gpu_work }
+            |(negotiation, items, gpu_work)| ShardMessage::RequestOffers {
+                negotiation,
+                items,
+                gpu_work
+            }
+        ),
+        number().prop_map(|negotiation| ShardMessage::CloseNegotiation { negotiation }),
+        (number(), shape(), prop::collection::vec(pick, 0..3), any::<bool>()).prop_map(
+            |(job, shape, picks, adopt)| ShardMessage::Place { job, shape, picks, adopt }
         ),
-        number().prop_map(|negotiation| ShardMsg::Close { negotiation }),
-        (number(), shape(), prop::collection::vec(pick, 0..3), any::<bool>())
-            .prop_map(|(job, shape, picks, adopt)| ShardMsg::Place { job, shape, picks, adopt }),
-        (attempt_ref(), amount()).prop_map(|(what, grace_s)| ShardMsg::Stop { what, grace_s }),
-        prop::collection::vec(attempt_ref(), 0..3).prop_map(|what| ShardMsg::Forget { what }),
+        (attempt_ref(), amount()).prop_map(|(what, grace_s)| ShardMessage::Stop { what, grace_s }),
+        prop::collection::vec(attempt_ref(), 0..3).prop_map(|what| ShardMessage::Forget { what }),
     ]
 }
 
-fn to_coordinator() -> impl Strategy<Value = ShardMsg> {
+fn to_coordinator() -> impl Strategy<Value = ShardMessage> {
     let offer = (any::<u16>(), name(), number(), any::<u8>(), small(), any::<i64>()).prop_map(
-        |(item, machine, session, zone, count, score)| {
+        |(item, machine, incarnation, zone, count, score)| {
             let cached = score % 2 == 0;
-            Offer { item, machine, session, zone, count, cached, score }
+            Offer { item, machine, incarnation, zone, count, cached, score }
         },
     );
     let phase = prop_oneof![
-        Just(Phase::Decided),
-        Just(Phase::Gone),
-        state().prop_map(Phase::On),
-        (why(), any::<bool>()).prop_map(|(w, saved)| Phase::Exited(w, saved)),
+        Just(TaskPhase::Decided),
+        Just(TaskPhase::Gone),
+        state().prop_map(TaskPhase::On),
+        (why(), any::<bool>()).prop_map(|(w, saved)| TaskPhase::Exited(w, saved)),
     ];
     let event = (number(), small(), number(), name(), phase).prop_map(
         |(job, task, attempt, machine, phase)| TaskEvent { job, task, attempt, machine, phase },
     );
     prop_oneof![
         (number(), prop::collection::vec(offer, 0..3), prop::collection::vec(any::<u16>(), 0..3))
-            .prop_map(|(negotiation, offers, coming)| ShardMsg::Offers {
+            .prop_map(|(negotiation, offers, coming)| ShardMessage::Offers {
                 negotiation,
                 offers,
                 coming
             }),
-        number().prop_map(|negotiation| ShardMsg::AskDecision { negotiation }),
-        priority().prop_map(|priority| ShardMsg::Room { priority }),
-        prop::collection::vec(event, 0..4).prop_map(|events| ShardMsg::Events { events }),
+        number().prop_map(|negotiation| ShardMessage::AskDecision { negotiation }),
+        priority().prop_map(|priority| ShardMessage::CapacityFreed { priority }),
+        prop::collection::vec(event, 0..4).prop_map(|events| ShardMessage::TaskEvents { events }),
     ]
 }
 
-fn to_provisioner() -> impl Strategy<Value = ShardMsg> {
+fn to_provisioner() -> impl Strategy<Value = ShardMessage> {
     let lack = (number(), shape(), small(), prop::collection::vec(small(), 0..4), number())
-        .prop_map(|(job, shape, count, zone_room, waited_ms)| Lack {
+        .prop_map(|(job, shape, count, zone_room, waited_ms)| UnmetDemand {
             job,
             shape,
             count,
@@ -351,44 +372,50 @@
         });
     let gone = prop::collection::vec(name(), 0..3);
     prop_oneof![
-        prop::collection::vec(lack, 0..4).prop_map(|lacks| ShardMsg::Lacks { lacks }),
+        prop::collection::vec(lack, 0..4).prop_map(|lacks| ShardMessage::UnmetDemand { lacks }),
         (number(), any::<bool>(), prop::collection::vec(info, 0..4), gone).prop_map(
-            |(serial, first, machines, gone)| ShardMsg::Machines { serial, first, machines, gone }
+            |(serial, first, machines, gone)| ShardMessage::Inventory {
+                serial,
+                first,
+                machines,
+                gone
+            }
         ),
-        Just(ShardMsg::MachinesAgain),
-        name().prop_map(|newest| ShardMsg::Base { newest }),
-        name().prop_map(|machine| ShardMsg::Drain { machine }),
-        name().prop_map(|machine| ShardMsg::Drained { machine }),
-        name().prop_map(|machine| ShardMsg::Released { machine }),
+        Just(ShardMessage::ResendInventory),
+        name().prop_map(|newest| ShardMessage::OperatorMachines { newest }),
+        name().prop_map(|machine| ShardMessage::Drain { machine }),
+        name().prop_map(|machine| ShardMessage::Drained { machine }),
+        name().prop_map(|machine| ShardMessage::Released { machine }),
     ]
 }
 
-fn amounts() -> impl Strategy<Value = Amount> + Clone {
-    (number(), number()).prop_map(|(cpu, gpu)| Amount { cpu, gpu })
+fn amounts() -> impl Strategy<Value = QuotaAmount> + Clone {
+    (number(), number()).prop_map(|(cpu, gpu)| QuotaAmount { cpu, gpu })
 }
 
-fn quota() -> impl Strategy<Value = ShardMsg> {
+fn quota() -> impl Strategy<Value = ShardMessage> {
     let by = || [amounts(), amounts(), amounts(), amounts()];
-    let first = (amounts(), number()).prop_map(|(need, waited_ms)| First { need, waited_ms });
+    let first =
+        (amounts(), number()).prop_map(|(need, waited_ms)| FirstInQueue { need, waited_ms });
     let first = prop::option::of(first);
     let firsts = [first.clone(), first.clone(), first.clone(), first];
     let used = (0u8..4, by(), by(), by(), firsts).prop_map(|(team, used, wanted, stuck, first)| {
-        TeamUse { team, used, wanted, stuck, first }
+        TeamUsage { team, used, wanted, stuck, first }
     });
     let granted =
         (0u8..4, amounts(), amounts()).prop_map(|(team, may, due)| TeamGrant { team, may, due });
     prop_oneof![
         (number(), prop::collection::vec(used, 0..4))
-            .prop_map(|(serial, usage)| ShardMsg::TeamUsage { serial, usage }),
+            .prop_map(|(serial, usage)| ShardMessage::TeamUsage { serial, usage }),
         (number(), prop::collection::vec(granted, 0..4))
-            .prop_map(|(serial, granted)| ShardMsg::TeamGrant { serial, granted }),
+            .prop_map(|(serial, granted)| ShardMessage::TeamGrant { serial, granted }),
     ]
 }
 
-fn beat() -> impl Strategy<Value = Beat> {
+fn beat() -> impl Strategy<Value = NodeHeartbeat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
     let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
-        |(shard, epoch, doubt_ms, after, upto, whole)| Word {
+        |(shard, epoch, doubt_ms, after, upto, whole)| ShardAssertion {
             shard,
             epoch,
             doubt_ms,
@@ -405,7 +432,7 @@
     let heeded = prop::collection::vec((0u8..5, number(), number()), 0..3);
     let times = (stamp(), prop::option::of(stamp()));
     (owned, known, any::<bool>(), times, newest, (words, heeded)).prop_map(
-        |(owned, known, ready, (stamp, echo), newest, (words, heeded))| Beat {
+        |(owned, known, ready, (stamp, echo), newest, (words, heeded))| NodeHeartbeat {
             owned,
             known,
             ready,
@@ -421,13 +448,13 @@
 /// What a node may get; messages between shards are given the epochs that are right.
 #[derive(Clone, Debug)]
 enum Odd {
-    Report(Report),
-    Orders(Report, bool),
+    WorkerHeartbeat(WorkerHeartbeat),
+    Orders(WorkerHeartbeat, bool),
     Job(Box<Job>),
-    Ask(u64, bool),
-    Beat(Beat),
-    Shard(u8, u8, ShardMsg),
-    Node(NodeMsg),
+    LookupPurpose(u64, bool),
+    NodeHeartbeat(NodeHeartbeat),
+    Shard(u8, u8, ShardMessage),
+    Node(NodeMessage),
     Pass(u64),
 }
 
@@ -468,31 +495,35 @@
 
 fn odd() -> impl Strategy<Value = Odd> {
     let told = prop_oneof![
-        Just(Told::NotMine),
-        Just(Told::Unknown),
-        Just(Told::Later),
-        Just(Told::State(JobState { id: "x".into(), status: Status::Done, done: 1, running: 9 })),
-    ];
-    let answer = number().prop_map(|token| Answer { token, orders: Vec::new() });
-    let node = prop_oneof![
-        (number(), number(), any::<bool>()).prop_map(|(call, job, cancel)| NodeMsg::Ask {
-            call,
-            job,
-            cancel
-        }),
-        (number(), told).prop_map(|(call, answer)| NodeMsg::Told { call, answer }),
-        any::<u8>().prop_map(|shard| NodeMsg::WantShard { shard }),
-        (number(), report()).prop_map(|(call, r)| NodeMsg::Report { call, report: Box::new(r) }),
-        (number(), prop::option::of(answer))
-            .prop_map(|(call, answer)| NodeMsg::Answered { call, answer }),
+        Just(JobAnswer::NotMine),
+        Just(JobAnswer::Unknown),
+        Just(JobAnswer::Later),
+        Just(JobAnswer::State(JobState {
+            id: "x".into(),
+            status: Status::Done,
+            done: 1,
+            running: 9
+        })),
     ];
+    let answer = number().prop_map(|token| HeartbeatResponse { token, orders: Vec::new() });
+    let node =
+        prop_oneof![
+            (number(), number(), any::<bool>())
+                .prop_map(|(call, job, cancel)| NodeMessage::QueryJob { call, job, cancel }),
+            (number(), told).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
+            any::<u8>().prop_map(|shard| NodeMessage::ReclaimShard { shard }),
+            (number(), report())
+                .prop_map(|(call, r)| NodeMessage::RelayedHeartbeat { call, report: Box::new(r) }),
+            (number(), prop::option::of(answer))
+                .prop_map(|(call, answer)| NodeMessage::RelayedResponse { call, answer }),
+        ];
     let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner(), quota()];
     prop_oneof![
-        report().prop_map(Odd::Report),
+        report().prop_map(Odd::WorkerHeartbeat),
         (report(), any::<bool>()).prop_map(|(r, done)| Odd::Orders(r, done)),
         job().prop_map(|j| Odd::Job(Box::new(j))),
-        (number(), any::<bool>()).prop_map(|(id, cancel)| Odd::Ask(id, cancel)),
-        beat().prop_map(Odd::Beat),
+        (number(), any::<bool>()).prop_map(|(id, cancel)| Odd::LookupPurpose(id, cancel)),
+        beat().prop_map(Odd::NodeHeartbeat),
         (0u8..4, 0u8..4, shard).prop_map(|(from, to, m)| Odd::Shard(from, to, m)),
         node.prop_map(Odd::Node),
         (0u64..9000).prop_map(Odd::Pass),
@@ -511,15 +542,15 @@
             let from = format!("n-{}", 1 + i % 2);
             let sent = |msg| Input::Mesh { from: from.clone(), msg: Box::new(msg) };
             let input = match what {
-                Odd::Report(r) => Input::Report { req, report: Box::new(r) },
+                Odd::WorkerHeartbeat(r) => Input::WorkerHeartbeat { req, report: Box::new(r) },
                 Odd::Orders(r, done) => {
                     let machine = r.machine.clone();
                     let report = Box::new(r);
                     let outcome = match done {
-                        true => DirectOutcome::Executed(report),
-                        false => DirectOutcome::Refused(report),
+                        true => CommandOutcome::Executed(report),
+                        false => CommandOutcome::Refused(report),
                     };
-                    Input::Orders { machine, batch: req, outcome }
+                    Input::CommandOutcome { machine, batch: req, outcome }
                 }
                 Odd::Job(mut job) => {
                     // Of a name of its own, or it would be known by one that was accepted before.
@@ -527,18 +558,18 @@
                     right.extend(can_run(&job).then_some(req));
                     Input::Submit { req, id: parse_job_id(&job.id).map(JobId), job: Ok(job) }
                 }
-                Odd::Ask(id, cancel) => match cancel {
+                Odd::LookupPurpose(id, cancel) => match cancel {
                     true => Input::Cancel { req: 1000 + req, id: JobId(id) },
                     false => Input::Get { req: 1000 + req, id: JobId(id) },
                 },
-                Odd::Beat(b) => sent(NodeMsg::Beat(b)),
+                Odd::NodeHeartbeat(b) => sent(NodeMessage::Heartbeat(b)),
                 Odd::Shard(from, to, msg) => {
                     let epoch = |s: u8| {
                         let owned = w.node.owned_shards();
                         owned.iter().find(|o| o.0 .0 == s).map_or(0, |o| o.1 .0)
                     };
                     let (from_epoch, to_epoch) = (epoch(from), epoch(to));
-                    sent(NodeMsg::Shard { from, from_epoch, to, to_epoch, msg })
+                    sent(NodeMessage::Shard { from, from_epoch, to, to_epoch, msg })
                 }
                 Odd::Node(msg) => sent(msg),
                 Odd::Pass(ms) => {
--- a/crates/leaddeal/src/driver.rs
+++ b/crates/leaddeal/src/driver.rs
@@ -4,11 +4,13 @@
 use crate::gateway::{self, Gateway};
 use crate::link;
 use hyper::Method;
-use leaddeal_core::io::{CloudCall, CloudResult, DirectOutcome, ReqId, StoreCall, StoreResult};
-use leaddeal_core::{Input, Node, Output};
-use leaddeal_wire::mesh::NodeMsg;
+use leaddeal_core::io::{
+    CloudCall, CloudResult, CommandOutcome, RequestId, StoreCall, StoreResult,
+};
+use leaddeal_core::{Effect, Input, Node};
+use leaddeal_wire::mesh::NodeMessage;
 use leaddeal_wire::settings::Settings;
-use leaddeal_wire::worker::{self, Direct, Report};
+use leaddeal_wire::worker::{self, CommandBatch, WorkerHeartbeat};
 use leaddeal_wire::{cloud, state};
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
@@ -44,8 +46,8 @@
     /// Connections to workers that were commanded lately.
     workers: HashMap<String, (Client, Instant)>,
     most_workers: usize,
-    links: HashMap<String, mpsc::Sender<NodeMsg>>,
-    replies: HashMap<ReqId, oneshot::Sender<Reply>>,
+    links: HashMap<String, mpsc::Sender<NodeMessage>>,
+    replies: HashMap<RequestId, oneshot::Sender<Reply>>,
 }
 
 /// Memory for the bodies of requests, in KiB: an eighth of what the controller has.
@@ -170,47 +172,47 @@
         c
     }
 
-    fn act(&mut self, o: Output) {
+    fn act(&mut self, o: Effect) {
         match o {
-            Output::User { req, reply } => {
+            Effect::User { req, reply } => {
                 if let Some(r) = self.replies.remove(&req) {
                     let _ = r.send(Reply::User(reply));
                 }
             }
-            Output::Worker { req, reply } => {
+            Effect::Worker { req, reply } => {
                 if let Some(r) = self.replies.remove(&req) {
                     let _ = r.send(Reply::Worker(reply));
                 }
             }
-            Output::Mesh { to, msg } => {
+            Effect::Mesh { to, msg } => {
                 if let Some(l) = self.links.get(&to) {
                     let _ = l.try_send(msg);
                 }
             }
-            Output::Store { op, call } => {
+            Effect::Store { op, call } => {
                 let (c, events) = (self.store.clone(), self.events.clone());
                 tokio::spawn(async move {
                     let result = store(&c, call).await;
                     let _ = events.send(Event::Input(Input::Store { op, result })).await;
                 });
             }
-            Output::Cloud { op, call } => {
+            Effect::Cloud { op, call } => {
                 let (c, events) = (self.cloud.clone(), self.events.clone());
                 tokio::spawn(async move {
                     let result = ask_cloud(&c, call).await;
                     let _ = events.send(Event::Input(Input::Cloud { op, result })).await;
                 });
             }
-            Output::Orders { machine, addr, batch, direct } => {
+            Effect::Commands { machine, addr, batch, direct } => {
                 let events = self.events.clone();
                 let c = self.worker(&addr);
                 tokio::spawn(async move {
                     let outcome = command(&c, &direct).await;
-                    let input = Input::Orders { machine, batch, outcome };
+                    let input = Input::CommandOutcome { machine, batch, outcome };
                     let _ = events.send(Event::Input(input)).await;
                 });
             }
-            Output::Log(level, event, what) => match level {
+            Effect::Log(level, event, what) => match level {
                 0 => tracing::error!(event, "{what}"),
                 1 => tracing::info!(event, "{what}"),
                 _ => tracing::debug!(event, "{what}"),
@@ -219,15 +221,15 @@
     }
 }
 
-async fn command(c: &Client, direct: &Direct) -> DirectOutcome {
+async fn command(c: &Client, direct: &CommandBatch) -> CommandOutcome {
     match c.call(Method::POST, worker::COMMANDS, Some(direct), DIRECT_LIMIT).await {
-        Ok((status, b)) => match (status, parse::<Report>(&b)) {
-            (200, Some(r)) => DirectOutcome::Executed(Box::new(r)),
-            (409, Some(r)) => DirectOutcome::Refused(Box::new(r)),
-            _ => DirectOutcome::Unknown,
+        Ok((status, b)) => match (status, parse::<WorkerHeartbeat>(&b)) {
+            (200, Some(r)) => CommandOutcome::Executed(Box::new(r)),
+            (409, Some(r)) => CommandOutcome::Refused(Box::new(r)),
+            _ => CommandOutcome::Unknown,
         },
-        Err(NoAnswer::NotSent) => DirectOutcome::NotSent,
-        Err(NoAnswer::Unknown) => DirectOutcome::Unknown,
+        Err(NoAnswer::NotSent) => CommandOutcome::NotSent,
+        Err(NoAnswer::Unknown) => CommandOutcome::Unknown,
     }
 }
 
@@ -235,10 +237,10 @@
     let none: Option<&()> = None;
     let answer = match &call {
         StoreCall::NewLease { ttl_ms } => {
-            let b = state::LeaseAsk { ttl_ms: *ttl_ms };
+            let b = state::LeaseRequest { ttl_ms: *ttl_ms };
             c.call(Method::POST, state::LEASES, Some(&b), STORE_LIMIT).await
         }
-        StoreCall::Touch { lease } => {
+        StoreCall::RenewLease { lease } => {
             let path = format!("{}/{lease}/touch", state::LEASES);
             c.call(Method::POST, &path, none, STORE_LIMIT).await
         }
@@ -246,7 +248,7 @@
             let path = format!("{}/{lease}", state::LEASES);
             c.call(Method::DELETE, &path, none, STORE_LIMIT).await
         }
-        StoreCall::Txn(t) => c.call(Method::POST, state::TXN, Some(t), STORE_LIMIT).await,
+        StoreCall::Transaction(t) => c.call(Method::POST, state::TXN, Some(t), STORE_LIMIT).await,
         StoreCall::Get { key } => {
             c.call(Method::GET, &format!("{}/{key}", state::KV), none, STORE_LIMIT).await
         }
@@ -269,19 +271,21 @@
     };
     let known = match (&call, status) {
         (_, 503) => Some(StoreResult::Refused),
-        (_, 429) => Some(StoreResult::TooMany),
+        (_, 429) => Some(StoreResult::RateLimited),
         (StoreCall::NewLease { .. }, 200) => {
-            parse::<state::LeaseAnswer>(&body).map(|a| StoreResult::Lease(a.lease))
+            parse::<state::LeaseGrant>(&body).map(|a| StoreResult::Lease(a.lease))
         }
-        (StoreCall::Touch { .. } | StoreCall::EndLease { .. }, 200) => Some(StoreResult::Touched),
-        (StoreCall::Touch { .. }, 404) => Some(StoreResult::NoLease),
-        (StoreCall::Txn(_), 200) => {
-            parse::<state::TxnAnswer>(&body).map(|a| StoreResult::Committed(a.revision))
+        (StoreCall::RenewLease { .. } | StoreCall::EndLease { .. }, 200) => {
+            Some(StoreResult::LeaseRenewed)
         }
-        (StoreCall::Txn(_), 409) => {
-            parse::<state::TxnAnswer>(&body).map(|a| StoreResult::Conflict(a.failed))
+        (StoreCall::RenewLease { .. }, 404) => Some(StoreResult::NoLease),
+        (StoreCall::Transaction(_), 200) => {
+            parse::<state::TransactionResult>(&body).map(|a| StoreResult::Committed(a.revision))
         }
-        (StoreCall::Txn(t), 400) => {
+        (StoreCall::Transaction(_), 409) => {
+            parse::<state::TransactionResult>(&body).map(|a| StoreResult::Conflict(a.failed))
+        }
+        (StoreCall::Transaction(t), 400) => {
             let leased =
                 t.changes.iter().any(|c| matches!(c, state::Change::Put { lease: Some(_), .. }));
             tracing::error!(event = "store_refused", "{}", String::from_utf8_lossy(&body));
@@ -291,7 +295,7 @@
         (StoreCall::Get { .. }, 404) => Some(StoreResult::Item(None)),
         (StoreCall::List { .. }, 200) => parse(&body).map(StoreResult::Page),
         (StoreCall::Watch { .. }, 200) => parse(&body).map(StoreResult::Events),
-        (StoreCall::Watch { .. }, 410) => Some(StoreResult::TooOld),
+        (StoreCall::Watch { .. }, 410) => Some(StoreResult::Compacted),
         _ => None,
     };
     known.unwrap_or_else(|| {
@@ -304,9 +308,9 @@
     let none: Option<&()> = None;
     let answer = match &call {
         CloudCall::Catalog => c.call(Method::GET, cloud::CATALOG, none, CLOUD_LIMIT).await,
-        CloudCall::Rent(r) => c.call(Method::POST, cloud::MACHINES, Some(r), CLOUD_LIMIT).await,
+        CloudCall::Launch(r) => c.call(Method::POST, cloud::MACHINES, Some(r), CLOUD_LIMIT).await,
         CloudCall::Release(names) => {
-            let b = cloud::Names { machines: names.clone() };
+            let b = cloud::InstanceNames { machines: names.clone() };
             c.call(Method::POST, cloud::RELEASE, Some(&b), CLOUD_LIMIT).await
         }
         CloudCall::List { after } => {
@@ -322,15 +326,15 @@
     };
     let known = match (&call, status) {
         (CloudCall::Catalog, 200) => parse(&body).map(CloudResult::Catalog),
-        (CloudCall::Rent(_), 200) => {
-            parse::<cloud::Names>(&body).map(|n| CloudResult::Rented(n.machines))
+        (CloudCall::Launch(_), 200) => {
+            parse::<cloud::InstanceNames>(&body).map(|n| CloudResult::Launched(n.machines))
         }
-        (CloudCall::Rent(_), 503) => {
+        (CloudCall::Launch(_), 503) => {
             let none = String::from_utf8_lossy(&body).contains("no capacity");
             Some(if none { CloudResult::NoCapacity } else { CloudResult::Refused })
         }
         (CloudCall::Release(_), 200) => Some(CloudResult::Released),
-        (CloudCall::List { .. }, 200) => parse(&body).map(CloudResult::Listing),
+        (CloudCall::List { .. }, 200) => parse(&body).map(CloudResult::InstanceList),
         (_, 429 | 503 | 400) => Some(CloudResult::Refused),
         _ => None,
     };
--- a/crates/leaddeal/src/event.rs
+++ b/crates/leaddeal/src/event.rs
@@ -1,5 +1,5 @@
 //! What reaches the core's loop from the gateway, the links and the answers of outside services.
-use leaddeal_core::io::{ReqId, UserReply, WorkerReply};
+use leaddeal_core::io::{RequestId, UserReply, WorkerReply};
 use leaddeal_core::Input;
 use tokio::sync::oneshot;
 
@@ -11,5 +11,5 @@
 pub enum Event {
     Input(Input),
     /// Somebody waits for the reply.
-    Request(ReqId, oneshot::Sender<Reply>, Input),
+    Request(RequestId, oneshot::Sender<Reply>, Input),
 }
--- a/crates/leaddeal/src/gateway.rs
+++ b/crates/leaddeal/src/gateway.rs
@@ -12,7 +12,7 @@
 use leaddeal_core::io::{UserReply, WorkerReply};
 use leaddeal_core::Input;
 use leaddeal_wire::user::{self, Job};
-use leaddeal_wire::worker::{self, Redirect, Report};
+use leaddeal_wire::worker::{self, Redirect, WorkerHeartbeat};
 use std::error::Error;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -168,12 +168,12 @@
         Ok(b) => b,
         Err(e) => return e.response(),
     };
-    let report: Report = match serde_json::from_slice(&bytes) {
+    let report: WorkerHeartbeat = match serde_json::from_slice(&bytes) {
         Ok(r) => r,
         Err(e) => return text(400, &e.to_string()),
     };
-    match d.ask(|req| Input::Report { req, report: Box::new(report) }).await {
-        Some(Reply::Worker(WorkerReply::Answer(a))) => axum::Json(a).into_response(),
+    match d.ask(|req| Input::WorkerHeartbeat { req, report: Box::new(report) }).await {
+        Some(Reply::Worker(WorkerReply::HeartbeatResponse(a))) => axum::Json(a).into_response(),
         Some(Reply::Worker(WorkerReply::Redirect(report_to))) => {
             let status = StatusCode::MISDIRECTED_REQUEST;
             (status, axum::Json(Redirect { report_to })).into_response()
--- a/crates/leaddeal/src/link.rs
+++ b/crates/leaddeal/src/link.rs
@@ -3,7 +3,7 @@
 use crate::client::lock;
 use crate::event::Event;
 use leaddeal_core::Input;
-use leaddeal_wire::mesh::{Hello, NodeMsg, MAX_FRAME};
+use leaddeal_wire::mesh::{Hello, NodeMessage, MAX_FRAME};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -80,8 +80,8 @@
     boot: Boot,
     restarted: Arc<Notify>,
     patience: Duration,
-) -> mpsc::Sender<NodeMsg> {
-    let (tx, mut rx) = mpsc::channel::<NodeMsg>(QUEUE);
+) -> mpsc::Sender<NodeMessage> {
+    let (tx, mut rx) = mpsc::channel::<NodeMessage>(QUEUE);
     tokio::spawn(async move {
         let mut generation = 0;
         loop {
@@ -209,7 +209,7 @@
         if lock(&newest).get(&hello.node) != Some(&me) {
             return;
         }
-        let Ok(msg) = ciborium::from_reader::<NodeMsg, _>(&buf[..]) else {
+        let Ok(msg) = ciborium::from_reader::<NodeMessage, _>(&buf[..]) else {
             return;
         };
         let input = Input::Mesh { from: hello.node.clone(), msg: Box::new(msg) };
--- a/crates/leaddeal/src/link/tests.rs
+++ b/crates/leaddeal/src/link/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use leaddeal_wire::mesh::Beat;
+use leaddeal_wire::mesh::NodeHeartbeat;
 
 /// A listener that swallows everything stands for a sibling that is gone unnoticed.
 #[tokio::test]
@@ -10,7 +10,7 @@
         let (boot, restarted) = (Boot::new(1), Arc::default());
         let tx = dial("n-0".into(), addr, boot, restarted, Duration::from_millis(20));
         let feed = tokio::spawn(async move {
-            while tx.send(NodeMsg::Beat(Beat::default())).await.is_ok() {
+            while tx.send(NodeMessage::Heartbeat(NodeHeartbeat::default())).await.is_ok() {
                 tokio::task::yield_now().await;
             }
         });
@@ -49,12 +49,17 @@
     };
     let epoch_of = |e: Option<Event>| match e {
         Some(Event::Input(Input::Mesh { msg, .. })) => match *msg {
-            NodeMsg::Beat(b) => b.owned[0].1,
+            NodeMessage::Heartbeat(b) => b.owned[0].1,
             _ => 0,
         },
         _ => 0,
     };
-    let beat = |epoch| NodeMsg::Beat(Beat { owned: vec![(0, epoch)], ..Beat::default() });
+    let beat = |epoch| {
+        NodeMessage::Heartbeat(NodeHeartbeat {
+            owned: vec![(0, epoch)],
+            ..NodeHeartbeat::default()
+        })
+    };
     let before = start(1000);
     before.send(beat(1)).await.expect("a link");
     assert_eq!(epoch_of(heard.recv().await), 1);
--- a/crates/leaddeal/tests/common/mod.rs
+++ b/crates/leaddeal/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use axum::{Json, Router};
 use leaddeal_core::io::{StoreCall, StoreResult};
 use leaddeal_testkit::state::{Broken, State};
-use leaddeal_wire::state::Txn;
+use leaddeal_wire::state::Transaction;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -23,7 +23,7 @@
 fn answer(r: StoreResult) -> Response {
     match r {
         StoreResult::Lease(id) => Json(json!({ "permit": id })).into_response(),
-        StoreResult::Touched => Json(json!({})).into_response(),
+        StoreResult::LeaseRenewed => Json(json!({})).into_response(),
         StoreResult::NoLease => (StatusCode::NOT_FOUND, "{}").into_response(),
         StoreResult::Committed(v) => Json(json!({ "logbook": v })).into_response(),
         StoreResult::Conflict(f) => {
@@ -69,39 +69,38 @@
         "harbors": ["a"]}]});
     let full = (StatusCode::SERVICE_UNAVAILABLE, Json(json!({"error": "no capacity"})));
     let none = Json(json!({"fleet": [], "truncated": false}));
-    let app =
-        Router::new()
-            .route("/catalog", get(move || async move { Json(catalog) }))
-            .route("/hosts", get(move || async move { none }).post(move || async move { full }))
-            .route("/hosts/release", post(|| async { "{}" }))
-            .route("/store", get(list))
-            .route(
-                "/store/{*key}",
-                get(|Ext(s): Ext<Store>, Path(key): Path<String>| async move {
-                    call(&s, &StoreCall::Get { key })
-                }),
-            )
-            .route(
-                "/multi",
-                post(|Ext(s): Ext<Store>, Json(t): Json<Txn>| async move {
-                    call(&s, &StoreCall::Txn(t))
-                }),
-            )
-            .route(
-                "/holds",
-                post(|Ext(s): Ext<Store>, Json(v): Json<Value>| async move {
-                    let ttl_ms = v["lifeMs"].as_u64().unwrap_or(0);
-                    call(&s, &StoreCall::NewLease { ttl_ms })
-                }),
-            )
-            .route(
-                "/holds/{id}/touch",
-                post(|Ext(s): Ext<Store>, Path(lease): Path<u64>, _: Bytes| async move {
-                    call(&s, &StoreCall::Touch { lease })
-                }),
-            )
-            .route("/changes", get(changes))
-            .with_state(store);
+    let app = Router::new()
+        .route("/catalog", get(move || async move { Json(catalog) }))
+        .route("/hosts", get(move || async move { none }).post(move || async move { full }))
+        .route("/hosts/release", post(|| async { "{}" }))
+        .route("/store", get(list))
+        .route(
+            "/store/{*key}",
+            get(|Ext(s): Ext<Store>, Path(key): Path<String>| async move {
+                call(&s, &StoreCall::Get { key })
+            }),
+        )
+        .route(
+            "/multi",
+            post(|Ext(s): Ext<Store>, Json(t): Json<Transaction>| async move {
+                call(&s, &StoreCall::Transaction(t))
+            }),
+        )
+        .route(
+            "/holds",
+            post(|Ext(s): Ext<Store>, Json(v): Json<Value>| async move {
+                let ttl_ms = v["lifeMs"].as_u64().unwrap_or(0);
+                call(&s, &StoreCall::NewLease { ttl_ms })
+            }),
+        )
+        .route(
+            "/holds/{id}/touch",
+            post(|Ext(s): Ext<Store>, Path(lease): Path<u64>, _: Bytes| async move {
+                call(&s, &StoreCall::RenewLease { lease })
+            }),
+        )
+        .route("/changes", get(changes))
+        .with_state(store);
     std::thread::spawn(move || {
         let rt = tokio::runtime::Builder::new_current_thread().enable_all().build();
         rt.expect("a runtime").block_on(async move {
