--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -2,7 +2,7 @@
 use common::{http, job, start, until};
 use leaddeal_testkit::worker::{Done, Worker};
 use leaddeal_wire::user::Job;
-use leaddeal_wire::worker::{Answer, Redirect};
+use leaddeal_wire::worker::{HeartbeatResponse, Redirect};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
             let sent = now();
             let (status, text) = http(&nodes[at].1, "POST", "/checkin", &body);
             let to = serde_json::from_str::<Redirect>(&text).ok().and_then(|r| r.report_to);
-            match (status, serde_json::from_str::<Answer>(&text)) {
+            match (status, serde_json::from_str::<HeartbeatResponse>(&text)) {
                 (200, Ok(a)) if a.token >= w.token => {
                     w.token = a.token;
                     w.granted = sent;
--- a/crates/testkit/src/fingerprint.rs
+++ b/crates/testkit/src/fingerprint.rs
@@ -3,7 +3,7 @@
 //!
 //! Messages count as the bytes or the JSON text that goes over the wire, so that renaming a type, field
 //! or log event in the sources leaves the fingerprint as it is. Of log lines only the level counts.
-use leaddeal_core::io::{CloudCall, Output, StoreCall, WorkerReply};
+use leaddeal_core::io::{CloudCall, Effect, StoreCall, WorkerReply};
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
@@ -20,57 +20,57 @@
 
 impl Fingerprint {
     /// Adds one output of a core: of which node, and at which of its times in milliseconds.
-    pub fn add(&mut self, node: usize, now: u64, output: &Output) {
+    pub fn add(&mut self, node: usize, now: u64, output: &Effect) {
         self.outputs += 1;
         (node, now).hash(&mut self.hasher);
         match output {
-            Output::User { req, reply } => {
+            Effect::User { req, reply } => {
                 ("user", req, reply.status, &reply.error, reply.retry_after_s)
                     .hash(&mut self.hasher);
                 self.json(&reply.state);
             }
-            Output::Worker { req, reply } => {
+            Effect::Worker { req, reply } => {
                 ("worker", req).hash(&mut self.hasher);
                 match reply {
-                    WorkerReply::Answer(answer) => self.json(answer),
+                    WorkerReply::HeartbeatResponse(answer) => self.json(answer),
                     WorkerReply::Redirect(to) => ("redirect", to).hash(&mut self.hasher),
                     WorkerReply::Unavailable => "unavailable".hash(&mut self.hasher),
                 }
             }
-            Output::Mesh { to, msg } => {
+            Effect::Mesh { to, msg } => {
                 ("mesh", to).hash(&mut self.hasher);
                 let mut bytes = Vec::new();
                 let written = ciborium::into_writer(msg, &mut bytes);
                 written.expect("a message can be encoded in memory");
                 bytes.hash(&mut self.hasher);
             }
-            Output::Store { op, call } => {
+            Effect::Store { op, call } => {
                 ("store", op).hash(&mut self.hasher);
                 self.store_call(call);
             }
-            Output::Cloud { op, call } => {
+            Effect::Cloud { op, call } => {
                 ("cloud", op).hash(&mut self.hasher);
                 match call {
                     CloudCall::Catalog => "catalog".hash(&mut self.hasher),
-                    CloudCall::Rent(rent) => self.json(rent),
+                    CloudCall::Launch(rent) => self.json(rent),
                     CloudCall::Release(machines) => machines.hash(&mut self.hasher),
                     CloudCall::List { after } => after.hash(&mut self.hasher),
                 }
             }
-            Output::Orders { machine, addr, batch, direct } => {
+            Effect::Commands { machine, addr, batch, direct } => {
                 ("orders", machine, addr, batch).hash(&mut self.hasher);
                 self.json(direct);
             }
-            Output::Log(level, ..) => ("log", level).hash(&mut self.hasher),
+            Effect::Log(level, ..) => ("log", level).hash(&mut self.hasher),
         }
     }
 
     fn store_call(&mut self, call: &StoreCall) {
         match call {
             StoreCall::NewLease { ttl_ms } => ("new lease", ttl_ms).hash(&mut self.hasher),
-            StoreCall::Touch { lease } => ("touch", lease).hash(&mut self.hasher),
+            StoreCall::RenewLease { lease } => ("touch", lease).hash(&mut self.hasher),
             StoreCall::EndLease { lease } => ("end lease", lease).hash(&mut self.hasher),
-            StoreCall::Txn(txn) => self.json(txn),
+            StoreCall::Transaction(txn) => self.json(txn),
             StoreCall::Get { key } => ("get", key).hash(&mut self.hasher),
             StoreCall::List { prefix, after } => ("list", prefix, after).hash(&mut self.hasher),
             StoreCall::Watch { prefix, after, wait_ms } => {
--- a/crates/testkit/src/gangs.rs
+++ b/crates/testkit/src/gangs.rs
@@ -2,7 +2,7 @@
 //! has its image, complete together, and notice when one of them is lost.
 use crate::worker::{Done, On, Worker};
 use leaddeal_wire::user::Job;
-use leaddeal_wire::worker::{TaskState, Why};
+use leaddeal_wire::worker::{ExitReason, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Within so long the tasks of a gang notice that one of them is gone.
@@ -62,7 +62,7 @@
         let mut gangs: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
         for w in workers.values().filter(|w| !w.gone) {
             for (key, t) in w.tasks.iter().filter(|(_, t)| t.gang) {
-                if t.why == Some(Why::Alone) {
+                if t.why == Some(ExitReason::Alone) {
                     self.alone.insert((key.clone(), w.name.clone()));
                 }
                 if matches!(t.state, TaskState::Waiting | TaskState::Running | TaskState::Saving) {
@@ -121,7 +121,7 @@
         if saved && members.iter().all(|m| task(workers, m).is_some_and(|t| now >= t.until)) {
             self.saved.insert(gang.0.clone(), progress);
             self.stopped += 1;
-            exit(workers, members, Why::Stopped, true);
+            exit(workers, members, ExitReason::Stopped, true);
         } else if saved {
         } else if run.stopped.or(run.lost).is_some_and(|from| over(from, noticed_ms(gang, run))) {
             let checkpoint = (j.checkpoint_s * 1000.0) as u64;
@@ -130,11 +130,11 @@
             self.saved.insert(gang.0.clone(), safe);
             // A machine that hangs notices when it goes on.
             let here: Vec<Member> = members.iter().filter(|m| acts(m)).cloned().collect();
-            exit(workers, &here, Why::Peers, false);
+            exit(workers, &here, ExitReason::Peers, false);
         } else if run.stopped.or(run.lost).is_none() && progress >= (j.estimate_s * 1000.0) as u64 {
             members.iter().for_each(|m| done.insert(&m.0 .0, now));
             self.completed += 1;
-            exit(workers, members, Why::Done, false);
+            exit(workers, members, ExitReason::Done, false);
         }
     }
 }
@@ -159,6 +159,6 @@
     }
 }
 
-fn exit(workers: &mut BTreeMap<String, Worker>, members: &[Member], why: Why, saved: bool) {
+fn exit(workers: &mut BTreeMap<String, Worker>, members: &[Member], why: ExitReason, saved: bool) {
     each(workers, members, |t| (t.state, t.why, t.saved) = (TaskState::Exited, Some(why), saved));
 }
--- a/crates/testkit/src/neglect.rs
+++ b/crates/testkit/src/neglect.rs
@@ -9,20 +9,20 @@
 pub const NEGLECTED_MS: u64 = 90_000;
 
 /// Processors and GPUs.
-type Amount = (f64, f64);
+type QuotaAmount = (f64, f64);
 
-fn need(j: &Job) -> Amount {
+fn need(j: &Job) -> QuotaAmount {
     (j.cpus, j.gpus)
 }
 
 /// How often one goes into the other.
-fn fits(room: Amount, need: Amount) -> usize {
+fn fits(room: QuotaAmount, need: QuotaAmount) -> usize {
     let times = |r: f64, n: f64| if n > 0.0 { ((r + 1e-9) / n).max(0.0) } else { f64::MAX };
     times(room.0, need.0).min(times(room.1, need.1)) as usize
 }
 
 /// What a machine has free by its worker's own books.
-fn free(w: &Worker, jobs: &BTreeMap<String, Job>) -> Amount {
+fn free(w: &Worker, jobs: &BTreeMap<String, Job>) -> QuotaAmount {
     let here = w.tasks.iter().filter(|(_, t)| t.state != TaskState::Exited);
     let here = here.filter_map(|((task, _), _)| jobs.get(task.split('/').next()?));
     here.fold((w.cpus, w.gpus), |(c, g), j| (c - j.cpus, g - j.gpus))
@@ -31,8 +31,8 @@
 /// What is on machines now.
 struct Books<'a> {
     /// Free room of each machine that works.
-    room: Vec<(&'a Worker, Amount)>,
-    used: BTreeMap<&'a str, Amount>,
+    room: Vec<(&'a Worker, QuotaAmount)>,
+    used: BTreeMap<&'a str, QuotaAmount>,
     /// By job: the zones of its tasks.
     on: BTreeMap<&'a str, BTreeMap<&'a str, u32>>,
 }
@@ -168,7 +168,7 @@
     ) {
         let books = Books::new(now, jobs, workers);
         let mut still = BTreeMap::new();
-        let mut wanted_by: BTreeMap<&str, Amount> = BTreeMap::new();
+        let mut wanted_by: BTreeMap<&str, QuotaAmount> = BTreeMap::new();
         for j in wanted.filter(|j| !done.mistaken.contains(&j.id)) {
             let finished = (0..j.tasks).filter(|t| done.contains(&format!("{}/{t}", j.id))).count();
             let on: u32 = books.on.get(j.id.as_str()).map_or(0, |z| z.values().sum());
@@ -200,17 +200,18 @@
                 still.insert(j.id.clone(), w);
             }
         }
-        let over = |max: Amount, used: Amount, more: Amount| {
+        let over = |max: QuotaAmount, used: QuotaAmount, more: QuotaAmount| {
             (max.0 > 0.0 && used.0 + more.0 > max.0 + 1e-9)
                 || (max.1 > 0.0 && used.1 + more.1 > max.1 + 1e-9)
         };
-        let of =
-            |by: &BTreeMap<&str, Amount>, team: &str| by.get(team).copied().unwrap_or_default();
+        let of = |by: &BTreeMap<&str, QuotaAmount>, team: &str| {
+            by.get(team).copied().unwrap_or_default()
+        };
         let limits = teams.iter().any(|t| {
             let max = (t.cpus_max, t.gpus_max);
             over(max, of(&books.used, &t.name), of(&wanted_by, &t.name))
         });
-        let sum = |all: &mut dyn Iterator<Item = Amount>| {
+        let sum = |all: &mut dyn Iterator<Item = QuotaAmount>| {
             all.fold((0.0, 0.0), |n, a| (n.0 + a.0, n.1 + a.1))
         };
         let left = sum(&mut books.room.iter().map(|r| r.1));
--- a/crates/testkit/src/sim/endings.rs
+++ b/crates/testkit/src/sim/endings.rs
@@ -8,7 +8,7 @@
     pub(super) back_ms: u64,
 }
 
-fn written(t: &Txn) -> Option<Written> {
+fn written(t: &Transaction) -> Option<Written> {
     t.changes.iter().find_map(|c| match c {
         Change::Put { key, .. } if key.starts_with(keys::SHARDS) => Some(Written::Acquisition),
         Change::Delete { key } if key.starts_with(keys::SHARDS) => Some(Written::Release),
@@ -23,7 +23,9 @@
     pub(super) fn answer_lost(&mut self, n: usize, call: &StoreCall, result: &StoreResult) -> bool {
         // Controllers wait for an answer no longer than that.
         let late = self.troubles.slow_store.now(self.now).is_some_and(|ms| ms >= 2000);
-        let (StoreCall::Txn(t), StoreResult::Committed(_)) = (call, result) else { return late };
+        let (StoreCall::Transaction(t), StoreResult::Committed(_)) = (call, result) else {
+            return late;
+        };
         let what = written(t);
         let ending = self.endings.iter().position(|e| what == Some(e.what));
         if let Some(i) = ending {
--- a/crates/testkit/src/sim/kept.rs
+++ b/crates/testkit/src/sim/kept.rs
@@ -13,7 +13,7 @@
 
 /// A report on its way to whoever owns its machine's shard by that moment, or to every controller.
 struct Kept {
-    report: Report,
+    report: WorkerHeartbeat,
     /// When it was sent; 0: a copy, whose answer nobody waits for.
     sent: u64,
     moment: Moment,
@@ -34,7 +34,7 @@
     }
 
     /// Keeps the report, or copies of it. True: it is not on its way otherwise.
-    pub(super) fn keep(&mut self, report: &Report, now: u64, rng: &mut SmallRng) -> bool {
+    pub(super) fn keep(&mut self, report: &WorkerHeartbeat, now: u64, rng: &mut SmallRng) -> bool {
         self.spells.retain(|k| now < k.until);
         let mut held = false;
         for k in &self.spells {
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -13,14 +13,16 @@
 use kept::Keeper;
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::{
-    CloudCall, CloudResult, DirectOutcome, Input, Output, StoreCall, StoreResult, WorkerReply,
+    CloudCall, CloudResult, CommandOutcome, Effect, Input, StoreCall, StoreResult, WorkerReply,
 };
 use leaddeal_core::{keys, Node};
-use leaddeal_wire::cloud::{Catalog, Listed, ListedStatus, Listing, MachineType, Rent};
+use leaddeal_wire::cloud::{
+    Catalog, Instance, InstanceList, InstanceRequest, InstanceStatus, MachineType,
+};
 use leaddeal_wire::settings::{Settings, Team};
-use leaddeal_wire::state::{Change, Txn};
+use leaddeal_wire::state::{Change, Transaction};
 use leaddeal_wire::user::{parse_job_id, Job, Kind, Priority, Status};
-use leaddeal_wire::worker::{Answer, Report, TaskState};
+use leaddeal_wire::worker::{HeartbeatResponse, TaskState, WorkerHeartbeat};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -190,9 +192,9 @@
     Store(usize, u64, u64, StoreCall),
     Watch(usize, u64, u64, String, u64, u64),
     Worker(String),
-    Report(usize, String, u64, Report),
+    Report(usize, String, u64, WorkerHeartbeat),
     Answered(String, u64, u64, Option<WorkerReply>),
-    Direct(usize, u64, String, u64, leaddeal_wire::worker::Direct, bool),
+    Direct(usize, u64, String, u64, leaddeal_wire::worker::CommandBatch, bool),
     Up(String),
     Restart(usize),
     Fault,
@@ -252,9 +254,9 @@
     state: State,
     workers: BTreeMap<String, Worker>,
     /// By the request's name: what was asked for and given.
-    rented: HashMap<String, (Rent, Vec<String>)>,
+    rented: HashMap<String, (InstanceRequest, Vec<String>)>,
     /// Machines that were rented and have not come up, since when.
-    starting: BTreeMap<String, (Rent, u64)>,
+    starting: BTreeMap<String, (InstanceRequest, u64)>,
     next_machine: u64,
     spare: u32,
     reqs: HashMap<(usize, u64, u64), Req>,
@@ -429,7 +431,7 @@
 
     /// Workers whose lease ran out, each time counted.
     pub fn leases_ended(&self) -> u64 {
-        self.workers.values().filter(|w| !w.gone).map(|w| w.session - 1).sum()
+        self.workers.values().filter(|w| !w.gone).map(|w| w.incarnation - 1).sum()
     }
 
     /// What the state service was asked for: changes taken, transactions refused, keys under a
@@ -524,7 +526,7 @@
                 } else {
                     self.state.call(self.now, &call)
                 };
-                if let (StoreCall::Txn(t), StoreResult::Committed(_)) = (&call, &result) {
+                if let (StoreCall::Transaction(t), StoreResult::Committed(_)) = (&call, &result) {
                     self.note_finals(t);
                 }
                 // An answer that is lost: executed, but the node does not know.
@@ -576,27 +578,29 @@
                 if self.nodes[n].is_some() && !self.cut[n] && self.now >= self.shut[n] {
                     self.next_req += 1;
                     let req = self.next_req;
-                    let session = r.session;
+                    let incarnation = r.incarnation;
                     let boot = self.boots[n].1;
-                    self.reqs.insert((n, boot, req), Req::Report(m, sent, session));
-                    self.step(n, Input::Report { req, report: Box::new(r) })?;
+                    self.reqs.insert((n, boot, req), Req::Report(m, sent, incarnation));
+                    self.step(n, Input::WorkerHeartbeat { req, report: Box::new(r) })?;
                 }
             }
-            Ev::Answered(m, sent, session, reply) => self.answered(&m, sent, session, reply),
+            Ev::Answered(m, sent, incarnation, reply) => {
+                self.answered(&m, sent, incarnation, reply)
+            }
             Ev::Direct(n, boot, m, batch, d, lost) => {
                 let held = self.held_back(&m, n);
                 if held > 0 {
                     if !lost {
-                        let outcome = DirectOutcome::Unknown;
-                        let input = Input::Orders { machine: m.clone(), batch, outcome };
+                        let outcome = CommandOutcome::Unknown;
+                        let input = Input::CommandOutcome { machine: m.clone(), batch, outcome };
                         self.at(2500, Ev::In(n, boot, input));
                     }
                     self.at(held, Ev::Direct(n, boot, m, batch, d, true));
                     return Ok(());
                 }
                 if self.now < self.shut[n] && !lost {
-                    let outcome = DirectOutcome::NotSent;
-                    let input = Input::Orders { machine: m, batch, outcome };
+                    let outcome = CommandOutcome::NotSent;
+                    let input = Input::CommandOutcome { machine: m, batch, outcome };
                     self.at(800, Ev::In(n, boot, input));
                     return Ok(());
                 }
@@ -610,8 +614,8 @@
                 let (hangs, until) = (self.now < w.hang_until, w.hang_until.max(w.deaf_until));
                 if self.now < until {
                     if !lost {
-                        let outcome = DirectOutcome::Unknown;
-                        let input = Input::Orders { machine: m.clone(), batch, outcome };
+                        let outcome = CommandOutcome::Unknown;
+                        let input = Input::CommandOutcome { machine: m.clone(), batch, outcome };
                         self.at(2500, Ev::In(n, boot, input));
                     }
                     if hangs || self.rng.random_bool(0.5) {
@@ -621,7 +625,7 @@
                     return Ok(());
                 }
                 w.advance(self.now, &mut self.done, jobs);
-                let good = d.token >= w.token && d.session == w.session;
+                let good = d.token >= w.token && d.incarnation == w.incarnation;
                 if good {
                     w.changed |= d.token > w.token;
                     w.token = d.token;
@@ -631,13 +635,13 @@
                 let r = Box::new(w.report());
                 if !lost && !self.cut[n] {
                     let outcome =
-                        if good { DirectOutcome::Executed(r) } else { DirectOutcome::Refused(r) };
+                        if good { CommandOutcome::Executed(r) } else { CommandOutcome::Refused(r) };
                     let lag = self.lag();
-                    let input = Input::Orders { machine: m, batch, outcome };
+                    let input = Input::CommandOutcome { machine: m, batch, outcome };
                     self.at(lag, Ev::In(n, boot, input));
                 } else if !lost {
-                    let outcome = DirectOutcome::Unknown;
-                    let input = Input::Orders { machine: m, batch, outcome };
+                    let outcome = CommandOutcome::Unknown;
+                    let input = Input::CommandOutcome { machine: m, batch, outcome };
                     self.at(2500, Ev::In(n, boot, input));
                 }
             }
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -1,9 +1,9 @@
 //! What controllers send, and to whom it comes: workers, the cloud, the state service, siblings.
 use super::*;
-use leaddeal_wire::mesh::{NodeMsg, ShardMsg};
+use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
-fn grants(msg: &NodeMsg) -> bool {
-    matches!(msg, NodeMsg::Shard { msg: ShardMsg::TeamGrant { .. }, .. })
+fn grants(msg: &NodeMessage) -> bool {
+    matches!(msg, NodeMessage::Shard { msg: ShardMessage::TeamGrant { .. }, .. })
 }
 
 impl Sim {
@@ -33,23 +33,23 @@
             }
     }
 
-    pub(super) fn output(&mut self, n: usize, o: Output) -> Result<(), String> {
+    pub(super) fn output(&mut self, n: usize, o: Effect) -> Result<(), String> {
         let boot = self.boots[n].1;
         let lag = self.lag();
         match o {
-            Output::User { req, reply } => {
+            Effect::User { req, reply } => {
                 if let Some(Req::User(q)) = self.reqs.remove(&(n, boot, req)) {
                     self.answer(&q, &reply)?;
                 }
             }
-            Output::Worker { req, reply } => {
-                if let Some(Req::Report(m, sent, session)) = self.reqs.remove(&(n, boot, req)) {
+            Effect::Worker { req, reply } => {
+                if let Some(Req::Report(m, sent, incarnation)) = self.reqs.remove(&(n, boot, req)) {
                     let reaches = !self.cut[n] && self.now >= self.shut[n];
                     let reply = reaches.then_some(reply);
-                    self.at(lag, Ev::Answered(m, sent, session, reply));
+                    self.at(lag, Ev::Answered(m, sent, incarnation, reply));
                 }
             }
-            Output::Mesh { to, msg } => {
+            Effect::Mesh { to, msg } => {
                 let to: usize = to[2..].parse().map_err(|_| "bad node name".to_string())?;
                 let from = format!("n-{n}");
                 let alone = |n: usize| self.cut[n] || self.now < self.lone[n];
@@ -66,19 +66,19 @@
                     self.at(t - self.now, Ev::In(to, b, input));
                 }
             }
-            Output::Store { op, call } => {
-                if let (true, StoreCall::Txn(t)) = (self.trace, &call) {
+            Effect::Store { op, call } => {
+                if let (true, StoreCall::Transaction(t)) = (self.trace, &call) {
                     if t.changes.len() < 9 {
                         eprintln!("{} n-{n} txn {t:?}", self.now);
                     }
                 }
                 self.send_to_store(n, op, lag, call);
             }
-            Output::Cloud { op, call } => {
+            Effect::Cloud { op, call } => {
                 let result = if self.cut[n] { CloudResult::Refused } else { self.cloud(call)? };
                 self.at(80 + lag, Ev::In(n, boot, Input::Cloud { op, result }));
             }
-            Output::Orders { machine, batch, direct, .. } => {
+            Effect::Commands { machine, batch, direct, .. } => {
                 if self.trace {
                     eprintln!("{} n-{n} direct {machine} {:?}", self.now, direct.orders);
                 }
@@ -93,13 +93,13 @@
                 let (lose, held) = (lose || slow > 2500, held + slow);
                 if lose {
                     let m = machine.clone();
-                    let outcome = DirectOutcome::Unknown;
-                    let input = Input::Orders { machine: m, batch, outcome };
+                    let outcome = CommandOutcome::Unknown;
+                    let input = Input::CommandOutcome { machine: m, batch, outcome };
                     self.at(2500, Ev::In(n, boot, input));
                 }
                 self.at(lag + held, Ev::Direct(n, boot, machine, batch, direct, lose));
             }
-            Output::Log(_, event, what) => {
+            Effect::Log(_, event, what) => {
                 if event == "seat_loaded" {
                     self.marks.loaded.push((self.now, n));
                 }
@@ -127,11 +127,11 @@
                 self.at(lag, Ev::Watch(n, boot, op, prefix, after, until));
             }
             // Executed late, after whoever sent it gave it up or ended.
-            StoreCall::Txn(t) if self.comes_late() => {
+            StoreCall::Transaction(t) if self.comes_late() => {
                 let result = StoreResult::Unknown;
                 self.at(2000, Ev::In(n, boot, Input::Store { op, result }));
                 let held = self.rng.random_range(2000..25_000);
-                self.at(held, Ev::Store(n, boot, 0, StoreCall::Txn(t)));
+                self.at(held, Ev::Store(n, boot, 0, StoreCall::Transaction(t)));
             }
             call => self.at(lag, Ev::Store(n, boot, op, call)),
         }
@@ -142,7 +142,7 @@
             CloudCall::Catalog => {
                 CloudResult::Catalog(Catalog { types: types(self.plan.has_gpus()) })
             }
-            CloudCall::Rent(mut r) => {
+            CloudCall::Launch(mut r) => {
                 if self.plan.sabotage == Sabotage::NameTwice {
                     r.request = r.request.rsplit('-').next().unwrap_or_default().to_string();
                 }
@@ -152,7 +152,7 @@
                     if *first != r {
                         return Err(format!("name_reused: {} for {first:?} and {r:?}", r.request));
                     }
-                    return Ok(CloudResult::Rented(names.clone()));
+                    return Ok(CloudResult::Launched(names.clone()));
                 }
                 if self.spare == 0 {
                     return Ok(CloudResult::NoCapacity);
@@ -165,7 +165,7 @@
                 if let Some(ms) = self.boot_ms() {
                     self.at(ms, Ev::Up(up));
                 }
-                CloudResult::Rented(vec![name])
+                CloudResult::Launched(vec![name])
             }
             CloudCall::Release(names) => {
                 for n in names {
@@ -178,27 +178,27 @@
                 }
                 CloudResult::Released
             }
-            CloudCall::List { .. } => CloudResult::Listing(Listing {
+            CloudCall::List { .. } => CloudResult::InstanceList(InstanceList {
                 machines: self
                     .workers
                     .values()
                     .filter(|w| !w.gone)
-                    .map(|w| Listed {
+                    .map(|w| Instance {
                         id: w.name.clone(),
                         addr: None,
                         type_name: w.type_name.clone(),
                         zone: w.zone.clone(),
                         spot: w.spot,
-                        status: ListedStatus::Running,
+                        status: InstanceStatus::Running,
                         age_s: 30.0,
                     })
-                    .chain(self.starting.iter().map(|(name, (r, since))| Listed {
+                    .chain(self.starting.iter().map(|(name, (r, since))| Instance {
                         id: name.clone(),
                         addr: None,
                         type_name: r.type_name.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
-                        status: ListedStatus::Starting,
+                        status: InstanceStatus::Starting,
                         age_s: (self.now - since) as f64 / 1000.0,
                     }))
                     .collect(),
@@ -254,7 +254,7 @@
         &mut self,
         m: &str,
         sent: u64,
-        session: u64,
+        incarnation: u64,
         reply: Option<WorkerReply>,
     ) {
         let now = self.now;
@@ -270,9 +270,9 @@
         w.in_flight = None;
         w.next_report = now + 1500;
         match reply {
-            WorkerReply::Answer(Answer { token, orders }) => {
+            WorkerReply::HeartbeatResponse(HeartbeatResponse { token, orders }) => {
                 w.advance(now, &mut self.done, &self.rules.jobs);
-                if token < w.token || session != w.session {
+                if token < w.token || incarnation != w.incarnation {
                     return;
                 }
                 w.changed |= token > w.token;
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -8,7 +8,13 @@
     pub(super) fn preload(&mut self) {
         let put = |state: &mut State, key: String, value| {
             let change = Change::Put { key, value, lease: None };
-            state.call(0, &StoreCall::Txn(Txn { conds: Vec::new(), changes: vec![change] }));
+            state.call(
+                0,
+                &StoreCall::Transaction(Transaction {
+                    conditions: Vec::new(),
+                    changes: vec![change],
+                }),
+            );
         };
         if self.plan.garbled {
             let wrong = [
@@ -76,7 +82,7 @@
     }
 
     /// How long after its last task was done a job's final state was written.
-    pub(super) fn note_finals(&mut self, t: &Txn) {
+    pub(super) fn note_finals(&mut self, t: &Transaction) {
         for c in &t.changes {
             let Change::Put { key, value, .. } = c else { continue };
             let Some(id) = keys::job_of_key(key).filter(|_| key.starts_with("f/")) else {
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the state service.
 use leaddeal_core::io::{StoreCall, StoreResult};
-use leaddeal_wire::state::{Change, Cond, Event, Events, Item, Page, Txn};
+use leaddeal_wire::state::{Change, Condition, Event, Events, Item, Page, Transaction};
 use std::collections::BTreeMap;
 
 /// What is broken on purpose, to see that the checker notices.
@@ -119,9 +119,9 @@
     }
 
     /// The conditions of a transaction that don't hold.
-    fn failed(&self, t: &Txn) -> Vec<String> {
-        let fails = |c: &&Cond| self.keys.get(&c.key).map_or(0, |i| i.version) != c.version;
-        t.conds.iter().filter(fails).map(|c| c.key.clone()).collect()
+    fn failed(&self, t: &Transaction) -> Vec<String> {
+        let fails = |c: &&Condition| self.keys.get(&c.key).map_or(0, |i| i.version) != c.version;
+        t.conditions.iter().filter(fails).map(|c| c.key.clone()).collect()
     }
 
     /// Executes a call other than a watch.
@@ -133,21 +133,21 @@
                 self.leases.insert(self.next_lease, (*ttl_ms, now + ttl_ms));
                 StoreResult::Lease(self.next_lease)
             }
-            StoreCall::Touch { lease } => match self.leases.get_mut(lease) {
+            StoreCall::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some(l) => {
                     l.1 = now + l.0;
-                    StoreResult::Touched
+                    StoreResult::LeaseRenewed
                 }
                 None => StoreResult::NoLease,
             },
             StoreCall::EndLease { lease } => {
                 self.end(*lease);
-                StoreResult::Touched
+                StoreResult::LeaseRenewed
             }
-            StoreCall::Txn(t) => {
+            StoreCall::Transaction(t) => {
                 // Those whose conditions fail count as well.
                 if !self.takes(now, t.changes.len()) {
-                    return StoreResult::TooMany;
+                    return StoreResult::RateLimited;
                 }
                 let failed = self.failed(t);
                 if !failed.is_empty() && self.broken != Broken::Conditions {
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -1,7 +1,7 @@
 //! Counts what goes into the cores and comes out, for `docs/performance.md`. The same seed gives
 //! the same counts.
-use leaddeal_core::io::{CloudCall, Input, Output, StoreCall, StoreResult};
-use leaddeal_wire::mesh::{NodeMsg, ShardMsg};
+use leaddeal_core::io::{CloudCall, Effect, Input, StoreCall, StoreResult};
+use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -21,26 +21,26 @@
     serde_json::to_vec(v).map_or(0, |b| b.len() as u64)
 }
 
-fn shard_msg(m: &ShardMsg) -> &'static str {
+fn shard_msg(m: &ShardMessage) -> &'static str {
     match m {
-        ShardMsg::Request { .. } => "mesh Request",
-        ShardMsg::Close { .. } => "mesh Close",
-        ShardMsg::Place { .. } => "mesh Place",
-        ShardMsg::Stop { .. } => "mesh Stop",
-        ShardMsg::Forget { .. } => "mesh Forget",
-        ShardMsg::Offers { .. } => "mesh Offers",
-        ShardMsg::AskDecision { .. } => "mesh AskDecision",
-        ShardMsg::Events { .. } => "mesh Events",
-        ShardMsg::Room { .. } => "mesh Room",
-        ShardMsg::TeamUsage { .. } => "mesh TeamUsage",
-        ShardMsg::TeamGrant { .. } => "mesh TeamGrant",
-        ShardMsg::Lacks { .. } => "mesh Lacks",
-        ShardMsg::Machines { .. } => "mesh Machines",
-        ShardMsg::MachinesAgain => "mesh MachinesAgain",
-        ShardMsg::Base { .. } => "mesh Base",
-        ShardMsg::Drain { .. } => "mesh Drain",
-        ShardMsg::Drained { .. } => "mesh Drained",
-        ShardMsg::Released { .. } => "mesh Released",
+        ShardMessage::RequestOffers { .. } => "mesh Request",
+        ShardMessage::CloseNegotiation { .. } => "mesh Close",
+        ShardMessage::Place { .. } => "mesh Place",
+        ShardMessage::Stop { .. } => "mesh Stop",
+        ShardMessage::Forget { .. } => "mesh Forget",
+        ShardMessage::Offers { .. } => "mesh Offers",
+        ShardMessage::AskDecision { .. } => "mesh AskDecision",
+        ShardMessage::TaskEvents { .. } => "mesh Events",
+        ShardMessage::CapacityFreed { .. } => "mesh Room",
+        ShardMessage::TeamUsage { .. } => "mesh TeamUsage",
+        ShardMessage::TeamGrant { .. } => "mesh TeamGrant",
+        ShardMessage::UnmetDemand { .. } => "mesh Lacks",
+        ShardMessage::Inventory { .. } => "mesh Machines",
+        ShardMessage::ResendInventory => "mesh MachinesAgain",
+        ShardMessage::OperatorMachines { .. } => "mesh Base",
+        ShardMessage::Drain { .. } => "mesh Drain",
+        ShardMessage::Drained { .. } => "mesh Drained",
+        ShardMessage::Released { .. } => "mesh Released",
     }
 }
 
@@ -57,8 +57,8 @@
             Input::Submit { .. } => self.add("user submission", 0),
             Input::Get { .. } => self.add("user question", 0),
             Input::Cancel { .. } => self.add("user cancellation", 0),
-            Input::Report { report, .. } => self.add("worker report", json(report)),
-            Input::Orders { .. } => self.add("worker answer to commands", 0),
+            Input::WorkerHeartbeat { report, .. } => self.add("worker report", json(report)),
+            Input::CommandOutcome { .. } => self.add("worker answer to commands", 0),
             // Counted where it is sent.
             Input::Mesh { .. } => {}
             Input::Store { result, .. } => match result {
@@ -70,32 +70,32 @@
         }
     }
 
-    pub fn output(&mut self, o: &Output) {
+    pub fn output(&mut self, o: &Effect) {
         match o {
-            Output::Mesh { msg, .. } => {
+            Effect::Mesh { msg, .. } => {
                 let mut bytes = Vec::new();
                 let _ = ciborium::into_writer(msg, &mut bytes);
                 let kind = match msg {
-                    NodeMsg::Shard { msg, .. } => shard_msg(msg),
-                    NodeMsg::Beat(_) => "mesh Beat",
-                    NodeMsg::Ask { .. } => "mesh Ask",
-                    NodeMsg::Told { .. } => "mesh Told",
-                    NodeMsg::WantShard { .. } => "mesh WantShard",
-                    NodeMsg::Report { .. } => "mesh Report",
-                    NodeMsg::Answered { .. } => "mesh Answered",
+                    NodeMessage::Shard { msg, .. } => shard_msg(msg),
+                    NodeMessage::Heartbeat(_) => "mesh Beat",
+                    NodeMessage::QueryJob { .. } => "mesh Ask",
+                    NodeMessage::JobAnswer { .. } => "mesh Told",
+                    NodeMessage::ReclaimShard { .. } => "mesh WantShard",
+                    NodeMessage::RelayedHeartbeat { .. } => "mesh Report",
+                    NodeMessage::RelayedResponse { .. } => "mesh Answered",
                 };
                 self.add(kind, bytes.len() as u64);
             }
-            Output::Store { call, .. } => match call {
-                StoreCall::Txn(t) => self.add("store transaction", json(t)),
+            Effect::Store { call, .. } => match call {
+                StoreCall::Transaction(t) => self.add("store transaction", json(t)),
                 _ => self.add("store request", 0),
             },
-            Output::Cloud { call, .. } => match call {
+            Effect::Cloud { call, .. } => match call {
                 CloudCall::List { .. } => self.add("cloud list", 0),
                 _ => self.add("cloud request", 0),
             },
-            Output::Orders { direct, .. } => self.add("worker commands", json(direct)),
-            Output::User { .. } | Output::Worker { .. } | Output::Log(..) => {}
+            Effect::Commands { direct, .. } => self.add("worker commands", json(direct)),
+            Effect::User { .. } | Effect::Worker { .. } | Effect::Log(..) => {}
         }
     }
 }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,6 +1,8 @@
 //! A stand-in for a machine's worker.
 use leaddeal_wire::user::{Job, Kind};
-use leaddeal_wire::worker::{Op, Order, Report, TaskId, TaskReport, TaskState, Why};
+use leaddeal_wire::worker::{
+    Command, CommandKind, ExitReason, TaskId, TaskReport, TaskState, WorkerHeartbeat,
+};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Tasks that completed, when the last one of each job did, and which jobs can't.
@@ -43,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct On {
     pub state: TaskState,
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     pub saved: bool,
     /// When the present state ends by itself.
     pub until: u64,
@@ -62,7 +64,7 @@
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
-    pub session: u64,
+    pub incarnation: u64,
     pub seq: u64,
     pub token: u64,
     pub tasks: BTreeMap<(String, u64), On>,
@@ -103,7 +105,7 @@
             cpus: 4.0,
             gpus: 0.0,
             memory_gb: 16.0,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
@@ -128,21 +130,21 @@
     pub fn restart(&mut self, now: u64, remembers: bool) {
         self.tasks.clear();
         self.images.clear();
-        (self.session, self.seq) = (self.session + 1, 0);
+        (self.incarnation, self.seq) = (self.incarnation + 1, 0);
         self.token = if remembers { self.token } else { 0 };
         (self.granted, self.next_report, self.in_flight) = (now, now, None);
         (self.hang_until, self.changed) = (0, true);
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> WorkerHeartbeat {
         self.seq += 1;
-        Report {
+        WorkerHeartbeat {
             machine: self.name.clone(),
             addr: format!("10.9.0.1:{}", self.name.len()),
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
             token: self.token,
             notice_s: None,
@@ -167,7 +169,7 @@
         }
         if now > self.granted + self.lease_ms {
             self.tasks.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.granted = now;
             self.changed = true;
         }
@@ -181,9 +183,9 @@
                     if let Some(j) = job {
                         self.images.insert(j.image.clone());
                         if done.mistaken.contains(&j.id) || now < self.faulty_until {
-                            (t.state, t.why) = (TaskState::Exited, Some(Why::Error));
+                            (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Error));
                         } else if done.contains(task) {
-                            (t.state, t.why) = (TaskState::Exited, Some(Why::Done));
+                            (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Done));
                         } else if t.gang {
                             (t.state, t.until) = (TaskState::Waiting, now + GANG_WAIT_MS);
                         } else {
@@ -197,17 +199,18 @@
                     }
                 }
                 TaskState::Waiting => {
-                    (t.state, t.why) = (TaskState::Exited, Some(Why::Alone));
+                    (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Alone));
                     self.changed = true;
                 }
                 TaskState::Running | TaskState::Saving if t.gang => {}
                 TaskState::Running => {
-                    (t.state, t.why) = (TaskState::Exited, Some(Why::Done));
+                    (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Done));
                     done.insert(task, now);
                     self.changed = true;
                 }
                 TaskState::Saving => {
-                    (t.state, t.why, t.saved) = (TaskState::Exited, Some(Why::Stopped), true);
+                    (t.state, t.why, t.saved) =
+                        (TaskState::Exited, Some(ExitReason::Stopped), true);
                     self.changed = true;
                 }
                 TaskState::Exited => {}
@@ -215,12 +218,12 @@
         }
     }
 
-    pub fn execute(&mut self, now: u64, orders: &[Order], jobs: &BTreeMap<String, Job>) {
+    pub fn execute(&mut self, now: u64, orders: &[Command], jobs: &BTreeMap<String, Job>) {
         for o in orders {
             let name = o.task.to_string();
             let key = (name.clone(), o.attempt);
             match o.op {
-                Op::Start => {
+                CommandKind::Start => {
                     if self.tasks.contains_key(&key) {
                         continue;
                     }
@@ -237,9 +240,9 @@
                         cpus + j.cpus > self.cpus + 1e-9 || gpus + j.gpus > self.gpus + 1e-9
                     };
                     let refuse = match job {
-                        None => Some(Why::Unknown),
-                        Some(_) if busy => Some(Why::Busy),
-                        Some(j) if over(j) => Some(Why::Full),
+                        None => Some(ExitReason::Unknown),
+                        Some(_) if busy => Some(ExitReason::Busy),
+                        Some(j) if over(j) => Some(ExitReason::Full),
                         Some(_) => None,
                     };
                     let cached = job.is_some_and(|j| self.images.contains(&j.image));
@@ -257,8 +260,8 @@
                     self.tasks.insert(key, on);
                     self.changed = true;
                 }
-                Op::Stop if self.unstoppable => {}
-                Op::Stop => {
+                CommandKind::Stop if self.unstoppable => {}
+                CommandKind::Stop => {
                     if let Some(t) = self.tasks.get_mut(&key) {
                         if t.state == TaskState::Exited {
                             continue;
@@ -275,12 +278,14 @@
                                 t.until = now + (j.save_s * 1000.0) as u64;
                             }
                             None if t.state == TaskState::Saving && o.grace_s != Some(0.0) => {}
-                            None => (t.state, t.why) = (TaskState::Exited, Some(Why::Stopped)),
+                            None => {
+                                (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Stopped))
+                            }
                         }
                         self.changed = true;
                     }
                 }
-                Op::Forget => {
+                CommandKind::Forget => {
                     if self.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
                         self.tasks.remove(&key);
                         self.changed = true;
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Rent {
+pub struct InstanceRequest {
     #[serde(rename = "charterRequest")]
     pub request: String,
     #[serde(rename = "hull")]
@@ -51,21 +51,21 @@
 
 /// The names of machines: a rental's answer, and the body of a release.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Names {
+pub struct InstanceNames {
     #[serde(rename = "fleet")]
     pub machines: Vec<String>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listing {
+pub struct InstanceList {
     #[serde(rename = "fleet")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<Instance>,
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct Instance {
     pub id: String,
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
@@ -75,14 +75,14 @@
     pub zone: String,
     #[serde(rename = "charter", default)]
     pub spot: bool,
-    pub status: ListedStatus,
+    pub status: InstanceStatus,
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedStatus {
+pub enum InstanceStatus {
     Starting,
     Running,
     Failed,
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers, CBOR in length-prefixed frames. What is sent in numbers goes as
 //! arrays, without the names of its fields: those took most of the bytes and of the time.
 use crate::user::{JobState, Kind, Priority};
-use crate::worker::{Answer, Report, TaskState, Why};
+use crate::worker::{ExitReason, HeartbeatResponse, TaskState, WorkerHeartbeat};
 use serde::{Deserialize, Serialize};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Wanted {
+pub struct OfferRequest {
     pub job: u64,
     pub shape: Arc<Shape>,
     pub count: u32,
@@ -49,13 +49,13 @@
     /// It may take room that GPU work could use.
     pub anywhere: bool,
     /// A gang's place in the line.
-    pub line: Option<Line>,
+    pub line: Option<QueuePosition>,
 }
 
 /// A gang's place among those that wait: they are served in this order, so that none holds
 /// some of what it needs while another holds the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Line {
+pub struct QueuePosition {
     /// Aims that it has missed already, and the time left to the next.
     pub late: u8,
     pub due_ms: i64,
@@ -71,7 +71,7 @@
     /// Index into the request's items.
     pub item: u16,
     pub machine: String,
-    pub session: u64,
+    pub incarnation: u64,
     pub zone: u8,
     pub count: u32,
     pub cached: bool,
@@ -80,20 +80,20 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Pick {
+pub struct Assignment {
     pub task: u32,
     pub attempt: u64,
     pub machine: String,
-    pub session: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "u8", try_from = "u8")]
-pub enum Phase {
+pub enum TaskPhase {
     /// Decided, start command not seen to be executed.
     Decided,
     On(TaskState),
-    Exited(Why, bool),
+    Exited(ExitReason, bool),
     /// Certainly off the machine.
     Gone,
 }
@@ -106,46 +106,46 @@
     TaskState::Saving,
     TaskState::Exited,
 ];
-const WHYS: [Why; 9] = [
-    Why::Done,
-    Why::Stopped,
-    Why::Peers,
-    Why::Alone,
-    Why::Error,
-    Why::Full,
-    Why::Busy,
-    Why::Unknown,
-    Why::Other,
+const WHYS: [ExitReason; 9] = [
+    ExitReason::Done,
+    ExitReason::Stopped,
+    ExitReason::Peers,
+    ExitReason::Alone,
+    ExitReason::Error,
+    ExitReason::Full,
+    ExitReason::Busy,
+    ExitReason::Unknown,
+    ExitReason::Other,
 ];
 const GONE: u8 = 1;
 const ON: u8 = 8;
 const EXITED: u8 = 16;
 
-impl From<Phase> for u8 {
-    fn from(p: Phase) -> u8 {
+impl From<TaskPhase> for u8 {
+    fn from(p: TaskPhase) -> u8 {
         let place = |at: Option<usize>| at.map_or(0, |i| i as u8);
         match p {
-            Phase::Decided => 0,
-            Phase::Gone => GONE,
-            Phase::On(s) => ON + place(STATES.iter().position(|x| *x == s)),
-            Phase::Exited(w, saved) => {
+            TaskPhase::Decided => 0,
+            TaskPhase::Gone => GONE,
+            TaskPhase::On(s) => ON + place(STATES.iter().position(|x| *x == s)),
+            TaskPhase::Exited(w, saved) => {
                 EXITED + 2 * place(WHYS.iter().position(|x| *x == w)) + u8::from(saved)
             }
         }
     }
 }
 
-impl TryFrom<u8> for Phase {
+impl TryFrom<u8> for TaskPhase {
     type Error = String;
 
-    fn try_from(n: u8) -> Result<Phase, String> {
+    fn try_from(n: u8) -> Result<TaskPhase, String> {
         let state = n.checked_sub(ON).and_then(|i| STATES.get(i as usize));
         let why = n.checked_sub(EXITED).and_then(|i| WHYS.get(i as usize / 2));
         match (n, state, why) {
-            (0, ..) => Ok(Phase::Decided),
-            (GONE, ..) => Ok(Phase::Gone),
-            (_, Some(s), _) => Ok(Phase::On(*s)),
-            (_, _, Some(w)) => Ok(Phase::Exited(*w, n % 2 == 1)),
+            (0, ..) => Ok(TaskPhase::Decided),
+            (GONE, ..) => Ok(TaskPhase::Gone),
+            (_, Some(s), _) => Ok(TaskPhase::On(*s)),
+            (_, _, Some(w)) => Ok(TaskPhase::Exited(*w, n % 2 == 1)),
             _ => Err(format!("no phase {n}")),
         }
     }
@@ -157,7 +157,7 @@
     pub task: u32,
     pub attempt: u64,
     pub machine: String,
-    pub phase: Phase,
+    pub phase: TaskPhase,
 }
 
 /// A named attempt on a machine.
@@ -168,11 +168,11 @@
     pub attempt: u64,
     pub machine: String,
     /// The worker's session that it was decided for, where the sender knows it.
-    pub session: Option<u64>,
+    pub incarnation: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Lack {
+pub struct UnmetDemand {
     pub job: u64,
     pub shape: Arc<Shape>,
     pub count: u32,
@@ -199,42 +199,42 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize_tuple, Deserialize_tuple,
 )]
-pub struct Amount {
+pub struct QuotaAmount {
     pub cpu: u64,
     pub gpu: u64,
 }
 
-impl Amount {
-    pub fn plus(self, o: Amount) -> Amount {
-        Amount { cpu: self.cpu.saturating_add(o.cpu), gpu: self.gpu.saturating_add(o.gpu) }
+impl QuotaAmount {
+    pub fn plus(self, o: QuotaAmount) -> QuotaAmount {
+        QuotaAmount { cpu: self.cpu.saturating_add(o.cpu), gpu: self.gpu.saturating_add(o.gpu) }
     }
 
     /// Nothing where there is less.
-    pub fn minus(self, o: Amount) -> Amount {
-        Amount { cpu: self.cpu.saturating_sub(o.cpu), gpu: self.gpu.saturating_sub(o.gpu) }
+    pub fn minus(self, o: QuotaAmount) -> QuotaAmount {
+        QuotaAmount { cpu: self.cpu.saturating_sub(o.cpu), gpu: self.gpu.saturating_sub(o.gpu) }
     }
 
     /// The lesser of each.
-    pub fn least(self, o: Amount) -> Amount {
-        Amount { cpu: self.cpu.min(o.cpu), gpu: self.gpu.min(o.gpu) }
+    pub fn least(self, o: QuotaAmount) -> QuotaAmount {
+        QuotaAmount { cpu: self.cpu.min(o.cpu), gpu: self.gpu.min(o.gpu) }
     }
 
     /// The greater of each.
-    pub fn most(self, o: Amount) -> Amount {
-        Amount { cpu: self.cpu.max(o.cpu), gpu: self.gpu.max(o.gpu) }
+    pub fn most(self, o: QuotaAmount) -> QuotaAmount {
+        QuotaAmount { cpu: self.cpu.max(o.cpu), gpu: self.gpu.max(o.gpu) }
     }
 
-    pub fn times(self, n: u32) -> Amount {
+    pub fn times(self, n: u32) -> QuotaAmount {
         let n = u64::from(n);
-        Amount { cpu: self.cpu.saturating_mul(n), gpu: self.gpu.saturating_mul(n) }
+        QuotaAmount { cpu: self.cpu.saturating_mul(n), gpu: self.gpu.saturating_mul(n) }
     }
 
-    pub fn within(self, o: Amount) -> bool {
+    pub fn within(self, o: QuotaAmount) -> bool {
         self.cpu <= o.cpu && self.gpu <= o.gpu
     }
 
     /// How many times `o` fits in.
-    pub fn fits(self, o: Amount) -> u64 {
+    pub fn fits(self, o: QuotaAmount) -> u64 {
         let f = |a: u64, b: u64| a.checked_div(b).unwrap_or(u64::MAX);
         f(self.cpu, o.cpu).min(f(self.gpu, o.gpu))
     }
@@ -244,36 +244,36 @@
 pub const PRIORITIES: usize = 4;
 
 /// By priority, the least first.
-pub type ByPriority = [Amount; PRIORITIES];
+pub type ByPriority = [QuotaAmount; PRIORITIES];
 
 /// What a coordinator's tasks take of the limit of a team (by its place in the settings), and what
 /// more they want.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct TeamUse {
+pub struct TeamUsage {
     pub team: u8,
     pub used: ByPriority,
     pub wanted: ByPriority,
     /// Wanted by what found no machine lately.
     pub stuck: ByPriority,
     /// Of each priority the first of those that wait, in the coordinator's order.
-    pub first: [Option<First>; PRIORITIES],
+    pub first: [Option<FirstInQueue>; PRIORITIES],
 }
 
 /// A task, or a gang as a whole, that is the next to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct First {
-    pub need: Amount,
+pub struct FirstInQueue {
+    pub need: QuotaAmount,
     pub waited_ms: u64,
 }
 
-impl TeamUse {
-    pub fn of(team: u8) -> TeamUse {
+impl TeamUsage {
+    pub fn of(team: u8) -> TeamUsage {
         let none = ByPriority::default();
-        TeamUse { team, used: none, wanted: none, stuck: none, first: [None; PRIORITIES] }
+        TeamUsage { team, used: none, wanted: none, stuck: none, first: [None; PRIORITIES] }
     }
 
-    pub fn in_use(&self) -> Amount {
-        self.used.iter().fold(Amount::default(), |sum, u| sum.plus(*u))
+    pub fn in_use(&self) -> QuotaAmount {
+        self.used.iter().fold(QuotaAmount::default(), |sum, u| sum.plus(*u))
     }
 }
 
@@ -281,24 +281,26 @@
 pub struct TeamGrant {
     pub team: u8,
     /// What the coordinator's tasks may take in all.
-    pub may: Amount,
+    pub may: QuotaAmount,
     /// What they would take if lesser work of the team gave way everywhere.
-    pub due: Amount,
+    pub due: QuotaAmount,
 }
 
 /// What goes between two shards. Every message names the epochs of both ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ShardMsg {
+pub enum ShardMessage {
     /// Coordinator to participant.
     /// `gpu_work`: what GPU work there is at the sender, asked for or not: cores, GPUs and MB of
     /// a task as in `Shape`, and its priority.
-    Request {
+    #[serde(rename = "Request")]
+    RequestOffers {
         negotiation: u64,
-        items: Vec<Wanted>,
+        items: Vec<OfferRequest>,
         gpu_work: Vec<(u64, u64, u64, Priority)>,
     },
     /// The negotiation is over: its holds end. Winners were named by `Place` before.
-    Close {
+    #[serde(rename = "Close")]
+    CloseNegotiation {
         negotiation: u64,
     },
     /// Winners. With `adopt`, the sender took the decision over from an older epoch and does not
@@ -306,7 +308,7 @@
     Place {
         job: u64,
         shape: Arc<Shape>,
-        picks: Vec<Pick>,
+        picks: Vec<Assignment>,
         adopt: bool,
     },
     Stop {
@@ -328,17 +330,19 @@
     },
     /// Room became free since this participant offered less than was asked for: ask again, for jobs of
     /// this priority or higher.
-    Room {
+    #[serde(rename = "Room")]
+    CapacityFreed {
         priority: Priority,
     },
-    Events {
+    #[serde(rename = "Events")]
+    TaskEvents {
         events: Vec<TaskEvent>,
     },
     /// Coordinator to the team's shard: what its tasks take, and what more it wants. It gives up
     /// whatever it was granted beyond that.
     TeamUsage {
         serial: u64,
-        usage: Vec<TeamUse>,
+        usage: Vec<TeamUsage>,
     },
     /// Back: how much its tasks may take in all, until its next report.
     TeamGrant {
@@ -346,20 +350,24 @@
         granted: Vec<TeamGrant>,
     },
     /// Coordinator and participant to the provisioner's shard, and back.
-    Lacks {
-        lacks: Vec<Lack>,
+    #[serde(rename = "Lacks")]
+    UnmetDemand {
+        lacks: Vec<UnmetDemand>,
     },
     /// What changed since the message with the serial number before; with `first`, all there is.
-    Machines {
+    #[serde(rename = "Machines")]
+    Inventory {
         serial: u64,
         first: bool,
         machines: Vec<MachineInfo>,
         gone: Vec<String>,
     },
     /// Back: a message was lost, all is to be told again.
-    MachinesAgain,
+    #[serde(rename = "MachinesAgain")]
+    ResendInventory,
     /// Machines up to this name are the operator's own and stay.
-    Base {
+    #[serde(rename = "Base")]
+    OperatorMachines {
         newest: String,
     },
     Drain {
@@ -374,45 +382,51 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum NodeMsg {
+pub enum NodeMessage {
     /// Alive, and what the sender knows of who owns what.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(NodeHeartbeat),
     Shard {
         from: u8,
         from_epoch: u64,
         to: u8,
         to_epoch: u64,
-        msg: ShardMsg,
+        msg: ShardMessage,
     },
     /// Asks the owner of a job's shard.
-    Ask {
+    #[serde(rename = "Ask")]
+    QueryJob {
         call: u64,
         job: u64,
         cancel: bool,
     },
-    Told {
+    #[serde(rename = "Told")]
+    JobAnswer {
         call: u64,
-        answer: Told,
+        answer: JobAnswer,
     },
     /// The sender, at home on this shard, is ready to have it back.
-    WantShard {
+    #[serde(rename = "WantShard")]
+    ReclaimShard {
         shard: u8,
     },
     /// A worker's report, passed on to the owner of its machine's shard, which it does not reach.
-    Report {
+    #[serde(rename = "Report")]
+    RelayedHeartbeat {
         call: u64,
-        report: Box<Report>,
+        report: Box<WorkerHeartbeat>,
     },
     /// Back: the owner's answer; none: it has none to give.
-    Answered {
+    #[serde(rename = "Answered")]
+    RelayedResponse {
         call: u64,
-        answer: Option<Answer>,
+        answer: Option<HeartbeatResponse>,
     },
 }
 
-/// Told to every sibling once a second.
+/// Sent to every sibling once a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Beat {
+pub struct NodeHeartbeat {
     /// Shards that the sender acts for, and under which epochs.
     pub owned: Vec<(u8, u64)>,
     /// The newest owner it knows of each shard: shard, node by the order of names, epoch. Whoever
@@ -427,7 +441,7 @@
     /// Empty: it has not read the shards' keys yet.
     pub newest: Vec<u64>,
     /// Of the shards that it acts for and knows all of.
-    pub words: Vec<Word>,
+    pub words: Vec<ShardAssertion>,
     /// Up to which number it knows what was cancelled: shard, epoch, number.
     pub heeded: Vec<(u8, u64, u64)>,
 }
@@ -441,7 +455,7 @@
 
 /// What the owner of a shard says of its jobs that were cancelled.
 #[derive(Clone, Debug, Default, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Word {
+pub struct ShardAssertion {
     pub shard: u8,
     pub epoch: u64,
     /// For how long its lease has been in doubt; 0: it is not.
@@ -456,15 +470,15 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Told {
+pub enum JobAnswer {
     State(JobState),
     NotMine,
     Unknown,
     Later,
 }
 
-impl PartialEq for Told {
-    fn eq(&self, o: &Told) -> bool {
+impl PartialEq for JobAnswer {
+    fn eq(&self, o: &JobAnswer) -> bool {
         std::mem::discriminant(self) == std::mem::discriminant(o)
     }
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cond {
+pub struct Condition {
     #[serde(rename = "path")]
     pub key: String,
     #[serde(rename = "entry")]
@@ -53,15 +53,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "when")]
-    pub conds: Vec<Cond>,
+    pub conditions: Vec<Condition>,
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TransactionResult {
     #[serde(rename = "logbook", default)]
     pub revision: u64,
     #[serde(default)]
@@ -69,13 +69,13 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseAsk {
+pub struct LeaseRequest {
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseGrant {
     #[serde(rename = "permit")]
     pub lease: u64,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -8,7 +8,7 @@
 pub const STATUS: &str = "/show";
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     #[serde(rename = "vessel")]
     pub machine: String,
     #[serde(rename = "endpoint")]
@@ -20,7 +20,7 @@
     #[serde(rename = "charter", default)]
     pub spot: bool,
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "logline")]
     pub seq: u64,
     #[serde(rename = "helm", default)]
@@ -41,7 +41,7 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -58,7 +58,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Why {
+pub enum ExitReason {
     Done,
     Stopped,
     Peers,
@@ -73,9 +73,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     #[serde(rename = "order")]
-    pub op: Op,
+    pub op: CommandKind,
     #[serde(rename = "haul")]
     pub task: TaskId,
     #[serde(rename = "sailing")]
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Op {
+pub enum CommandKind {
     #[serde(rename = "launch")]
     Start,
     Stop,
@@ -95,11 +95,11 @@
 
 /// Answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct HeartbeatResponse {
     #[serde(rename = "helm")]
     pub token: u64,
     #[serde(rename = "orders")]
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// Answer 421: report to that node.
@@ -111,12 +111,12 @@
 
 /// Commands sent straight to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Direct {
+pub struct CommandBatch {
     #[serde(rename = "helm")]
     pub token: u64,
     #[serde(rename = "watch")]
-    pub session: u64,
-    pub orders: Vec<Order>,
+    pub incarnation: u64,
+    pub orders: Vec<Command>,
 }
 
 /// A task's name, `wk-000412/3`, read and written as text without a copy of it: reports name
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,7 +1,10 @@
 //! The odd names on the wire, as the protocol gives them.
-use leaddeal_wire::mesh::{Amount, First, NodeMsg, Phase, ShardMsg, TaskEvent, TeamGrant, TeamUse};
+use leaddeal_wire::mesh::{
+    FirstInQueue, NodeMessage, QuotaAmount, ShardMessage, TaskEvent, TaskPhase, TeamGrant,
+    TeamUsage,
+};
 use leaddeal_wire::user::{job_id, parse_job_id, Job, Kind, Priority};
-use leaddeal_wire::worker::{Op, Order, Report, TaskId, TaskState, Why};
+use leaddeal_wire::worker::{Command, CommandKind, ExitReason, TaskId, TaskState, WorkerHeartbeat};
 use leaddeal_wire::{cloud, settings::Settings, state};
 use serde_json::json;
 
@@ -17,36 +20,37 @@
     assert_eq!((j.kind, j.priority, j.tasks), (Kind::Gang, Priority::High, 16));
     assert_eq!(j.deadline_s, Some(900.0));
 
-    let r: Report = serde_json::from_value(json!({"vessel":"n-000231",
+    let r: WorkerHeartbeat = serde_json::from_value(json!({"vessel":"n-000231",
         "endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a","charter":true,"watch":1,
         "logline":88,"helm":41,"recallS":null,
         "hauls":[{"haul":"wk-000412/3","sailing":2,"status":"running"},
                  {"haul":"wk-000398/0","sailing":1,"status":"exited","cause":"new one"},
                  {"haul":"other","sailing":1,"status":"running"}]}))
     .expect("a report");
-    assert_eq!((r.session, r.seq, r.token), (1, 88, 41));
+    assert_eq!((r.incarnation, r.seq, r.token), (1, 88, 41));
     assert_eq!(r.tasks[0].state, TaskState::Running);
-    assert_eq!(r.tasks[1].why, Some(Why::Other));
+    assert_eq!(r.tasks[1].why, Some(ExitReason::Other));
     let task = |job, task| TaskId { job, task };
     assert_eq!(r.tasks[0].task, Some(task(412, 3)));
     assert_eq!(r.tasks[2].task, None, "one odd name does not spoil the report");
 
-    let stop = Order { op: Op::Stop, task: task(377, 1), attempt: 1, grace_s: Some(10.0) };
-    let start = Order { op: Op::Start, grace_s: None, ..stop.clone() };
+    let stop =
+        Command { op: CommandKind::Stop, task: task(377, 1), attempt: 1, grace_s: Some(10.0) };
+    let start = Command { op: CommandKind::Start, grace_s: None, ..stop.clone() };
     assert_eq!(
         json!([stop, start]),
         json!([{"order":"stop","haul":"wk-000377/1","sailing":1,"mooringS":10.0},
                {"order":"launch","haul":"wk-000377/1","sailing":1}])
     );
 
-    let l: cloud::Listing = serde_json::from_value(json!({"fleet":[{"id":"n-000231",
+    let l: cloud::InstanceList = serde_json::from_value(json!({"fleet":[{"id":"n-000231",
         "endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a","charter":true,
         "status":"starting","heldS":61.5}],"truncated":false}))
     .expect("a list");
-    assert_eq!(l.machines[0].status, cloud::ListedStatus::Starting);
+    assert_eq!(l.machines[0].status, cloud::InstanceStatus::Starting);
 
-    let t = state::Txn {
-        conds: vec![state::Cond { key: "a/b".into(), version: 0 }],
+    let t = state::Transaction {
+        conditions: vec![state::Condition { key: "a/b".into(), version: 0 }],
         changes: vec![
             state::Change::Put { key: "a/b".into(), value: json!({}), lease: Some(7) },
             state::Change::Delete { key: "c/d".into() },
@@ -72,24 +76,35 @@
 #[test]
 fn mesh_messages_are_what_they_were_after_cbor() {
     let through = |msg| {
-        let m = NodeMsg::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
+        let m = NodeMessage::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
         let mut bytes = Vec::new();
         ciborium::into_writer(&m, &mut bytes).expect("written");
-        assert_eq!(ciborium::from_reader::<NodeMsg, _>(&bytes[..]).expect("read"), m);
+        assert_eq!(ciborium::from_reader::<NodeMessage, _>(&bytes[..]).expect("read"), m);
         bytes.len()
     };
-    through(ShardMsg::Close { negotiation: 1 << 40 });
-    let most = Amount { cpu: u64::MAX, gpu: 1 };
-    let first = Some(First { need: most, waited_ms: 9 });
-    let usage = TeamUse { first: [None, first, None, first], wanted: [most; 4], ..TeamUse::of(3) };
-    through(ShardMsg::TeamUsage { serial: 2, usage: vec![usage, TeamUse::of(0)] });
-    let granted = vec![TeamGrant { team: 3, may: most, due: Amount::default() }];
-    through(ShardMsg::TeamGrant { serial: 2, granted });
+    through(ShardMessage::CloseNegotiation { negotiation: 1 << 40 });
+    let most = QuotaAmount { cpu: u64::MAX, gpu: 1 };
+    let first = Some(FirstInQueue { need: most, waited_ms: 9 });
+    let usage =
+        TeamUsage { first: [None, first, None, first], wanted: [most; 4], ..TeamUsage::of(3) };
+    through(ShardMessage::TeamUsage { serial: 2, usage: vec![usage, TeamUsage::of(0)] });
+    let granted = vec![TeamGrant { team: 3, may: most, due: QuotaAmount::default() }];
+    through(ShardMessage::TeamGrant { serial: 2, granted });
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
-    let whys = [Why::Done, Why::Stopped, Why::Peers, Why::Alone, Why::Error, Why::Full, Why::Busy];
-    let ends = whys.iter().flat_map(|w| [Phase::Exited(*w, false), Phase::Exited(*w, true)]);
-    let others = [Phase::Decided, Phase::Gone, Phase::Exited(Why::Unknown, false)];
-    let phases = states.into_iter().map(Phase::On).chain(ends).chain(others);
+    let whys = [
+        ExitReason::Done,
+        ExitReason::Stopped,
+        ExitReason::Peers,
+        ExitReason::Alone,
+        ExitReason::Error,
+        ExitReason::Full,
+        ExitReason::Busy,
+    ];
+    let ends =
+        whys.iter().flat_map(|w| [TaskPhase::Exited(*w, false), TaskPhase::Exited(*w, true)]);
+    let others =
+        [TaskPhase::Decided, TaskPhase::Gone, TaskPhase::Exited(ExitReason::Unknown, false)];
+    let phases = states.into_iter().map(TaskPhase::On).chain(ends).chain(others);
     let events: Vec<TaskEvent> = phases
         .map(|phase| TaskEvent {
             job: 412,
@@ -100,10 +115,10 @@
         })
         .collect();
     let n = events.len();
-    let size = through(ShardMsg::Events { events });
+    let size = through(ShardMessage::TaskEvents { events });
     assert!(size < 40 * n + 60, "{size} bytes for {n} events: most of the traffic is these");
     let bad = ciborium::Value::Integer(255.into());
-    assert!(bad.deserialized::<Phase>().is_err());
+    assert!(bad.deserialized::<TaskPhase>().is_err());
 }
 
 #[test]
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -3,7 +3,7 @@
 //!
 //! `golden/mesh.txt` was recorded from simulated runs of that version: a line for each message, its kind
 //! and its bytes in hexadecimal. Lines are only ever added.
-use leaddeal_wire::mesh::NodeMsg;
+use leaddeal_wire::mesh::NodeMessage;
 
 const MESSAGES: &str = include_str!("golden/mesh.txt");
 
@@ -19,7 +19,7 @@
     for line in MESSAGES.lines() {
         let (kind, hexadecimal) = line.split_once(' ').expect("a kind and its bytes");
         let recorded = bytes_of(hexadecimal);
-        let message: NodeMsg = ciborium::from_reader(recorded.as_slice())
+        let message: NodeMessage = ciborium::from_reader(recorded.as_slice())
             .unwrap_or_else(|e| panic!("{kind} is not decoded: {e}"));
         let mut encoded = Vec::new();
         ciborium::into_writer(&message, &mut encoded).expect("a message can be encoded");
--- a/crates/wire/tests/odd_input.rs
+++ b/crates/wire/tests/odd_input.rs
@@ -1,11 +1,11 @@
 //! Whatever comes over the wire is read or refused: nothing ends the process, and what is accepted has
 //! every field, in range.
-use leaddeal_wire::cloud::Listing;
-use leaddeal_wire::mesh::{Hello, NodeMsg};
+use leaddeal_wire::cloud::InstanceList;
+use leaddeal_wire::mesh::{Hello, NodeMessage};
 use leaddeal_wire::settings::Settings;
 use leaddeal_wire::state::{Events, Page};
 use leaddeal_wire::user::{parse_job_id, Job};
-use leaddeal_wire::worker::{Answer, Report};
+use leaddeal_wire::worker::{HeartbeatResponse, WorkerHeartbeat};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
@@ -93,12 +93,12 @@
     #[test]
     fn bytes_from_anywhere_end_nothing(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Job::parse(&bytes);
-        let _ = serde_json::from_slice::<Report>(&bytes);
-        let _ = serde_json::from_slice::<Answer>(&bytes);
+        let _ = serde_json::from_slice::<WorkerHeartbeat>(&bytes);
+        let _ = serde_json::from_slice::<HeartbeatResponse>(&bytes);
         let _ = serde_json::from_slice::<Page>(&bytes);
         let _ = serde_json::from_slice::<Events>(&bytes);
-        let _ = serde_json::from_slice::<Listing>(&bytes);
-        let _ = ciborium::from_reader::<NodeMsg, _>(&bytes[..]);
+        let _ = serde_json::from_slice::<InstanceList>(&bytes);
+        let _ = ciborium::from_reader::<NodeMessage, _>(&bytes[..]);
         let _ = ciborium::from_reader::<Hello, _>(&bytes[..]);
         let _ = Settings::parse(&String::from_utf8_lossy(&bytes));
     }
@@ -109,9 +109,9 @@
         let v = json!({"vessel":"n-000231","endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a",
             "charter":true,"watch":1,"logline":88,"helm":41,"recallS":null,
             "hauls":[{"haul":"wk-000412/3","sailing":2,"status":"running"}]});
-        let report: Report = serde_json::from_value(v.clone()).expect("a report");
+        let report: WorkerHeartbeat = serde_json::from_value(v.clone()).expect("a report");
         let mut frame = Vec::new();
-        let msg = NodeMsg::Report { call: 7, report: Box::new(report) };
+        let msg = NodeMessage::RelayedHeartbeat { call: 7, report: Box::new(report) };
         ciborium::into_writer(&msg, &mut frame).expect("written");
         for mut bytes in [frame, v.to_string().into_bytes()] {
             let at = at % bytes.len();
@@ -120,8 +120,8 @@
             } else {
                 bytes[at] = byte;
             }
-            let _ = ciborium::from_reader::<NodeMsg, _>(&bytes[..]);
-            let _ = serde_json::from_slice::<Report>(&bytes);
+            let _ = ciborium::from_reader::<NodeMessage, _>(&bytes[..]);
+            let _ = serde_json::from_slice::<WorkerHeartbeat>(&bytes);
         }
     }
 }
