--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -108,7 +108,7 @@
     pub wake: bool,
     pub effects: &'a mut Effects,
     pub names: &'a mut Names,
-    pub cfg: &'a Config,
+    pub config: &'a Config,
     pub budget: &'a mut WriteBudget,
     pub horizons: &'a mut Horizons,
     pub(crate) me: NodeIdx,
@@ -146,8 +146,8 @@
 
     /// A job's team and what a task takes of its limit, if it has one.
     pub fn team_use(&self, j: &Job) -> Option<(u8, u64, u64)> {
-        let i = self.cfg.teams.iter().position(|t| t.name == j.wire.team)?;
-        quota::limit(&self.cfg.teams[i])?;
+        let i = self.config.teams.iter().position(|t| t.name == j.wire.team)?;
+        quota::limit(&self.config.teams[i])?;
         Some((i as u8, j.shape.need.cpu, j.shape.need.gpu))
     }
 
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -176,7 +176,7 @@
             self.fold_after = ctx.now + CHUNKS_MS;
         }
         let chunks = changes.len() - finals;
-        let most = ctx.cfg.txn_ops.saturating_sub(changes.len());
+        let most = ctx.config.txn_ops.saturating_sub(changes.len());
         let most = most.min(ctx.budget.room(WriteClass::Deferrable));
         // Deletions alone can wait for company.
         if !changes.is_empty() || self.rounds.waiting().min(most) >= DELETE_ALONE {
@@ -222,7 +222,7 @@
 
     /// Final states, of those first that are over for longest.
     fn fold_finals(&mut self, ctx: &mut Context, fold: &mut Compaction, changes: &mut Vec<Change>) {
-        let most = ctx.cfg.txn_ops.min(ctx.budget.room(WriteClass::TerminalState));
+        let most = ctx.config.txn_ops.min(ctx.budget.room(WriteClass::TerminalState));
         let mut over: Vec<(Timestamp, JobId)> =
             self.over.iter().map(|(id, at)| (*at, *id)).collect();
         over.sort_unstable();
@@ -252,7 +252,7 @@
 
     /// What is done of jobs that go on, of those first where a change lets the most be forgotten.
     fn fold_chunks(&mut self, ctx: &mut Context, fold: &mut Compaction, changes: &mut Vec<Change>) {
-        let left = ctx.cfg.txn_ops.saturating_sub(changes.len());
+        let left = ctx.config.txn_ops.saturating_sub(changes.len());
         let most = changes.len() + left.min(ctx.budget.room(WriteClass::Completion));
         let mut ripe: Vec<(Reverse<usize>, JobId)> = Vec::new();
         let jobs = &self.jobs;
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -50,7 +50,7 @@
 
 /// Teams with a limit, by their place in the settings.
 fn limited(ctx: &Context) -> Vec<(u8, QuotaAmount)> {
-    let teams = ctx.cfg.teams.iter().enumerate();
+    let teams = ctx.config.teams.iter().enumerate();
     teams.filter_map(|(i, t)| Some((i as u8, quota::limit(t)?))).collect()
 }
 
@@ -135,10 +135,11 @@
                 |ms: u64| ms % spell.0 < spell.1 && kept.insert((team, j.wire.priority));
             let first = self.firsts.get(&(team, j.wire.priority)).filter(|f| f.0 == j.id);
             let rests = first.is_some_and(|f| (now - f.1) % FIRST_MS.0 >= FIRST_MS.1);
-            let stuck = j.doubt.in_doubt()
+            let unplaceable = j.doubt.in_doubt()
                 || rests
                 || (vain.is_some_and(|ms| !keeps(ms)) && !self.has_way(j.id, now));
-            let asking = AdmissionRequest { priority: j.wire.priority, task, count, whole, stuck };
+            let asking =
+                AdmissionRequest { priority: j.wire.priority, task, count, whole, unplaceable };
             let admitted = admission.admit(&asking);
             seen.push(Waiting { id: j.id, team, asking, admitted });
         }
@@ -179,11 +180,11 @@
         self.capped = walk.iter().filter(|w| w.admitted.in_turn == 0).count();
         for w in walk {
             let (Some(u), a) = (m.get_mut(&w.team), w.asking) else { continue };
-            let wants = if a.stuck { &mut u.stuck } else { &mut u.wanted };
+            let wants = if a.unplaceable { &mut u.unplaceable } else { &mut u.wanted };
             let wants = &mut wants[a.priority as usize];
             *wants = wants.plus(a.task.times(a.count));
             let first = &mut u.first[a.priority as usize];
-            if first.is_none() && !a.stuck {
+            if first.is_none() && !a.unplaceable {
                 let waited = self.jobs.get(&w.id).map_or(0, |j| ctx.now.saturating_sub(j.created));
                 let need = a.task.times(if a.whole { a.count } else { 1 });
                 *first = Some(FirstInQueue { need, waited_ms: waited });
@@ -208,7 +209,7 @@
         let mut words =
             vec![format!("shard={} capped={} gave_way={gave_way}", self.shard.0, self.capped)];
         for (team, s) in self.standings(ctx) {
-            let name = &ctx.cfg.teams[team as usize].name;
+            let name = &ctx.config.teams[team as usize].name;
             let (used, may) = (s.in_use(), s.may);
             let cores = |n: u64| n as f64 / 1000.0;
             words.push(format!(
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -107,7 +107,7 @@
         };
         let age = ctx.time_ms.saturating_sub(value["at"].as_u64().unwrap_or(ctx.time_ms));
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
-        let job = Job::new(id, wire, shape, ctx.now.saturating_sub(age), &ctx.cfg.aims);
+        let job = Job::new(id, wire, shape, ctx.now.saturating_sub(age), &ctx.config.aims);
         self.served.asks(&job);
         self.jobs.insert(id, job);
         self.pending.insert(id);
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -60,7 +60,7 @@
     waiting: BTreeSet<Shard>,
     offers: Vec<(Shard, Offer)>,
     /// Items for which a participant is making room.
-    coming: BTreeSet<u16>,
+    preempting: BTreeSet<u16>,
     started: Timestamp,
 }
 
@@ -218,14 +218,14 @@
 
     pub fn handle(&mut self, ctx: &mut Context, from: Shard, msg: ShardMessage) {
         match msg {
-            ShardMessage::Offers { negotiation, offers, coming } => {
+            ShardMessage::Offers { negotiation, offers, preempting } => {
                 let current = self
                     .talk
                     .as_mut()
                     .filter(|t| t.id.0 == negotiation)
                     .is_some_and(|t| t.waiting.remove(&from));
                 if let Some(t) = self.talk.as_mut().filter(|_| current) {
-                    t.coming.extend(coming);
+                    t.preempting.extend(preempting);
                     t.offers.extend(offers.into_iter().map(|o| (from, o)));
                 } else {
                     // Too late: a no is due once the negotiation is over.
@@ -499,7 +499,7 @@
                 count: worth(j),
                 zone_room: j.zone_room(&ctx.names.zones),
                 waited_ms: ctx.now.saturating_sub(j.created),
-                pressing: j.pressing(ctx.now),
+                urgent: j.urgent(ctx.now),
             })
             .collect()
     }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -86,7 +86,7 @@
         let mut items = Vec::new();
         let mut wanted = Vec::new();
         let mut turns = Vec::new();
-        let most = ctx.cfg.max_picks as u32;
+        let most = ctx.config.max_picks as u32;
         let mut total = 0;
         for id in ids {
             let j = &self.jobs[&id];
@@ -113,16 +113,18 @@
             items.push((id, count));
             let makes_room =
                 j.wire.priority > user::Priority::Low && !j.doubt.in_doubt() && covered;
-            turns.push(j.make_room.filter(|_| makes_room));
+            turns.push(j.preempt.filter(|_| makes_room));
             wanted.push(OfferRequest {
                 job: id.0,
                 shape: j.shape.wire.clone(),
                 count,
                 zone_room,
-                make_room: false,
-                pressing: j.pressing(ctx.now),
-                anywhere: j.anywhere(ctx.now),
-                line: j.line(ctx.now).map(|l| QueuePosition { stands: l.stands && covered, ..l }),
+                preempt: false,
+                urgent: j.urgent(ctx.now),
+                may_use_gpu_machines: j.may_use_gpu_machines(ctx.now),
+                queue_position: j
+                    .line(ctx.now)
+                    .map(|l| QueuePosition { holds_position: l.holds_position && covered, ..l }),
             });
         }
         if items.is_empty() {
@@ -137,8 +139,7 @@
             // Room is made by one participant at a time, so that three do not stop thrice as much.
             let mut items = wanted.clone();
             for (w, turn) in items.iter_mut().zip(&turns) {
-                w.make_room =
-                    turn.is_some_and(|t| t as usize % ctx.shards().count() == s.0 as usize);
+                w.preempt = turn.is_some_and(|t| t as usize % ctx.shards().count() == s.0 as usize);
             }
             let gpu_work = gpu_work.clone();
             let msg = ShardMessage::RequestOffers { negotiation: id.0, items, gpu_work };
@@ -150,7 +151,7 @@
             waiting: asked.iter().copied().collect(),
             asked,
             offers: Vec::new(),
-            coming: BTreeSet::new(),
+            preempting: BTreeSet::new(),
             started: ctx.now,
         });
         self.check_talk(ctx);
@@ -197,7 +198,7 @@
             if j.cancelled || j.finishing.is_some() {
                 continue;
             }
-            if talk.coming.contains(&(i as u16)) {
+            if talk.preempting.contains(&(i as u16)) {
                 j.coming_at = Some(now);
             }
             let mut room = j.zone_room(&ctx.names.zones);
@@ -217,7 +218,7 @@
                 if most > 0 && if whole { n < want && most == want } else { n == 0 } {
                     // It has found room, and waits for its team's limit alone.
                     j.served();
-                    j.make_room = None;
+                    j.preempt = None;
                     j.not_before = now + CAPPED_MS;
                     ways.push((id, team, most));
                     continue;
@@ -264,8 +265,8 @@
                 let tried = j.refused(now);
                 j.aim_at(&per, &open);
                 // Whoever is making room is asked on; else it is the next one's turn.
-                let step = u32::from(tried && !talk.coming.contains(&(i as u16)));
-                j.make_room = Some(j.make_room.map_or(0, |t| t + step));
+                let step = u32::from(tried && !talk.preempting.contains(&(i as u16)));
+                j.preempt = Some(j.preempt.map_or(0, |t| t + step));
                 continue;
             }
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
@@ -276,8 +277,8 @@
             }
             j.served();
             let short = (picks.len() as u32) < want;
-            let step = u32::from(!talk.coming.contains(&(i as u16)));
-            j.make_room = short.then(|| j.make_room.map_or(0, |t| t + step));
+            let step = u32::from(!talk.preempting.contains(&(i as u16)));
+            j.preempt = short.then(|| j.preempt.map_or(0, |t| t + step));
             for (shard, offer) in picks {
                 let Some(task) = j.take() else { break };
                 choices.push(SelectedOffer { job: id, task, shard, offer });
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -53,7 +53,7 @@
     /// When its owner, or the store, last said all without doubt.
     sure: Option<Timestamp>,
     /// Cancellations up to this number of that epoch are known.
-    heeded: (Epoch, u64),
+    acknowledged: (Epoch, u64),
     /// Of our own, while we act for it.
     log: VecDeque<LoggedCancellation>,
     numbered: u64,
@@ -68,7 +68,7 @@
     /// By shard: it acted under no newer epoch than this, said after that time of ours.
     vouched: Vec<(Epoch, Timestamp)>,
     /// What it has heeded of our shards.
-    heeded: Vec<(Epoch, u64)>,
+    acknowledged: Vec<(Epoch, u64)>,
 }
 
 /// A shard that this node acts for and whose coordinator knows all: its epoch, and for how long the
@@ -223,9 +223,9 @@
         }
         peer.stamp = Some(b.stamp);
         let n = self.shards.len();
-        peer.heeded = vec![(Epoch(0), 0); n];
-        for &(shard, epoch, number) in &b.heeded {
-            if let Some(h) = peer.heeded.get_mut(shard as usize) {
+        peer.acknowledged = vec![(Epoch(0), 0); n];
+        for &(shard, epoch, number) in &b.acknowledged {
+            if let Some(h) = peer.acknowledged.get_mut(shard as usize) {
                 *h = (Epoch(epoch), number);
             }
         }
@@ -235,7 +235,7 @@
         if let Some(said) = said.filter(|_| b.newest.len() == n) {
             peer.vouched = b.newest.iter().map(|&e| (Epoch(e), said)).collect();
         }
-        for w in &b.words {
+        for w in &b.assertions {
             self.word(w, view, said, now);
         }
         new
@@ -251,12 +251,12 @@
         let (i, epoch) = (w.shard as usize, Epoch(w.epoch));
         let newest = view.get(i).and_then(|v| v.last).map_or(Epoch(0), |o| o.epoch);
         let Some(s) = self.shards.get_mut(i).filter(|_| epoch >= newest) else { return };
-        let heeded = if s.heeded.0 == epoch { s.heeded.1 } else { 0 };
-        let no_gap = w.after <= heeded;
+        let acknowledged = if s.acknowledged.0 == epoch { s.acknowledged.1 } else { 0 };
+        let no_gap = w.after <= acknowledged;
         if no_gap {
-            s.heeded = (epoch, heeded.max(w.upto));
+            s.acknowledged = (epoch, acknowledged.max(w.up_to));
         }
-        if let Some(said) = said.filter(|_| no_gap && w.whole) {
+        if let Some(said) = said.filter(|_| no_gap && w.complete) {
             s.spoken = Some((epoch, said));
             // Until when its lease was certain, by a clock that may be slow.
             let in_doubt = w.doubt_ms > 0 && holds(Guard::HorizonDoubt);
@@ -333,21 +333,23 @@
         };
         let all: Option<Vec<u64>> = self.shards.iter().zip(view).map(newest).collect();
         b.newest = all.unwrap_or_default();
-        let heeded = self.shards.iter().enumerate().filter(|(_, s)| s.heeded.1 > 0);
-        b.heeded = heeded.map(|(i, s)| (i as u8, s.heeded.0 .0, s.heeded.1)).collect();
+        let acknowledged = self.shards.iter().enumerate().filter(|(_, s)| s.acknowledged.1 > 0);
+        b.acknowledged =
+            acknowledged.map(|(i, s)| (i as u8, s.acknowledged.0 .0, s.acknowledged.1)).collect();
         for (i, (s, m)) in self.shards.iter().zip(mine).enumerate() {
             let Some(m) = m else { continue };
-            let heeded = peer.heeded.get(i).filter(|h| h.0 == m.epoch).map_or(0, |h| h.1);
-            let untold = s.log.iter().filter(|l| l.number > heeded);
+            let acknowledged =
+                peer.acknowledged.get(i).filter(|h| h.0 == m.epoch).map_or(0, |h| h.1);
+            let untold = s.log.iter().filter(|l| l.number > acknowledged);
             let named: Vec<&LoggedCancellation> = untold.take(MOST_NAMED).collect();
-            let upto = named.last().map_or(heeded, |l| l.number);
-            b.words.push(ShardAssertion {
+            let up_to = named.last().map_or(acknowledged, |l| l.number);
+            b.assertions.push(ShardAssertion {
                 shard: i as u8,
                 epoch: m.epoch.0,
                 doubt_ms: m.doubt_ms,
-                after: heeded,
-                upto,
-                whole: s.log.back().is_none_or(|l| l.number <= upto),
+                after: acknowledged,
+                up_to,
+                complete: s.log.back().is_none_or(|l| l.number <= up_to),
                 cancelled: named.iter().map(|l| l.job.0).collect(),
             });
         }
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -111,17 +111,17 @@
     let word = ShardAssertion {
         shard: 99,
         epoch: u64::MAX,
-        whole: true,
-        upto: u64::MAX,
+        complete: true,
+        up_to: u64::MAX,
         ..ShardAssertion::default()
     };
     let echo = Some(Stamp { boot: 1, at: u64::MAX });
-    let heeded = vec![(200, u64::MAX, u64::MAX)];
+    let acknowledged = vec![(200, u64::MAX, u64::MAX)];
     let beat = NodeHeartbeat {
         echo,
         newest: vec![0; 900],
-        words: vec![word.clone()],
-        heeded,
+        assertions: vec![word.clone()],
+        acknowledged,
         ..NodeHeartbeat::default()
     };
     a.hear(NodeIdx(1), &beat, &v, 5000);
@@ -131,7 +131,7 @@
     let said = Some(Stamp { boot: 1, at: 4000 });
     a.hear(
         NodeIdx(1),
-        &NodeHeartbeat { echo: said, words: vec![doubt], ..NodeHeartbeat::default() },
+        &NodeHeartbeat { echo: said, assertions: vec![doubt], ..NodeHeartbeat::default() },
         &v,
         5000,
     );
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -49,7 +49,7 @@
     /// When it is asked for again though no participant has told of free room.
     next_try: Timestamp,
     /// Whose turn it is to make room by preemption; none: nobody was short of it.
-    pub make_room: Option<u32>,
+    pub preempt: Option<u32>,
     /// When a participant last said that it makes room for it.
     pub coming_at: Option<Timestamp>,
     /// A gang that waits does so for this zone.
@@ -214,7 +214,7 @@
             refusals: 0,
             refused_since: None,
             next_try: 0,
-            make_room: None,
+            preempt: None,
             coming_at: None,
             target: None,
             doubt: FailureSuspicion::default(),
@@ -281,7 +281,7 @@
     }
 
     /// More than a third of the time to its next aim is over.
-    pub fn pressing(&self, now: Timestamp) -> bool {
+    pub fn urgent(&self, now: Timestamp) -> bool {
         let (_, due) = self.urgency(now);
         now.saturating_sub(self.created) > due.saturating_sub(self.created) / 3
     }
@@ -293,7 +293,7 @@
 
     /// A service that is late and finds no place may use any: people notice it sooner than GPU
     /// work that waits, and it is moved out of the way later.
-    pub fn anywhere(&self, now: Timestamp) -> bool {
+    pub fn may_use_gpu_machines(&self, now: Timestamp) -> bool {
         let late = self.urgency(now).0 > 0;
         let long = self.refused_since.is_some_and(|t| now >= t + LONG_REFUSED_MS);
         self.wire.kind == Kind::Service && late && long
@@ -349,8 +349,8 @@
             late,
             // Below zero once it is over: cut off there, all that were late by so much took
             // themselves for later than whoever had asked before them, and none was ever first.
-            due_ms: due as i64 - now as i64,
-            stands: self.refusals > 0 && self.target.is_some(),
+            time_left_ms: due as i64 - now as i64,
+            holds_position: self.refusals > 0 && self.target.is_some(),
             zone: self.target.map(|z| z.0),
         })
     }
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -15,20 +15,20 @@
         one_zone: true,
         ..j.wire
     };
-    assert!(!j.line(0).expect("a gang's").stands, "asks for the first time");
+    assert!(!j.line(0).expect("a gang's").holds_position, "asks for the first time");
     let room = [4, 4, 4];
     j.refusals = 1;
     j.aim_at(&[0, 2, 1], &room);
     assert_eq!(j.target, Some(ZoneIdx(1)));
     j.aim_at(&[3, 1, 0], &room);
     assert_eq!(j.target, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
-    assert!(j.line(0).expect("a gang's").stands);
+    assert!(j.line(0).expect("a gang's").holds_position);
     j.aim_at(&[3, 0, 0], &room);
     assert_eq!(j.target, Some(ZoneIdx(0)));
     j.wire.tasks = 1;
     j.aim_at(&[0, 0, 0], &room);
     assert_eq!(j.target, None, "a lone task needs no zone to itself");
-    assert!(!j.line(0).expect("a gang's").stands);
+    assert!(!j.line(0).expect("a gang's").holds_position);
 }
 
 /// Found by counting: with a fleet that was booting, asking in vain took most of the time.
@@ -113,7 +113,7 @@
     // When its turn was, as a participant reckons it from what it is told.
     let turn = |j: &Job, now: Timestamp| {
         let line = j.line(now).expect("a gang's");
-        (line.late, now.saturating_add_signed(line.due_ms))
+        (line.late, now.saturating_add_signed(line.time_left_ms))
     };
     let (older, younger) = (1_000_000, 1_005_000);
     for now in [1_100_000, 1_900_000, 3_000_000] {
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -170,7 +170,7 @@
 
     /// Whether a task's place on such a machine costs no more than it is worth: a multiple of
     /// the cheapest place there is, whether that can be had now or not.
-    pub fn affordable(&self, shape: &mesh::Shape, t: TypeIdx, spot: bool, pressing: bool) -> bool {
+    pub fn affordable(&self, shape: &mesh::Shape, t: TypeIdx, spot: bool, urgent: bool) -> bool {
         let need = Resources::of(shape);
         let place = |t: TypeIdx, spot| {
             let fits = self.room_of_type(t).fits(need);
@@ -179,10 +179,10 @@
         let types = (0..self.catalog.len()).map(|i| TypeIdx(i as u8));
         let fair = types.filter_map(|t| place(t, false)).fold(f64::INFINITY, f64::min);
         let patience = match shape.priority {
-            Priority::Low if !pressing => 1.5,
+            Priority::Low if !urgent => 1.5,
             Priority::Low => 3.5,
             Priority::Normal | Priority::High => 4.5,
-            Priority::Production if !pressing => 5.0,
+            Priority::Production if !urgent => 5.0,
             Priority::Production => 8.0,
         };
         place(t, spot).is_some_and(|p| p <= fair * patience)
--- a/crates/core/src/node/finals.rs
+++ b/crates/core/src/node/finals.rs
@@ -29,7 +29,8 @@
             && holds(Guard::SilentFinals);
         // What was cancelled before its horizon may have been told to another owner of our machines,
         // who did not come to act on it.
-        let back = if holds(Guard::FinalsBack) { FINALS_BACK_MS + self.cfg.cancel_ms } else { 0 };
+        let back =
+            if holds(Guard::FinalsBack) { FINALS_BACK_MS + self.config.cancel_ms } else { 0 };
         for i in 0..self.view.len() {
             let shard = Shard(i as u8);
             let read_from = self.horizons.to_be_read(shard, back, now).filter(|_| acts);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -48,7 +48,7 @@
             wake: false,
             effects: $effects,
             names: &mut $n.names,
-            cfg: &$n.cfg,
+            config: &$n.config,
             budget: &mut $n.budget,
             horizons: &mut $n.horizons,
             me: $n.me,
@@ -102,7 +102,7 @@
     steady_from: Timestamp,
     time_ms: u64,
     nodes: Vec<String>,
-    cfg: Config,
+    config: Config,
     names: Names,
     budget: WriteBudget,
     lease: Lease,
@@ -164,7 +164,7 @@
             ticked: now,
             steady_from: now + at_least(2000),
             time_ms: 0,
-            cfg: Config {
+            config: Config {
                 worker_lease_ms: (p.workers.lease_s * 1000.0) as u64,
                 cancel_ms: (p.workers.cancel_s * 1000.0) as u64,
                 quiet_ms: (p.workers.report_s * 2500.0) as u64 + 500,
@@ -525,7 +525,7 @@
             self.log_figures(effects);
         }
         self.marks.push_back((now, self.revision));
-        if self.marks.len() > MARKS + self.cfg.cancel_ms as usize / 1000 {
+        if self.marks.len() > MARKS + self.config.cancel_ms as usize / 1000 {
             self.marks.pop_front();
         }
         self.relay_table.expire(now);
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -34,7 +34,7 @@
             epoch,
             coordinator: Coordinator::new(shard, epoch, n),
             participant: Participant::new(shard, epoch, now, n, self.horizons.patience_ms()),
-            quota: QuotaManager::new(shard, &self.cfg.teams, n),
+            quota: QuotaManager::new(shard, &self.config.teams, n),
             releasing: false,
             leave_until: 0,
         });
@@ -133,8 +133,8 @@
 
     pub(super) fn tick_lease(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        let stuck = self.lease.sent.is_none_or(|s| now > s + 2500);
-        if now >= self.lease.next && stuck {
+        let unplaceable = self.lease.sent.is_none_or(|s| now > s + 2500);
+        if now >= self.lease.next && unplaceable {
             self.lease.sent = Some(now);
             self.lease.next = now + RENEW_MS;
             let id = self.lease.id;
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -68,7 +68,7 @@
     }
 
     pub(super) fn can_run(&self, j: &user::Job) -> bool {
-        let Some(team) = self.cfg.teams.iter().find(|t| t.name == j.team) else {
+        let Some(team) = self.config.teams.iter().find(|t| t.name == j.team) else {
             return false;
         };
         let shape = wire_shape(j);
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -242,7 +242,7 @@
         if m.released || !m.waits(r) {
             return None;
         }
-        m.reachability.report(via, ctx.cfg.report_due_ms, ctx.now);
+        m.reachability.report(via, ctx.config.report_due_ms, ctx.now);
         self.take_report(ctx, idx, r, true);
         let now = ctx.now;
         let epoch = self.epoch;
@@ -329,7 +329,7 @@
             }
             m.recount();
         }
-        let over_at = m.lease_over_at(ctx.cfg.worker_lease_ms, older);
+        let over_at = m.lease_over_at(ctx.config.worker_lease_ms, older);
         self.weigh(ctx, idx, &failed, &ran_well);
         self.stop_over(idx, ctx.horizons, now);
         self.look_at(idx, over_at);
@@ -641,7 +641,7 @@
                 && !m.lapsed
                 && m.incarnation > 0
             {
-                let quiet = now >= m.heard + ctx.cfg.quiet_ms;
+                let quiet = now >= m.heard + ctx.config.quiet_ms;
                 if now >= m.direct_after && !quiet && !m.addr.is_empty() {
                     self.next_batch += 1;
                     let batch = self.next_batch;
@@ -717,7 +717,7 @@
     fn due_look(&mut self, ctx: &mut Context, idx: MachineIdx) {
         let now = ctx.now;
         let Some(m) = self.machines.get_mut(&idx) else { return };
-        let mut next = m.lease_over_at(ctx.cfg.worker_lease_ms, self.older_until);
+        let mut next = m.lease_over_at(ctx.config.worker_lease_ms, self.older_until);
         let lease_over = !m.lapsed && !m.released && now > next;
         // Not while our own lease is in doubt: a newer owner may answer the worker by now, and its
         // lease goes on. (Found by the simulator, seed 186: a task ran twice.)
@@ -748,7 +748,7 @@
 
     /// What changed of the machines, for the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
-        let (now, lease) = (ctx.now, at_least(ctx.cfg.worker_lease_ms));
+        let (now, lease) = (ctx.now, at_least(ctx.config.worker_lease_ms));
         let is_deaf = |m: &Machine| m.reachability.deaf_since().is_some_and(|t| now >= t + DEAF_MS);
         // Where many don't hear us, it is us.
         let deaf = self.machines.values().filter(|m| !m.released && is_deaf(m)).count();
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -25,13 +25,13 @@
 /// By type, for ordinary and spot machines.
 pub(super) type EligibilityTable = Vec<[Eligibility; 2]>;
 
-pub(super) fn fits_of(names: &Names, shape: &WireShape, pressing: bool) -> EligibilityTable {
+pub(super) fn fits_of(names: &Names, shape: &WireShape, urgent: bool) -> EligibilityTable {
     let need = Resources::of(shape);
     let fit = |t: TypeIdx, spot: bool| {
         let whole = names.room_of_type(t);
         Eligibility {
             allowed: names.allows(shape, t, spot) && whole.fits(need) > 0,
-            dear: shape.gpu == 0 && whole.gpu > 0 && !names.affordable(shape, t, spot, pressing),
+            dear: shape.gpu == 0 && whole.gpu > 0 && !names.affordable(shape, t, spot, urgent),
         }
     };
     (0..names.catalog.len() as u8)
@@ -113,7 +113,7 @@
             && m.reachability.deaf_since().is_none()
             && m.shunned_until <= now
             && !self.suspected(idx, now)
-            && now < m.heard + ctx.cfg.quiet_ms
+            && now < m.heard + ctx.config.quiet_ms
             && !m.failed.iter().any(|f| f.0 .0 == w.job && f.1 + SHUN_MS > now);
         // Cheap work does not keep a machine that is dear for it, unless that is paid anyway:
         // for the GPU work on it, or because it is never returned.
@@ -157,12 +157,17 @@
     /// What a service may use of a GPU machine whose lasting room this is: it stays, and leaves
     /// enough for the GPU work that is known. Seen from the room that is free just now, a machine
     /// full of short tasks looked lost to GPU work anyway, and services filled it for good.
-    pub(super) fn spare(&self, later: Resources, pressing: bool, anywhere: bool) -> Resources {
-        if anywhere {
+    pub(super) fn spare(
+        &self,
+        later: Resources,
+        urgent: bool,
+        may_use_gpu_machines: bool,
+    ) -> Resources {
+        if may_use_gpu_machines {
             return later;
         }
         // Which GPU work there will be may not be known yet.
-        if self.gpu_work.is_empty() && !pressing {
+        if self.gpu_work.is_empty() && !urgent {
             return Resources::default();
         }
         let mut left = later;
@@ -216,16 +221,18 @@
         &mut self,
         now: Timestamp,
         w: &OfferRequest,
-        line: QueuePosition,
+        queue_position: QueuePosition,
         fits: &EligibilityTable,
     ) -> Rank {
         let rank = (
             Reverse(w.shape.priority),
-            line.late,
-            now.saturating_add_signed(line.due_ms),
+            queue_position.late,
+            now.saturating_add_signed(queue_position.time_left_ms),
             JobId(w.job),
         );
-        if let (true, Some(zone)) = (line.stands, line.zone.map(ZoneIdx)) {
+        if let (true, Some(zone)) =
+            (queue_position.holds_position, queue_position.zone.map(ZoneIdx))
+        {
             self.gang_queue.stand(now, rank, zone, w.count, &w.shape, fits);
         }
         rank
@@ -240,15 +247,15 @@
     ) {
         let now = ctx.now;
         let mut offers = Vec::new();
-        let mut coming = Vec::new();
+        let mut preempting = Vec::new();
         self.gpu_work.retain(|_, t| t.0 + 300_000 > now);
         self.reservations.expire(now);
         self.reindex(ctx.names);
         let judged: Vec<(EligibilityTable, Option<Rank>)> = items
             .iter()
             .map(|w| {
-                let fits = fits_of(ctx.names, &w.shape, w.pressing);
-                let rank = w.line.map(|l| self.take_place(now, w, l, &fits));
+                let fits = fits_of(ctx.names, &w.shape, w.urgent);
+                let rank = w.queue_position.map(|l| self.take_place(now, w, l, &fits));
                 (fits, rank)
             })
             .collect();
@@ -312,7 +319,7 @@
                     }
                     if gpu_waste > 0 && shape.wire.kind == Kind::Service {
                         let later = self.lasting_room(idx, m, whole);
-                        let spare = self.spare(later, w.pressing, w.anywhere);
+                        let spare = self.spare(later, w.urgent, w.may_use_gpu_machines);
                         free.cpu = free.cpu.min(spare.cpu);
                         free.mem = free.mem.min(spare.mem);
                     }
@@ -371,9 +378,9 @@
                     s.wants = s.wants.max(Some(w.shape.priority));
                 }
             }
-            if w.make_room && wanted > 0 {
+            if w.preempt && wanted > 0 {
                 // A gang makes room only in the zone that it waits for.
-                if let Some(z) = w.line.and_then(|l| l.zone) {
+                if let Some(z) = w.queue_position.and_then(|l| l.zone) {
                     for (i, r) in zone_room.iter_mut().enumerate() {
                         *r = if i == z as usize { *r } else { 0 };
                     }
@@ -384,30 +391,36 @@
                     super::room::PreemptionSearch { w, shape, fits, rank, zones, gpus: true };
                 // What cannot be done for one job cannot be for the next of its kind either, which
                 // is served after it. (At three times a fleet most of a request asked in vain.)
-                let several = w.line.is_some_and(|l| l.zone.is_some());
+                let several = w.queue_position.is_some_and(|l| l.zone.is_some());
                 let like = Like {
                     types: &w.shape.types,
                     need: shape.need,
                     priority: w.shape.priority,
                     kind: w.shape.kind,
-                    flags: [w.shape.spot, w.pressing, w.anywhere, several, seek.rank.is_some()],
+                    flags: [
+                        w.shape.spot,
+                        w.urgent,
+                        w.may_use_gpu_machines,
+                        several,
+                        seek.rank.is_some(),
+                    ],
                 };
                 let covers =
                     |open: &[bool]| open.iter().zip(zones).all(|(had, has)| *had || *has == 0);
                 if !vain.iter().any(|v| v.0 == like && covers(&v.1))
-                    && !self.make_room(ctx, &seek, wanted)
+                    && !self.preempt(ctx, &seek, wanted)
                 {
                     vain.push((like, zones.iter().map(|&z| z > 0).collect()));
                 }
                 if self.reservations.count(JobId(w.job)) >= wanted {
-                    coming.push(i as u16);
+                    preempting.push(i as u16);
                 }
             }
         }
         ctx.send(
             self.shard,
             from,
-            ShardMessage::Offers { negotiation: negotiation.0, offers, coming },
+            ShardMessage::Offers { negotiation: negotiation.0, offers, preempting },
         );
     }
 }
--- a/crates/core/src/participant/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -36,16 +36,16 @@
 impl PreemptionSearch<'_> {
     /// Of gangs of several tasks, which wait for a zone, only the first in line has machines set
     /// aside: when each held some, all stood still. Whether this is one that is not the first.
-    fn behind(&self, line: &GangQueue, g: Group) -> bool {
-        let several = self.w.line.is_some_and(|l| l.zone.is_some());
-        several && self.rank.is_some_and(|r| line.behind(r, g))
+    fn behind(&self, queue: &GangQueue, g: Group) -> bool {
+        let several = self.w.queue_position.is_some_and(|l| l.zone.is_some());
+        several && self.rank.is_some_and(|r| queue.behind(r, g))
     }
 }
 
 impl Participant {
     /// Stops less important tasks so that up to `count` tasks of the job find room soon.
     /// False: there was no machine on which anything could be done for it.
-    pub(super) fn make_room(
+    pub(super) fn preempt(
         &mut self,
         ctx: &mut Context,
         seek: &PreemptionSearch,
@@ -173,7 +173,8 @@
             });
         }
         if shape.need.gpu == 0 && whole.gpu > 0 && shape.wire.kind == Kind::Service {
-            let spare = self.spare(self.lasting_room(idx, m, whole), w.pressing, w.anywhere);
+            let spare =
+                self.spare(self.lasting_room(idx, m, whole), w.urgent, w.may_use_gpu_machines);
             if spare.fits(shape.need) == 0 {
                 return None;
             }
@@ -255,21 +256,21 @@
             shape: shape.wire.clone(),
             count: 1,
             zone_room,
-            make_room: true,
-            pressing: false,
-            anywhere: false,
-            line: None,
+            preempt: true,
+            urgent: false,
+            may_use_gpu_machines: false,
+            queue_position: None,
         };
         let before = self.reservations.count(key.0);
         let seek = PreemptionSearch {
             w: &w,
             shape: &shape,
-            fits: &fits_of(ctx.names, &w.shape, w.pressing),
+            fits: &fits_of(ctx.names, &w.shape, w.urgent),
             rank: None,
             zones: &w.zone_room,
             gpus: false,
         };
-        self.make_room(ctx, &seek, before + 1);
+        self.preempt(ctx, &seek, before + 1);
         if self.reservations.count(key.0) == before {
             return;
         }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -18,7 +18,7 @@
 /// What a participant stands in: one shard, one zone, one type of machine with GPUs.
 struct World {
     names: Names,
-    cfg: Config,
+    config: Config,
     budget: WriteBudget,
     horizons: Horizons,
     view: Vec<ShardView>,
@@ -41,7 +41,7 @@
             boot_s: 1.0,
         };
         names.set_catalog(Catalog { types: vec![big] });
-        let cfg = Config {
+        let config = Config {
             worker_lease_ms: LEASE_MS,
             cancel_ms: 30_000,
             quiet_ms: 6000,
@@ -55,8 +55,8 @@
         };
         let mut shard = ShardView::default();
         shard.own(Owner { node: NodeIdx(0), boot: 1, epoch: EPOCH }, 0);
-        let horizons = Horizons::new(NodeIdx(0), 1, 1, cfg.cancel_ms, LEASE_MS);
-        World { names, cfg, budget: WriteBudget::new(50.0, 1, 1), horizons, view: vec![shard] }
+        let horizons = Horizons::new(NodeIdx(0), 1, 1, config.cancel_ms, LEASE_MS);
+        World { names, config, budget: WriteBudget::new(50.0, 1, 1), horizons, view: vec![shard] }
     }
 
     /// Does something at that time; returns the messages sent and the events logged.
@@ -75,7 +75,7 @@
             wake: false,
             effects: &mut effects,
             names: &mut self.names,
-            cfg: &self.cfg,
+            config: &self.config,
             budget: &mut self.budget,
             horizons: &mut self.horizons,
             me: NodeIdx(0),
@@ -108,7 +108,7 @@
     }
 }
 
-fn wanted(job: u64, kind: Kind, count: u32, line: Option<QueuePosition>) -> OfferRequest {
+fn wanted(job: u64, kind: Kind, count: u32, queue_position: Option<QueuePosition>) -> OfferRequest {
     let gang = kind == Kind::Gang;
     let shape = WireShape {
         kind,
@@ -129,10 +129,10 @@
         shape: Arc::new(shape),
         count,
         zone_room: vec![count],
-        make_room: true,
-        pressing: false,
-        anywhere: false,
-        line,
+        preempt: true,
+        urgent: false,
+        may_use_gpu_machines: false,
+        queue_position,
     }
 }
 
@@ -163,7 +163,7 @@
         offered.expect("an answer")
     };
     // Two of its four tasks would fit: it stands in line for the zone.
-    let line = QueuePosition { late: 0, due_ms: 9000, stands: true, zone: Some(0) };
+    let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
     ask(&mut p, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
     assert_eq!(ask(&mut p, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
     assert_eq!(p.reservations.count(JobId(8)), 0, "and it claims nothing");
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -217,7 +217,7 @@
                 }
                 if let (true, Some(after)) = (l.more, last) {
                     self.list_in_flight = true;
-                    self.next_call = self.next_call.max(now) + ctx.cfg.cloud_gap_ms;
+                    self.next_call = self.next_call.max(now) + ctx.config.cloud_gap_ms;
                     ctx.cloud(
                         Operation::Provisioner(self.epoch, ProvisionerOperation::List),
                         CloudCall::List { after: Some(after) },
@@ -348,7 +348,7 @@
             }
         }
         // Rented, then neither listed for long nor heard of: taken before it came up.
-        let lag = ctx.cfg.list_lag_ms * 2 + 5000;
+        let lag = ctx.config.list_lag_ms * 2 + 5000;
         self.booting.retain(|n, b| {
             !Self::reports(participants, ctx, n) && (listed.contains_key(n) || now < b.since + lag)
         });
@@ -366,7 +366,7 @@
             return;
         }
         if !self.list_in_flight && now >= self.list_at && now >= self.next_call {
-            self.next_call = now + ctx.cfg.cloud_gap_ms;
+            self.next_call = now + ctx.config.cloud_gap_ms;
             self.list_in_flight = true;
             self.list_at = now + LIST_MS;
             ctx.cloud(
@@ -380,7 +380,7 @@
         }
         if now >= self.next_call {
             if let Some((number, rent)) = self.instance_requests.send(now) {
-                self.next_call = now + ctx.cfg.cloud_gap_ms;
+                self.next_call = now + ctx.config.cloud_gap_ms;
                 ctx.cloud(
                     Operation::Provisioner(self.epoch, ProvisionerOperation::Launch(number)),
                     CloudCall::Launch(rent),
@@ -389,7 +389,7 @@
         }
         let may = now >= self.release_retry && now >= self.next_call;
         if self.releasing.is_empty() && !self.to_release.is_empty() && may {
-            self.next_call = now + ctx.cfg.cloud_gap_ms;
+            self.next_call = now + ctx.config.cloud_gap_ms;
             let names: Vec<String> = self.to_release.iter().take(100).cloned().collect();
             for n in &names {
                 self.to_release.remove(n);
@@ -576,7 +576,7 @@
                         continue;
                     }
                     let price = ctx.names.price(idx, spot);
-                    if !ctx.names.affordable(&l.shape, idx, spot, l.pressing) {
+                    if !ctx.names.affordable(&l.shape, idx, spot, l.urgent) {
                         continue;
                     }
                     let used = fits.min(room);
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -107,7 +107,7 @@
             let mut told = account.told;
             if now > at + ASKS_MS {
                 told.wanted = Default::default();
-                told.stuck = Default::default();
+                told.unplaceable = Default::default();
                 told.first = Default::default();
             }
             asks.push((*s, told));
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -30,7 +30,7 @@
     /// All of its tasks or none: a gang.
     pub whole: bool,
     /// Found no machine lately: what it could take is left to those after it.
-    pub stuck: bool,
+    pub unplaceable: bool,
 }
 
 /// How many tasks of a job may run.
@@ -97,10 +97,10 @@
         let now = fits(free);
         let in_turn = fits(self.free_in_turn(job.priority, self.in_turn)).max(now);
         let mut worth = fits(self.standing.free().minus(self.worth));
-        if job.stuck {
+        if job.unplaceable {
             worth = worth.max(fits(self.free_in_turn(job.priority, self.worth)));
         }
-        if !job.stuck {
+        if !job.unplaceable {
             // What the next task or gang lacks is kept for it, or smaller work would take it bit by
             // bit.
             let kept = if job.whole { job.count } else { now.max(1) };
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -81,7 +81,7 @@
         pool.share(&wants);
     }
     for p in (0..PRIORITIES).rev() {
-        let wants: Vec<QuotaAmount> = asks.iter().map(|a| a.stuck[p]).collect();
+        let wants: Vec<QuotaAmount> = asks.iter().map(|a| a.unplaceable[p]).collect();
         pool.share(&wants);
     }
     pool.got
@@ -96,7 +96,7 @@
             pool.give(i, a.used[p]);
         }
         pool.firsts(p, limit, asks, false);
-        let wants = |a: &TeamUsage| beyond_first(a, p, a.wanted[p]).plus(a.stuck[p]);
+        let wants = |a: &TeamUsage| beyond_first(a, p, a.wanted[p]).plus(a.unplaceable[p]);
         let wants: Vec<QuotaAmount> = asks.iter().map(wants).collect();
         pool.share(&wants);
     }
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -79,7 +79,7 @@
     assert_eq!(b.may(0, low), cpus(1000));
     assert_eq!(b.may(2, low), cpus(1000), "the rest is shared evenly");
     // What finds no machine is not kept from those that do.
-    high.stuck = high.wanted;
+    high.unplaceable = high.wanted;
     high.wanted = Default::default();
     b.report(1, high);
     low.wanted[0] = cpus(4000);
@@ -186,7 +186,7 @@
 }
 
 fn asking(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
-    AdmissionRequest { priority, task: cpus(cpu), count, whole: false, stuck: false }
+    AdmissionRequest { priority, task: cpus(cpu), count, whole: false, unplaceable: false }
 }
 
 /// An array of 5,000 tasks at low priority fills the limit; a service of the same team comes first.
@@ -212,11 +212,11 @@
     let mut a = Admission::new(free);
     assert_eq!((a.admit(&gang).in_turn, a.admit(&array).now), (0, 0));
     let mut a = Admission::new(free);
-    let got = a.admit(&AdmissionRequest { stuck: true, ..gang });
+    let got = a.admit(&AdmissionRequest { unplaceable: true, ..gang });
     assert_eq!((got.now, a.admit(&array).now), (0, 5));
     // It is worth a machine in turn, which nobody after it is then.
     let mut a = Admission::new(standing(6000, 6000, [6000, 0, 0, 0]));
-    let got = a.admit(&AdmissionRequest { stuck: true, ..gang });
+    let got = a.admit(&AdmissionRequest { unplaceable: true, ..gang });
     assert_eq!((got.now, got.in_turn, got.worth), (0, 2, 2));
 }
 
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -280,20 +280,32 @@
 }
 
 fn wanted() -> impl Strategy<Value = OfferRequest> {
-    let line = (any::<u8>(), any::<i64>(), any::<bool>(), prop::option::of(any::<u8>()))
-        .prop_map(|(late, due_ms, stands, zone)| QueuePosition { late, due_ms, stands, zone });
+    let queue_position = (any::<u8>(), any::<i64>(), any::<bool>(), prop::option::of(any::<u8>()))
+        .prop_map(|(late, time_left_ms, holds_position, zone)| QueuePosition {
+            late,
+            time_left_ms,
+            holds_position,
+            zone,
+        });
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
     let room = prop::collection::vec(small(), 0..4);
-    (number(), shape(), small(), room, flags, prop::option::of(line)).prop_map(
-        |(job, shape, count, zone_room, (make_room, pressing, anywhere), line)| OfferRequest {
+    (number(), shape(), small(), room, flags, prop::option::of(queue_position)).prop_map(
+        |(
             job,
             shape,
             count,
             zone_room,
-            make_room,
-            pressing,
-            anywhere,
-            line,
+            (preempt, urgent, may_use_gpu_machines),
+            queue_position,
+        )| OfferRequest {
+            job,
+            shape,
+            count,
+            zone_room,
+            preempt,
+            urgent,
+            may_use_gpu_machines,
+            queue_position,
         },
     )
 }
@@ -339,10 +351,10 @@
     );
     prop_oneof![
         (number(), prop::collection::vec(offer, 0..3), prop::collection::vec(any::<u16>(), 0..3))
-            .prop_map(|(negotiation, offers, coming)| ShardMessage::Offers {
+            .prop_map(|(negotiation, offers, preempting)| ShardMessage::Offers {
                 negotiation,
                 offers,
-                coming
+                preempting
             }),
         number().prop_map(|negotiation| ShardMessage::AskDecision { negotiation }),
         priority().prop_map(|priority| ShardMessage::CapacityFreed { priority }),
@@ -358,7 +370,7 @@
             count,
             zone_room,
             waited_ms,
-            pressing: waited_ms % 2 == 0,
+            urgent: waited_ms % 2 == 0,
         });
     let info = (name(), kind_of_machine(), zone(), prop::option::of(number()), any::<bool>())
         .prop_map(|(machine, type_name, zone, idle_ms, dead)| MachineInfo {
@@ -399,9 +411,10 @@
         (amounts(), number()).prop_map(|(need, waited_ms)| FirstInQueue { need, waited_ms });
     let first = prop::option::of(first);
     let firsts = [first.clone(), first.clone(), first.clone(), first];
-    let used = (0u8..4, by(), by(), by(), firsts).prop_map(|(team, used, wanted, stuck, first)| {
-        TeamUsage { team, used, wanted, stuck, first }
-    });
+    let used =
+        (0u8..4, by(), by(), by(), firsts).prop_map(|(team, used, wanted, unplaceable, first)| {
+            TeamUsage { team, used, wanted, unplaceable, first }
+        });
     let granted =
         (0u8..4, amounts(), amounts()).prop_map(|(team, may, due)| TeamGrant { team, may, due });
     prop_oneof![
@@ -415,32 +428,32 @@
 fn beat() -> impl Strategy<Value = NodeHeartbeat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
     let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
-        |(shard, epoch, doubt_ms, after, upto, whole)| ShardAssertion {
+        |(shard, epoch, doubt_ms, after, up_to, complete)| ShardAssertion {
             shard,
             epoch,
             doubt_ms,
             after,
-            upto,
-            whole,
-            cancelled: vec![after, upto],
+            up_to,
+            complete,
+            cancelled: vec![after, up_to],
         },
     );
     let owned = prop::collection::vec((0u8..5, number()), 0..3);
     let known = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
     let newest = prop::collection::vec(number(), 0..5);
-    let words = prop::collection::vec(word, 0..3);
-    let heeded = prop::collection::vec((0u8..5, number(), number()), 0..3);
+    let assertions = prop::collection::vec(word, 0..3);
+    let acknowledged = prop::collection::vec((0u8..5, number(), number()), 0..3);
     let times = (stamp(), prop::option::of(stamp()));
-    (owned, known, any::<bool>(), times, newest, (words, heeded)).prop_map(
-        |(owned, known, ready, (stamp, echo), newest, (words, heeded))| NodeHeartbeat {
+    (owned, known, any::<bool>(), times, newest, (assertions, acknowledged)).prop_map(
+        |(owned, known, ready, (stamp, echo), newest, (assertions, acknowledged))| NodeHeartbeat {
             owned,
             known,
             ready,
             stamp,
             echo,
             newest,
-            words,
-            heeded,
+            assertions,
+            acknowledged,
         },
     )
 }
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -43,13 +43,13 @@
     /// How many more tasks each zone may take, by zone number.
     pub zone_room: Vec<u32>,
     /// Nobody had room lately: stop less important tasks for it, if that helps.
-    pub make_room: bool,
+    pub preempt: bool,
     /// More than a third of the time that its aim allows is over.
-    pub pressing: bool,
+    pub urgent: bool,
     /// It may take room that GPU work could use.
-    pub anywhere: bool,
+    pub may_use_gpu_machines: bool,
     /// A gang's place in the line.
-    pub line: Option<QueuePosition>,
+    pub queue_position: Option<QueuePosition>,
 }
 
 /// A gang's place among those that wait: they are served in this order, so that none holds
@@ -58,10 +58,10 @@
 pub struct QueuePosition {
     /// Aims that it has missed already, and the time left to the next.
     pub late: u8,
-    pub due_ms: i64,
+    pub time_left_ms: i64,
     /// Younger gangs get nothing in its zone until it is served. Not set by a gang that asks for
     /// the first time, or has one task.
-    pub stands: bool,
+    pub holds_position: bool,
     /// The zone that a gang of several tasks waits for.
     pub zone: Option<u8>,
 }
@@ -178,7 +178,7 @@
     pub count: u32,
     pub zone_room: Vec<u32>,
     pub waited_ms: u64,
-    pub pressing: bool,
+    pub urgent: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
@@ -254,7 +254,7 @@
     pub used: ByPriority,
     pub wanted: ByPriority,
     /// Wanted by what found no machine lately.
-    pub stuck: ByPriority,
+    pub unplaceable: ByPriority,
     /// Of each priority the first of those that wait, in the coordinator's order.
     pub first: [Option<FirstInQueue>; PRIORITIES],
 }
@@ -269,7 +269,7 @@
 impl TeamUsage {
     pub fn of(team: u8) -> TeamUsage {
         let none = ByPriority::default();
-        TeamUsage { team, used: none, wanted: none, stuck: none, first: [None; PRIORITIES] }
+        TeamUsage { team, used: none, wanted: none, unplaceable: none, first: [None; PRIORITIES] }
     }
 
     pub fn in_use(&self) -> QuotaAmount {
@@ -323,7 +323,8 @@
     Offers {
         negotiation: u64,
         offers: Vec<Offer>,
-        coming: Vec<u16>,
+        #[serde(rename = "coming")]
+        preempting: Vec<u16>,
     },
     AskDecision {
         negotiation: u64,
@@ -441,9 +442,9 @@
     /// Empty: it has not read the shards' keys yet.
     pub newest: Vec<u64>,
     /// Of the shards that it acts for and knows all of.
-    pub words: Vec<ShardAssertion>,
+    pub assertions: Vec<ShardAssertion>,
     /// Up to which number it knows what was cancelled: shard, epoch, number.
-    pub heeded: Vec<(u8, u64, u64)>,
+    pub acknowledged: Vec<(u8, u64, u64)>,
 }
 
 /// A moment by the clock of one process.
@@ -463,9 +464,9 @@
     /// Cancellations after the one with this number, up to that one; older ones are known, or were
     /// over long ago.
     pub after: u64,
-    pub upto: u64,
+    pub up_to: u64,
     /// There are no more.
-    pub whole: bool,
+    pub complete: bool,
     pub cancelled: Vec<u64>,
 }
 
--- a/crates/wire/tests/odd_input.rs
+++ b/crates/wire/tests/odd_input.rs
@@ -27,11 +27,11 @@
 /// Found by reading: a job without `gpus` was taken for one that needs none.
 #[test]
 fn a_job_that_lacks_a_field_is_refused() {
-    let whole = job();
-    assert!(parse(&whole).is_some());
-    for name in whole.as_object().expect("an object").keys() {
+    let complete = job();
+    assert!(parse(&complete).is_some());
+    for name in complete.as_object().expect("an object").keys() {
         let may = MAY_BE_NULL.contains(&name.as_str());
-        let mut lacks = whole.clone();
+        let mut lacks = complete.clone();
         lacks.as_object_mut().expect("an object").remove(name);
         assert_eq!(parse(&lacks).is_some(), may, "without {name}");
         lacks[name] = Value::Null;
