--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -12,11 +12,11 @@
 use crate::names::Names;
 use crate::quota;
 use crate::shard::{Owner, ShardView};
+use crate::stored::OperatorMachinesRecord;
 use leaddeal_wire::mesh::{JobAnswer, NodeMessage, ShardMessage};
 use leaddeal_wire::state::{Change, Condition, Transaction};
 use leaddeal_wire::user::{self, JobState, Status};
 use leaddeal_wire::worker::CommandBatch;
-use serde_json::json;
 use std::collections::{HashMap, VecDeque};
 
 /// What the core needs of the settings.
@@ -178,7 +178,11 @@
 
     /// Creates the mark of the newest machine that was there before the service, or reads it.
     pub fn find_base(&mut self, newest: String) {
-        let change = Change::Put { key: keys::BASE.into(), value: json!(newest), lease: None };
+        let change = Change::Put {
+            key: keys::BASE.into(),
+            value: OperatorMachinesRecord(&newest).encode(),
+            lease: None,
+        };
         let txn = Transaction {
             conditions: vec![Condition { key: keys::BASE.into(), version: 0 }],
             changes: vec![change],
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -8,11 +8,11 @@
 use crate::io::{RequestId, StoreResult};
 use crate::jobs::{job_state, CompletedAttempt};
 use crate::keys;
+use crate::stored::{CompletionRecord, TerminalState};
 use crate::writes::WriteOutcome;
 use leaddeal_wire::mesh::{AttemptRef, ShardMessage};
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{JobState, Status};
-use serde_json::Value;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
         let mut v = vec![
             Change::Put {
                 key: keys::final_key(self.shard, id),
-                value: keys::final_value(status, j.done.len()),
+                value: TerminalState { status, done: j.done.len() }.encode(),
                 lease: None,
             },
             Change::Delete { key: keys::job_key(self.shard, id) },
@@ -282,7 +282,11 @@
                 let text = j.done.encode_chunk(c);
                 bytes += text.len();
                 let key = keys::run_key(self.shard, j.id, c);
-                changes.push(Change::Put { key, value: Value::String(text), lease: None });
+                changes.push(Change::Put {
+                    key,
+                    value: CompletionRecord(&text).encode(),
+                    lease: None,
+                });
             }
             fold.chunks.push((id, chunks));
             fold.acks.push((id, std::mem::take(&mut j.unfolded)));
@@ -317,11 +321,11 @@
                 }
                 for (id, status) in f.finals {
                     if let Some(j) = self.jobs.remove(&id) {
-                        let fin = (status, j.done.len());
+                        let terminal = TerminalState { status, done: j.done.len() };
                         for r in j.cancel_reqs {
-                            ctx.reply_state(r, 200, job_state(id, fin));
+                            ctx.reply_state(r, 200, job_state(id, terminal));
                         }
-                        self.closed.insert(id, fin);
+                        self.closed.insert(id, terminal);
                     }
                 }
             }
@@ -354,7 +358,8 @@
     pub(super) fn drop_cancelled(&mut self, id: JobId) {
         if let Some(j) = self.jobs.remove(&id) {
             if !j.wire.class.is_empty() {
-                self.closed.insert(id, (Status::Cancelled, j.done.len()));
+                let status = Status::Cancelled;
+                self.closed.insert(id, TerminalState { status, done: j.done.len() });
             }
         }
     }
@@ -393,9 +398,9 @@
         }
         j.cancel_reqs.push(req);
         if !holds(Guard::CancelledDurable) {
-            let fin = (Status::Cancelled, j.done.len());
+            let terminal = TerminalState { status: Status::Cancelled, done: j.done.len() };
             for r in std::mem::take(&mut j.cancel_reqs) {
-                ctx.reply_state(r, 200, job_state(id, fin));
+                ctx.reply_state(r, 200, job_state(id, terminal));
             }
         }
         if j.finishing.is_none() && !j.complete() {
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -2,14 +2,13 @@
 use super::{Coordinator, Load};
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, JobId, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::{wire_shape, Job};
 use crate::keys;
 use crate::placed::Placement;
 use crate::records::{Record, RecordReader};
+use crate::stored::{CompletionRecord, DecisionRecord, JobRecord};
 use leaddeal_wire::mesh::TaskPhase;
-use leaddeal_wire::user::{self};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -100,12 +99,12 @@
         if self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
             return;
         }
-        let Ok(wire) = serde_json::from_value::<user::Job>(value["job"].clone()) else {
+        let Ok(JobRecord { accepted_at_ms, job: wire }) = JobRecord::decode(value) else {
             let k = key.to_string();
             ctx.effects.log(0, "job_unreadable", || k);
             return;
         };
-        let age = ctx.time_ms.saturating_sub(value["at"].as_u64().unwrap_or(ctx.time_ms));
+        let age = ctx.time_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.time_ms));
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
         let job = Job::new(id, wire, shape, ctx.now.saturating_sub(age), &ctx.config.aims);
         self.served.asks(&job);
@@ -120,7 +119,8 @@
         let read = match found {
             Some((Some(j), chunk)) => {
                 j.stored.insert(chunk, r.version);
-                r.value.as_str().is_some_and(|t| j.done.add_chunk(chunk, t, j.wire.tasks))
+                CompletionRecord::decode(&r.value)
+                    .is_ok_and(|text| j.done.add_chunk(chunk, text.0, j.wire.tasks))
             }
             // Of a job that is over.
             Some((None, _)) => true,
@@ -135,27 +135,24 @@
     /// task only the newest counts; it was decided after the older ones were proven gone.
     pub(super) fn take_decisions(&mut self, ctx: &mut Context) {
         for Record { key, value, .. } in std::mem::take(&mut self.decisions) {
-            let Some(attempt) = value["a"].as_u64().map(Attempt) else {
+            let Ok((attempt, placements)) = DecisionRecord::decode(&value) else {
                 unreadable(ctx, &key);
                 continue;
             };
             let round = self.next_round_id();
             let mut live = 0;
             let mut replaced = Vec::new();
-            let empty = Vec::new();
-            for p in value["p"].as_array().unwrap_or(&empty) {
-                let (Some(job), Some(task), Some(machine), Some(incarnation), Some(zone)) =
-                    (p[0].as_u64(), p[1].as_u64(), p[2].as_str(), p[3].as_u64(), p[4].as_u64())
-                else {
+            for placement in placements {
+                let Ok(placement) = placement else {
                     unreadable(ctx, &key);
                     continue;
                 };
-                let (id, task) = (JobId(job), task as u32);
+                let (id, task) = (placement.job, placement.task);
                 if !self.jobs.contains_key(&id) && !holds(Guard::Leftovers) {
                     continue;
                 }
-                let participant = ctx.shard_of_machine(machine);
-                let machine = ctx.names.machine(machine);
+                let participant = ctx.shard_of_machine(placement.machine);
+                let machine = ctx.names.machine(placement.machine);
                 let j = self.jobs.entry(id).or_insert_with(|| Job::leftover(id, ctx.names));
                 let newer = j.placed.get(task).is_some_and(|o| o.attempt > attempt);
                 if j.done.get(task) || newer && holds(Guard::NewestAttempt) {
@@ -165,17 +162,15 @@
                     attempt,
                     machine,
                     participant,
-                    incarnation,
-                    zone: ZoneIdx(zone as u8),
+                    incarnation: placement.incarnation,
+                    zone: placement.zone,
                     phase: TaskPhase::Decided,
                     round,
                     placed_at: ctx.now,
                     sent_at: 0,
                     stop: None,
                     adopted: true,
-                    team: p[5]
-                        .as_u64()
-                        .map(|t| (t as u8, p[6].as_u64().unwrap_or(0), p[7].as_u64().unwrap_or(0))),
+                    team: placement.quota.map(|q| (q.team, q.amount.cpu, q.amount.gpu)),
                 };
                 live += 1;
                 replaced.extend(j.placed.insert(task, new).map(|old| old.round));
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -6,6 +6,7 @@
 use crate::jobs::{CompletedAttempt, Job};
 use crate::keys;
 use crate::records::{Record, RecordReader};
+use crate::stored::TerminalState;
 use crate::writes::PendingWrite;
 use leaddeal_wire::mesh::{
     Assignment, AttemptRef, Offer, Shape as WireShape, ShardMessage, TaskEvent, TaskPhase,
@@ -109,7 +110,7 @@
     decisions: Vec<Record>,
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs that are over, with their final state.
-    pub closed: HashMap<JobId, (Status, u32)>,
+    pub closed: HashMap<JobId, TerminalState>,
     talk: Option<NegotiationState>,
     writing: Option<PendingDecision>,
     next_talk: u64,
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -14,13 +14,13 @@
 use crate::placed::Placement;
 use crate::quota::admission::{Admitted, QuotaStatus};
 use crate::quota::shard_of_team;
+use crate::stored::{DecisionRecord, PlacementRecord, QuotaUse};
 use crate::writes::WriteOutcome;
 use leaddeal_wire::mesh::{
     Assignment, Offer, OfferRequest, QueuePosition, QuotaAmount, ShardMessage, TaskPhase,
 };
 use leaddeal_wire::state::{Change, Condition};
 use leaddeal_wire::user::{self, Kind};
-use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A job that has found room, but not its team's limit, asks again after this time.
@@ -299,19 +299,21 @@
         let (shard, epoch) = (self.shard, self.epoch);
         let slot = self.rounds.record(|| keys::decision_key(shard, epoch, round));
         self.picked = (self.picked.0 + choices.len() as u64, self.picked.1 + 1);
-        let picks: Vec<Value> = choices
-            .iter()
-            .map(|c| {
-                let o = &c.offer;
-                match self.jobs.get(&c.job).and_then(|j| ctx.team_use(j)) {
-                    Some(t) => {
-                        json!([c.job.0, c.task, o.machine, o.incarnation, o.zone, t.0, t.1, t.2])
-                    }
-                    None => json!([c.job.0, c.task, o.machine, o.incarnation, o.zone]),
-                }
-            })
-            .collect();
-        let value = json!({"a": attempt.0, "p": picks});
+        let placements =
+            choices
+                .iter()
+                .map(|choice| PlacementRecord {
+                    job: choice.job,
+                    task: choice.task,
+                    machine: &choice.offer.machine,
+                    incarnation: choice.offer.incarnation,
+                    zone: ZoneIdx(choice.offer.zone),
+                    quota: self.jobs.get(&choice.job).and_then(|j| ctx.team_use(j)).map(
+                        |(team, cpu, gpu)| QuotaUse { team, amount: QuotaAmount { cpu, gpu } },
+                    ),
+                })
+                .collect();
+        let value = DecisionRecord { attempt: attempt.0, placements }.encode();
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
         let mut write = self.write(WriteClass::Decision, vec![put]);
         if holds(Guard::DecisionVersion) {
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -4,6 +4,7 @@
 use crate::ids::{Attempt, JobId, MachineIdx, Timestamp, ZoneIdx};
 use crate::names::Shape;
 use crate::placed::Placed;
+use crate::stored::TerminalState;
 use crate::writes::PendingWrite;
 use leaddeal_wire::mesh;
 use leaddeal_wire::settings::Objective;
@@ -112,8 +113,8 @@
 }
 
 /// What users see of a job that is over.
-pub fn job_state(id: JobId, f: (Status, u32)) -> JobState {
-    JobState { id: user::job_id(id.0), status: f.0, done: f.1, running: 0 }
+pub fn job_state(id: JobId, terminal: TerminalState) -> JobState {
+    JobState { id: user::job_id(id.0), status: terminal.status, done: terminal.done, running: 0 }
 }
 
 /// What the users ask for, by class: limits in milliseconds from the submission.
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -2,15 +2,13 @@
 //!
 //! | prefix | what | written by |
 //! | --- | --- | --- |
-//! | `shard/` | owners of shards | whoever acquires one, under its lease |
+//! | `seat/` | owners of shards | whoever acquires one, under its lease |
 //! | `j/SHARD/` | jobs as submitted | any node, once |
 //! | `d/SHARD/` | decisions | the shard's owner |
 //! | `r/SHARD/` | done tasks, in chunks | the shard's owner |
 //! | `f/SHARD/` | final states | the shard's owner |
 //! | `base` | newest machine that was there before the service | the provisioner, once |
 use crate::ids::{Epoch, JobId, Shard};
-use leaddeal_wire::user::Status;
-use serde_json::{json, Value};
 
 pub const SHARDS: &str = "seat/";
 pub const BASE: &str = "base";
@@ -56,19 +54,6 @@
     format!("r/{}/{}.{}", s.0, j.0, chunk)
 }
 
-pub fn final_value(status: Status, done: u32) -> Value {
-    json!([if status == Status::Done { "done" } else { "cancelled" }, done])
-}
-
-pub fn parse_final(v: &Value) -> Option<(Status, u32)> {
-    let status = match v.get(0)?.as_str()? {
-        "done" => Status::Done,
-        "cancelled" => Status::Cancelled,
-        _ => return None,
-    };
-    Some((status, v.get(1)?.as_u64()? as u32))
-}
-
 pub fn decision_key(s: Shard, epoch: Epoch, round: u64) -> String {
     format!("{}{}-{round}", decision_prefix(s), epoch.0)
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -23,6 +23,7 @@
 pub mod reachability;
 pub mod records;
 pub mod shard;
+pub mod stored;
 pub mod writes;
 
 pub use io::{Effect, Input};
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -12,8 +12,8 @@
 use crate::provisioner::Provisioner;
 use crate::quota::QuotaManager;
 use crate::shard::{Owner, Seen, LEASE_MS, RENEW_MS};
+use crate::stored::OwnerRecord;
 use leaddeal_wire::state::{Change, Condition, Transaction};
-use serde_json::json;
 
 impl Node {
     pub(super) fn own(&mut self, effects: &mut Effects, shard: Shard, epoch: Epoch) {
@@ -111,9 +111,11 @@
             }
         };
         let epoch = Epoch(version);
-        let node = v["node"].as_str().and_then(|n| self.nodes.iter().position(|x| x == n));
-        let boot = v["boot"].as_u64();
-        let (Some(node), Some(boot)) = (node, boot) else {
+        let Ok(record) = OwnerRecord::decode(v) else {
+            return;
+        };
+        let boot = record.boot;
+        let Some(node) = self.nodes.iter().position(|name| *name == record.node) else {
             return;
         };
         let owner = Owner { node: NodeIdx(node as u8), boot, epoch };
@@ -204,7 +206,9 @@
             self.next_acquire[i] = now + 700;
             self.view[i].trying = true;
             let key = keys::shard_key(Shard(i as u8));
-            let value = json!({"node": self.nodes[self.me.0 as usize], "boot": self.boot});
+            let value =
+                OwnerRecord { boot: self.boot, node: self.nodes[self.me.0 as usize].clone() }
+                    .encode();
             let txn = Transaction {
                 conditions: vec![Condition { key: key.clone(), version }],
                 changes: vec![Change::Put { key, value, lease: self.lease.id }],
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -7,6 +7,7 @@
 use crate::jobs::job_state;
 use crate::keys;
 use crate::shard::{Lease, Seen};
+use crate::stored::{OperatorMachinesRecord, TerminalState};
 
 impl Node {
     pub(super) fn coordinator(&mut self, shard: Shard, epoch: Epoch) -> Option<usize> {
@@ -169,9 +170,9 @@
             Operation::ReadFinal { req, id, ask } => {
                 let mut c = ctx!(self, effects);
                 match result {
-                    StoreResult::Item(Some(i)) => match keys::parse_final(&i.value) {
-                        Some(f) => c.reply_state(req, 200, job_state(id, f)),
-                        None => {
+                    StoreResult::Item(Some(i)) => match TerminalState::decode(&i.value) {
+                        Ok(f) => c.reply_state(req, 200, job_state(id, f)),
+                        Err(_) => {
                             c.effects.log(0, "record_unreadable", || i.key);
                             c.reply_later(req, 503, 5);
                         }
@@ -198,7 +199,10 @@
             Operation::BaseGet => {
                 if let Some((_, b)) = &mut self.provisioner {
                     b.set_base(match result {
-                        StoreResult::Item(Some(i)) => i.value.as_str().map(str::to_string),
+                        StoreResult::Item(Some(i)) => {
+                            let r = OperatorMachinesRecord::decode(&i.value);
+                            r.ok().map(|r| r.0.to_string())
+                        }
                         _ => None,
                     });
                 }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -8,10 +8,10 @@
 use crate::jobs::wire_shape;
 use crate::keys;
 use crate::names::Resources;
+use crate::stored::JobRecord;
 use leaddeal_wire::mesh::NodeMessage;
 use leaddeal_wire::state::{Change, Condition, Transaction};
 use leaddeal_wire::user;
-use serde_json::json;
 
 impl Node {
     pub(super) fn submit(
@@ -49,7 +49,7 @@
             return c.reply_later(req, 503, after_s);
         }
         let shard = shard_of_job(id, self.view.len());
-        let value = json!({"job": *job, "at": self.time_ms});
+        let value = JobRecord { accepted_at_ms: Some(self.time_ms), job: *job }.encode();
         let mut conditions = vec![Condition { key: keys::job_key(shard, id), version: 0 }];
         if holds(Guard::SubmittedOnce) {
             conditions.push(Condition { key: keys::final_key(shard, id), version: 0 });
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -1,6 +1,7 @@
 //! Users: what they submit, ask and cancel, and what is in the store from the beginning.
 use super::*;
 use leaddeal_core::io::UserReply;
+use leaddeal_core::stored::TerminalState;
 use serde_json::json;
 
 impl Sim {
@@ -43,7 +44,8 @@
         for n in 0..self.plan.closed {
             let id = JobId(900_000 + n);
             let key = keys::final_key(shard_of_job(id, NODES), id);
-            put(&mut self.state, key, keys::final_value(Status::Done, 1));
+            let over = TerminalState { status: Status::Done, done: 1 };
+            put(&mut self.state, key, over.encode());
         }
         for n in 0..self.plan.open {
             let id = JobId(800_000 + n);
@@ -89,8 +91,8 @@
                 continue;
             };
             let job = leaddeal_wire::user::job_id(id.0);
-            if let (Some((Status::Done, _)), Some(at)) =
-                (keys::parse_final(value), self.done.last(&job))
+            if let (Ok(TerminalState { status: Status::Done, .. }), Some(at)) =
+                (TerminalState::decode(value), self.done.last(&job))
             {
                 self.marks.finals.push((self.now, self.now.saturating_sub(at)));
             }
