--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -58,7 +58,7 @@
             return;
         }
         for id in self.cancelling.iter().copied().collect::<Vec<_>>() {
-            let begun = self.jobs.get_mut(&id).and_then(|j| j.final_write.take());
+            let begun = self.jobs.get_mut(&id).and_then(|j| j.terminal_write.take());
             let mut write = begun.unwrap_or_else(|| {
                 let write =
                     self.write(WriteClass::Cancellation, self.final_changes(id, Status::Cancelled));
@@ -70,7 +70,7 @@
             });
             let call = write.call(ctx.now, ctx.budget);
             match self.jobs.get_mut(&id) {
-                Some(j) => j.final_write = Some(write),
+                Some(j) => j.terminal_write = Some(write),
                 None => {
                     self.cancelling.remove(&id);
                     continue;
@@ -86,7 +86,7 @@
 
     /// WriteOutcome of writing a cancellation. False: the shard is lost.
     pub fn finished(&mut self, ctx: &mut Context, id: JobId, result: &StoreResult) -> bool {
-        let write = self.jobs.get_mut(&id).and_then(|j| j.final_write.as_mut());
+        let write = self.jobs.get_mut(&id).and_then(|j| j.terminal_write.as_mut());
         let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else {
             return true;
         };
@@ -96,16 +96,16 @@
                 let Some(j) = self.jobs.get_mut(&id) else {
                     return true;
                 };
-                j.finishing = None;
-                j.final_write = None;
+                j.terminating = None;
+                j.terminal_write = None;
                 j.cancelled = true;
                 // What it had done counts no more; its machines may forget it.
-                let acks = std::mem::take(&mut j.unfolded);
+                let acks = std::mem::take(&mut j.uncompacted);
                 j.placed.stop_all();
                 self.unsettled.insert(id);
                 let s = j.state();
                 let empty = j.placed.is_empty();
-                for r in std::mem::take(&mut j.cancel_reqs) {
+                for r in std::mem::take(&mut j.cancel_requests) {
                     ctx.reply_state(r, 200, s.clone());
                 }
                 self.acknowledge(ctx, id, acks);
@@ -120,11 +120,11 @@
                 // It may have been executed: until that is known, the job is neither started
                 // further nor called anything. Tried again by the tick.
                 if let Some(j) = self.jobs.get_mut(&id) {
-                    for r in std::mem::take(&mut j.cancel_reqs) {
+                    for r in std::mem::take(&mut j.cancel_requests) {
                         ctx.reply_later(r, 503, 1);
                     }
                     if let Some(w) =
-                        j.final_write.as_mut().filter(|_| outcome == WriteOutcome::NotDone)
+                        j.terminal_write.as_mut().filter(|_| outcome == WriteOutcome::NotDone)
                     {
                         w.again(ctx.now + REFUSED_AGAIN_MS);
                     }
@@ -240,11 +240,11 @@
             self.dirty.remove(&id);
             // Cancelled meanwhile: that is its end.
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            if j.cancelled || j.finishing == Some(Status::Cancelled) {
+            if j.cancelled || j.terminating == Some(Status::Cancelled) {
                 continue;
             }
-            j.finishing = Some(Status::Done);
-            fold.acks.push((id, std::mem::take(&mut j.unfolded)));
+            j.terminating = Some(Status::Done);
+            fold.acks.push((id, std::mem::take(&mut j.uncompacted)));
             fold.finals.push((id, Status::Done));
             changes.extend(c);
         }
@@ -257,13 +257,14 @@
         let mut ripe: Vec<(Reverse<usize>, JobId)> = Vec::new();
         let jobs = &self.jobs;
         self.dirty.retain(|id| {
-            let Some(j) = jobs.get(id).filter(|j| !j.dirty.is_empty() && !j.cancelled) else {
+            let Some(j) = jobs.get(id).filter(|j| !j.dirty_chunks.is_empty() && !j.cancelled)
+            else {
                 return false;
             };
             // Soon over, perhaps: its final state makes this write needless.
-            let late = j.dirty_since.is_some_and(|t| ctx.now >= t + RIPE_MS);
-            if (late || j.unfolded.len() >= RIPE) && j.finishing.is_none() && !j.complete() {
-                ripe.push((Reverse(j.unfolded.len()), *id));
+            let late = j.uncompacted_since.is_some_and(|t| ctx.now >= t + RIPE_MS);
+            if (late || j.uncompacted.len() >= RIPE) && j.terminating.is_none() && !j.complete() {
+                ripe.push((Reverse(j.uncompacted.len()), *id));
             }
             true
         });
@@ -271,12 +272,12 @@
         let mut bytes = 0;
         for (_, id) in ripe {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            if changes.len() + j.dirty.len() > most || bytes > MOST_BYTES {
+            if changes.len() + j.dirty_chunks.len() > most || bytes > MOST_BYTES {
                 break;
             }
             self.dirty.remove(&id);
-            j.dirty_since = None;
-            let chunks: Vec<u32> = std::mem::take(&mut j.dirty).into_iter().collect();
+            j.uncompacted_since = None;
+            let chunks: Vec<u32> = std::mem::take(&mut j.dirty_chunks).into_iter().collect();
             for &c in &chunks {
                 j.stored.entry(c).or_insert(0);
                 let text = j.done.encode_chunk(c);
@@ -289,7 +290,7 @@
                 });
             }
             fold.chunks.push((id, chunks));
-            fold.acks.push((id, std::mem::take(&mut j.unfolded)));
+            fold.acks.push((id, std::mem::take(&mut j.uncompacted)));
         }
     }
 
@@ -301,7 +302,7 @@
             // Who waits asks again: it may take as long as the service does.
             for id in self.fold.iter().flat_map(|f| &f.finals).map(|f| f.0).collect::<Vec<_>>() {
                 if let Some(j) = self.jobs.get_mut(&id) {
-                    for r in std::mem::take(&mut j.cancel_reqs) {
+                    for r in std::mem::take(&mut j.cancel_requests) {
                         ctx.reply_later(r, 503, 1);
                     }
                 }
@@ -322,7 +323,7 @@
                 for (id, status) in f.finals {
                     if let Some(j) = self.jobs.remove(&id) {
                         let terminal = TerminalState { status, done: j.done.len() };
-                        for r in j.cancel_reqs {
+                        for r in j.cancel_requests {
                             ctx.reply_state(r, 200, job_state(id, terminal));
                         }
                         self.closed.insert(id, terminal);
@@ -337,14 +338,14 @@
                 self.rounds.delete_again(f.rounds);
                 for (id, chunks) in f.chunks {
                     if let Some(j) = self.jobs.get_mut(&id) {
-                        j.dirty.extend(chunks);
-                        j.dirty_since.get_or_insert(ctx.now);
+                        j.dirty_chunks.extend(chunks);
+                        j.uncompacted_since.get_or_insert(ctx.now);
                         self.dirty.insert(id);
                     }
                 }
                 for (id, acks) in f.acks {
                     if let Some(j) = self.jobs.get_mut(&id) {
-                        j.unfolded.extend(acks);
+                        j.uncompacted.extend(acks);
                     }
                 }
                 // The final states stay in the making and are tried again.
@@ -371,7 +372,7 @@
         let j = self.jobs.get(&id)?;
         // A leftover stands for a job whose final state is in the store. And a final state that
         // is being written may be there already, and may have been told by a node that read it.
-        let told = j.finishing.is_none() || !holds(Guard::Finishing);
+        let told = j.terminating.is_none() || !holds(Guard::Finishing);
         (!j.wire.class.is_empty() && told).then(|| j.state())
     }
 
@@ -392,19 +393,19 @@
             ctx.reply_state(req, 200, s);
             return true;
         }
-        if j.cancel_reqs.len() > 100 {
+        if j.cancel_requests.len() > 100 {
             ctx.reply_later(req, 503, 1);
             return true;
         }
-        j.cancel_reqs.push(req);
+        j.cancel_requests.push(req);
         if !holds(Guard::CancelledDurable) {
             let terminal = TerminalState { status: Status::Cancelled, done: j.done.len() };
-            for r in std::mem::take(&mut j.cancel_reqs) {
+            for r in std::mem::take(&mut j.cancel_requests) {
                 ctx.reply_state(r, 200, job_state(id, terminal));
             }
         }
-        if j.finishing.is_none() && !j.complete() {
-            j.finishing = Some(Status::Cancelled);
+        if j.terminating.is_none() && !j.complete() {
+            j.terminating = Some(Status::Cancelled);
             self.cancelling.insert(id);
             self.write_cancellations(ctx);
         }
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -108,7 +108,7 @@
         }
         let now = ctx.now;
         let jobs = self.pending.iter().filter_map(|id| self.jobs.get(id));
-        let open = jobs.filter(|j| !j.cancelled && j.finishing.is_none() && j.pending() > 0);
+        let open = jobs.filter(|j| !j.cancelled && j.terminating.is_none() && j.pending() > 0);
         let mut waiting: Vec<(Turn, &Job, (u8, u64, u64))> = open
             .filter(|j| j.may_start())
             .filter_map(|j| Some((turn(j, now), j, ctx.team_use(j)?)))
@@ -121,7 +121,7 @@
         for (_, j, (team, cpu, gpu)) in waiting {
             let whole = j.wire.kind == Kind::Gang;
             let task = QuotaAmount { cpu, gpu };
-            let count = if j.doubt.in_doubt() { 1 } else { j.pending() };
+            let count = if j.failure_suspicion.is_suspected() { 1 } else { j.pending() };
             let need = task.times(if whole { count } else { 1 });
             if !limits.get(&team).is_some_and(|limit| need.within(*limit)) {
                 continue;
@@ -129,13 +129,13 @@
             let standing = || standings.get(&team).copied().unwrap_or_default();
             let admission = teams.entry(team).or_insert_with(|| Admission::new(standing()));
             let vain = j.refused_for(now).filter(|ms| *ms > STUCK_MS);
-            let coming = j.coming_at.is_some_and(|at| now < at + COMES_MS);
+            let coming = j.preempting_at.is_some_and(|at| now < at + COMES_MS);
             let spell = if coming { COMING_MS } else { TRIES_MS };
             let mut keeps =
                 |ms: u64| ms % spell.0 < spell.1 && kept.insert((team, j.wire.priority));
             let first = self.firsts.get(&(team, j.wire.priority)).filter(|f| f.0 == j.id);
             let rests = first.is_some_and(|f| (now - f.1) % FIRST_MS.0 >= FIRST_MS.1);
-            let unplaceable = j.doubt.in_doubt()
+            let unplaceable = j.failure_suspicion.is_suspected()
                 || rests
                 || (vain.is_some_and(|ms| !keeps(ms)) && !self.has_way(j.id, now));
             let asking =
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -204,7 +204,7 @@
         self.talk.is_none()
             && self.writing.is_none()
             && self.fold.is_none()
-            && self.jobs.values().all(|j| j.finishing.is_none())
+            && self.jobs.values().all(|j| j.terminating.is_none())
     }
 
     /// Changes of this shard, conditional on its epoch.
@@ -294,16 +294,15 @@
         });
         if !known {
             // Already noted as done, but not durably yet: the worker must not forget it.
-            let unfolded =
-                self.jobs.get(&id).is_some_and(|j| {
-                    j.unfolded.iter().any(|u| u.0 == e.task && u.1 .0 == e.attempt)
-                }) || self.fold.as_ref().is_some_and(|f| {
-                    f.acks.iter().any(|(j, l)| {
-                        *j == id && l.iter().any(|u| u.0 == e.task && u.1 .0 == e.attempt)
-                    })
-                });
+            let uncompacted = self.jobs.get(&id).is_some_and(|j| {
+                j.uncompacted.iter().any(|u| u.0 == e.task && u.1 .0 == e.attempt)
+            }) || self.fold.as_ref().is_some_and(|f| {
+                f.acks.iter().any(|(j, l)| {
+                    *j == id && l.iter().any(|u| u.0 == e.task && u.1 .0 == e.attempt)
+                })
+            });
             if over {
-                return (!unfolded).then_some(what);
+                return (!uncompacted).then_some(what);
             }
             ctx.send(self.shard, from, ShardMessage::Stop { what, grace_s: 0.0 });
             return None;
@@ -332,14 +331,14 @@
         let p = j.placed.remove(e.task)?;
         if let TaskPhase::Exited(ExitReason::Done, _) = e.phase {
             if j.wire.kind != Kind::Service && !j.cancelled {
-                j.doubt.ran_well();
+                j.failure_suspicion.ran_well();
                 j.set_done(e.task, now);
                 if j.complete() {
                     self.over.insert(id, now);
                 } else {
                     self.dirty.insert(id);
                 }
-                j.unfolded.push((e.task, p.attempt, p.machine, p.round));
+                j.uncompacted.push((e.task, p.attempt, p.machine, p.round));
                 ctx.wake = true;
                 return None;
             }
@@ -347,17 +346,17 @@
         match e.phase {
             TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
                 if j.wire.kind == Kind::Service && j.placed.running() > 0 {
-                    j.doubt.ran_well();
+                    j.failure_suspicion.ran_well();
                 }
-                let before = j.doubt.in_doubt();
-                j.not_before = j.doubt.failed(p.machine, now, j.not_before);
-                if j.doubt.in_doubt() && !before {
+                let before = j.failure_suspicion.is_suspected();
+                j.not_before = j.failure_suspicion.failed(p.machine, now, j.not_before);
+                if j.failure_suspicion.is_suspected() && !before {
                     let name = &j.wire.id;
                     ctx.effects.log(1, "job_in_doubt", || name.clone());
                 }
             }
             TaskPhase::Exited(ExitReason::Full | ExitReason::Busy, _) => j.not_before = now + 300,
-            _ if j.doubt.in_doubt() => {}
+            _ if j.failure_suspicion.is_suspected() => {}
             _ => j.not_before = j.not_before.min(now),
         }
         j.give_back(e.task);
@@ -484,8 +483,8 @@
         };
         let jobs = self.pending.iter().filter_map(|id| self.jobs.get(id));
         let mut lacking: Vec<(_, &Job)> = jobs
-            .filter(|j| !j.cancelled && j.finishing.is_none() && j.pending() > 0)
-            .filter(|j| !j.doubt.in_doubt() && worth(j) > 0)
+            .filter(|j| !j.cancelled && j.terminating.is_none() && j.pending() > 0)
+            .filter(|j| !j.failure_suspicion.is_suspected() && worth(j) > 0)
             .map(|j| ((Reverse(j.wire.priority), j.created, j.id), j))
             .collect();
         // (Found at five times a fleet: the first by their names were told, not the first in turn.)
@@ -508,12 +507,12 @@
     /// For the operators' log: what is kept and what waits to be written.
     pub fn figures(&mut self, now: Timestamp) -> String {
         let oldest = self.over.values().min().map_or(0, |at| now.saturating_sub(*at));
-        let unfolded: usize =
-            self.dirty.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.unfolded.len()).sum();
+        let uncompacted: usize =
+            self.dirty.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.uncompacted.len()).sum();
         let (live, spare) = self.rounds.count();
         let (picks, rounds) = std::mem::take(&mut self.picked);
         format!(
-            "shard={} jobs={} waiting={} untold={} oldest_untold_ms={oldest} unfolded={unfolded} \
+            "shard={} jobs={} waiting={} untold={} oldest_untold_ms={oldest} unfolded={uncompacted} \
              decisions={live} spare={spare} rounds={rounds} picks={picks}",
             self.shard.0,
             self.jobs.len(),
@@ -525,7 +524,7 @@
     /// The shard is lost: whoever waits for an answer has to ask again.
     pub fn abandon(&mut self, ctx: &mut Context) {
         for j in self.jobs.values_mut() {
-            for r in std::mem::take(&mut j.cancel_reqs) {
+            for r in std::mem::take(&mut j.cancel_requests) {
                 ctx.reply_later(r, 503, 1);
             }
         }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -52,7 +52,7 @@
             .pending
             .iter()
             .filter_map(|id| jobs.get(id))
-            .filter(|j| j.finishing.is_none() && j.not_before <= now)
+            .filter(|j| j.terminating.is_none() && j.not_before <= now)
             .filter(|j| j.may_start())
             .filter(|j| may_run(ctx, admitted, j).in_turn > 0)
             .map(|j| turn(j, now))
@@ -97,7 +97,7 @@
             let covered = admitted.now > 0;
             let may = if covered { admitted.now } else { admitted.in_turn };
             let mut count = may.min(most - total).min(most / 3 + 1);
-            if j.doubt.in_doubt() {
+            if j.failure_suspicion.is_suspected() {
                 count = count.min(1);
             }
             if j.wire.kind == Kind::Gang {
@@ -111,8 +111,9 @@
             }
             total += count;
             items.push((id, count));
-            let makes_room =
-                j.wire.priority > user::Priority::Low && !j.doubt.in_doubt() && covered;
+            let makes_room = j.wire.priority > user::Priority::Low
+                && !j.failure_suspicion.is_suspected()
+                && covered;
             turns.push(j.preempt.filter(|_| makes_room));
             wanted.push(OfferRequest {
                 job: id.0,
@@ -195,11 +196,11 @@
             let Some(j) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if j.cancelled || j.finishing.is_some() {
+            if j.cancelled || j.terminating.is_some() {
                 continue;
             }
             if talk.preempting.contains(&(i as u16)) {
-                j.coming_at = Some(now);
+                j.preempting_at = Some(now);
             }
             let mut room = j.zone_room(&ctx.names.zones);
             let mut mine: Vec<&mut (Shard, Offer)> =
@@ -398,7 +399,7 @@
                 team: ctx.team_use(j),
             };
             // Cancelled while the decision was being written: it was never said.
-            if j.cancelled || j.finishing.is_some() {
+            if j.cancelled || j.terminating.is_some() {
                 j.give_back(c.task);
                 self.pending.insert(c.job);
                 continue;
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -44,7 +44,7 @@
     starts: Vec<f64>,
     /// Not asked for before this time.
     pub not_before: Timestamp,
-    pub refusals: u32,
+    pub failed_tries: u32,
     /// Since when it has been asked for in vain.
     refused_since: Option<Timestamp>,
     /// When it is asked for again though no participant has told of free room.
@@ -52,25 +52,25 @@
     /// Whose turn it is to make room by preemption; none: nobody was short of it.
     pub preempt: Option<u32>,
     /// When a participant last said that it makes room for it.
-    pub coming_at: Option<Timestamp>,
+    pub preempting_at: Option<Timestamp>,
     /// A gang that waits does so for this zone.
-    pub target: Option<ZoneIdx>,
+    pub target_zone: Option<ZoneIdx>,
     /// Failures since anything of it last ran well.
-    pub doubt: FailureSuspicion,
+    pub failure_suspicion: FailureSuspicion,
     /// Durable and told: no task of it may start any more.
     pub cancelled: bool,
-    pub dirty: BTreeSet<u32>,
+    pub dirty_chunks: BTreeSet<u32>,
     /// Since when something is done that is not in the store.
-    pub dirty_since: Option<Timestamp>,
+    pub uncompacted_since: Option<Timestamp>,
     /// Chunks of what is done that are in the store, or may be, with their versions as far as they
     /// were told; 0: perhaps not there.
     pub stored: BTreeMap<u32, u64>,
     /// Done events to be acknowledged once they are durable.
-    pub unfolded: Vec<CompletedAttempt>,
+    pub uncompacted: Vec<CompletedAttempt>,
     /// Being written as final.
-    pub finishing: Option<Status>,
-    pub final_write: Option<PendingWrite>,
-    pub cancel_reqs: Vec<u64>,
+    pub terminating: Option<Status>,
+    pub terminal_write: Option<PendingWrite>,
+    pub cancel_requests: Vec<u64>,
 }
 
 /// Whether a job fails by itself, wherever it is tried.
@@ -93,7 +93,7 @@
         if self.failed_on.len() < FAILS_ITSELF {
             self.failed_on.insert(m);
         }
-        if !self.in_doubt() {
+        if !self.is_suspected() {
             return now + FAILED_AGAIN_MS;
         }
         if now >= not_before {
@@ -107,7 +107,7 @@
     }
 
     /// It fails wherever it is tried, as far as is known.
-    pub fn in_doubt(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.failed_on.len() >= FAILS_ITSELF
     }
 }
@@ -212,21 +212,21 @@
             starts: aims.starts(&wire),
             wire,
             not_before: 0,
-            refusals: 0,
+            failed_tries: 0,
             refused_since: None,
             next_try: 0,
             preempt: None,
-            coming_at: None,
-            target: None,
-            doubt: FailureSuspicion::default(),
+            preempting_at: None,
+            target_zone: None,
+            failure_suspicion: FailureSuspicion::default(),
             cancelled: false,
-            dirty: BTreeSet::new(),
-            dirty_since: None,
+            dirty_chunks: BTreeSet::new(),
+            uncompacted_since: None,
             stored: BTreeMap::new(),
-            unfolded: Vec::new(),
-            finishing: None,
-            final_write: None,
-            cancel_reqs: Vec::new(),
+            uncompacted: Vec::new(),
+            terminating: None,
+            terminal_write: None,
+            cancel_requests: Vec::new(),
         }
     }
 
@@ -307,8 +307,8 @@
         self.refused_since.get_or_insert(now);
         let tried = now >= self.next_try;
         if tried {
-            self.refusals += 1;
-            let step = match self.refusals {
+            self.failed_tries += 1;
+            let step = match self.failed_tries {
                 _ if self.wire.priority == user::Priority::Low => 1800,
                 0..4 => 150,
                 4..10 => 300,
@@ -322,7 +322,8 @@
 
     /// Gangs start whole, and what is in doubt in one place at a time.
     pub fn may_start(&self) -> bool {
-        self.placed.is_empty() || (self.wire.kind != Kind::Gang && !self.doubt.in_doubt())
+        self.placed.is_empty()
+            || (self.wire.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
     }
 
     /// For how long it has been asked for in vain.
@@ -331,7 +332,7 @@
     }
 
     pub fn served(&mut self) {
-        self.refusals = 0;
+        self.failed_tries = 0;
         self.refused_since = None;
         self.next_try = 0;
     }
@@ -351,8 +352,8 @@
             // Below zero once it is over: cut off there, all that were late by so much took
             // themselves for later than whoever had asked before them, and none was ever first.
             time_left_ms: due as i64 - now as i64,
-            holds_position: self.refusals > 0 && self.target.is_some(),
-            zone: self.target.map(|z| z.0),
+            holds_position: self.failed_tries > 0 && self.target_zone.is_some(),
+            zone: self.target_zone.map(|z| z.0),
         })
     }
 
@@ -360,11 +361,11 @@
     /// has got something, so that what is kept for it there is not kept in vain.
     pub fn aim_at(&mut self, had: &[u32], room: &[u32]) {
         if !self.one_place() {
-            self.target = None;
+            self.target_zone = None;
             return;
         }
         let at = |z: usize| had[z].min(room[z]);
-        let here = self.target.map(|z| z.0 as usize).filter(|&z| z < had.len() && room[z] > 0);
+        let here = self.target_zone.map(|z| z.0 as usize).filter(|&z| z < had.len() && room[z] > 0);
         if here.is_some_and(|z| at(z) > 0) {
             return;
         }
@@ -373,11 +374,11 @@
         let next = match (best, here) {
             (Some(z), _) => Some(z),
             // Nothing anywhere: in turn, but not at every refusal.
-            (None, Some(z)) if !self.refusals.is_multiple_of(16) => Some(z),
+            (None, Some(z)) if !self.failed_tries.is_multiple_of(16) => Some(z),
             _ if open.is_empty() => None,
-            _ => Some(open[(self.id.0 as usize + self.refusals as usize / 16) % open.len()]),
+            _ => Some(open[(self.id.0 as usize + self.failed_tries as usize / 16) % open.len()]),
         };
-        self.target = next.map(|z| ZoneIdx(z as u8));
+        self.target_zone = next.map(|z| ZoneIdx(z as u8));
     }
 
     pub fn pending(&self) -> u32 {
@@ -408,9 +409,9 @@
 
     pub fn set_done(&mut self, task: u32, now: Timestamp) {
         if task < self.wire.tasks && self.done.set(task) {
-            self.dirty_since.get_or_insert(now);
+            self.uncompacted_since.get_or_insert(now);
             self.again.remove(&task);
-            self.dirty.insert(task / CHUNK);
+            self.dirty_chunks.insert(task / CHUNK);
         }
     }
 
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -17,17 +17,17 @@
     };
     assert!(!j.line(0).expect("a gang's").holds_position, "asks for the first time");
     let room = [4, 4, 4];
-    j.refusals = 1;
+    j.failed_tries = 1;
     j.aim_at(&[0, 2, 1], &room);
-    assert_eq!(j.target, Some(ZoneIdx(1)));
+    assert_eq!(j.target_zone, Some(ZoneIdx(1)));
     j.aim_at(&[3, 1, 0], &room);
-    assert_eq!(j.target, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
+    assert_eq!(j.target_zone, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
     assert!(j.line(0).expect("a gang's").holds_position);
     j.aim_at(&[3, 0, 0], &room);
-    assert_eq!(j.target, Some(ZoneIdx(0)));
+    assert_eq!(j.target_zone, Some(ZoneIdx(0)));
     j.wire.tasks = 1;
     j.aim_at(&[0, 0, 0], &room);
-    assert_eq!(j.target, None, "a lone task needs no zone to itself");
+    assert_eq!(j.target_zone, None, "a lone task needs no zone to itself");
     assert!(!j.line(0).expect("a gang's").holds_position);
 }
 
@@ -62,7 +62,7 @@
     }
     at(&mut d, 2, 1000, 0);
     let first = at(&mut d, 3, 1000, 0);
-    assert!(d.in_doubt() && first > 2000);
+    assert!(d.is_suspected() && first > 2000);
     assert_eq!(at(&mut d, 4, 1001, first), first.max(1001 + 2000), "one try, one wait");
     let (mut now, mut tries) = (first, 0);
     while now < 600_000 {
