--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -179,12 +179,12 @@
     /// Creates the mark of the newest machine that was there before the service, or reads it.
     pub fn find_base(&mut self, newest: String) {
         let change = Change::Put {
-            key: keys::BASE.into(),
+            key: keys::BASE_KEY.into(),
             value: OperatorMachinesRecord(&newest).encode(),
             lease: None,
         };
         let txn = Transaction {
-            conditions: vec![Condition { key: keys::BASE.into(), version: 0 }],
+            conditions: vec![Condition { key: keys::BASE_KEY.into(), version: 0 }],
             changes: vec![change],
         };
         self.budget.spend(WriteClass::Deferrable, 1);
@@ -197,7 +197,7 @@
     }
 
     pub(crate) fn read_final(&mut self, req: RequestId, id: JobId, ask: Lookup) {
-        let key = keys::final_key(self.shard_of_job(id), id);
+        let key = keys::terminal_state_key(self.shard_of_job(id), id);
         self.store(Operation::ReadFinal { req, id, ask }, StoreCall::Get { key });
     }
 
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -1,6 +1,5 @@
 //! What is over: done tasks are folded, final states written, cancellations answered.
 use super::{Compaction, Coordinator};
-use crate::bits::CHUNK;
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
@@ -9,6 +8,7 @@
 use crate::jobs::{job_state, CompletedAttempt};
 use crate::keys;
 use crate::stored::{CompletionRecord, TerminalState};
+use crate::task_set::TASKS_PER_CHUNK;
 use crate::writes::WriteOutcome;
 use leaddeal_wire::mesh::{AttemptRef, ShardMessage};
 use leaddeal_wire::state::Change;
@@ -37,7 +37,7 @@
         };
         let mut v = vec![
             Change::Put {
-                key: keys::final_key(self.shard, id),
+                key: keys::terminal_state_key(self.shard, id),
                 value: TerminalState { status, done: j.done.len() }.encode(),
                 lease: None,
             },
@@ -45,8 +45,8 @@
         ];
         // Most jobs are over before anything of them was folded: nothing is there to be deleted.
         if !j.stored.is_empty() {
-            for c in 0..j.wire.tasks.div_ceil(CHUNK) {
-                v.push(Change::Delete { key: keys::run_key(self.shard, id, c) });
+            for c in 0..j.wire.tasks.div_ceil(TASKS_PER_CHUNK) {
+                v.push(Change::Delete { key: keys::completion_key(self.shard, id, c) });
             }
         }
         v
@@ -63,12 +63,12 @@
                 let write =
                     self.write(WriteClass::Cancellation, self.final_changes(id, Status::Cancelled));
                 if holds(Guard::CancelVersion) {
-                    write.creating(keys::final_key(self.shard, id), 0)
+                    write.with_idempotency_key(keys::terminal_state_key(self.shard, id), 0)
                 } else {
                     write
                 }
             });
-            let call = write.call(ctx.now, ctx.budget);
+            let call = write.next_call(ctx.now, ctx.budget);
             match self.jobs.get_mut(&id) {
                 Some(j) => j.terminal_write = Some(write),
                 None => {
@@ -87,7 +87,7 @@
     /// WriteOutcome of writing a cancellation. False: the shard is lost.
     pub fn finished(&mut self, ctx: &mut Context, id: JobId, result: &StoreResult) -> bool {
         let write = self.jobs.get_mut(&id).and_then(|j| j.terminal_write.as_mut());
-        let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else {
+        let Some(outcome) = write.map(|w| w.on_result(ctx.now, result)) else {
             return true;
         };
         match outcome {
@@ -126,7 +126,7 @@
                     if let Some(w) =
                         j.terminal_write.as_mut().filter(|_| outcome == WriteOutcome::NotDone)
                     {
-                        w.again(ctx.now + REFUSED_AGAIN_MS);
+                        w.resend_at(ctx.now + REFUSED_AGAIN_MS);
                     }
                 }
             }
@@ -191,21 +191,22 @@
         }
         let rest = fold.rounds.len();
         let write = self.write(WriteClass::TerminalState, changes);
-        let mut write =
-            write.of_which(WriteClass::Completion, chunks).of_which(WriteClass::Deferrable, rest);
+        let mut write = write
+            .with_changes_of_class(WriteClass::Completion, chunks)
+            .with_changes_of_class(WriteClass::Deferrable, rest);
         // What was done of a job until then must not be written over what was done later, nor a
         // record made anew that was deleted. (Found by the simulator's check of each write: folds
         // without an answer were given up for newer ones, and a late copy undid those.)
         let first = if let Some((id, _)) = fold.finals.first() {
-            Some((keys::final_key(self.shard, *id), 0))
+            Some((keys::terminal_state_key(self.shard, *id), 0))
         } else if let Some((id, chunk)) = fold.first_chunk() {
             let version = self.jobs.get(&id).and_then(|j| j.stored.get(&chunk).copied());
-            Some((keys::run_key(self.shard, id, chunk), version.unwrap_or(0)))
+            Some((keys::completion_key(self.shard, id, chunk), version.unwrap_or(0)))
         } else {
             None
         };
         if let Some((key, version)) = first.filter(|_| holds(Guard::FoldVersion)) {
-            write = write.creating(key, version);
+            write = write.with_idempotency_key(key, version);
         }
         fold.write = Some(write);
         self.fold = Some(fold);
@@ -215,7 +216,7 @@
     /// Sends what is folded if it is time to, a first time or again.
     fn write_fold(&mut self, ctx: &mut Context) {
         let write = self.fold.as_mut().and_then(|f| f.write.as_mut());
-        if let Some(call) = write.and_then(|w| w.call(ctx.now, ctx.budget)) {
+        if let Some(call) = write.and_then(|w| w.next_call(ctx.now, ctx.budget)) {
             ctx.store(Operation::Compaction { shard: self.shard, epoch: self.epoch }, call);
         }
     }
@@ -282,7 +283,7 @@
                 j.stored.entry(c).or_insert(0);
                 let text = j.done.encode_chunk(c);
                 bytes += text.len();
-                let key = keys::run_key(self.shard, j.id, c);
+                let key = keys::completion_key(self.shard, j.id, c);
                 changes.push(Change::Put {
                     key,
                     value: CompletionRecord(&text).encode(),
@@ -297,7 +298,7 @@
     /// False: the shard is lost.
     pub fn folded(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
         let write = self.fold.as_mut().and_then(|f| f.write.as_mut());
-        let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else { return true };
+        let Some(outcome) = write.map(|w| w.on_result(ctx.now, result)) else { return true };
         if outcome == WriteOutcome::Open {
             // Who waits asks again: it may take as long as the service does.
             for id in self.fold.iter().flat_map(|f| &f.finals).map(|f| f.0).collect::<Vec<_>>() {
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -23,14 +23,14 @@
 impl Coordinator {
     /// Reads on: the next page, or what comes.
     pub(super) fn read_on(&mut self, ctx: &mut Context) {
-        if let Some(call) = self.feed.call(ctx.now) {
+        if let Some(call) = self.feed.next_call(ctx.now) {
             ctx.store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
     pub fn records(&mut self, ctx: &mut Context, result: StoreResult) {
         let heard = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
-        for r in self.feed.take(ctx.now, result) {
+        for r in self.feed.on_result(ctx.now, result) {
             match self.load {
                 Load::Decisions => self.decisions.push(r),
                 Load::Jobs | Load::Ready => self.job_created(ctx, &r.key, &r.value),
@@ -38,12 +38,12 @@
             }
         }
         if !heard {
-            if let Some(what) = self.feed.in_vain() {
+            if let Some(what) = self.feed.failures_to_log() {
                 ctx.effects.log(1, "records_refused", || what);
             }
             return;
         }
-        if self.feed.caught_up() && !self.ready() {
+        if self.feed.is_list_complete() && !self.ready() {
             self.next_load(ctx);
             if self.ready() {
                 return;
@@ -56,12 +56,13 @@
         match self.load {
             Load::Decisions => {
                 self.load = Load::Jobs;
-                self.feed = RecordReader::all(keys::job_prefix(self.shard), JOBS_WAIT_MS);
+                self.feed =
+                    RecordReader::list_and_watch(keys::job_prefix(self.shard), JOBS_WAIT_MS);
             }
             Load::Jobs => {
                 self.load = Load::Runs;
                 self.loaded_from = self.feed.revision();
-                let runs = RecordReader::pages(keys::run_prefix(self.shard));
+                let runs = RecordReader::list(keys::completion_prefix(self.shard));
                 self.jobs_feed = Some(std::mem::replace(&mut self.feed, runs));
             }
             Load::Runs => {
@@ -93,7 +94,7 @@
     }
 
     pub fn job_created(&mut self, ctx: &mut Context, key: &str, value: &Value) {
-        let Some(id) = keys::job_of_key(key) else {
+        let Some(id) = keys::parse_job_key(key) else {
             return;
         };
         if self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
@@ -115,12 +116,13 @@
 
     /// One that can't be read counts as nothing done: its tasks run again, and exit with `done`.
     pub(super) fn run_loaded(&mut self, ctx: &mut Context, r: &Record) {
-        let found = keys::run_of_key(&r.key).map(|(id, chunk)| (self.jobs.get_mut(&id), chunk));
+        let found =
+            keys::parse_completion_key(&r.key).map(|(id, chunk)| (self.jobs.get_mut(&id), chunk));
         let read = match found {
             Some((Some(j), chunk)) => {
                 j.stored.insert(chunk, r.version);
                 CompletionRecord::decode(&r.value)
-                    .is_ok_and(|text| j.done.add_chunk(chunk, text.0, j.wire.tasks))
+                    .is_ok_and(|text| j.done.insert_chunk(chunk, text.0, j.wire.tasks))
             }
             // Of a job that is over.
             Some((None, _)) => true,
@@ -155,7 +157,7 @@
                 let machine = ctx.names.machine(placement.machine);
                 let j = self.jobs.entry(id).or_insert_with(|| Job::leftover(id, ctx.names));
                 let newer = j.placed.get(task).is_some_and(|o| o.attempt > attempt);
-                if j.done.get(task) || newer && holds(Guard::NewestAttempt) {
+                if j.done.contains(task) || newer && holds(Guard::NewestAttempt) {
                     continue;
                 }
                 let new = Placement {
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -161,7 +161,7 @@
             shard,
             epoch,
             load: Load::Decisions,
-            feed: RecordReader::pages(keys::decision_prefix(shard)),
+            feed: RecordReader::list(keys::decision_prefix(shard)),
             jobs_feed: None,
             decisions: Vec::new(),
             jobs: BTreeMap::new(),
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -318,7 +318,7 @@
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
         let mut write = self.write(WriteClass::Decision, vec![put]);
         if holds(Guard::DecisionVersion) {
-            write = write.creating(slot.key.clone(), slot.version);
+            write = write.with_idempotency_key(slot.key.clone(), slot.version);
         }
         // A grant of a team's shard ends with the owner that gave it.
         for (team, g) in &self.grants {
@@ -331,7 +331,7 @@
                 version: g.0 .0,
             };
             if used && holds(Guard::GrantEpoch) {
-                write = write.also_if(cond);
+                write = write.with_condition(cond);
             }
         }
         self.writing = Some(PendingDecision {
@@ -348,7 +348,7 @@
 
     pub(super) fn write_decision(&mut self, ctx: &mut Context) {
         let Some(w) = self.writing.as_mut().filter(|_| ctx.valid) else { return };
-        if let Some(call) = w.write.call(ctx.now, ctx.budget) {
+        if let Some(call) = w.write.next_call(ctx.now, ctx.budget) {
             ctx.store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
         }
     }
@@ -358,7 +358,7 @@
         let Some(w) = &mut self.writing else {
             return true;
         };
-        match w.write.take(ctx.now, result) {
+        match w.write.on_result(ctx.now, result) {
             WriteOutcome::Done(revision) => self.winners(ctx, revision),
             WriteOutcome::Fenced => return false,
             WriteOutcome::NotDone => {
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,10 +1,10 @@
 //! The jobs of a shard: what is done, placed and still to be placed.
-use crate::bits::{Bits, CHUNK};
 use crate::guards::{holds, Guard};
 use crate::ids::{Attempt, JobId, MachineIdx, Timestamp, ZoneIdx};
 use crate::names::Shape;
 use crate::placed::Placed;
 use crate::stored::TerminalState;
+use crate::task_set::{TaskSet, TASKS_PER_CHUNK};
 use crate::writes::PendingWrite;
 use leaddeal_wire::mesh;
 use leaddeal_wire::settings::Objective;
@@ -36,7 +36,7 @@
     pub created: Timestamp,
     /// When a task of it was first known to run, by this owner of its shard.
     pub begun: Option<Timestamp>,
-    pub done: Bits,
+    pub done: TaskSet,
     next_fresh: u32,
     again: BTreeSet<u32>,
     pub placed: Placed,
@@ -205,7 +205,7 @@
             shape,
             created,
             begun: None,
-            done: Bits::default(),
+            done: TaskSet::default(),
             next_fresh: 0,
             again: BTreeSet::new(),
             placed: Placed::default(),
@@ -393,7 +393,7 @@
         while self.next_fresh < self.wire.tasks {
             let t = self.next_fresh;
             self.next_fresh += 1;
-            if !self.done.get(t) && self.placed.get(t).is_none() {
+            if !self.done.contains(t) && self.placed.get(t).is_none() {
                 return Some(t);
             }
         }
@@ -402,16 +402,16 @@
 
     /// Puts a task back that was taken or has lost its place.
     pub fn give_back(&mut self, task: u32) {
-        if task < self.next_fresh && !self.done.get(task) {
+        if task < self.next_fresh && !self.done.contains(task) {
             self.again.insert(task);
         }
     }
 
     pub fn set_done(&mut self, task: u32, now: Timestamp) {
-        if task < self.wire.tasks && self.done.set(task) {
+        if task < self.wire.tasks && self.done.insert(task) {
             self.uncompacted_since.get_or_insert(now);
             self.again.remove(&task);
-            self.dirty_chunks.insert(task / CHUNK);
+            self.dirty_chunks.insert(task / TASKS_PER_CHUNK);
         }
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,6 @@
 //! The scheduler core: a state machine that takes inputs and returns what to send, write and
 //! answer. No I/O, no clock, no async; time and randomness are passed in.
 
-pub mod bits;
 pub mod budget;
 pub mod context;
 pub mod coordinator;
@@ -24,6 +23,7 @@
 pub mod records;
 pub mod shard;
 pub mod stored;
+pub mod task_set;
 pub mod writes;
 
 pub use io::{Effect, Input};
--- a/crates/core/src/node/finals.rs
+++ b/crates/core/src/node/finals.rs
@@ -40,11 +40,15 @@
             };
             let mark = || self.marks.iter().rev().find(|m| m.0 <= since).map_or(0, |m| m.1);
             let r = self.finals[i].get_or_insert_with(|| Reading {
-                feed: RecordReader::since(keys::final_prefix(shard), mark(), WAIT_MS),
+                feed: RecordReader::watch_since(
+                    keys::terminal_state_prefix(shard),
+                    mark(),
+                    WAIT_MS,
+                ),
                 asked: now,
                 as_of: now,
             });
-            if let Some(call) = r.feed.call(now) {
+            if let Some(call) = r.feed.next_call(now) {
                 r.asked = now;
                 // Later pages are as old as the first one.
                 if !matches!(call, StoreCall::List { after: Some(_), .. }) {
@@ -67,9 +71,9 @@
         let reading = self.finals.get_mut(shard.0 as usize).and_then(Option::as_mut);
         let Some(r) = reading.filter(|r| r.asked == asked) else { return };
         let told = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
-        let records = r.feed.take(now, result);
-        self.horizons.stored(records.iter().filter_map(|r| keys::job_of_key(&r.key)), now);
-        if told && r.feed.caught_up() {
+        let records = r.feed.on_result(now, result);
+        self.horizons.stored(records.iter().filter_map(|r| keys::parse_job_key(&r.key)), now);
+        if told && r.feed.is_list_complete() {
             self.horizons.read(shard, r.as_of);
         }
     }
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -157,7 +157,7 @@
             let mut c = ctx!(self, effects);
             c.store(
                 Operation::Shards,
-                StoreCall::List { prefix: keys::SHARDS.into(), after: None },
+                StoreCall::List { prefix: keys::SHARD_PREFIX.into(), after: None },
             );
         }
     }
@@ -246,7 +246,7 @@
 
     pub(super) fn watch_shards(&mut self, effects: &mut Effects, after: u64) {
         let mut c = ctx!(self, effects);
-        let call = StoreCall::Watch { prefix: keys::SHARDS.into(), after, wait_ms: 15_000 };
+        let call = StoreCall::Watch { prefix: keys::SHARD_PREFIX.into(), after, wait_ms: 15_000 };
         c.store(Operation::ShardWatch, call);
     }
 }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -187,7 +187,7 @@
                 let mut c = ctx!(self, effects);
                 match result {
                     StoreResult::Committed(_) | StoreResult::Conflict(_) => {
-                        c.store(Operation::BaseGet, StoreCall::Get { key: keys::BASE.into() });
+                        c.store(Operation::BaseGet, StoreCall::Get { key: keys::BASE_KEY.into() });
                     }
                     _ => {
                         if let Some((_, b)) = &mut self.provisioner {
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -166,7 +166,7 @@
             let item = Item { key: keys::job_key(shard, id), value, version: 8, lease: None };
             Some(StoreResult::Page(Page { items: vec![item], more: false, revision: 9 }))
         }
-        StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard) => None,
+        StoreCall::List { prefix, .. } if *prefix == keys::completion_prefix(shard) => None,
         call => store(call),
     };
     w.answer(jobs);
@@ -174,7 +174,7 @@
     let ask = NodeMessage::QueryJob { call: 2, job: id.0, cancel: true };
     w.step(Input::Mesh { from: "n-0".into(), msg: Box::new(ask) });
     w.answer(jobs);
-    let runs = |c: &StoreCall| matches!(c, StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard));
+    let runs = |c: &StoreCall| matches!(c, StoreCall::List { prefix, .. } if *prefix == keys::completion_prefix(shard));
     assert!(w.asked.iter().any(|(_, c)| runs(c)), "it is being loaded: {:?}", w.asked);
     let written = w.asked.iter().any(|(_, c)| matches!(c, StoreCall::Transaction(_)));
     assert!(!written, "{:?}", w.asked);
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -52,7 +52,7 @@
         let value = JobRecord { accepted_at_ms: Some(self.time_ms), job: *job }.encode();
         let mut conditions = vec![Condition { key: keys::job_key(shard, id), version: 0 }];
         if holds(Guard::SubmittedOnce) {
-            conditions.push(Condition { key: keys::final_key(shard, id), version: 0 });
+            conditions.push(Condition { key: keys::terminal_state_key(shard, id), version: 0 });
         }
         let txn = Transaction {
             conditions,
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -6,58 +6,66 @@
     StoreResult::Page(Page { items: keys.iter().map(item).collect(), more, revision })
 }
 
-fn keys(r: Vec<Record>) -> Vec<String> {
-    r.into_iter().map(|x| x.key).collect()
+fn keys(records: Vec<Record>) -> Vec<String> {
+    records.into_iter().map(|record| record.key).collect()
 }
 
 #[test]
-fn truncated_pages_lost_answers_and_forgotten_changes_lose_nothing() {
-    let mut f = RecordReader::all("j/".into(), 9);
-    assert!(matches!(f.call(0), Some(StoreCall::List { after: None, .. })));
-    assert!(f.call(0).is_none(), "one call at a time");
-    assert_eq!(keys(f.take(0, page(&["j/1", "j/2"], true, 5))), ["j/1", "j/2"]);
-    assert!(matches!(f.call(0), Some(StoreCall::List { after: Some(a), .. }) if a == "j/2"));
-    f.take(0, StoreResult::Unknown);
-    assert!(f.call(AGAIN_MS - 1).is_none() && !f.caught_up());
-    assert!(matches!(f.call(AGAIN_MS), Some(StoreCall::List { after: Some(_), .. })));
-    f.take(AGAIN_MS, page(&["j/3"], false, 8));
-    // What changed while later pages were read is told from the first page's revision on.
-    assert!(f.caught_up() && f.revision() == 5);
-    assert!(matches!(f.call(1000), Some(StoreCall::Watch { after: 5, .. })));
+fn truncated_pages_lost_answers_and_compacted_changes_lose_nothing() {
+    let mut reader = RecordReader::list_and_watch("j/".into(), 9);
+    assert!(matches!(reader.next_call(0), Some(StoreCall::List { after: None, .. })));
+    assert!(reader.next_call(0).is_none(), "one call at a time");
+    assert_eq!(keys(reader.on_result(0, page(&["j/1", "j/2"], true, 5))), ["j/1", "j/2"]);
+    assert!(
+        matches!(reader.next_call(0), Some(StoreCall::List { after: Some(a), .. }) if a == "j/2")
+    );
+    reader.on_result(0, StoreResult::Unknown);
+    assert!(reader.next_call(RETRY_INITIAL_MS - 1).is_none() && !reader.is_list_complete());
+    assert!(matches!(
+        reader.next_call(RETRY_INITIAL_MS),
+        Some(StoreCall::List { after: Some(_), .. })
+    ));
+    reader.on_result(RETRY_INITIAL_MS, page(&["j/3"], false, 8));
+    // What changed while later pages were read is watched from the first page's revision on.
+    assert!(reader.is_list_complete() && reader.revision() == 5);
+    assert!(matches!(reader.next_call(1000), Some(StoreCall::Watch { after: 5, .. })));
     let put = Event { put: Some("j/4".into()), delete: None, value: Value::Null, version: 9 };
     let events = StoreResult::Events(Events { revision: 9, events: vec![put] });
-    assert_eq!(keys(f.take(1000, events)), ["j/4"]);
-    assert!(matches!(f.call(1000), Some(StoreCall::Watch { after: 9, .. })));
-    f.take(1000, StoreResult::Compacted);
-    assert!(matches!(f.call(1000), Some(StoreCall::List { after: None, .. })), "all anew");
+    assert_eq!(keys(reader.on_result(1000, events)), ["j/4"]);
+    assert!(matches!(reader.next_call(1000), Some(StoreCall::Watch { after: 9, .. })));
+    reader.on_result(1000, StoreResult::Compacted);
+    assert!(
+        matches!(reader.next_call(1000), Some(StoreCall::List { after: None, .. })),
+        "listed again"
+    );
 }
 
-/// A page that is refused time and again is asked for ever more rarely, and told of.
+/// A page that is refused time and again is asked for more and more rarely, and logged.
 #[test]
-fn what_is_refused_is_tried_again_with_longer_waits() {
-    let mut f = RecordReader::pages("d/".into());
+fn refused_calls_are_retried_with_longer_waits() {
+    let mut reader = RecordReader::list("d/".into());
     let mut now = 0;
     let mut calls = Vec::new();
     while calls.len() < 8 {
         now += 50;
-        if f.call(now).is_some() {
+        if reader.next_call(now).is_some() {
             calls.push(now);
-            assert!(f.in_vain().is_none());
-            f.take(now, StoreResult::Refused);
+            assert!(reader.failures_to_log().is_none());
+            reader.on_result(now, StoreResult::Refused);
         }
     }
     let waits: Vec<u64> = calls.windows(2).map(|w| w[1] - w[0]).collect();
     assert_eq!(waits[..4], [300, 600, 1200, 1200]);
-    assert_eq!(f.in_vain().as_deref(), Some("prefix=d/ tries=8"));
-    f.call(now + 5000);
-    f.take(now + 5000, page(&[], false, 3));
-    assert!(f.caught_up() && f.in_vain().is_none());
+    assert_eq!(reader.failures_to_log().as_deref(), Some("prefix=d/ tries=8"));
+    reader.next_call(now + 5000);
+    reader.on_result(now + 5000, page(&[], false, 3));
+    assert!(reader.is_list_complete() && reader.failures_to_log().is_none());
 }
 
 #[test]
-fn a_feed_of_pages_ends() {
-    let mut f = RecordReader::pages("d/".into());
-    f.call(0);
-    f.take(0, page(&[], false, 3));
-    assert!(f.caught_up() && f.call(0).is_none());
+fn a_list_without_a_watch_finishes() {
+    let mut reader = RecordReader::list("d/".into());
+    reader.next_call(0);
+    reader.on_result(0, page(&[], false, 3));
+    assert!(reader.is_list_complete() && reader.next_call(0).is_none());
 }
--- a/crates/core/src/stored.rs
+++ b/crates/core/src/stored.rs
@@ -214,7 +214,7 @@
     }
 }
 
-/// A chunk of a job's completed tasks: the text of a bitmap, as [`crate::bits::Bits`] encodes it.
+/// A chunk of a job's completed tasks: the text of a bitmap, as [`crate::task_set::TaskSet`] encodes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletionRecord<'a>(pub &'a str);
 
--- a/crates/testkit/src/sim/endings.rs
+++ b/crates/testkit/src/sim/endings.rs
@@ -10,8 +10,10 @@
 
 fn written(t: &Transaction) -> Option<Written> {
     t.changes.iter().find_map(|c| match c {
-        Change::Put { key, .. } if key.starts_with(keys::SHARDS) => Some(Written::Acquisition),
-        Change::Delete { key } if key.starts_with(keys::SHARDS) => Some(Written::Release),
+        Change::Put { key, .. } if key.starts_with(keys::SHARD_PREFIX) => {
+            Some(Written::Acquisition)
+        }
+        Change::Delete { key } if key.starts_with(keys::SHARD_PREFIX) => Some(Written::Release),
         Change::Put { key, .. } if key.starts_with("d/") => Some(Written::Decision),
         Change::Put { key, .. } if key.starts_with("f/") => Some(Written::Final),
         Change::Put { .. } | Change::Delete { .. } => None,
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -31,8 +31,8 @@
             {
                 let id = JobId(700_000 + i as u64);
                 put(&mut self.state, keys::job_key(shard, id), v.clone());
-                put(&mut self.state, keys::run_key(shard, id, 1), v.clone());
-                put(&mut self.state, keys::final_key(shard, JobId(id.0 + 50)), v.clone());
+                put(&mut self.state, keys::completion_key(shard, id, 1), v.clone());
+                put(&mut self.state, keys::terminal_state_key(shard, JobId(id.0 + 50)), v.clone());
                 let key = format!("{}{i}", keys::decision_prefix(shard));
                 put(&mut self.state, key, v.clone());
             }
@@ -43,7 +43,7 @@
         self.state.page = 300;
         for n in 0..self.plan.closed {
             let id = JobId(900_000 + n);
-            let key = keys::final_key(shard_of_job(id, NODES), id);
+            let key = keys::terminal_state_key(shard_of_job(id, NODES), id);
             let over = TerminalState { status: Status::Done, done: 1 };
             put(&mut self.state, key, over.encode());
         }
@@ -87,7 +87,7 @@
     pub(super) fn note_finals(&mut self, t: &Transaction) {
         for c in &t.changes {
             let Change::Put { key, value, .. } = c else { continue };
-            let Some(id) = keys::job_of_key(key).filter(|_| key.starts_with("f/")) else {
+            let Some(id) = keys::parse_job_key(key).filter(|_| key.starts_with("f/")) else {
                 continue;
             };
             let job = leaddeal_wire::user::job_id(id.0);
