--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -11,13 +11,13 @@
 ];
 
 /// Floods drawn at random: which classes ask, in which order, how much each takes at once,
-/// when the service refuses. Against the plainest account there is: what came and what went.
+/// when the service refuses. Checked against the simplest model: what was credited and what was written.
 #[test]
-fn each_class_gets_its_floor_and_all_together_no_more_than_comes() {
+fn each_class_gets_its_floor_and_all_together_no_more_than_the_rate() {
     for seed in 0..300 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let limit = [25.0, 50.0, 100.0, 600.0][rng.random_range(0..4)];
-        let mut b = WriteBudget::new(limit, 3, 0);
+        let mut budget = WriteBudget::new(limit, 3, 0);
         let refuses = rng.random_bool(0.5);
         let greedy = PACED[rng.random_range(0..PACED.len())];
         let asks = |c: WriteClass, rng: &mut SmallRng| c == greedy || rng.random_bool(0.7);
@@ -28,15 +28,22 @@
         while now < to {
             let step = rng.random_range(20..120);
             now += step;
-            b.refill(now);
-            // All floors together, where that of finals does not go down with the rate.
-            let [_, _, f, d, a, o, _] = FLOOR;
-            let floors = f * b.rate().max(b.fair()) + (d + a + o) * b.rate();
-            came += b.rate().max(floors) * step as f64 / 1000.0;
-            lowest = if now < from { f64::MAX } else { b.rate().min(lowest) };
-            assert!(b.rate() >= limit / 3.0 * USED * LEAST - 1e-9 && b.rate() <= limit * USED);
+            budget.refill(now);
+            // All floors together, where that of terminal states does not go down with the rate.
+            let floor = |class: WriteClass| class.policy().floor;
+            let others = floor(WriteClass::Decision)
+                + floor(WriteClass::Submission)
+                + floor(WriteClass::Completion);
+            let floors = floor(WriteClass::TerminalState) * budget.rate().max(budget.fair_rate())
+                + others * budget.rate();
+            came += budget.rate().max(floors) * step as f64 / 1000.0;
+            lowest = if now < from { f64::MAX } else { budget.rate().min(lowest) };
+            assert!(
+                budget.rate() >= limit / 3.0 * USED_PART_OF_LIMIT * MIN_PART_OF_FAIR_RATE - 1e-9
+                    && budget.rate() <= limit * USED_PART_OF_LIMIT
+            );
             if refuses && rng.random_bool(0.05) {
-                b.refused(now);
+                budget.on_refusal(now);
             }
             let mut order = PACED;
             for i in (1..order.len()).rev() {
@@ -44,95 +51,103 @@
             }
             for c in order {
                 if asks(c, &mut rng) {
-                    // A flood of acceptances would be written without end while the service
-                    // takes them: here it does not.
-                    let free = c == WriteClass::Submission && !b.tight();
-                    let most = if free { 40 } else { b.room(c) };
+                    // Submissions would be unlimited while the service takes them: here they are not.
+                    let free = c == WriteClass::Submission && !budget.is_throttled();
+                    let most = if free { 40 } else { budget.available(c) };
                     let n = if c == greedy { most } else { most.min(rng.random_range(0..20)) };
-                    b.spend(c, n);
+                    budget.spend(c, n);
                 }
             }
             if now < from {
-                before = b.spent;
+                before = budget.spent;
             }
         }
-        let wrote: u64 = b.spent.iter().sum();
-        let free = limit / 3.0 * 5.0 + b.spent(WriteClass::Submission) as f64;
+        let wrote: u64 = budget.spent.iter().sum();
+        let free = limit / 3.0 * 5.0 + budget.spent(WriteClass::Submission) as f64;
         assert!(wrote as f64 <= came + free, "seed {seed}: {wrote} of {came}");
-        let got = (b.spent(greedy) - before[greedy as usize]) as f64;
-        let due = FLOOR[greedy as usize] * lowest * (to - from) as f64 / 1000.0;
+        let got = (budget.spent(greedy) - before[greedy as usize]) as f64;
+        let due = greedy.policy().floor * lowest * (to - from) as f64 / 1000.0;
         assert!(got >= 0.8 * due - 3.0, "seed {seed}: {greedy:?} got {got} of {due}");
     }
 }
 
 #[test]
-fn decisions_without_end_leave_finals_their_floor() {
-    let mut b = WriteBudget::new(120.0, 3, 0);
-    let mut finals = 0;
+fn endless_decisions_leave_terminal_states_their_floor() {
+    let mut budget = WriteBudget::new(120.0, 3, 0);
+    let mut terminal_states = 0;
     for now in (100..20_000).step_by(100) {
-        b.refill(now);
-        b.refused(now);
-        b.spend(WriteClass::Decision, b.own[WriteClass::Decision as usize].max(4.0) as usize);
-        let n = b.room(WriteClass::TerminalState);
-        b.spend(WriteClass::TerminalState, n);
-        finals += n;
+        budget.refill(now);
+        budget.on_refusal(now);
+        budget.spend(
+            WriteClass::Decision,
+            budget.reserved[WriteClass::Decision as usize].max(4.0) as usize,
+        );
+        let n = budget.available(WriteClass::TerminalState);
+        budget.spend(WriteClass::TerminalState, n);
+        terminal_states += n;
     }
-    assert!(finals >= 35, "{finals} finals in 20 s of a service that refuses");
+    assert!(
+        terminal_states >= 35,
+        "{terminal_states} terminal states in 20 s of a service that refuses"
+    );
 }
 
 #[test]
-fn it_follows_what_the_service_allows_and_what_siblings_leave() {
-    let mut b = WriteBudget::new(120.0, 3, 0);
-    let fair = b.rate();
+fn the_rate_follows_refusals_and_unused_capacity() {
+    let mut budget = WriteBudget::new(120.0, 3, 0);
+    let fair = budget.rate();
     for now in (0..30_000).step_by(100) {
-        b.refill(now);
-        while b.room(WriteClass::Completion) > 0 {
-            b.spend(WriteClass::Completion, 1);
+        budget.refill(now);
+        while budget.available(WriteClass::Completion) > 0 {
+            budget.spend(WriteClass::Completion, 1);
         }
     }
-    assert!(b.rate() > 2.0 * fair, "nobody refused: {}", b.rate());
-    b.refused(30_000);
-    b.refused(30_010);
-    assert!(b.rate() > 1.5 * fair, "one cut a second");
+    assert!(budget.rate() > 2.0 * fair, "nothing was refused: {}", budget.rate());
+    budget.on_refusal(30_000);
+    budget.on_refusal(30_010);
+    assert!(budget.rate() > 1.5 * fair, "one cut a second");
     for now in (31_000..45_000).step_by(1000) {
-        b.refused(now);
+        budget.on_refusal(now);
     }
-    assert!(b.rate() < 0.4 * fair);
+    assert!(budget.rate() < 0.4 * fair);
     for now in (50_000..60_000).step_by(100) {
-        b.refill(now);
+        budget.refill(now);
     }
-    assert!((b.rate() - fair).abs() < 0.01, "back, and not beyond what nobody wants");
+    assert!(
+        (budget.rate() - fair).abs() < 0.01,
+        "back to the fair rate, and not beyond it while no more is wanted"
+    );
 }
 
 #[test]
-fn acceptances_are_refused_early_only_while_the_service_refuses() {
-    let mut b = WriteBudget::new(120.0, 3, 0);
-    b.spend(WriteClass::Submission, 500);
-    assert_eq!(b.room(WriteClass::Submission), usize::MAX);
-    b.refused(0);
-    assert_eq!(b.room(WriteClass::Submission), 0);
-    assert!(b.acceptance_after_s() >= 1);
-    b.refill(1000);
-    assert!(b.room(WriteClass::Submission) >= 6, "some come in even so");
-    b.refill(TIGHT_MS);
-    assert_eq!(b.room(WriteClass::Submission), usize::MAX);
+fn submissions_are_limited_only_while_the_service_refuses() {
+    let mut budget = WriteBudget::new(120.0, 3, 0);
+    budget.spend(WriteClass::Submission, 500);
+    assert_eq!(budget.available(WriteClass::Submission), usize::MAX);
+    budget.on_refusal(0);
+    assert_eq!(budget.available(WriteClass::Submission), 0);
+    assert!(budget.submission_retry_after_s() >= 1);
+    budget.refill(1000);
+    assert!(budget.available(WriteClass::Submission) >= 6, "some are accepted even so");
+    budget.refill(THROTTLED_MS);
+    assert_eq!(budget.available(WriteClass::Submission), usize::MAX);
 }
 
 #[test]
-fn new_jobs_keep_to_their_room_while_what_is_over_waits() {
-    let mut b = WriteBudget::new(120.0, 3, 0);
-    b.behind(0);
-    assert!(b.room(WriteClass::Submission) < 60);
-    b.refill(BEHIND_MS);
-    assert_eq!(b.room(WriteClass::Submission), usize::MAX);
+fn submissions_are_limited_while_terminal_states_wait() {
+    let mut budget = WriteBudget::new(120.0, 3, 0);
+    budget.terminal_states_delayed(0);
+    assert!(budget.available(WriteClass::Submission) < 60);
+    budget.refill(TERMINAL_STATES_DELAYED_MS);
+    assert_eq!(budget.available(WriteClass::Submission), usize::MAX);
 }
 
 #[test]
-fn who_owns_all_shards_has_all_of_the_limit() {
-    let mut b = WriteBudget::new(120.0, 3, 0);
-    let third = b.rate();
-    b.own(3, 3);
-    assert!((b.rate() - 3.0 * third).abs() < 0.01);
-    b.own(0, 3);
-    assert!((b.rate() - third).abs() < 0.01);
+fn an_owner_of_all_shards_gets_the_whole_limit() {
+    let mut budget = WriteBudget::new(120.0, 3, 0);
+    let third = budget.rate();
+    budget.set_owned_shards(3, 3);
+    assert!((budget.rate() - 3.0 * third).abs() < 0.01);
+    budget.set_owned_shards(0, 3);
+    assert!((budget.rate() - third).abs() < 0.01);
 }
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -77,7 +77,7 @@
                 }
             }
             if let Some(call) = call {
-                ctx.horizons.cancelled(self.shard, self.epoch, id, ctx.now);
+                ctx.horizons.on_cancelled(self.shard, self.epoch, id, ctx.now);
                 let kind = Operation::Finish { shard: self.shard, epoch: self.epoch, job: id };
                 ctx.store(kind, call);
             }
@@ -177,7 +177,7 @@
         }
         let chunks = changes.len() - finals;
         let most = ctx.config.txn_ops.saturating_sub(changes.len());
-        let most = most.min(ctx.budget.room(WriteClass::Deferrable));
+        let most = most.min(ctx.budget.available(WriteClass::Deferrable));
         // Deletions alone can wait for company.
         if !changes.is_empty() || self.rounds.waiting().min(most) >= DELETE_ALONE {
             fold.rounds = self.rounds.take_unneeded(most);
@@ -223,12 +223,12 @@
 
     /// Final states, of those first that are over for longest.
     fn fold_finals(&mut self, ctx: &mut Context, fold: &mut Compaction, changes: &mut Vec<Change>) {
-        let most = ctx.config.txn_ops.min(ctx.budget.room(WriteClass::TerminalState));
+        let most = ctx.config.txn_ops.min(ctx.budget.available(WriteClass::TerminalState));
         let mut over: Vec<(Timestamp, JobId)> =
             self.over.iter().map(|(id, at)| (*at, *id)).collect();
         over.sort_unstable();
         if over.first().is_some_and(|o| ctx.now >= o.0 + BEHIND_MS) {
-            ctx.budget.behind(ctx.now);
+            ctx.budget.terminal_states_delayed(ctx.now);
         }
         for (_, id) in over {
             let c = self.final_changes(id, Status::Done);
@@ -254,7 +254,7 @@
     /// What is done of jobs that go on, of those first where a change lets the most be forgotten.
     fn fold_chunks(&mut self, ctx: &mut Context, fold: &mut Compaction, changes: &mut Vec<Change>) {
         let left = ctx.config.txn_ops.saturating_sub(changes.len());
-        let most = changes.len() + left.min(ctx.budget.room(WriteClass::Completion));
+        let most = changes.len() + left.min(ctx.budget.available(WriteClass::Completion));
         let mut ripe: Vec<(Reverse<usize>, JobId)> = Vec::new();
         let jobs = &self.jobs;
         self.dirty.retain(|id| {
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -83,7 +83,7 @@
                 }
                 // Their final states are written already: an owner before may have told nobody else.
                 for j in self.jobs.values().filter(|j| j.wire.class.is_empty()) {
-                    ctx.horizons.cancelled(self.shard, self.epoch, j.id, ctx.now);
+                    ctx.horizons.on_cancelled(self.shard, self.epoch, j.id, ctx.now);
                 }
                 ctx.wake = true;
                 let (s, n) = (self.shard.0, self.jobs.len());
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -75,7 +75,7 @@
             return;
         }
         // What waits for the next change that may be written makes for a larger round.
-        if self.pending.is_empty() || ctx.budget.room(WriteClass::Decision) == 0 {
+        if self.pending.is_empty() || ctx.budget.available(WriteClass::Decision) == 0 {
             return;
         }
         let admitted = self.admitted(ctx);
--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -1,143 +1,148 @@
-//! The core's guards by name, so that the test kit can take one out and see which test goes red.
+//! The core's guards by name, so that the test kit can disable one and see which test fails.
 //!
-//! A guard is a condition without which some history breaks a rule. Each is asked for at its place
-//! by `holds`, which is constantly true in the program: only the test kit builds the core with the
-//! feature `guards`, and takes some out for the thread that runs a simulator.
+//! A guard is a condition without which some history of faults breaks an invariant. Each is checked
+//! at its place by `holds`, which is always true in the program: only the test kit builds the core
+//! with the feature `guards`, and disables some for the thread that runs a simulation.
 
 macro_rules! guards {
     ($($(#[doc = $prevents:literal])+ $name:ident,)+) => {
-        /// What each one prevents.
+        /// The guards. The description of each says what it prevents.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Guard {
             $($(#[doc = $prevents])+ $name,)+
         }
 
         impl Guard {
+            /// All guards, in the order of their declaration.
             pub const ALL: &[Guard] = &[$(Guard::$name,)+];
         }
     };
 }
 
 guards! {
-    /// A write of an owner whose shard has a newer one.
+    /// A write by an owner whose shard has a newer owner.
     Epoch,
-    /// An epoch acted under again after it was given up.
+    /// An owner that acts again under an epoch that it relinquished.
     GivenUp,
-    /// Workers started while our lease is in doubt.
+    /// Tasks that are started on workers while this node's lease is uncertain.
     DoubtStarts,
-    /// Users told from memory while our lease is in doubt.
+    /// Answers to users from memory while this node's lease is uncertain.
     DoubtTells,
-    /// A machine called lost while our lease is in doubt.
+    /// A machine that is declared lost while this node's lease is uncertain.
     DoubtLoses,
-    /// A shard owned on an answer that came when our lease was in doubt.
+    /// A shard that is owned on a response which came when this node's lease was uncertain.
     DoubtOwns,
-    /// A lease counted from when its renewal was answered, not sent.
+    /// A lease that is counted from the response to its renewal, not from when that was sent.
     LeaseFromSent,
-    /// Leases judged without the drift of clocks.
+    /// Leases that are judged without allowing for the drift of clocks.
     Drift,
-    /// A refusal taken as the outcome of a write that had no answer before.
+    /// A refusal that is taken as the outcome of a write of which an earlier try had no answer.
     OutcomeKnown,
     /// A late copy of a decision.
     DecisionVersion,
-    /// A late copy of a fold, or of final states.
+    /// A late copy of a compaction, or of terminal states.
     FoldVersion,
-    /// A late copy of a cancellation, or one that meets another final state.
+    /// A late copy of a cancellation, or one that meets another terminal state.
     CancelVersion,
-    /// A job created again after its final state.
+    /// A job that is created again after its terminal state.
     SubmittedOnce,
-    /// A job called accepted before it is stored.
+    /// A job that is acknowledged as accepted before it is stored.
     AcceptedDurable,
-    /// A job called cancelled before that is stored.
+    /// A job that is acknowledged as cancelled before that is stored.
     CancelledDurable,
-    /// A task started before its decision is stored.
+    /// A task that is started before its decision is stored.
     DecidedDurable,
-    /// A job that is being ended told of from memory.
+    /// Answers from memory about a job that is being ended.
     Finishing,
-    /// A job that is over created anew by a late answer to its submission.
+    /// A terminated job that is created again by a late response to its submission.
     LoadedFrom,
-    /// A job missed that ends between the two reads before a 404.
+    /// A job that ends between the two reads before a 404, and is missed by both.
     KeyBeforeFinal,
-    /// Workers answered for longer than all cancellations are known.
+    /// Workers that are answered for longer than all cancellations are known.
     HorizonStops,
-    /// A word believed to be new that was long on its way.
+    /// An assertion that is taken as new though it was long in transit.
     HorizonEchoed,
-    /// An owner in doubt believed for as long as it speaks.
+    /// An owner with an uncertain lease that is believed for as long as it sends heartbeats.
     HorizonDoubt,
-    /// An owner in doubt believed though a sibling may know of a newer one.
+    /// An owner with an uncertain lease that is believed though another node may know a newer
+    /// owner.
     HorizonVouched,
-    /// An owner in doubt believed though a process of ours before may have been a newer one.
+    /// An owner with an uncertain lease that is believed though an earlier process of this node may
+    /// have been a newer owner.
     HorizonFloor,
-    /// Cancellations of an owner that speaks heard of nowhere else.
+    /// Cancellations of a live owner that are not received from anywhere else.
     BeatsName,
-    /// Cancellations of a silent owner heard of nowhere.
+    /// Cancellations of a silent owner that are not received at all.
     SilentFinals,
-    /// Final states of just before an owner fell silent.
+    /// Terminal states from just before an owner fell silent that are missed.
     FinalsBack,
-    /// A machine that is gone kept alive by copies of its reports.
+    /// A machine that is gone but kept alive by copies of its heartbeats.
     Waits,
-    /// A report older than what is known taken in.
+    /// A worker's status that is older than what is known, but taken in.
     NewestReport,
-    /// An absence believed of a worker that may yet obey an older owner.
+    /// The absence of a task that is believed of a worker which may still obey an older owner.
     TokenShown,
-    /// A worker's lease counted from our answer though an older owner answered it until it saw our token.
+    /// A worker's lease that is counted from this owner's answer though an older owner answered the
+    /// worker until it saw the new fencing token.
     FirstSight,
-    /// A start in another session than that of the offer.
+    /// A start in another incarnation of the worker than that of the offer.
     OfferSession,
-    /// A new session judged by the lease of the one before.
+    /// A new incarnation that is judged by the lease of the one before.
     SessionLease,
-    /// A silent machine called lost while an older owner may still answer it.
+    /// A silent machine that is declared lost while an older owner may still answer it.
     Patience,
-    /// The same, since not all siblings have said that they know our epoch.
+    /// The same, because not all other nodes have stated that they know this node's epoch.
     AllKnow,
-    /// An owner that hears of a newer one acts on.
+    /// An owner that learns of a newer one from a heartbeat and acts on.
     BeatEnds,
-    /// A shard owned under an older epoch than one known.
+    /// A shard that is owned under an older epoch than one that is known.
     OlderEpoch,
-    /// Messages of owners whose time is over.
+    /// Messages of earlier owners.
     OldSender,
-    /// Numbers of attempts used again under a new epoch.
+    /// Numbers of attempts that are used again under a new epoch.
     AttemptEpoch,
-    /// A stop that got lost.
+    /// A stop command that was lost and not sent again.
     StopAgain,
-    /// A task started by a yes that comes after its job's end.
+    /// A task that is started by an assignment which comes after its job's end.
     LatePlace,
-    /// Tasks of a job that is over running on where its coordinator is not heard.
+    /// Tasks of a terminated job that run on where its coordinator is not heard.
     StopOver,
-    /// A stop that waits for our lease.
+    /// A stop command that waits for this node's lease.
     DoubtStops,
-    /// A start without an answer forgotten, whose copy then starts the task anew.
+    /// A start without an answer that is forgotten, though a late copy of it may start the task
+    /// again.
     Risky,
-    /// The same while the start is under way.
+    /// The same while the start command is in flight.
     ForgetLater,
-    /// A task of an older epoch started anew.
+    /// A task of an older epoch that is started again though it runs.
     Adopted,
-    /// A job called done before its last task is.
+    /// A job that is called done before its last task is.
     AllDone,
-    /// A decision written over while a pick of it may be on its machine.
+    /// A decision that is overwritten while a task that it placed may be on its machine.
     RecordLive,
-    /// An older attempt taken for the newest after a takeover.
+    /// An older attempt that is taken for the newest one after a failover.
     NewestAttempt,
-    /// Tasks of a job that is over overlooked after a takeover.
+    /// Tasks of a terminated job that are overlooked after a failover.
     Leftovers,
-    /// A shard that may have been given back acted for.
+    /// A shard that is acted for though it may have been released.
     ReleaseUnsure,
-    /// Grants before all have told what they use.
+    /// Quota grants before all coordinators have stated what they use.
     GrantsComplete,
-    /// Grants beyond what the others may use.
+    /// Quota grants beyond what the other coordinators leave.
     GrantsShared,
-    /// A grant of an older owner of the team's shard.
+    /// A quota grant of an older owner of the team's shard.
     GrantEpoch,
-    /// More than a decision's grant.
+    /// A decision that places more than its quota grant.
     GrantKept,
-    /// More tasks in a zone than its job allows, of those not seen gone.
+    /// More tasks in a zone than the job allows, with those counted that are not known to be gone.
     ZoneCounted,
-    /// More tasks for a job of one zone that may be in two.
+    /// More tasks of a single-zone job while it may already be in two zones.
     OneZone,
-    /// A rental's name used by two owners.
+    /// The name of an instance request that is used by two owners.
     RentalEpoch,
 }
 
-/// Whether the guard is in its place.
+/// Whether the guard is in force.
 #[cfg(not(feature = "guards"))]
 #[inline(always)]
 pub(crate) const fn holds(_: Guard) -> bool {
@@ -150,8 +155,8 @@
     use std::cell::Cell;
 
     thread_local! {
-        /// A bit for each one that is taken out.
-        static OUT: Cell<u128> = const { Cell::new(0) };
+        /// A bit for each guard that is disabled.
+        static DISABLED: Cell<u128> = const { Cell::new(0) };
     }
 
     fn bit(guard: Guard) -> u128 {
@@ -159,23 +164,24 @@
     }
 
     pub(crate) fn holds(guard: Guard) -> bool {
-        OUT.get() & bit(guard) == 0
+        DISABLED.get() & bit(guard) == 0
     }
 
-    /// Runs it with these guards taken out, in this thread alone.
+    /// Runs a function with these guards disabled, in this thread alone.
     pub fn without<T>(guards: &[Guard], run: impl FnOnce() -> T) -> T {
-        struct Back(u128);
-        impl Drop for Back {
+        struct RestoreOnDrop(u128);
+        impl Drop for RestoreOnDrop {
             fn drop(&mut self) {
-                OUT.set(self.0);
+                DISABLED.set(self.0);
             }
         }
-        let _back = Back(OUT.replace(guards.iter().fold(0, |all, g| all | bit(*g))));
+        let disabled = guards.iter().fold(0, |bits, guard| bits | bit(*guard));
+        let _restore = RestoreOnDrop(DISABLED.replace(disabled));
         run()
     }
 }
 
-/// The test goes red without the guard.
+/// Asserts that the test fails without the guard.
 #[cfg(all(test, feature = "guards"))]
 pub(crate) fn missed_by(guard: Guard, test: fn()) {
     let run = std::panic::catch_unwind(|| without(&[guard], test));
--- /dev/null
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -0,0 +1,175 @@
+//! What is stated about horizons in heartbeats between controllers: made for others, and taken from
+//! theirs.
+use super::shard_horizon::{EpochStatement, LogPosition, ShardHorizon};
+use super::{newest_epoch, Horizons, OwnedShard};
+use crate::guards::{holds, Guard};
+use crate::ids::{Epoch, JobId, NodeIdx, Timestamp};
+use crate::shard::{at_least, ShardView};
+use leaddeal_wire::mesh::{NodeHeartbeat, ShardAssertion, Stamp};
+
+/// An assertion names at most this many cancellations; if there are more, it is not complete.
+pub(super) const MAX_CANCELLATIONS_NAMED: usize = 400;
+
+/// What another controller last stated.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PeerStatements {
+    /// Its newest stamp.
+    stamp: Option<Stamp>,
+    /// By shard: neither it nor an earlier process of its node acted under a newer epoch than this.
+    pub(super) newest_epochs: Vec<EpochStatement>,
+    /// By shard: what it has received of this node's cancellations.
+    acknowledged: Vec<LogPosition>,
+}
+
+impl PeerStatements {
+    fn take_acknowledgements(&mut self, heartbeat: &NodeHeartbeat, shards: usize) {
+        self.acknowledged = vec![LogPosition::default(); shards];
+        for &(shard, epoch, number) in &heartbeat.acknowledged {
+            if let Some(position) = self.acknowledged.get_mut(usize::from(shard)) {
+                *position = LogPosition { epoch: Epoch(epoch), number };
+            }
+        }
+    }
+}
+
+impl Horizons {
+    /// Takes a heartbeat of another controller, after what it says of owners was taken into `view`.
+    /// True: it is from a process that was not heard before, and which waits for this node's stamp.
+    pub fn on_heartbeat(
+        &mut self,
+        from: NodeIdx,
+        heartbeat: &NodeHeartbeat,
+        view: &[ShardView],
+        now: Timestamp,
+    ) -> bool {
+        let made_after = self.made_after(heartbeat, now);
+        let shards = self.shards.len();
+        let Some(peer) = self.peers.get_mut(usize::from(from.0)) else { return false };
+        let is_new_process = peer.stamp.is_none_or(|stamp| stamp.boot != heartbeat.stamp.boot);
+        if is_new_process {
+            *peer = PeerStatements::default();
+        }
+        peer.stamp = Some(heartbeat.stamp);
+        peer.take_acknowledgements(heartbeat, shards);
+        if let Some(made_after) = made_after.filter(|_| heartbeat.newest.len() == shards) {
+            let statement = |&epoch| EpochStatement { epoch: Epoch(epoch), made_after };
+            peer.newest_epochs = heartbeat.newest.iter().map(statement).collect();
+        }
+        for assertion in &heartbeat.assertions {
+            self.on_assertion(assertion, view, made_after, now);
+        }
+        is_new_process
+    }
+
+    /// After which time a heartbeat was made: when this process sent the stamp that it echoes.
+    /// `None`: it echoes none of this process, or one of the future.
+    fn made_after(&self, heartbeat: &NodeHeartbeat, now: Timestamp) -> Option<Timestamp> {
+        let echo = heartbeat.echo.filter(|echo| echo.boot == self.boot && echo.at <= now)?;
+        Some(if holds(Guard::HorizonEchoed) { echo.at } else { now })
+    }
+
+    /// What an owner states of its shard.
+    fn on_assertion(
+        &mut self,
+        assertion: &ShardAssertion,
+        view: &[ShardView],
+        made_after: Option<Timestamp>,
+        now: Timestamp,
+    ) {
+        let (index, epoch) = (usize::from(assertion.shard), Epoch(assertion.epoch));
+        let newest = newest_epoch(view, index);
+        let Some(state) = self.shards.get_mut(index).filter(|_| epoch >= newest) else { return };
+        state.on_assertion(assertion, epoch, made_after);
+        if holds(Guard::BeatsName) {
+            for &job in &assertion.cancelled {
+                self.cancellations.learn(JobId(job), epoch, now);
+            }
+        }
+    }
+
+    /// Adds to a heartbeat to another controller: this process's stamp and the echo of the other's,
+    /// the newest epochs, what was received, and the assertions about the shards that this node acts
+    /// for.
+    pub fn add_to_heartbeat(
+        &self,
+        to: NodeIdx,
+        owned: &[Option<OwnedShard>],
+        view: &[ShardView],
+        now: Timestamp,
+        heartbeat: &mut NodeHeartbeat,
+    ) {
+        heartbeat.stamp = Stamp { boot: self.boot, at: now };
+        let Some(peer) = self.peers.get(usize::from(to.0)) else { return };
+        heartbeat.echo = peer.stamp;
+        heartbeat.newest = self.newest_epochs(view).unwrap_or_default();
+        heartbeat.acknowledged = self.acknowledgements();
+        for (index, (state, owned)) in self.shards.iter().zip(owned).enumerate() {
+            let Some(owned) = owned else { continue };
+            let position = peer.acknowledged.get(index).copied().unwrap_or_default();
+            heartbeat.assertions.push(state.assertion(index as u8, *owned, position));
+        }
+    }
+
+    /// By shard: no process of this node acted under a newer epoch, and none is known here. `None`:
+    /// this process has not read all keys of shards yet.
+    fn newest_epochs(&self, view: &[ShardView]) -> Option<Vec<u64>> {
+        let newest = |(state, shard): (&ShardHorizon, &ShardView)| {
+            let last = shard.last.map_or(0, |owner| owner.epoch.0);
+            let limit = if holds(Guard::HorizonFloor) {
+                state.predecessor_epoch_limit
+            } else {
+                state.predecessor_epoch_limit.or(Some(Epoch(0)))
+            };
+            limit.map(|limit| limit.0.max(last))
+        };
+        self.shards.iter().zip(view).map(newest).collect()
+    }
+
+    /// Shard, epoch and number of what was received, as a heartbeat holds them.
+    fn acknowledgements(&self) -> Vec<(u8, u64, u64)> {
+        let positions = self.shards.iter().map(|state| state.received).enumerate();
+        let received = positions.filter(|(_, position)| position.number > 0);
+        received.map(|(shard, at)| (shard as u8, at.epoch.0, at.number)).collect()
+    }
+}
+
+impl ShardHorizon {
+    /// What the owner under this epoch states, which is the newest one that is known.
+    fn on_assertion(
+        &mut self,
+        assertion: &ShardAssertion,
+        epoch: Epoch,
+        made_after: Option<Timestamp>,
+    ) {
+        let received = self.received.number_under(epoch);
+        let has_gap = assertion.after > received;
+        if has_gap {
+            return;
+        }
+        self.received = LogPosition { epoch, number: received.max(assertion.up_to) };
+        let Some(made_after) = made_after.filter(|_| assertion.complete) else { return };
+        self.owner_statement = Some(EpochStatement { epoch, made_after });
+        // Until when its lease was certain, by a clock that may be slow.
+        let lease_uncertain = assertion.doubt_ms > 0 && holds(Guard::HorizonDoubt);
+        let uncertain_ms = if lease_uncertain { at_least(assertion.doubt_ms) } else { 0 };
+        let certain_until = made_after.checked_sub(uncertain_ms);
+        self.horizon = self.horizon.max(certain_until);
+        self.confirmed_at = self.confirmed_at.max(certain_until.filter(|_| uncertain_ms == 0));
+    }
+
+    /// What this node states of a shard that it acts for, to a node that has received this much.
+    fn assertion(&self, shard: u8, owned: OwnedShard, position: LogPosition) -> ShardAssertion {
+        let after = position.number_under(owned.epoch);
+        let named = self.log.after(after, MAX_CANCELLATIONS_NAMED);
+        let up_to = named.last().map_or(after, |entry| entry.number);
+        ShardAssertion {
+            shard,
+            epoch: owned.epoch.0,
+            doubt_ms: owned.lease_uncertain_ms,
+            after,
+            up_to,
+            complete: self.log.ends_at(up_to),
+            cancelled: named.iter().map(|entry| entry.job.0).collect(),
+        }
+    }
+}
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -1,7 +1,9 @@
-//! The rule by itself, and a bounded search: every history of up to so many troubles, at every moment, of
-//! three controllers, a store, one machine and one cancelled job, over the real transition functions.
+//! The rule by itself, and a bounded search: every history of up to a number of faults, at every moment,
+//! of three controllers, a store, one machine and one cancelled job, over the real transition functions.
+use super::heartbeats::MAX_CANCELLATIONS_NAMED;
 use super::*;
 use crate::shard::{Lease, Owner, LEASE_MS};
+use leaddeal_wire::mesh::{NodeHeartbeat, ShardAssertion, Stamp};
 
 const NODES: usize = 3;
 const CANCEL_MS: u64 = 16_000;
@@ -20,13 +22,13 @@
     Horizons::new(NodeIdx(node), u64::from(node) + 1, NODES, CANCEL_MS, WORKER_LEASE_MS)
 }
 
-fn mine(shard: Shard, epoch: u64, doubt_ms: u64) -> Vec<Option<OwnedShard>> {
+fn owned_shards(shard: Shard, epoch: u64, lease_uncertain_ms: u64) -> Vec<Option<OwnedShard>> {
     let mut v = vec![None; NODES];
-    v[shard.0 as usize] = Some(OwnedShard { epoch: Epoch(epoch), doubt_ms });
+    v[shard.0 as usize] = Some(OwnedShard { epoch: Epoch(epoch), lease_uncertain_ms });
     v
 }
 
-/// One asks and the other answers; returns what the asker hears.
+/// `a` sends a heartbeat, and `b` answers with one that echoes it.
 fn exchange(
     a: &mut Horizons,
     b: &mut Horizons,
@@ -34,81 +36,85 @@
     of_b: &[Option<OwnedShard>],
     v: &[ShardView],
 ) {
-    let (me, other) = (a.me, b.me);
+    let (me, other) = (a.this_node, b.this_node);
     let mut ask = NodeHeartbeat::default();
-    a.tell(other, &[None; NODES], v, at, &mut ask);
-    b.hear(me, &ask, v, at);
+    a.add_to_heartbeat(other, &[None; NODES], v, at, &mut ask);
+    b.on_heartbeat(me, &ask, v, at);
     let mut answer = NodeHeartbeat::default();
-    b.tell(me, of_b, v, at, &mut answer);
-    a.hear(other, &answer, v, at + 700);
+    b.add_to_heartbeat(me, of_b, v, at, &mut answer);
+    a.on_heartbeat(other, &answer, v, at + 700);
 }
 
 #[test]
-fn only_a_word_that_echoes_us_moves_a_horizon_on() {
+fn only_an_assertion_that_echoes_this_process_advances_a_horizon() {
     let (mut a, mut b, v) = (horizons(0), horizons(1), views());
-    let of_b = mine(JOBS, 5, 0);
+    let of_b = owned_shards(JOBS, 5, 0);
     let mut unasked = NodeHeartbeat::default();
-    b.tell(NodeIdx(0), &of_b, &v, 50_000, &mut unasked);
-    a.hear(NodeIdx(1), &unasked, &v, 90_000);
-    assert!(!a.permits(JOBS, 90_000), "said when?");
+    b.add_to_heartbeat(NodeIdx(0), &of_b, &v, 50_000, &mut unasked);
+    a.on_heartbeat(NodeIdx(1), &unasked, &v, 90_000);
+    assert!(!a.permits_answer(JOBS, 90_000), "said when?");
     exchange(&mut a, &mut b, 90_000, &of_b, &v);
-    assert_eq!(a.behind_ms(JOBS, 90_700), Some(700), "counted from what it echoes");
-    let patience = a.patience_ms();
-    assert!(a.permits(JOBS, 90_000 + patience - 1) && !a.permits(JOBS, 90_000 + patience));
-    // Its lease in doubt for 3 s, it speaks of before.
-    exchange(&mut a, &mut b, 95_000, &mine(JOBS, 5, 3000), &v);
-    assert!((3900..4500).contains(&a.behind_ms(JOBS, 95_700).unwrap_or(0)));
-    // A stamp of a process before this one is none of ours.
+    assert_eq!(a.age_ms(JOBS, 90_700), Some(700), "counted from what it echoes");
+    let patience = a.grace_period_ms();
+    assert!(
+        a.permits_answer(JOBS, 90_000 + patience - 1) && !a.permits_answer(JOBS, 90_000 + patience)
+    );
+    // With its lease uncertain for 3 s, its statement counts for the time before.
+    exchange(&mut a, &mut b, 95_000, &owned_shards(JOBS, 5, 3000), &v);
+    assert!((3900..4500).contains(&a.age_ms(JOBS, 95_700).unwrap_or(0)));
+    // A stamp of an earlier process of this node does not count.
     let mut again = Horizons { boot: 99, ..horizons(0) };
     let mut late = NodeHeartbeat::default();
-    b.tell(NodeIdx(0), &of_b, &v, 96_000, &mut late);
-    again.hear(NodeIdx(1), &late, &v, 96_000);
-    assert!(!again.permits(JOBS, 96_000));
+    b.add_to_heartbeat(NodeIdx(0), &of_b, &v, 96_000, &mut late);
+    again.on_heartbeat(NodeIdx(1), &late, &v, 96_000);
+    assert!(!again.permits_answer(JOBS, 96_000));
 }
 
 #[test]
-fn a_word_with_a_gap_tells_what_it_names_and_no_more() {
+fn an_assertion_with_a_gap_states_only_what_it_names() {
     let (mut a, mut b, v) = (horizons(0), horizons(1), views());
-    let of_b = mine(JOBS, 5, 0);
-    for n in 0..MOST_NAMED as u64 + 1 {
-        b.cancelled(JOBS, Epoch(5), JobId(n), 1000);
+    let of_b = owned_shards(JOBS, 5, 0);
+    for n in 0..MAX_CANCELLATIONS_NAMED as u64 + 1 {
+        b.on_cancelled(JOBS, Epoch(5), JobId(n), 1000);
     }
     exchange(&mut a, &mut b, 10_000, &of_b, &v);
-    assert!(a.is_over(JobId(0)) && !a.permits(JOBS, 10_700), "there is more to tell");
+    assert!(a.is_terminal(JobId(0)) && !a.permits_answer(JOBS, 10_700), "there are more to name");
     exchange(&mut a, &mut b, 11_000, &of_b, &v);
-    assert!(a.is_over(JobId(MOST_NAMED as u64)) && a.permits(JOBS, 11_700));
-    // A process that begins anew has heeded nothing: it is told all again.
+    assert!(a.is_terminal(JobId(MAX_CANCELLATIONS_NAMED as u64)) && a.permits_answer(JOBS, 11_700));
+    // A restarted process has received nothing: all is stated to it again.
     let mut again = Horizons { boot: 77, ..horizons(0) };
     exchange(&mut again, &mut b, 12_000, &of_b, &v);
     exchange(&mut again, &mut b, 13_000, &of_b, &v);
-    assert!(again.is_over(JobId(0)) && again.is_over(JobId(MOST_NAMED as u64)));
-    // Words of an owner whose time is over say nothing.
+    assert!(
+        again.is_terminal(JobId(0)) && again.is_terminal(JobId(MAX_CANCELLATIONS_NAMED as u64))
+    );
+    // Assertions of an earlier owner count for nothing.
     let mut newer = views();
     newer[1].own(Owner { node: NodeIdx(2), boot: 1, epoch: Epoch(9) }, 0);
     exchange(&mut a, &mut b, 20_000, &of_b, &newer);
-    assert_eq!(a.behind_ms(JOBS, 20_700), Some(9700));
+    assert_eq!(a.age_ms(JOBS, 20_700), Some(9700));
 }
 
 #[test]
-fn what_a_newer_owner_goes_on_with_was_not_cancelled() {
+fn a_job_that_a_newer_owner_continues_was_not_cancelled() {
     let mut h = horizons(0);
-    h.cancelled(JOBS, Epoch(5), JOB, 0);
-    h.goes_on(JOB, Epoch(5));
-    assert!(h.is_over(JOB), "the same owner's word, from before");
-    h.goes_on(JOB, Epoch(6));
-    assert!(!h.is_over(JOB));
-    h.stored([JOB], 0);
-    h.goes_on(JOB, Epoch(9));
-    assert!(h.is_over(JOB), "it is in the store");
-    h.expire(CANCEL_MS + KEEP_MS);
-    assert!(!h.is_over(JOB));
+    h.on_cancelled(JOBS, Epoch(5), JOB, 0);
+    h.on_job_continued(JOB, Epoch(5));
+    assert!(h.is_terminal(JOB), "the same owner's statement, from before");
+    h.on_job_continued(JOB, Epoch(6));
+    assert!(!h.is_terminal(JOB));
+    h.on_stored_terminal([JOB], 0);
+    h.on_job_continued(JOB, Epoch(9));
+    assert!(h.is_terminal(JOB), "it is in the store");
+    h.expire(CANCEL_MS + CANCELLATION_KEEP_MS);
+    assert!(!h.is_terminal(JOB));
 }
 
-/// Bad input: shards, epochs and stamps from nowhere change nothing and end nothing.
+/// Bad input: shards, epochs and stamps that never were change nothing and cause no panic.
 #[test]
-fn impossible_words_change_nothing() {
+fn impossible_assertions_change_nothing() {
     let (mut a, v) = (horizons(0), views());
-    let word = ShardAssertion {
+    let assertion = ShardAssertion {
         shard: 99,
         epoch: u64::MAX,
         complete: true,
@@ -120,67 +126,67 @@
     let beat = NodeHeartbeat {
         echo,
         newest: vec![0; 900],
-        assertions: vec![word.clone()],
+        assertions: vec![assertion.clone()],
         acknowledged,
         ..NodeHeartbeat::default()
     };
-    a.hear(NodeIdx(1), &beat, &v, 5000);
-    a.hear(NodeIdx(77), &beat, &v, 5000);
+    a.on_heartbeat(NodeIdx(1), &beat, &v, 5000);
+    a.on_heartbeat(NodeIdx(77), &beat, &v, 5000);
     // Of the future, and with a doubt longer than the clock has run.
-    let doubt = ShardAssertion { shard: 1, doubt_ms: 1 << 60, ..word };
+    let doubt = ShardAssertion { shard: 1, doubt_ms: 1 << 60, ..assertion };
     let said = Some(Stamp { boot: 1, at: 4000 });
-    a.hear(
+    a.on_heartbeat(
         NodeIdx(1),
         &NodeHeartbeat { echo: said, assertions: vec![doubt], ..NodeHeartbeat::default() },
         &v,
         5000,
     );
     a.advance(&[], &v, 5000);
-    assert!((0..NODES as u8).all(|s| !a.permits(Shard(s), 5000)));
+    assert!((0..NODES as u8).all(|s| !a.permits_answer(Shard(s), 5000)));
 }
 
-/// What goes wrong in a history, from a moment on.
+/// A fault in a history, from a step on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     Outage(u64),
     /// The store refuses this controller.
     Refuse(usize),
-    /// It ends, and is back after so many steps.
+    /// This controller ends, and is back after that number of steps.
     Crash(usize, u64),
-    Cut(usize, usize),
-    /// It hears the worker, but neither the store nor a sibling.
-    Lone(usize),
+    LinkDown(usize, usize),
+    /// This controller reaches the worker, but neither the store nor another controller.
+    Isolated(usize),
 }
 
-const TROUBLES: [Trouble; 14] = [
-    Trouble::Outage(2),
-    Trouble::Outage(20),
-    Trouble::Refuse(0),
-    Trouble::Refuse(1),
-    Trouble::Refuse(2),
-    Trouble::Crash(0, 1),
-    Trouble::Crash(1, 1),
-    Trouble::Crash(1, 99),
-    Trouble::Crash(2, 1),
-    Trouble::Cut(0, 1),
-    Trouble::Cut(0, 2),
-    Trouble::Cut(1, 2),
-    Trouble::Lone(0),
-    Trouble::Lone(1),
+const FAULTS: [Fault; 14] = [
+    Fault::Outage(2),
+    Fault::Outage(20),
+    Fault::Refuse(0),
+    Fault::Refuse(1),
+    Fault::Refuse(2),
+    Fault::Crash(0, 1),
+    Fault::Crash(1, 1),
+    Fault::Crash(1, 99),
+    Fault::Crash(2, 1),
+    Fault::LinkDown(0, 1),
+    Fault::LinkDown(0, 2),
+    Fault::LinkDown(1, 2),
+    Fault::Isolated(0),
+    Fault::Isolated(1),
 ];
 
-/// What is broken on purpose.
+/// What is made wrong on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
+enum SeededBug {
     Nothing,
     /// A process that has not read the store vouches for those of its node before.
     Restarts,
-    /// Whoever is heard is believed to know, as before there were horizons.
+    /// A controller that is heard is taken to know all, as before there were horizons.
     Silence,
 }
 
 /// How the job is cancelled: at this step, and whether the transaction's answer is lost, so that it is
-/// carried out later and told by whoever reads the store.
+/// executed later and acknowledged by any controller that reads the store.
 #[derive(Clone, Copy, Debug)]
 struct Cancel {
     at: u64,
@@ -208,8 +214,8 @@
 
 struct World {
     now: Timestamp,
-    troubles: Vec<(u64, Trouble)>,
-    broken: Broken,
+    faults: Vec<(u64, Fault)>,
+    bug: SeededBug,
     nodes: Vec<Node>,
     revision: u64,
     keys: [Option<Key>; NODES],
@@ -228,7 +234,7 @@
 }
 
 impl World {
-    fn new(troubles: Vec<(u64, Trouble)>, broken: Broken) -> World {
+    fn new(faults: Vec<(u64, Fault)>, bug: SeededBug) -> World {
         let node = |n: u8| Node {
             up_at: 0,
             boot: u64::from(n) + 1,
@@ -241,8 +247,8 @@
         };
         World {
             now: 100_000,
-            troubles,
-            broken,
+            faults,
+            bug,
             nodes: (0..NODES as u8).map(node).collect(),
             revision: 10,
             keys: [None; NODES],
@@ -267,25 +273,25 @@
     }
 
     fn outage(&self) -> bool {
-        self.troubles.iter().any(|t| matches!(t.1, Trouble::Outage(n) if self.during(n, t.0)))
+        self.faults.iter().any(|t| matches!(t.1, Fault::Outage(n) if self.during(n, t.0)))
     }
 
     fn stored(&self, n: usize) -> bool {
-        let off = |t: &(u64, Trouble)| match t.1 {
-            Trouble::Refuse(k) => k == n && self.during(9, t.0),
-            Trouble::Lone(k) => k == n && self.during(16, t.0),
+        let off = |t: &(u64, Fault)| match t.1 {
+            Fault::Refuse(k) => k == n && self.during(9, t.0),
+            Fault::Isolated(k) => k == n && self.during(16, t.0),
             _ => false,
         };
-        !self.outage() && !self.troubles.iter().any(off)
+        !self.outage() && !self.faults.iter().any(off)
     }
 
     fn linked(&self, a: usize, b: usize) -> bool {
-        let off = |t: &(u64, Trouble)| match t.1 {
-            Trouble::Cut(x, y) => [(a, b), (b, a)].contains(&(x, y)) && self.during(12, t.0),
-            Trouble::Lone(k) => (k == a || k == b) && self.during(16, t.0),
+        let off = |t: &(u64, Fault)| match t.1 {
+            Fault::LinkDown(x, y) => [(a, b), (b, a)].contains(&(x, y)) && self.during(12, t.0),
+            Fault::Isolated(k) => (k == a || k == b) && self.during(16, t.0),
             _ => false,
         };
-        !self.troubles.iter().any(off)
+        !self.faults.iter().any(off)
     }
 
     fn up(&self, n: usize) -> bool {
@@ -294,8 +300,8 @@
 
     fn crashes(&mut self) {
         let step = self.step_no();
-        for (at, t) in self.troubles.clone() {
-            let Trouble::Crash(n, back) = t else { continue };
+        for (at, t) in self.faults.clone() {
+            let Fault::Crash(n, back) = t else { continue };
             if at != step {
                 continue;
             }
@@ -305,9 +311,9 @@
             let (owns, heard) = ([None; NODES], [0; NODES]);
             self.nodes[n] =
                 Node { up_at: step + back, boot, h, view, lease, lease_id: 0, owns, heard };
-            if self.broken == Broken::Restarts {
+            if self.bug == SeededBug::Restarts {
                 for s in 0..NODES as u8 {
-                    self.nodes[n].h.first_seen(Shard(s), 0);
+                    self.nodes[n].h.on_shard_key_read(Shard(s), 0);
                 }
             }
         }
@@ -335,14 +341,14 @@
                 Some(k) => {
                     let owner =
                         Owner { node: NodeIdx(k.node as u8), boot: k.boot, epoch: Epoch(k.epoch) };
-                    node.h.first_seen(shard, k.epoch);
+                    node.h.on_shard_key_read(shard, k.epoch);
                     node.view[s].own(owner, now);
                     if (k.node, k.boot) != (n, node.boot) {
                         node.owns[s] = None;
                     }
                 }
                 None => {
-                    node.h.first_seen(shard, self.revision);
+                    node.h.on_shard_key_read(shard, self.revision);
                     node.view[s].vacate(self.revision, now);
                     node.owns[s] = None;
                 }
@@ -357,11 +363,11 @@
                 let key = Key { node: n, boot: node.boot, epoch, lease: node.lease_id };
                 self.keys[s] = Some(key);
                 node.owns[s] = Some(Epoch(epoch));
-                node.h.begin(shard);
+                node.h.on_shard_acquired(shard);
                 let owner = Owner { node: NodeIdx(n as u8), boot: node.boot, epoch: Epoch(epoch) };
                 node.view[s].own(owner, now);
                 if shard == JOBS && self.is_final {
-                    node.h.cancelled(shard, Epoch(epoch), JOB, now);
+                    node.h.on_cancelled(shard, Epoch(epoch), JOB, now);
                 }
             }
         }
@@ -369,8 +375,8 @@
 
     fn mine(&self, n: usize) -> Vec<Option<OwnedShard>> {
         let node = &self.nodes[n];
-        let doubt_ms = node.lease.in_doubt_ms(self.now);
-        node.owns.iter().map(|e| e.map(|epoch| OwnedShard { epoch, doubt_ms })).collect()
+        let lease_uncertain_ms = node.lease.in_doubt_ms(self.now);
+        node.owns.iter().map(|e| e.map(|epoch| OwnedShard { epoch, lease_uncertain_ms })).collect()
     }
 
     fn beats(&mut self) {
@@ -382,7 +388,7 @@
                 let (now, mine) = (self.now, self.mine(a));
                 let from = &self.nodes[a];
                 let mut beat = NodeHeartbeat::default();
-                from.h.tell(NodeIdx(b as u8), &mine, &from.view, now, &mut beat);
+                from.h.add_to_heartbeat(NodeIdx(b as u8), &mine, &from.view, now, &mut beat);
                 let last = from.view.iter().enumerate();
                 let known: Vec<(usize, Owner)> =
                     last.filter_map(|(s, v)| Some((s, v.last?))).collect();
@@ -393,7 +399,7 @@
                         to.owns[s] = None;
                     }
                 }
-                to.h.hear(NodeIdx(a as u8), &beat, &to.view, now);
+                to.h.on_heartbeat(NodeIdx(a as u8), &beat, &to.view, now);
             }
         }
     }
@@ -421,7 +427,7 @@
         if !acts || !node.lease.valid(self.now) {
             return;
         }
-        node.h.cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
+        node.h.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
         if c.late {
             self.pending = Some((step + 3, key.epoch));
         } else if self.stored(n) && self.up(n) {
@@ -435,21 +441,21 @@
         let up = self.up(n);
         let node = &self.nodes[n];
         let all = (0..NODES).all(|k| k == n || now < node.heard[k] + 3000);
-        let may = match self.broken {
-            Broken::Silence => all && now < node.lease.renewed + 45_000,
-            _ => node.h.permits(MACHINES, now) && node.h.permits(JOBS, now),
+        let may = match self.bug {
+            SeededBug::Silence => all && now < node.lease.renewed + 45_000,
+            _ => node.h.permits_answer(MACHINES, now) && node.h.permits_answer(JOBS, now),
         };
         let epoch = node.owns[MACHINES.0 as usize].filter(|e| e.0 >= self.token);
         match epoch.filter(|_| up && may) {
             Some(e) => {
                 (self.token, self.granted) = (e.0, now);
-                self.on &= !node.h.is_over(JOB);
+                self.on &= !node.h.is_terminal(JOB);
             }
             None => self.at = (n + 1) % NODES,
         }
     }
 
-    /// Plays it; false: the task was on its machine for too long.
+    /// Runs the history; false: the task was on its machine for too long.
     fn keeps_the_rule(&mut self, cancel: Cancel) -> bool {
         for _ in 0..38 {
             let now = self.now;
@@ -479,9 +485,9 @@
                     let node = &mut self.nodes[n];
                     node.h.advance(&mine, &node.view, now);
                     for s in (0..NODES as u8).map(Shard) {
-                        if stored && node.h.to_be_read(s, 0, now).is_some() {
-                            node.h.stored((s == JOBS && is_final).then_some(JOB), now);
-                            node.h.read(s, now);
+                        if stored && node.h.read_store_from(s, 0, now).is_some() {
+                            node.h.on_stored_terminal((s == JOBS && is_final).then_some(JOB), now);
+                            node.h.on_store_read(s, now);
                         }
                     }
                 }
@@ -506,24 +512,23 @@
     }
 }
 
-/// All histories of up to that many troubles at these steps. Returns how many there were, and one that
-/// broke the rule.
-fn search(depth: usize, moments: &[u64], broken: Broken) -> (u64, Option<String>) {
-    let all: Vec<(u64, Trouble)> =
-        moments.iter().flat_map(|&at| TROUBLES.map(|t| (at, t))).collect();
+/// All histories of up to `depth` faults at these steps. Returns their number, and one that broke the
+/// rule.
+fn search(depth: usize, moments: &[u64], bug: SeededBug) -> (u64, Option<String>) {
+    let all: Vec<(u64, Fault)> = moments.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
     let mut played = 0;
-    let mut open: Vec<(usize, Vec<(u64, Trouble)>)> = vec![(0, Vec::new())];
-    while let Some((from, troubles)) = open.pop() {
+    let mut open: Vec<(usize, Vec<(u64, Fault)>)> = vec![(0, Vec::new())];
+    while let Some((from, faults)) = open.pop() {
         for late in [false, true] {
             let cancel = Cancel { at: 6, late };
             played += 1;
-            if !World::new(troubles.clone(), broken).keeps_the_rule(cancel) {
-                return (played, Some(format!("{cancel:?} {troubles:?}")));
+            if !World::new(faults.clone(), bug).keeps_the_rule(cancel) {
+                return (played, Some(format!("{cancel:?} {faults:?}")));
             }
         }
-        if troubles.len() < depth {
+        if faults.len() < depth {
             for (i, t) in all.iter().enumerate().skip(from) {
-                let more = troubles.iter().copied().chain([*t]).collect();
+                let more = faults.iter().copied().chain([*t]).collect();
                 open.push((i + 1, more));
             }
         }
@@ -532,27 +537,27 @@
 }
 
 #[test]
-fn no_history_of_troubles_keeps_a_cancelled_task_for_too_long() {
-    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], Broken::Nothing);
+fn no_history_of_faults_keeps_a_cancelled_task_for_too_long() {
+    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::Nothing);
     assert_eq!(broken, None);
     let depth = std::env::var("LEADDEAL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
-    let (more, broken) = search(depth, &[3, 6, 7], Broken::Nothing);
+    let (more, broken) = search(depth, &[3, 6, 7], SeededBug::Nothing);
     assert_eq!(broken, None);
     assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} histories");
 }
 
 #[test]
-fn the_search_finds_what_is_broken() {
-    for broken in [Broken::Silence, Broken::Restarts] {
-        let found = search(3, &[3, 6, 7], broken).1;
-        assert!(found.is_some(), "{broken:?} went unnoticed");
+fn the_search_finds_seeded_bugs() {
+    for bug in [SeededBug::Silence, SeededBug::Restarts] {
+        let found = search(3, &[3, 6, 7], bug).1;
+        assert!(found.is_some(), "{bug:?} went unnoticed");
     }
 }
 
 /// The search would say nothing if no task lived on where it may.
 #[test]
-fn a_task_that_nobody_cancels_outlives_an_outage() {
-    let mut w = World::new(vec![(4, Trouble::Outage(20))], Broken::Nothing);
+fn a_task_that_is_not_cancelled_outlives_an_outage() {
+    let mut w = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
     assert!(w.keeps_the_rule(Cancel { at: 999, late: false }));
     assert!(w.on && w.granted + 2 * STEP_MS > w.now, "its worker was let go");
 }
@@ -561,10 +566,10 @@
 #[test]
 fn its_guards_are_missed() {
     use crate::guards::{missed_by, Guard};
-    missed_by(Guard::HorizonEchoed, only_a_word_that_echoes_us_moves_a_horizon_on);
-    missed_by(Guard::HorizonDoubt, only_a_word_that_echoes_us_moves_a_horizon_on);
-    missed_by(Guard::HorizonStops, only_a_word_that_echoes_us_moves_a_horizon_on);
-    missed_by(Guard::BeatsName, a_word_with_a_gap_tells_what_it_names_and_no_more);
+    missed_by(Guard::HorizonEchoed, only_an_assertion_that_echoes_this_process_advances_a_horizon);
+    missed_by(Guard::HorizonDoubt, only_an_assertion_that_echoes_this_process_advances_a_horizon);
+    missed_by(Guard::HorizonStops, only_an_assertion_that_echoes_this_process_advances_a_horizon);
+    missed_by(Guard::BeatsName, an_assertion_with_a_gap_states_only_what_it_names);
 }
 
 #[cfg(feature = "guards")]
@@ -578,7 +583,7 @@
         Guard::HorizonFloor,
         Guard::BeatsName,
     ] {
-        let found = without(&[guard], || search(3, &[3, 6, 7], Broken::Nothing).1);
+        let found = without(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
         assert!(found.is_some(), "{guard:?} is not missed");
     }
 }
--- a/crates/core/src/machine.rs
+++ b/crates/core/src/machine.rs
@@ -349,7 +349,7 @@
             if let Some(u) = &mut l.used {
                 u.add(s.need, 1);
             }
-            if s.lasting() {
+            if s.is_long_running() {
                 l.lasting.add(s.need, 1);
             }
             l.gpu_work |= s.need.gpu > 0;
--- /dev/null
+++ b/crates/core/src/names/catalog.rs
@@ -0,0 +1,111 @@
+//! The cloud's catalog: resources, prices and constraints of machine types.
+use super::{thousandths, Names, Resources};
+use crate::ids::TypeIdx;
+use leaddeal_wire::cloud::{Catalog, MachineType};
+use leaddeal_wire::mesh;
+use leaddeal_wire::user::Priority;
+
+/// Types beyond this number are ignored: an index takes one byte.
+const MAX_TYPES: usize = 250;
+/// Spot machines may be interrupted: their price counts for somewhat more.
+const SPOT_PRICE_FACTOR: f64 = 1.15;
+/// A type that states a slower rate fetches images at this one, in GB/s.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+
+impl Names {
+    /// The index of a machine type; `None` if it is not in the catalog.
+    pub fn type_idx(&self, name: &str) -> Option<TypeIdx> {
+        self.catalog.iter().position(|known| known.name == name).map(|at| TypeIdx(at as u8))
+    }
+
+    /// Takes a new catalog. Indices stay: known types keep their place, new ones come after them.
+    pub fn set_catalog(&mut self, catalog: Catalog) {
+        for new in catalog.types {
+            let is_full = self.catalog.len() >= MAX_TYPES;
+            match self.catalog.iter_mut().find(|known| known.name == new.name) {
+                Some(known) => *known = new,
+                None if !is_full => self.catalog.push(new),
+                None => {}
+            }
+        }
+        let resources = |machine_type: &MachineType| Resources {
+            cpu: thousandths(machine_type.cpus),
+            gpu: thousandths(machine_type.gpus),
+            mem: thousandths(machine_type.memory_gb),
+        };
+        self.type_resources = self.catalog.iter().map(resources).collect();
+    }
+
+    /// The resources of an empty machine of this type.
+    pub fn resources_of_type(&self, machine_type: TypeIdx) -> Resources {
+        self.type_resources[usize::from(machine_type.0)]
+    }
+
+    /// How long a machine of this type fetches an image of that size, in seconds.
+    pub fn image_fetch_s(&self, machine_type: TypeIdx, image_gb: f64) -> f64 {
+        image_gb / self.type_info(machine_type).fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+    }
+
+    /// Price of a machine per hour as it counts in comparisons, as a spot one or an ordinary one.
+    pub fn price(&self, machine_type: TypeIdx, spot: bool) -> f64 {
+        let info = self.type_info(machine_type);
+        if spot {
+            info.spot_price * SPOT_PRICE_FACTOR
+        } else {
+            info.price
+        }
+    }
+
+    /// Whether a task on such a machine costs no more than it is worth: a multiple of the lowest
+    /// price of a place for it on an ordinary machine, whether that can be had now or not.
+    pub fn affordable(
+        &self,
+        shape: &mesh::Shape,
+        machine_type: TypeIdx,
+        spot: bool,
+        urgent: bool,
+    ) -> bool {
+        let types = (0..self.catalog.len()).map(|index| TypeIdx(index as u8));
+        let prices = types.filter_map(|any| self.price_per_task(shape, any, false));
+        let lowest = prices.fold(f64::INFINITY, f64::min);
+        let highest = lowest * max_price_factor(shape.priority, urgent);
+        self.price_per_task(shape, machine_type, spot).is_some_and(|price| price <= highest)
+    }
+
+    /// Price per hour of a place for one task; `None` if no task may or can run there.
+    fn price_per_task(
+        &self,
+        shape: &mesh::Shape,
+        machine_type: TypeIdx,
+        spot: bool,
+    ) -> Option<f64> {
+        let fits = self.resources_of_type(machine_type).fits(Resources::of(shape));
+        let possible = fits > 0 && self.allows(shape, machine_type, spot);
+        possible.then(|| self.price(machine_type, spot) / fits as f64)
+    }
+
+    /// Whether a task of this shape may run on this type of machine at all, as a spot one or an
+    /// ordinary one.
+    pub fn allows(&self, shape: &mesh::Shape, machine_type: TypeIdx, spot: bool) -> bool {
+        if spot && !shape.spot {
+            return false;
+        }
+        let name = &self.type_info(machine_type).name;
+        shape.types.as_ref().is_none_or(|allowed| allowed.iter().any(|other| other == name))
+    }
+
+    fn type_info(&self, machine_type: TypeIdx) -> &MachineType {
+        &self.catalog[usize::from(machine_type.0)]
+    }
+}
+
+/// How many times the lowest price a task may cost.
+fn max_price_factor(priority: Priority, urgent: bool) -> f64 {
+    match priority {
+        Priority::Low if !urgent => 1.5,
+        Priority::Low => 3.5,
+        Priority::Normal | Priority::High => 4.5,
+        Priority::Production if !urgent => 5.0,
+        Priority::Production => 8.0,
+    }
+}
--- /dev/null
+++ b/crates/core/src/names/interner.rs
@@ -0,0 +1,36 @@
+//! Dense indices for names that are met at run time.
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// Gives each name an index, in the order in which they are met.
+///
+/// Invariant: `names[by_name[name]] == name`. Names are never removed, so an index stays valid.
+#[derive(Default, Debug)]
+pub struct Interner {
+    by_name: HashMap<Arc<str>, u32>,
+    names: Vec<Arc<str>>,
+}
+
+impl Interner {
+    /// The index of a name; a new name gets the next one.
+    pub fn intern(&mut self, name: &str) -> u32 {
+        if let Some(&index) = self.by_name.get(name) {
+            return index;
+        }
+        let index = self.names.len() as u32;
+        let name: Arc<str> = name.into();
+        self.names.push(name.clone());
+        self.by_name.insert(name, index);
+        index
+    }
+
+    /// The index of a name; `None` if it has none.
+    pub fn find(&self, name: &str) -> Option<u32> {
+        self.by_name.get(name).copied()
+    }
+
+    /// The name of an index that [`Interner::intern`] gave.
+    pub fn name(&self, index: u32) -> &str {
+        &self.names[index as usize]
+    }
+}
--- a/crates/core/src/node/finals.rs
+++ b/crates/core/src/node/finals.rs
@@ -33,7 +33,7 @@
             if holds(Guard::FinalsBack) { FINALS_BACK_MS + self.config.cancel_ms } else { 0 };
         for i in 0..self.view.len() {
             let shard = Shard(i as u8);
-            let read_from = self.horizons.to_be_read(shard, back, now).filter(|_| acts);
+            let read_from = self.horizons.read_store_from(shard, back, now).filter(|_| acts);
             let Some(since) = read_from else {
                 self.finals[i] = None;
                 continue;
@@ -72,9 +72,10 @@
         let Some(r) = reading.filter(|r| r.asked == asked) else { return };
         let told = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
         let records = r.feed.on_result(now, result);
-        self.horizons.stored(records.iter().filter_map(|r| keys::parse_job_key(&r.key)), now);
+        self.horizons
+            .on_stored_terminal(records.iter().filter_map(|r| keys::parse_job_key(&r.key)), now);
         if told && r.feed.is_list_complete() {
-            self.horizons.read(shard, r.as_of);
+            self.horizons.on_store_read(shard, r.as_of);
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -271,7 +271,7 @@
                         self.state_ok_at = now;
                     }
                     if matches!(result, StoreResult::RateLimited) && kind.writes() {
-                        self.budget.refused(now);
+                        self.budget.on_refusal(now);
                     }
                     self.revision = self.revision.max(match &result {
                         StoreResult::Committed(r) => *r,
@@ -299,14 +299,14 @@
         let doubt_ms = self.lease.in_doubt_ms(now);
         let all = self.owned.iter().map(|o| {
             let o = o.as_ref().filter(|o| o.coordinator.ready() && !o.releasing)?;
-            Some(OwnedShard { epoch: o.epoch, doubt_ms })
+            Some(OwnedShard { epoch: o.epoch, lease_uncertain_ms: doubt_ms })
         });
         all.collect()
     }
 
     /// Stops everywhere here what was learned to be over.
     fn stop_what_is_over(&mut self, effects: &mut Effects) {
-        for job in self.horizons.take_fresh() {
+        for job in self.horizons.take_newly_terminal() {
             for i in 0..self.owned.len() {
                 let mut c = ctx!(self, effects);
                 if let Some(o) = self.owned[i].as_mut().filter(|_| holds(Guard::StopOver)) {
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -33,7 +33,7 @@
         self.owned[i] = Some(Owned {
             epoch,
             coordinator: Coordinator::new(shard, epoch, n),
-            participant: Participant::new(shard, epoch, now, n, self.horizons.patience_ms()),
+            participant: Participant::new(shard, epoch, now, n, self.horizons.grace_period_ms()),
             quota: QuotaManager::new(shard, &self.config.teams, n),
             releasing: false,
             leave_until: 0,
@@ -41,7 +41,7 @@
         if shard == PROVISIONER_SHARD {
             self.provisioner = Some((epoch, Provisioner::new(epoch, now)));
         }
-        self.horizons.begin(shard);
+        self.horizons.on_shard_acquired(shard);
         self.spread_view();
         self.share_writes();
         let mut c = ctx!(self, effects);
@@ -67,7 +67,7 @@
 
     fn share_writes(&mut self) {
         let owned = self.owned.iter().flatten().count();
-        self.budget.own(owned, self.owned.len());
+        self.budget.set_owned_shards(owned, self.owned.len());
     }
 
     pub(super) fn drop_all(&mut self, effects: &mut Effects) {
@@ -94,7 +94,7 @@
             return;
         };
         let i = shard.0 as usize;
-        self.horizons.first_seen(
+        self.horizons.on_shard_key_read(
             shard,
             match seen {
                 Seen::Owned(_, revision) | Seen::Vacant(revision) => revision,
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -25,7 +25,7 @@
             let node = NodeIdx(i as u8);
             if node != self.me && to(node) {
                 let mut beat = beat.clone();
-                self.horizons.tell(node, &mine, &self.view, effects.now, &mut beat);
+                self.horizons.add_to_heartbeat(node, &mine, &self.view, effects.now, &mut beat);
                 effects
                     .list
                     .push(Effect::Mesh { to: n.clone(), msg: NodeMessage::Heartbeat(beat) });
@@ -54,7 +54,7 @@
             }
         }
         self.health.beat(from, b);
-        if self.horizons.hear(from, b, &self.view, effects.now) {
+        if self.horizons.on_heartbeat(from, b, &self.view, effects.now) {
             self.beat(effects, |n| n == from);
         }
         let mine = self.mine(effects.now);
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -42,9 +42,9 @@
             let mut c = ctx!(self, effects);
             return c.reply_later(req, 503, 2);
         }
-        if self.budget.room(WriteClass::Submission) == 0 {
+        if self.budget.available(WriteClass::Submission) == 0 {
             // Known jobs' retries, too, are told later: to look them up is a request as well.
-            let after_s = self.budget.acceptance_after_s();
+            let after_s = self.budget.submission_retry_after_s();
             let mut c = ctx!(self, effects);
             return c.reply_later(req, 503, after_s);
         }
@@ -76,7 +76,7 @@
         let fits = self.names.catalog.iter().enumerate().any(|(i, t)| {
             let idx = crate::ids::TypeIdx(i as u8);
             self.names.allows(&shape, idx, false)
-                && self.names.room_of_type(idx).fits(need) > 0
+                && self.names.resources_of_type(idx).fits(need) > 0
                 && j.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
         let n = if j.kind == user::Kind::Array { 1.0 } else { f64::from(j.tasks) };
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -30,7 +30,7 @@
     /// controller and then all, while workers still reported to that one.)
     fn may_answer(&self, r: &WorkerHeartbeat, now: Timestamp) -> bool {
         let n = self.view.len();
-        let permits = |shard| self.horizons.permits(shard, now);
+        let permits = |shard| self.horizons.permits_answer(shard, now);
         let home = shard_of_machine(&r.machine, n);
         if (0..n).all(|i| permits(Shard(i as u8))) {
             return true;
@@ -46,7 +46,8 @@
     pub(super) fn note_let_go(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let shards = (0..self.view.len()).map(|i| Shard(i as u8));
-        let behind: Vec<Shard> = shards.filter(|&s| !self.horizons.permits(s, now)).collect();
+        let behind: Vec<Shard> =
+            shards.filter(|&s| !self.horizons.permits_answer(s, now)).collect();
         // A process that has just begun has to hear of all first.
         let acts = self.owned.iter().any(Option::is_some) && now >= self.started + FIRST_WORDS_MS;
         let lets_go = !behind.is_empty() && acts;
@@ -58,7 +59,7 @@
                 .log(1, "workers_answered", || "all cancellations are known again".into());
         }
         let of = |s: &Shard| {
-            let ms = self.horizons.behind_ms(*s, now);
+            let ms = self.horizons.age_ms(*s, now);
             format!("seat={} behind_ms={}", s.0, ms.map_or("ever".into(), |ms| ms.to_string()))
         };
         let what = behind.iter().map(of).collect::<Vec<_>>().join(" ");
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -13,7 +13,7 @@
             self.gpu_work.keys().map(|&(cpu, gpu, mem)| Resources { cpu, gpu, mem }).collect();
         for (idx, m, g, later) in self.gpu_machines(ctx.names) {
             let fits = |room: Resources| needs.iter().any(|&n| room.fits(n) > 0);
-            let mut free = ctx.names.room_of_type(g.0);
+            let mut free = ctx.names.resources_of_type(g.0);
             let known = m.used().map(|u| free.sub(u, 1)).is_some();
             claimed += u32::from(!self.reservations.on(idx).is_empty());
             if !m.confirmed || !known || ctx.now >= m.heard + ctx.config.quiet_ms {
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -109,7 +109,7 @@
 fn place_of(m: &Machine, names: &Names) -> Option<CapacityEntry> {
     let alive = !m.lapsed && !m.released;
     m.kind.zip(m.zone).filter(|_| alive).map(|(kind, zone)| {
-        let mut free = names.room_of_type(kind);
+        let mut free = names.resources_of_type(kind);
         let known = m.used().map(|used| free.sub(used, 1));
         let images = m.cached.iter().map(|c| c.0).collect();
         CapacityEntry { group: (kind, zone, m.spot), free: known.map_or(0, |()| free.cpu), images }
@@ -290,7 +290,7 @@
                 (&t.shape, t.phase)
             {
                 images.push((s.image, s.wire.image_gb));
-                if s.lasting() && t.on_since.is_some_and(|at| now >= at + RAN_WELL_MS) {
+                if s.is_long_running() && t.on_since.is_some_and(|at| now >= at + RAN_WELL_MS) {
                     ran_well.push(k.0);
                 }
             }
@@ -415,11 +415,11 @@
             ShardMessage::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
                 self.gang_queue.leave(job);
-                ctx.horizons.goes_on(job, epoch);
+                ctx.horizons.on_job_continued(job, epoch);
                 let shape = ctx.names.shape(&shape);
                 for p in picks {
                     self.place(ctx, from, job, &shape, &p, adopt);
-                    if ctx.horizons.is_over(job) && holds(Guard::LatePlace) {
+                    if ctx.horizons.is_terminal(job) && holds(Guard::LatePlace) {
                         // On its way since before the cancellation, which came another way.
                         let (machine, incarnation) = (p.machine, Some(p.incarnation));
                         let (task, attempt) = (p.task, p.attempt);
@@ -574,7 +574,7 @@
         let Some(m) = self.machines.get_mut(&idx) else { return };
         let mut stops = false;
         for (k, t) in m.tasks.iter_mut().filter(|(_, t)| t.stop.is_none() && !t.over()) {
-            if horizons.is_over(k.0) && holds(Guard::StopOver) {
+            if horizons.is_terminal(k.0) && holds(Guard::StopOver) {
                 t.stop = Some(StopRequest { grace_s: 0.0, since: now });
                 stops = true;
             }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, Negotiation, Shard, Timestamp, TypeIdx, ZoneIdx};
 use crate::machine::Machine;
-use crate::names::{older, Names, Resources};
+use crate::names::{created_no_later_than, Names, Resources};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, Shape as WireShape, ShardMessage};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
@@ -28,7 +28,7 @@
 pub(super) fn fits_of(names: &Names, shape: &WireShape, urgent: bool) -> EligibilityTable {
     let need = Resources::of(shape);
     let fit = |t: TypeIdx, spot: bool| {
-        let whole = names.room_of_type(t);
+        let whole = names.resources_of_type(t);
         Eligibility {
             allowed: names.allows(shape, t, spot) && whole.fits(need) > 0,
             dear: shape.gpu == 0 && whole.gpu > 0 && !names.affordable(shape, t, spot, urgent),
@@ -81,7 +81,7 @@
         job: JobId,
         rank: Option<Rank>,
     ) -> Option<Resources> {
-        let mut free = names.room_of_type(m.kind?);
+        let mut free = names.resources_of_type(m.kind?);
         free.sub(m.used()?, 1);
         free.add(more, 1);
         for h in self.held(idx) {
@@ -122,7 +122,7 @@
             let gpu_work = || w.shape.kind != Kind::Service && m.has_gpu_work();
             let own = || {
                 let name = ctx.names.machine_name(idx);
-                self.base.as_ref().is_some_and(|b| older(name, b))
+                self.base.as_ref().is_some_and(|b| created_no_later_than(name, b))
             };
             fit.dear && !gpu_work() && !own()
         };
@@ -144,9 +144,10 @@
         &'a self,
         names: &'a Names,
     ) -> impl Iterator<Item = (MachineIdx, &'a Machine, Group, Resources)> {
-        let with_gpus = self.capacity_index.groups().filter(|g| names.room_of_type(g.0).gpu > 0);
+        let with_gpus =
+            self.capacity_index.groups().filter(|g| names.resources_of_type(g.0).gpu > 0);
         with_gpus.flat_map(move |g| {
-            let whole = names.room_of_type(g.0);
+            let whole = names.resources_of_type(g.0);
             self.capacity_index.with_free(g, 0).filter_map(move |idx| {
                 let m = self.machines.get(&idx)?;
                 Some((idx, m, g, self.lasting_room(idx, m, whole)))
@@ -191,7 +192,7 @@
             let share = (tasks as usize).div_ceil(shards);
             let mut machines: Vec<(u64, MachineIdx)> = Vec::new();
             for g in self.capacity_index.groups().filter(|g| g.1 == zone) {
-                let whole = ctx.names.room_of_type(g.0);
+                let whole = ctx.names.resources_of_type(g.0);
                 if whole.gpu == 0 || self.gang_queue.needs(g, priority).next().is_none() {
                     continue;
                 }
@@ -284,7 +285,7 @@
                 {
                     continue;
                 }
-                let whole = ctx.names.room_of_type(kind);
+                let whole = ctx.names.resources_of_type(kind);
                 let gpu_waste = shape.need.gpu == 0 && whole.gpu > 0;
                 // Machines that GPU work of any kind may use are the last resort.
                 let gpu_waste = u8::from(gpu_waste) + u8::from(gpu_waste && !spot);
@@ -293,7 +294,7 @@
                     continue;
                 }
                 // Of machines without the image, those that have it sooner, in steps of 4 s.
-                let fetch_s = ctx.names.fetch_s(kind, w.shape.image_gb);
+                let fetch_s = ctx.names.image_fetch_s(kind, w.shape.image_gb);
                 let far = ((fetch_s / 4.0) as u32).saturating_add(1);
                 // Of each group as many as could be taken, those with the image first.
                 let mut enough = u64::from(w.count);
@@ -358,7 +359,7 @@
                     job: JobId(w.job),
                     need: shape.need,
                     count: u64::from(count),
-                    lasting: shape.lasting(),
+                    lasting: shape.is_long_running(),
                 });
                 offers.push(Offer {
                     item: i as u16,
--- a/crates/core/src/participant/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -113,7 +113,7 @@
         let (kind, zone, spot) = g;
         fit(seek.fits, kind, spot).is_some_and(|f| f.allowed)
             && seek.zones.get(zone.0 as usize).is_some_and(|&r| r > 0)
-            && (seek.gpus || ctx.names.room_of_type(kind).gpu == 0)
+            && (seek.gpus || ctx.names.resources_of_type(kind).gpu == 0)
             && !seek.behind(&self.gang_queue, g)
     }
 
@@ -146,7 +146,7 @@
         if (!enough && !waits) || !self.usable(ctx, idx, m, w, fits) {
             return None;
         }
-        let whole = ctx.names.room_of_type(kind);
+        let whole = ctx.names.resources_of_type(kind);
         // Set aside for work that waits for it: not taken from under it.
         if self.reservations.on(idx).iter().any(|c| c.patient && c.bars(job, rank)) {
             return None;
@@ -200,7 +200,7 @@
         };
         let far = !m.has_image(shape.image);
         // Waiting for the image, too, is lost time.
-        let fetch_s = if far { ctx.names.fetch_s(kind, w.shape.image_gb) } else { 0.0 };
+        let fetch_s = if far { ctx.names.image_fetch_s(kind, w.shape.image_gb) } else { 0.0 };
         Some(((loss + (fetch_s * 3.0) as u64 * shape.need.cpu, far), keys))
     }
 
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -282,7 +282,7 @@
             p.report(c, &report("n-000001", 1), None);
         });
         if over {
-            w.horizons.cancelled(Shard(0), EPOCH, JobId(7), 1050);
+            w.horizons.on_cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -2,7 +2,7 @@
 use crate::context::{Context, Operation, ProvisionerOperation};
 use crate::ids::{Epoch, Shard, Timestamp, TypeIdx, ZoneIdx, PROVISIONER_SHARD};
 use crate::io::{CloudCall, CloudResult};
-use crate::names::{older, Resources};
+use crate::names::{created_no_later_than, Resources};
 use leaddeal_wire::cloud::{Instance, InstanceRequest, InstanceStatus};
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage, UnmetDemand};
 use leaddeal_wire::user::{Kind, Priority};
@@ -107,7 +107,7 @@
 impl PendingInstance {
     fn of(ctx: &Context, b: &Booting) -> Option<PendingInstance> {
         let kind = ctx.names.type_idx(&b.type_name)?;
-        let (room, zone) = (ctx.names.room_of_type(kind), ctx.names.zone(&b.zone));
+        let (room, zone) = (ctx.names.resources_of_type(kind), ctx.names.zone(&b.zone));
         Some(PendingInstance { kind, zone, spot: b.spot, room })
     }
 
@@ -201,7 +201,7 @@
     }
 
     fn is_base(&self, machine: &str) -> bool {
-        self.base.as_ref().is_some_and(|b| older(machine, b))
+        self.base.as_ref().is_some_and(|b| created_no_later_than(machine, b))
     }
 }
 
@@ -559,7 +559,7 @@
         let mut best: Option<(f64, InstanceRequest)> = None;
         for (i, t) in ctx.names.catalog.iter().enumerate() {
             let idx = crate::ids::TypeIdx(i as u8);
-            let fits = ctx.names.room_of_type(idx).fits(need);
+            let fits = ctx.names.resources_of_type(idx).fits(need);
             if fits == 0 {
                 continue;
             }
