--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -70,13 +70,13 @@
     /// An owner with an uncertain lease that is believed though an earlier process of this node may
     /// have been a newer owner.
     HorizonFloor,
-    /// Cancellations of a live owner that are not received from anywhere else.
+    /// Cancellations by a reachable owner that stay unknown here.
     BeatsName,
-    /// Cancellations of a silent owner that are not received at all.
+    /// Cancellations by a silent owner that stay unknown here.
     SilentFinals,
-    /// Terminal states from just before an owner fell silent that are missed.
+    /// Terminal states from just before an owner fell silent that stay unknown here.
     FinalsBack,
-    /// A machine that is gone but kept alive by copies of its heartbeats.
+    /// A machine that is gone but counts as alive because of late copies of its heartbeats.
     Waits,
     /// A worker's status that is older than what is known, but taken in.
     NewestReport,
@@ -91,7 +91,7 @@
     SessionLease,
     /// A silent machine that is declared lost while an older owner may still answer it.
     Patience,
-    /// The same, because not all other nodes have stated that they know this node's epoch.
+    /// The same, though not all other nodes have stated that they know this owner's epoch.
     AllKnow,
     /// An owner that learns of a newer one from a heartbeat and acts on.
     BeatEnds,
@@ -114,7 +114,7 @@
     Risky,
     /// The same while the start command is in flight.
     ForgetLater,
-    /// A task of an older epoch that is started again though it runs.
+    /// A task that was placed under an older epoch and is started again.
     Adopted,
     /// A job that is called done before its last task is.
     AllDone,
@@ -134,7 +134,7 @@
     GrantEpoch,
     /// A decision that places more than its quota grant.
     GrantKept,
-    /// More tasks in a zone than the job allows, with those counted that are not known to be gone.
+    /// More tasks in a zone than its job allows, if those not known to be gone are counted.
     ZoneCounted,
     /// More tasks of a single-zone job while it may already be in two zones.
     OneZone,
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -181,7 +181,7 @@
     Nothing,
     /// A process that has not read the store vouches for those of its node before.
     Restarts,
-    /// A controller that is heard is taken to know all, as before there were horizons.
+    /// A controller that is heard_at is taken to know all, as before there were horizons.
     Silence,
 }
 
@@ -194,14 +194,14 @@
 }
 
 struct Node {
-    up_at: u64,
+    up_from_step: u64,
     boot: u64,
-    h: Horizons,
+    horizons: Horizons,
     view: Vec<ShardView>,
     lease: Lease,
     lease_id: u64,
-    owns: [Option<Epoch>; NODES],
-    heard: [Timestamp; NODES],
+    owned_epochs: [Option<Epoch>; NODES],
+    heard_at: [Timestamp; NODES],
 }
 
 #[derive(Clone, Copy)]
@@ -219,31 +219,32 @@
     nodes: Vec<Node>,
     revision: u64,
     keys: [Option<Key>; NODES],
-    /// When a key was there last.
-    vacated: [Timestamp; NODES],
-    /// Leases of the store, by number: until when.
+    /// When a key was last there.
+    last_owned_at: [Timestamp; NODES],
+    /// When the leases of the store end, by number.
     leases: Vec<Timestamp>,
-    is_final: bool,
-    pending: Option<(u64, u64)>,
-    told: Option<Timestamp>,
-    /// The worker: where it reports, its token, since when its lease runs; whether the task is on it.
-    at: usize,
+    is_terminal_in_store: bool,
+    late_write: Option<(u64, u64)>,
+    acknowledged_at: Option<Timestamp>,
+    /// The worker: the controller that it sends heartbeats to, the newest fencing token that it saw, when
+    /// its lease was last granted, and whether the task is on it.
+    worker_at: usize,
     token: u64,
-    granted: Timestamp,
-    on: bool,
+    lease_granted_at: Timestamp,
+    task_on_machine: bool,
 }
 
 impl World {
     fn new(faults: Vec<(u64, Fault)>, bug: SeededBug) -> World {
         let node = |n: u8| Node {
-            up_at: 0,
+            up_from_step: 0,
             boot: u64::from(n) + 1,
-            h: horizons(n),
+            horizons: horizons(n),
             view: views(),
             lease: Lease::default(),
             lease_id: 0,
-            owns: [None; NODES],
-            heard: [0; NODES],
+            owned_epochs: [None; NODES],
+            heard_at: [0; NODES],
         };
         World {
             now: 100_000,
@@ -252,15 +253,15 @@
             nodes: (0..NODES as u8).map(node).collect(),
             revision: 10,
             keys: [None; NODES],
-            vacated: [100_000; NODES],
+            last_owned_at: [100_000; NODES],
             leases: Vec::new(),
-            is_final: false,
-            pending: None,
-            told: None,
-            at: 0,
+            is_terminal_in_store: false,
+            late_write: None,
+            acknowledged_at: None,
+            worker_at: 0,
             token: 0,
-            granted: 100_000,
-            on: true,
+            lease_granted_at: 100_000,
+            task_on_machine: true,
         }
     }
 
@@ -268,37 +269,37 @@
         (self.now - 100_000) / STEP_MS
     }
 
-    fn during(&self, for_steps: u64, at: u64) -> bool {
+    fn is_active(&self, for_steps: u64, at: u64) -> bool {
         (at..at + for_steps).contains(&self.step_no())
     }
 
-    fn outage(&self) -> bool {
-        self.faults.iter().any(|t| matches!(t.1, Fault::Outage(n) if self.during(n, t.0)))
+    fn store_is_down(&self) -> bool {
+        self.faults.iter().any(|t| matches!(t.1, Fault::Outage(n) if self.is_active(n, t.0)))
     }
 
-    fn stored(&self, n: usize) -> bool {
+    fn reaches_store(&self, n: usize) -> bool {
         let off = |t: &(u64, Fault)| match t.1 {
-            Fault::Refuse(k) => k == n && self.during(9, t.0),
-            Fault::Isolated(k) => k == n && self.during(16, t.0),
+            Fault::Refuse(k) => k == n && self.is_active(9, t.0),
+            Fault::Isolated(k) => k == n && self.is_active(16, t.0),
             _ => false,
         };
-        !self.outage() && !self.faults.iter().any(off)
+        !self.store_is_down() && !self.faults.iter().any(off)
     }
 
-    fn linked(&self, a: usize, b: usize) -> bool {
+    fn are_linked(&self, a: usize, b: usize) -> bool {
         let off = |t: &(u64, Fault)| match t.1 {
-            Fault::LinkDown(x, y) => [(a, b), (b, a)].contains(&(x, y)) && self.during(12, t.0),
-            Fault::Isolated(k) => (k == a || k == b) && self.during(16, t.0),
+            Fault::LinkDown(x, y) => [(a, b), (b, a)].contains(&(x, y)) && self.is_active(12, t.0),
+            Fault::Isolated(k) => (k == a || k == b) && self.is_active(16, t.0),
             _ => false,
         };
         !self.faults.iter().any(off)
     }
 
-    fn up(&self, n: usize) -> bool {
-        self.step_no() >= self.nodes[n].up_at
+    fn is_up(&self, n: usize) -> bool {
+        self.step_no() >= self.nodes[n].up_from_step
     }
 
-    fn crashes(&mut self) {
+    fn apply_crashes(&mut self) {
         let step = self.step_no();
         for (at, t) in self.faults.clone() {
             let Fault::Crash(n, back) = t else { continue };
@@ -306,29 +307,37 @@
                 continue;
             }
             let boot = self.nodes[n].boot + 10;
-            let h = Horizons { boot, ..horizons(n as u8) };
+            let horizons = Horizons { boot, ..horizons(n as u8) };
             let (view, lease) = (views(), Lease::default());
-            let (owns, heard) = ([None; NODES], [0; NODES]);
-            self.nodes[n] =
-                Node { up_at: step + back, boot, h, view, lease, lease_id: 0, owns, heard };
+            let (owned_epochs, heard_at) = ([None; NODES], [0; NODES]);
+            self.nodes[n] = Node {
+                up_from_step: step + back,
+                boot,
+                horizons,
+                view,
+                lease,
+                lease_id: 0,
+                owned_epochs,
+                heard_at,
+            };
             if self.bug == SeededBug::Restarts {
                 for s in 0..NODES as u8 {
-                    self.nodes[n].h.on_shard_key_read(Shard(s), 0);
+                    self.nodes[n].horizons.on_shard_key_read(Shard(s), 0);
                 }
             }
         }
     }
 
-    /// Lease, keys, and what is vacant.
-    fn keep_shards(&mut self, n: usize) {
-        if !self.stored(n) {
+    /// Renews the lease, reads the keys of the shards, and acquires those that are vacant.
+    fn renew_and_acquire(&mut self, n: usize) {
+        if !self.reaches_store(n) {
             return;
         }
         let now = self.now;
         let node = &mut self.nodes[n];
         let live = node.lease.id.is_some() && self.leases[node.lease_id as usize] > now;
         if !live {
-            node.owns = [None; NODES];
+            node.owned_epochs = [None; NODES];
             self.leases.push(now + LEASE_MS);
             node.lease_id = self.leases.len() as u64 - 1;
             node.lease = Lease { id: Some(node.lease_id), renewed: now, ..Lease::default() };
@@ -341,81 +350,84 @@
                 Some(k) => {
                     let owner =
                         Owner { node: NodeIdx(k.node as u8), boot: k.boot, epoch: Epoch(k.epoch) };
-                    node.h.on_shard_key_read(shard, k.epoch);
+                    node.horizons.on_shard_key_read(shard, k.epoch);
                     node.view[s].own(owner, now);
                     if (k.node, k.boot) != (n, node.boot) {
-                        node.owns[s] = None;
+                        node.owned_epochs[s] = None;
                     }
                 }
                 None => {
-                    node.h.on_shard_key_read(shard, self.revision);
+                    node.horizons.on_shard_key_read(shard, self.revision);
                     node.view[s].vacate(self.revision, now);
-                    node.owns[s] = None;
+                    node.owned_epochs[s] = None;
                 }
             }
             let before = self.keys[s].is_some_and(|k| k.node == n && k.boot != node.boot);
-            // The third takes what is vacant at once, before the others have seen that it is.
-            let waited = now > self.vacated[s] + if n == 2 { 0 } else { STEP_MS };
+            // The third controller acquires a vacant shard at once, before the others have seen that it is.
+            let waited = now > self.last_owned_at[s] + if n == 2 { 0 } else { STEP_MS };
             let home = s == n && now == 100_000;
             if (self.keys[s].is_none() && (home || (waited && now > 100_000))) || before {
                 self.revision += 1;
                 let epoch = self.revision;
                 let key = Key { node: n, boot: node.boot, epoch, lease: node.lease_id };
                 self.keys[s] = Some(key);
-                node.owns[s] = Some(Epoch(epoch));
-                node.h.on_shard_acquired(shard);
+                node.owned_epochs[s] = Some(Epoch(epoch));
+                node.horizons.on_shard_acquired(shard);
                 let owner = Owner { node: NodeIdx(n as u8), boot: node.boot, epoch: Epoch(epoch) };
                 node.view[s].own(owner, now);
-                if shard == JOBS && self.is_final {
-                    node.h.on_cancelled(shard, Epoch(epoch), JOB, now);
+                if shard == JOBS && self.is_terminal_in_store {
+                    node.horizons.on_cancelled(shard, Epoch(epoch), JOB, now);
                 }
             }
         }
     }
 
-    fn mine(&self, n: usize) -> Vec<Option<OwnedShard>> {
+    fn owned_shards(&self, n: usize) -> Vec<Option<OwnedShard>> {
         let node = &self.nodes[n];
         let lease_uncertain_ms = node.lease.in_doubt_ms(self.now);
-        node.owns.iter().map(|e| e.map(|epoch| OwnedShard { epoch, lease_uncertain_ms })).collect()
+        node.owned_epochs
+            .iter()
+            .map(|e| e.map(|epoch| OwnedShard { epoch, lease_uncertain_ms }))
+            .collect()
     }
 
-    fn beats(&mut self) {
+    fn exchange_heartbeats(&mut self) {
         for a in 0..NODES {
             for b in 0..NODES {
-                if a == b || !self.up(a) || !self.up(b) || !self.linked(a, b) {
+                if a == b || !self.is_up(a) || !self.is_up(b) || !self.are_linked(a, b) {
                     continue;
                 }
-                let (now, mine) = (self.now, self.mine(a));
+                let (now, mine) = (self.now, self.owned_shards(a));
                 let from = &self.nodes[a];
                 let mut beat = NodeHeartbeat::default();
-                from.h.add_to_heartbeat(NodeIdx(b as u8), &mine, &from.view, now, &mut beat);
+                from.horizons.add_to_heartbeat(NodeIdx(b as u8), &mine, &from.view, now, &mut beat);
                 let last = from.view.iter().enumerate();
                 let known: Vec<(usize, Owner)> =
                     last.filter_map(|(s, v)| Some((s, v.last?))).collect();
                 let to = &mut self.nodes[b];
-                to.heard[a] = now;
+                to.heard_at[a] = now;
                 for (s, o) in known {
                     if o.node.0 as usize != b && to.view[s].claimed(Owner { boot: 0, ..o }, now) {
-                        to.owns[s] = None;
+                        to.owned_epochs[s] = None;
                     }
                 }
-                to.h.on_heartbeat(NodeIdx(a as u8), &beat, &to.view, now);
+                to.horizons.on_heartbeat(NodeIdx(a as u8), &beat, &to.view, now);
             }
         }
     }
 
-    fn cancels(&mut self, c: Cancel) {
+    fn cancel_job(&mut self, c: Cancel) {
         let step = self.step_no();
-        if let Some((_, epoch)) = self.pending.filter(|p| step >= p.0) {
+        if let Some((_, epoch)) = self.late_write.filter(|p| step >= p.0) {
             let fenced = self.keys[JOBS.0 as usize].is_none_or(|k| k.epoch != epoch);
-            if !self.outage() {
-                self.is_final |= !fenced;
-                self.pending = None;
+            if !self.store_is_down() {
+                self.is_terminal_in_store |= !fenced;
+                self.late_write = None;
             }
         }
-        let reads = (0..NODES).any(|n| self.up(n) && self.stored(n));
-        if self.is_final && self.told.is_none() && reads {
-            self.told = Some(self.now);
+        let reads = (0..NODES).any(|n| self.is_up(n) && self.reaches_store(n));
+        if self.is_terminal_in_store && self.acknowledged_at.is_none() && reads {
+            self.acknowledged_at = Some(self.now);
         }
         if step != c.at {
             return;
@@ -423,43 +435,46 @@
         let Some(key) = self.keys[JOBS.0 as usize] else { return };
         let n = key.node;
         let node = &mut self.nodes[n];
-        let acts = node.owns[JOBS.0 as usize] == Some(Epoch(key.epoch));
+        let acts = node.owned_epochs[JOBS.0 as usize] == Some(Epoch(key.epoch));
         if !acts || !node.lease.valid(self.now) {
             return;
         }
-        node.h.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
+        node.horizons.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
         if c.late {
-            self.pending = Some((step + 3, key.epoch));
-        } else if self.stored(n) && self.up(n) {
-            self.is_final = true;
-            self.told = Some(self.now);
+            self.late_write = Some((step + 3, key.epoch));
+        } else if self.reaches_store(n) && self.is_up(n) {
+            self.is_terminal_in_store = true;
+            self.acknowledged_at = Some(self.now);
         }
     }
 
-    fn worker(&mut self) {
-        let (now, n) = (self.now, self.at);
-        let up = self.up(n);
+    fn worker_heartbeat(&mut self) {
+        let (now, n) = (self.now, self.worker_at);
+        let up = self.is_up(n);
         let node = &self.nodes[n];
-        let all = (0..NODES).all(|k| k == n || now < node.heard[k] + 3000);
+        let all = (0..NODES).all(|k| k == n || now < node.heard_at[k] + 3000);
         let may = match self.bug {
             SeededBug::Silence => all && now < node.lease.renewed + 45_000,
-            _ => node.h.permits_answer(MACHINES, now) && node.h.permits_answer(JOBS, now),
+            _ => {
+                node.horizons.permits_answer(MACHINES, now)
+                    && node.horizons.permits_answer(JOBS, now)
+            }
         };
-        let epoch = node.owns[MACHINES.0 as usize].filter(|e| e.0 >= self.token);
+        let epoch = node.owned_epochs[MACHINES.0 as usize].filter(|e| e.0 >= self.token);
         match epoch.filter(|_| up && may) {
             Some(e) => {
-                (self.token, self.granted) = (e.0, now);
-                self.on &= !node.h.is_terminal(JOB);
+                (self.token, self.lease_granted_at) = (e.0, now);
+                self.task_on_machine &= !node.horizons.is_terminal(JOB);
             }
-            None => self.at = (n + 1) % NODES,
+            None => self.worker_at = (n + 1) % NODES,
         }
     }
 
     /// Runs the history; false: the task was on its machine for too long.
-    fn keeps_the_rule(&mut self, cancel: Cancel) -> bool {
+    fn holds_the_rule(&mut self, cancel: Cancel) -> bool {
         for _ in 0..38 {
             let now = self.now;
-            if !self.outage() {
+            if !self.store_is_down() {
                 // Leases ran out at their time, and none while the store was down.
                 for k in &mut self.keys {
                     if k.is_some_and(|k| self.leases[k.lease as usize] <= now) {
@@ -469,7 +484,7 @@
                 }
                 for s in 0..NODES {
                     if self.keys[s].is_some() {
-                        self.vacated[s] = now;
+                        self.last_owned_at[s] = now;
                     }
                 }
             } else {
@@ -478,32 +493,39 @@
                 }
             }
             for n in 0..NODES {
-                if self.up(n) {
-                    self.keep_shards(n);
-                    let mine = self.mine(n);
-                    let (stored, is_final) = (self.stored(n), self.is_final);
+                if self.is_up(n) {
+                    self.renew_and_acquire(n);
+                    let mine = self.owned_shards(n);
+                    let (stored, is_terminal_in_store) =
+                        (self.reaches_store(n), self.is_terminal_in_store);
                     let node = &mut self.nodes[n];
-                    node.h.advance(&mine, &node.view, now);
+                    node.horizons.advance(&mine, &node.view, now);
                     for s in (0..NODES as u8).map(Shard) {
-                        if stored && node.h.read_store_from(s, 0, now).is_some() {
-                            node.h.on_stored_terminal((s == JOBS && is_final).then_some(JOB), now);
-                            node.h.on_store_read(s, now);
+                        if stored && node.horizons.read_store_from(s, 0, now).is_some() {
+                            node.horizons.on_stored_terminal(
+                                (s == JOBS && is_terminal_in_store).then_some(JOB),
+                                now,
+                            );
+                            node.horizons.on_store_read(s, now);
                         }
                     }
                 }
             }
-            self.cancels(cancel);
-            // Right after it told the user, it may be.
-            self.crashes();
-            self.beats();
+            self.cancel_job(cancel);
+            // A crash may come right after the acknowledgement.
+            self.apply_crashes();
+            self.exchange_heartbeats();
             for n in 0..NODES {
-                let mine = self.mine(n);
+                let mine = self.owned_shards(n);
                 let node = &mut self.nodes[n];
-                node.h.advance(&mine, &node.view, now);
+                node.horizons.advance(&mine, &node.view, now);
             }
-            self.worker();
-            let lives = now <= self.granted + WORKER_LEASE_MS;
-            if self.told.is_some_and(|t| self.on && lives && now > t + CANCEL_MS) {
+            self.worker_heartbeat();
+            let lives = now <= self.lease_granted_at + WORKER_LEASE_MS;
+            if self
+                .acknowledged_at
+                .is_some_and(|t| self.task_on_machine && lives && now > t + CANCEL_MS)
+            {
                 return false;
             }
             self.now += STEP_MS;
@@ -514,16 +536,16 @@
 
 /// All histories of up to `depth` faults at these steps. Returns their number, and one that broke the
 /// rule.
-fn search(depth: usize, moments: &[u64], bug: SeededBug) -> (u64, Option<String>) {
-    let all: Vec<(u64, Fault)> = moments.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
-    let mut played = 0;
+fn search(depth: usize, steps: &[u64], bug: SeededBug) -> (u64, Option<String>) {
+    let all: Vec<(u64, Fault)> = steps.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
+    let mut histories = 0;
     let mut open: Vec<(usize, Vec<(u64, Fault)>)> = vec![(0, Vec::new())];
     while let Some((from, faults)) = open.pop() {
         for late in [false, true] {
             let cancel = Cancel { at: 6, late };
-            played += 1;
-            if !World::new(faults.clone(), bug).keeps_the_rule(cancel) {
-                return (played, Some(format!("{cancel:?} {faults:?}")));
+            histories += 1;
+            if !World::new(faults.clone(), bug).holds_the_rule(cancel) {
+                return (histories, Some(format!("{cancel:?} {faults:?}")));
             }
         }
         if faults.len() < depth {
@@ -533,7 +555,7 @@
             }
         }
     }
-    (played, None)
+    (histories, None)
 }
 
 #[test]
@@ -554,12 +576,15 @@
     }
 }
 
-/// The search would say nothing if no task lived on where it may.
+/// The search would prove nothing if tasks ended that may run on.
 #[test]
 fn a_task_that_is_not_cancelled_outlives_an_outage() {
-    let mut w = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
-    assert!(w.keeps_the_rule(Cancel { at: 999, late: false }));
-    assert!(w.on && w.granted + 2 * STEP_MS > w.now, "its worker was let go");
+    let mut world = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
+    assert!(world.holds_the_rule(Cancel { at: 999, late: false }));
+    assert!(
+        world.task_on_machine && world.lease_granted_at + 2 * STEP_MS > world.now,
+        "its worker got no answers"
+    );
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -416,7 +416,7 @@
             | ShardMessage::Inventory { .. }
             | ShardMessage::Drained { .. } => {
                 if let Some((_, b)) = &mut self.provisioner {
-                    b.handle(&mut c, from, msg);
+                    b.on_message(&mut c, from, msg);
                 }
             }
             ShardMessage::TeamUsage { serial, usage } => {
@@ -573,7 +573,7 @@
                 let mut c = ctx!(self, effects);
                 if let Some((e, b)) = &mut self.provisioner {
                     if *e == epoch {
-                        b.cloud(&mut c, what, result);
+                        b.on_cloud_result(&mut c, what, result);
                     }
                 }
             }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -191,14 +191,14 @@
                     }
                     _ => {
                         if let Some((_, b)) = &mut self.provisioner {
-                            b.set_base(None);
+                            b.on_operator_machines_read(None);
                         }
                     }
                 }
             }
             Operation::BaseGet => {
                 if let Some((_, b)) = &mut self.provisioner {
-                    b.set_base(match result {
+                    b.on_operator_machines_read(match result {
                         StoreResult::Item(Some(i)) => {
                             let r = OperatorMachinesRecord::decode(&i.value);
                             r.ok().map(|r| r.0.to_string())
--- a/crates/core/src/provisioner/boot_times.rs
+++ b/crates/core/src/provisioner/boot_times.rs
@@ -1,69 +1,92 @@
-//! How long machines take to come up, by type and zone: learned from those that did.
+//! How long machines take to boot, by type and zone: learned from those that did.
 //!
-//! Three questions are kept apart. Until `counts_ms` a machine that boots counts as room to come;
-//! after that the room is asked for again, elsewhere if there is a choice, though the machine is not
-//! given up. Only after `given_up_ms` is it returned: where boots have become slow, those that are
-//! asked for in its place would take as long.
+//! Two limits are kept apart. Until [`BootTimes::expected_ms`] a booting machine counts as capacity
+//! to come; after that the capacity is requested again, elsewhere if there is a choice, though the
+//! machine is not given up. Only after [`BootTimes::give_up_ms`] is it released: where boots have
+//! become slow, its replacement would take as long.
 //!
-//! Invariants: what is given up was no room before; nobody is given up sooner than after three times
-//! the catalog's time, or twice the longest boot seen lately, whichever is longer.
+//! Invariants: a machine that is given up did not count as capacity any more; none is given up sooner
+//! than after three times the catalog's boot time, or twice the longest recent boot, whichever is
+//! longer.
 //!
 //! (From the operators' letter: new machines came up late or never. A machine that never came up was
-//! counted as room for three times its boot time, and what waited for it was asked for nowhere else.)
+//! counted as capacity for three times its boot time, and what waited for it was requested nowhere
+//! else.)
 use crate::ids::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Boots remembered of each type and zone, and for how long.
-const REMEMBERED: usize = 12;
-const LATELY_MS: u64 = 600_000;
-/// Late ones at the same time by which a type is taken to be in trouble in a zone.
-const TROUBLE: usize = 2;
+/// Boots remembered of each type and zone.
+const MAX_BOOTS_REMEMBERED: usize = 12;
+/// For how long a boot is remembered.
+const BOOT_KEEP_MS: u64 = 600_000;
+/// Overdue machines at the same time by which boots of a type count as failing in a zone.
+const OVERDUE_TO_COUNT_AS_FAILING: usize = 2;
+/// Beyond the multiple of the catalog's boot time, by which a boot is expected.
+const EXPECTED_MARGIN_MS: u64 = 2000;
+/// Beyond the multiple of the catalog's boot time, after which a boot is given up.
+const GIVE_UP_MARGIN_MS: u64 = 10_000;
 
-/// A type and a zone by their names.
-pub type BootLocation = (String, String);
+/// What boot times are kept by. The order of the fields is the order of iteration.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct BootLocation {
+    pub(super) type_name: String,
+    pub(super) zone: String,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Boot {
+    ended_at: Timestamp,
+    took_ms: u64,
+}
 
+/// Recent boot times, and where boots fail at present.
 #[derive(Debug, Default)]
-pub struct BootTimes {
-    /// When each came up, and how long it took.
-    seen: BTreeMap<BootLocation, VecDeque<(Timestamp, u64)>>,
-    late: BTreeMap<BootLocation, usize>,
+pub(super) struct BootTimes {
+    recent: BTreeMap<BootLocation, VecDeque<Boot>>,
+    /// Number of machines whose boot is overdue.
+    overdue: BTreeMap<BootLocation, usize>,
 }
 
 impl BootTimes {
-    pub fn came_up(&mut self, at: &BootLocation, now: Timestamp, took_ms: u64) {
-        let seen = self.seen.entry(at.clone()).or_default();
-        seen.retain(|s| now < s.0 + LATELY_MS);
-        seen.push_back((now, took_ms));
-        if seen.len() > REMEMBERED {
-            seen.pop_front();
+    /// Records a machine that came up.
+    pub(super) fn on_boot(&mut self, location: &BootLocation, now: Timestamp, took_ms: u64) {
+        let recent = self.recent.entry(location.clone()).or_default();
+        recent.retain(|boot| now < boot.ended_at + BOOT_KEEP_MS);
+        recent.push_back(Boot { ended_at: now, took_ms });
+        if recent.len() > MAX_BOOTS_REMEMBERED {
+            recent.pop_front();
         }
     }
 
-    fn longest(&self, at: &BootLocation) -> u64 {
-        self.seen.get(at).into_iter().flatten().map(|s| s.1).max().unwrap_or(0)
+    fn longest_ms(&self, location: &BootLocation) -> u64 {
+        let recent = self.recent.get(location).into_iter().flatten();
+        recent.map(|boot| boot.took_ms).max().unwrap_or(0)
     }
 
-    /// So long a machine that boots counts as room to come; `said_ms`: the catalog's boot time.
-    pub fn counts_ms(&self, at: &BootLocation, said_ms: u64) -> u64 {
-        (said_ms * 8 / 5 + 2000).max(self.longest(at) * 5 / 4)
+    /// For how many milliseconds a booting machine counts as capacity to come. `catalog_ms`: the boot
+    /// time that the catalog states.
+    pub(super) fn expected_ms(&self, location: &BootLocation, catalog_ms: u64) -> u64 {
+        (catalog_ms * 8 / 5 + EXPECTED_MARGIN_MS).max(self.longest_ms(location) * 5 / 4)
     }
 
-    /// After so long it is returned.
-    pub fn given_up_ms(&self, at: &BootLocation, said_ms: u64) -> u64 {
-        (said_ms * 3 + 10_000).max(self.longest(at) * 2)
+    /// After how many milliseconds a booting machine is released. `catalog_ms`: the boot time that
+    /// the catalog states.
+    pub(super) fn give_up_ms(&self, location: &BootLocation, catalog_ms: u64) -> u64 {
+        (catalog_ms * 3 + GIVE_UP_MARGIN_MS).max(self.longest_ms(location) * 2)
     }
 
-    /// The machines of which none counts as room any more, by where they boot.
-    pub fn set_late(&mut self, late: impl Iterator<Item = BootLocation>) {
-        self.late.clear();
-        for at in late {
-            *self.late.entry(at).or_default() += 1;
+    /// Sets the machines that do not count as capacity any more, by where they boot.
+    pub(super) fn set_overdue(&mut self, overdue: impl Iterator<Item = BootLocation>) {
+        self.overdue.clear();
+        for location in overdue {
+            *self.overdue.entry(location).or_default() += 1;
         }
     }
 
-    /// Several are late there now: it is tried again once they came up or were returned.
-    pub fn in_trouble(&self, at: &BootLocation) -> bool {
-        self.late.get(at).is_some_and(|n| *n >= TROUBLE)
+    /// Whether several boots are overdue there now. It counts as any other place again once they
+    /// came up or were released.
+    pub(super) fn is_failing(&self, location: &BootLocation) -> bool {
+        self.overdue.get(location).is_some_and(|count| *count >= OVERDUE_TO_COUNT_AS_FAILING)
     }
 }
 
--- a/crates/core/src/provisioner/boot_times/tests.rs
+++ b/crates/core/src/provisioner/boot_times/tests.rs
@@ -1,34 +1,40 @@
 use super::*;
 
 fn at(zone: &str) -> BootLocation {
-    ("mule".into(), zone.into())
+    BootLocation { type_name: "mule".into(), zone: zone.into() }
 }
 
 #[test]
-fn slow_boots_are_waited_for_where_they_were_seen() {
-    let mut b = BootTimes::default();
-    let (a, said) = (at("a"), 25_000);
-    assert_eq!((b.counts_ms(&a, said), b.given_up_ms(&a, said)), (42_000, 85_000));
+fn slow_boots_are_awaited_where_they_were_observed() {
+    let mut boot_times = BootTimes::default();
+    let (zone_a, catalog_ms) = (at("a"), 25_000);
+    assert_eq!(
+        (boot_times.expected_ms(&zone_a, catalog_ms), boot_times.give_up_ms(&zone_a, catalog_ms)),
+        (42_000, 85_000)
+    );
     for ms in [400, 700, 600] {
-        b.came_up(&a, 1000, ms);
+        boot_times.on_boot(&zone_a, 1000, ms);
     }
-    assert_eq!(b.counts_ms(&a, said), 42_000, "fast ones make nobody impatient");
-    b.came_up(&a, 2000, 100_000);
-    assert_eq!((b.counts_ms(&a, said), b.given_up_ms(&a, said)), (125_000, 200_000));
-    assert_eq!(b.counts_ms(&at("b"), said), 42_000, "another zone's are its own");
-    b.came_up(&a, 2000 + LATELY_MS, 30_000);
-    assert_eq!(b.counts_ms(&a, said), 42_000, "and the trouble is forgotten");
+    assert_eq!(boot_times.expected_ms(&zone_a, catalog_ms), 42_000, "fast boots do not shorten it");
+    boot_times.on_boot(&zone_a, 2000, 100_000);
+    assert_eq!(
+        (boot_times.expected_ms(&zone_a, catalog_ms), boot_times.give_up_ms(&zone_a, catalog_ms)),
+        (125_000, 200_000)
+    );
+    assert_eq!(boot_times.expected_ms(&at("b"), catalog_ms), 42_000, "zones are kept apart");
+    boot_times.on_boot(&zone_a, 2000 + BOOT_KEEP_MS, 30_000);
+    assert_eq!(boot_times.expected_ms(&zone_a, catalog_ms), 42_000, "slow boots are forgotten");
     for _ in 0..100 {
-        b.came_up(&a, 700_000, 30_000);
+        boot_times.on_boot(&zone_a, 700_000, 30_000);
     }
-    assert_eq!(b.seen[&a].len(), REMEMBERED);
+    assert_eq!(boot_times.recent[&zone_a].len(), MAX_BOOTS_REMEMBERED);
 }
 
 #[test]
-fn several_late_ones_are_trouble_until_they_came_or_went() {
-    let mut b = BootTimes::default();
-    b.set_late([at("a"), at("b"), at("a")].into_iter());
-    assert!(b.in_trouble(&at("a")) && !b.in_trouble(&at("b")));
-    b.set_late([at("a")].into_iter());
-    assert!(!b.in_trouble(&at("a")), "tried again");
+fn several_overdue_boots_count_as_failing_until_they_end() {
+    let mut boot_times = BootTimes::default();
+    boot_times.set_overdue([at("a"), at("b"), at("a")].into_iter());
+    assert!(boot_times.is_failing(&at("a")) && !boot_times.is_failing(&at("b")));
+    boot_times.set_overdue([at("a")].into_iter());
+    assert!(!boot_times.is_failing(&at("a")), "one is not several");
 }
--- a/crates/core/src/provisioner/instance_requests.rs
+++ b/crates/core/src/provisioner/instance_requests.rs
@@ -1,12 +1,14 @@
-//! InstanceRequests under way: each named, and repeated under its name until its outcome is known.
+//! Pending instance requests: each has a name, and is repeated under its name until its outcome is
+//! known.
 //!
 //! Invariants:
-//! - a name is used for one request only: it contains the provisioner's epoch, and a number that grows;
-//! - a request whose outcome is unknown is never dropped, only repeated to the letter; one that was
-//!   certainly not executed is dropped, and planned anew under another name;
-//! - no more than `MOST` are under way, and the most urgent are sent first.
+//! - A name is used for one request only: it contains the provisioner's epoch and a number that
+//!   rises.
+//! - A request whose outcome is unknown is never dropped, only repeated unchanged; one that was
+//!   certainly not executed is dropped, and planned again under another name.
+//! - No more than [`MAX_PENDING_REQUESTS`] are pending, and the most urgent are sent first.
 //!
-//! (There was one at a time: from an empty fleet waits grew in step with the fleet, whatever the
+//! (There was one at a time: from an empty fleet, waits grew in step with the fleet, whatever the
 //! cloud allowed.)
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, Timestamp};
@@ -14,105 +16,109 @@
 use leaddeal_wire::cloud::InstanceRequest;
 use std::collections::BTreeMap;
 
-/// Under way at once. The cloud's limit of calls keeps them apart; so many may wait for answers.
-pub const MOST: usize = 24;
-/// The cloud rents no more by one call.
-pub const MOST_A_CALL: u32 = 50;
-const AGAIN_MS: u64 = 1000;
+/// Requests that are pending at once. The cloud's limit of calls spaces them out; this number may
+/// wait for answers.
+const MAX_PENDING_REQUESTS: usize = 24;
+/// The cloud launches no more instances by one call.
+pub(super) const MAX_INSTANCES_PER_REQUEST: u32 = 50;
+const RETRY_INTERVAL_MS: u64 = 1000;
 
 #[derive(Clone, Debug)]
-struct Asked {
-    rent: InstanceRequest,
-    since: Timestamp,
-    /// Its outcome is unknown: the same name is asked again until there is an answer.
-    unsure: bool,
+struct PendingRequest {
+    request: InstanceRequest,
+    requested_at: Timestamp,
+    /// Its outcome is unknown: the same name is requested again until there is an answer.
+    outcome_unknown: bool,
     retry_at: Timestamp,
-    in_flight: bool,
+    call_in_flight: bool,
 }
 
 /// What became of a request.
 #[derive(Debug, PartialEq)]
-pub enum RequestOutcome {
-    /// Rented, perhaps fewer than asked for.
-    Machines(InstanceRequest, Vec<String>),
-    /// There are none to be had.
-    Nothing(InstanceRequest),
+pub(super) enum RequestOutcome {
+    /// These instances were launched, perhaps fewer than requested.
+    Launched { request: InstanceRequest, instances: Vec<String> },
+    /// The cloud has no capacity for it.
+    NoCapacity(InstanceRequest),
     /// Not executed, or not known yet.
-    NotYet,
+    Pending,
 }
 
+/// The requests that were made and whose outcome is not known yet.
 #[derive(Debug, Default)]
-pub struct InstanceRequests {
+pub(super) struct InstanceRequests {
     /// By number, in the order of urgency.
-    asked: BTreeMap<u64, Asked>,
-    next: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    last_number: u64,
 }
 
 impl InstanceRequests {
-    pub fn room(&self) -> usize {
-        MOST.saturating_sub(self.asked.len())
+    /// How many more may be added.
+    pub(super) fn available(&self) -> usize {
+        MAX_PENDING_REQUESTS.saturating_sub(self.pending.len())
     }
 
-    /// Some wait for their turn to be sent.
-    pub fn unsent(&self) -> bool {
-        self.asked.values().any(|a| !a.in_flight && !a.unsure)
+    /// Whether some wait to be sent.
+    pub(super) fn has_unsent(&self) -> bool {
+        self.pending.values().any(|pending| !pending.call_in_flight && !pending.outcome_unknown)
     }
 
-    pub fn add(&mut self, epoch: Epoch, mut rent: InstanceRequest, now: Timestamp) {
-        self.next += 1;
+    /// Adds a request, and names it. The name in `request` is ignored.
+    pub(super) fn add(&mut self, epoch: Epoch, mut request: InstanceRequest, now: Timestamp) {
+        self.last_number += 1;
         // The epoch makes the name one that no other owner ever uses.
-        rent.request = {
-            let of = if holds(Guard::RentalEpoch) { epoch } else { Epoch(0) };
-            format!("r-{}-{}", of.0, self.next)
+        let epoch = if holds(Guard::RentalEpoch) { epoch } else { Epoch(0) };
+        request.request = format!("r-{}-{}", epoch.0, self.last_number);
+        request.count = request.count.clamp(1, MAX_INSTANCES_PER_REQUEST);
+        let pending = PendingRequest {
+            request,
+            requested_at: now,
+            outcome_unknown: false,
+            retry_at: now,
+            call_in_flight: false,
         };
-        rent.count = rent.count.clamp(1, MOST_A_CALL);
-        let new = Asked { rent, since: now, unsure: false, retry_at: now, in_flight: false };
-        self.asked.insert(self.next, new);
+        self.pending.insert(self.last_number, pending);
     }
 
-    /// The next request to be sent, with its number.
-    pub fn send(&mut self, now: Timestamp) -> Option<(u64, InstanceRequest)> {
-        let due = |a: &&mut Asked| !a.in_flight && now >= a.retry_at;
-        let (&number, a) = self.asked.iter_mut().find(|(_, a)| due(a))?;
-        a.in_flight = true;
-        Some((number, a.rent.clone()))
+    /// The next request that is to be sent, with its number, if one is due.
+    pub(super) fn next_to_send(&mut self, now: Timestamp) -> Option<(u64, InstanceRequest)> {
+        let is_due = |pending: &PendingRequest| !pending.call_in_flight && now >= pending.retry_at;
+        let (&number, pending) = self.pending.iter_mut().find(|(_, pending)| is_due(pending))?;
+        pending.call_in_flight = true;
+        Some((number, pending.request.clone()))
     }
 
-    pub fn take(&mut self, now: Timestamp, number: u64, result: CloudResult) -> RequestOutcome {
-        let Some(a) = self.asked.get_mut(&number) else {
-            return RequestOutcome::NotYet;
+    /// Takes the result of sending the request of this number.
+    pub(super) fn on_result(
+        &mut self,
+        now: Timestamp,
+        number: u64,
+        result: CloudResult,
+    ) -> RequestOutcome {
+        let Some(mut pending) = self.pending.remove(&number) else {
+            return RequestOutcome::Pending;
         };
-        a.in_flight = false;
-        let over = match result {
-            CloudResult::Launched(names) => Some(Ok(names)),
-            CloudResult::NoCapacity => Some(Err(())),
-            CloudResult::Refused if !a.unsure => {
-                self.asked.remove(&number);
-                return RequestOutcome::NotYet;
+        match result {
+            CloudResult::Launched(instances) => {
+                return RequestOutcome::Launched { request: pending.request, instances };
             }
-            CloudResult::Refused => None,
+            CloudResult::NoCapacity => return RequestOutcome::NoCapacity(pending.request),
+            CloudResult::Refused if !pending.outcome_unknown => return RequestOutcome::Pending,
+            CloudResult::Refused => {}
             CloudResult::Catalog(_)
             | CloudResult::Released
             | CloudResult::InstanceList(_)
-            | CloudResult::Unknown => {
-                a.unsure = true;
-                None
-            }
-        };
-        match (over, self.asked.remove(&number)) {
-            (Some(Ok(names)), Some(a)) => RequestOutcome::Machines(a.rent, names),
-            (Some(Err(())), Some(a)) => RequestOutcome::Nothing(a.rent),
-            (None, Some(a)) => {
-                self.asked.insert(number, Asked { retry_at: now + AGAIN_MS, ..a });
-                RequestOutcome::NotYet
-            }
-            (_, None) => RequestOutcome::NotYet,
+            | CloudResult::Unknown => pending.outcome_unknown = true,
         }
+        pending.call_in_flight = false;
+        pending.retry_at = now + RETRY_INTERVAL_MS;
+        self.pending.insert(number, pending);
+        RequestOutcome::Pending
     }
 
-    /// What is coming if all of it is rented: counted as room already asked for.
-    pub fn coming(&self) -> impl Iterator<Item = (&InstanceRequest, Timestamp)> {
-        self.asked.values().map(|a| (&a.rent, a.since))
+    /// What is launched if all requests succeed, with when each was made.
+    pub(super) fn pending(&self) -> impl Iterator<Item = (&InstanceRequest, Timestamp)> {
+        self.pending.values().map(|pending| (&pending.request, pending.requested_at))
     }
 }
 
