--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -271,7 +271,7 @@
                         self.state_ok_at = now;
                     }
                     if matches!(result, StoreResult::RateLimited) && kind.writes() {
-                        self.budget.refused(now);
+                        self.budget.on_refusal(now);
                     }
                     self.revision = self.revision.max(match &result {
                         StoreResult::Committed(r) => *r,
@@ -299,14 +299,14 @@
         let doubt_ms = self.lease.in_doubt_ms(now);
         let all = self.owned.iter().map(|o| {
             let o = o.as_ref().filter(|o| o.coordinator.ready() && !o.releasing)?;
-            Some(OwnedShard { epoch: o.epoch, doubt_ms })
+            Some(OwnedShard { epoch: o.epoch, lease_uncertain_ms: doubt_ms })
         });
         all.collect()
     }
 
     /// Stops everywhere here what was learned to be over.
     fn stop_what_is_over(&mut self, effects: &mut Effects) {
-        for job in self.horizons.take_fresh() {
+        for job in self.horizons.take_newly_terminal() {
             for i in 0..self.owned.len() {
                 let mut c = ctx!(self, effects);
                 if let Some(o) = self.owned[i].as_mut().filter(|_| holds(Guard::StopOver)) {
@@ -416,7 +416,7 @@
             | ShardMessage::Inventory { .. }
             | ShardMessage::Drained { .. } => {
                 if let Some((_, b)) = &mut self.provisioner {
-                    b.handle(&mut c, from, msg);
+                    b.on_message(&mut c, from, msg);
                 }
             }
             ShardMessage::TeamUsage { serial, usage } => {
@@ -573,7 +573,7 @@
                 let mut c = ctx!(self, effects);
                 if let Some((e, b)) = &mut self.provisioner {
                     if *e == epoch {
-                        b.cloud(&mut c, what, result);
+                        b.on_cloud_result(&mut c, what, result);
                     }
                 }
             }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -187,18 +187,18 @@
                 let mut c = ctx!(self, effects);
                 match result {
                     StoreResult::Committed(_) | StoreResult::Conflict(_) => {
-                        c.store(Operation::BaseGet, StoreCall::Get { key: keys::BASE.into() });
+                        c.store(Operation::BaseGet, StoreCall::Get { key: keys::BASE_KEY.into() });
                     }
                     _ => {
                         if let Some((_, b)) = &mut self.provisioner {
-                            b.set_base(None);
+                            b.on_operator_machines_read(None);
                         }
                     }
                 }
             }
             Operation::BaseGet => {
                 if let Some((_, b)) = &mut self.provisioner {
-                    b.set_base(match result {
+                    b.on_operator_machines_read(match result {
                         StoreResult::Item(Some(i)) => {
                             let r = OperatorMachinesRecord::decode(&i.value);
                             r.ok().map(|r| r.0.to_string())
