--- /dev/null
+++ b/crates/leaddeal/src/driver/cloud_client.rs
@@ -0,0 +1,92 @@
+//! Calls to the cloud.
+//!
+//! A call has a result whatever happens: [`CloudResult::Refused`] if it certainly was not executed,
+//! [`CloudResult::Unknown`] if it may have been.
+use super::CONNECT_TIMEOUT;
+use crate::http_client::{CallError, HttpClient, HttpResponse};
+use hyper::StatusCode;
+use leaddeal_core::io::{CloudCall, CloudResult};
+use leaddeal_wire::cloud::{InstanceNames, CATALOG, MACHINES, RELEASE};
+use std::time::Duration;
+
+const CLOUD_TIMEOUT: Duration = Duration::from_secs(8);
+/// Instances of one page of a list.
+const MAX_PAGE_INSTANCES: usize = 200;
+/// In the body of a 503 to a launch: there are no such instances now. Without it, it is an outage.
+const NO_CAPACITY_TEXT: &str = "no capacity";
+
+/// The cloud, with connections that clones share.
+#[derive(Clone)]
+pub(super) struct CloudClient {
+    http: HttpClient,
+}
+
+impl CloudClient {
+    /// A client for the cloud at `addr` (`ADDRESS:PORT`).
+    pub fn new(addr: &str) -> CloudClient {
+        CloudClient { http: HttpClient::new(addr, CONNECT_TIMEOUT) }
+    }
+
+    /// Makes one call. Not repeated on failure: the core decides on retries.
+    pub async fn execute(&self, call: CloudCall) -> CloudResult {
+        let response = match self.send(&call).await {
+            Ok(response) => response,
+            Err(CallError::NotSent(_)) => return CloudResult::Refused,
+            Err(CallError::Unknown(_)) => return CloudResult::Unknown,
+        };
+        result_of(&call, &response).unwrap_or_else(|| {
+            let status = response.status.as_u16();
+            tracing::error!(event = "cloud_unreadable", status, "{call:?}");
+            CloudResult::Unknown
+        })
+    }
+
+    async fn send(&self, call: &CloudCall) -> Result<HttpResponse, CallError> {
+        match call {
+            CloudCall::Catalog => self.http.get(CATALOG, CLOUD_TIMEOUT).await,
+            CloudCall::Launch(request) => {
+                self.http.post_json(MACHINES, request, CLOUD_TIMEOUT).await
+            }
+            CloudCall::Release(names) => {
+                let names = InstanceNames { machines: names.clone() };
+                self.http.post_json(RELEASE, &names, CLOUD_TIMEOUT).await
+            }
+            CloudCall::List { after } => {
+                self.http.get(&list_path(after.as_deref()), CLOUD_TIMEOUT).await
+            }
+        }
+    }
+}
+
+fn list_path(after: Option<&str>) -> String {
+    let after = after.map(|name| format!("after={name}&")).unwrap_or_default();
+    format!("{MACHINES}?{after}limit={MAX_PAGE_INSTANCES}")
+}
+
+/// What a response says of its call; `None` if its status or body are not of the protocol.
+fn result_of(call: &CloudCall, response: &HttpResponse) -> Option<CloudResult> {
+    match (call, response.status) {
+        (CloudCall::Catalog, StatusCode::OK) => response.json().map(CloudResult::Catalog),
+        (CloudCall::Launch(_), StatusCode::OK) => {
+            response.json::<InstanceNames>().map(|names| CloudResult::Launched(names.machines))
+        }
+        (CloudCall::Launch(_), StatusCode::SERVICE_UNAVAILABLE) => Some(unavailable(response)),
+        (CloudCall::Release(_), StatusCode::OK) => Some(CloudResult::Released),
+        (CloudCall::List { .. }, StatusCode::OK) => response.json().map(CloudResult::InstanceList),
+        (
+            _,
+            StatusCode::TOO_MANY_REQUESTS
+            | StatusCode::SERVICE_UNAVAILABLE
+            | StatusCode::BAD_REQUEST,
+        ) => Some(CloudResult::Refused),
+        _ => None,
+    }
+}
+
+fn unavailable(response: &HttpResponse) -> CloudResult {
+    if String::from_utf8_lossy(&response.body).contains(NO_CAPACITY_TEXT) {
+        CloudResult::NoCapacity
+    } else {
+        CloudResult::Refused
+    }
+}
--- /dev/null
+++ b/crates/leaddeal/src/gateway/body.rs
@@ -0,0 +1,70 @@
+//! Reading the bodies of requests within bounds of size, time and memory.
+use super::Gateway;
+use axum::extract::Request;
+use axum::http::header;
+use bytes::Bytes;
+use http_body_util::LengthLimitError;
+use std::error::Error as _;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::sync::SemaphorePermit;
+use tokio::time::timeout;
+
+const BODY_TIMEOUT: Duration = Duration::from_secs(4);
+/// Bodies up to this size come in at any time; larger ones only while there is memory for them.
+const MAX_UNCOUNTED_BODY_BYTES: usize = 4 * 1024;
+
+/// Why a request's body was not read.
+#[derive(Debug, Error)]
+pub(super) enum BodyError {
+    /// It will be too large the next time too.
+    #[error("the body is too large")]
+    TooLarge,
+    /// The larger bodies that are coming in take all memory that there is for them.
+    #[error("no memory for a body of {kib} KiB now")]
+    NoMemory { kib: u32 },
+    /// It did not come within [`BODY_TIMEOUT`], or the connection broke.
+    #[error("the body did not come")]
+    Incomplete,
+}
+
+impl Gateway {
+    /// Reads a body of at most `max_bytes`.
+    ///
+    /// Larger bodies take memory from `body_memory_kib` while they come in: every connection could bring one
+    /// of the largest at the same time, which is more than a controller has.
+    pub(super) async fn read_body(
+        &self,
+        request: Request,
+        max_bytes: usize,
+    ) -> Result<Bytes, BodyError> {
+        let expected = content_length(&request).unwrap_or(max_bytes);
+        if expected > max_bytes {
+            return Err(BodyError::TooLarge);
+        }
+        let _memory = self.reserve_body_memory(expected)?;
+        match timeout(BODY_TIMEOUT, axum::body::to_bytes(request.into_body(), max_bytes)).await {
+            Ok(Ok(bytes)) => Ok(bytes),
+            Ok(Err(error)) if is_too_large(&error) => Err(BodyError::TooLarge),
+            Ok(Err(_)) | Err(_) => Err(BodyError::Incomplete),
+        }
+    }
+
+    /// The memory for a body, given back when dropped; none for a small one.
+    fn reserve_body_memory(&self, bytes: usize) -> Result<Option<SemaphorePermit<'_>>, BodyError> {
+        if bytes <= MAX_UNCOUNTED_BODY_BYTES {
+            return Ok(None);
+        }
+        let kib = bytes.div_ceil(1024) as u32;
+        let permit = self.body_memory_kib.try_acquire_many(kib);
+        permit.map(Some).map_err(|_| BodyError::NoMemory { kib })
+    }
+}
+
+fn content_length(request: &Request) -> Option<usize> {
+    request.headers().get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
+}
+
+fn is_too_large(error: &axum::Error) -> bool {
+    error.source().is_some_and(|source| source.is::<LengthLimitError>())
+}
--- /dev/null
+++ b/crates/leaddeal/src/gateway/handlers.rs
@@ -0,0 +1,94 @@
+//! One handler for each route.
+use super::body::BodyError;
+use super::responses::{error, healthy, try_again_later, user_response, worker_response};
+use super::Gateway;
+use crate::event::Reply;
+use axum::extract::{Path, Request, State};
+use axum::http::StatusCode;
+use axum::response::Response;
+use leaddeal_core::ids::JobId;
+use leaddeal_core::io::RequestId;
+use leaddeal_core::Input;
+use leaddeal_wire::user::{self, Job};
+use leaddeal_wire::worker::WorkerHeartbeat;
+
+/// Bytes of a worker's heartbeat.
+const MAX_HEARTBEAT_BYTES: usize = 256 * 1024;
+
+pub(super) async fn submit(
+    State(gateway): State<Gateway>,
+    request: Request,
+) -> Result<Response, BodyError> {
+    let body = gateway.read_body(request, user::MAX_BODY).await?;
+    let job = Job::parse(&body).map(Box::new);
+    let id = match &job {
+        Ok(job) => user::parse_job_id(&job.id),
+        // A known job's retry is answered with its state, whatever else is wrong with it.
+        Err(_) => id_of_invalid_job(&body),
+    };
+    let id = id.map(JobId);
+    Ok(ask_for_user(&gateway, |req| Input::Submit { req, id, job }).await)
+}
+
+/// The number of a job of which only the name can be read.
+fn id_of_invalid_job(body: &[u8]) -> Option<u64> {
+    let job = serde_json::from_slice::<serde_json::Value>(body).ok()?;
+    user::parse_job_id(job.get("id")?.as_str()?)
+}
+
+pub(super) async fn status(State(gateway): State<Gateway>, Path(id): Path<String>) -> Response {
+    match user::parse_job_id(&id).map(JobId) {
+        Some(id) => ask_for_user(&gateway, |req| Input::Get { req, id }).await,
+        None => unknown_job(),
+    }
+}
+
+pub(super) async fn cancel(State(gateway): State<Gateway>, Path(id): Path<String>) -> Response {
+    match user::parse_job_id(&id).map(JobId) {
+        Some(id) => ask_for_user(&gateway, |req| Input::Cancel { req, id }).await,
+        None => unknown_job(),
+    }
+}
+
+pub(super) async fn worker_heartbeat(
+    State(gateway): State<Gateway>,
+    request: Request,
+) -> Result<Response, BodyError> {
+    let body = gateway.read_body(request, MAX_HEARTBEAT_BYTES).await?;
+    let report: WorkerHeartbeat = match serde_json::from_slice(&body) {
+        Ok(report) => report,
+        Err(why) => return Ok(error(StatusCode::BAD_REQUEST, &why.to_string())),
+    };
+    let input = |req| Input::WorkerHeartbeat { req, report: Box::new(report) };
+    Ok(match gateway.ask(input).await {
+        Some(Reply::Worker(reply)) => worker_response(reply),
+        _ => try_again_later(),
+    })
+}
+
+pub(super) async fn health(State(gateway): State<Gateway>) -> Response {
+    if gateway.is_healthy() {
+        healthy()
+    } else {
+        try_again_later()
+    }
+}
+
+pub(super) async fn unknown_path() -> Response {
+    error(StatusCode::NOT_FOUND, "no such path")
+}
+
+pub(super) async fn unknown_method() -> Response {
+    error(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
+}
+
+fn unknown_job() -> Response {
+    error(StatusCode::NOT_FOUND, "unknown job")
+}
+
+async fn ask_for_user(gateway: &Gateway, input: impl FnOnce(RequestId) -> Input) -> Response {
+    match gateway.ask(input).await {
+        Some(Reply::User(reply)) => user_response(reply),
+        _ => try_again_later(),
+    }
+}
--- a/crates/leaddeal/src/link/tests.rs
+++ b/crates/leaddeal/src/link/tests.rs
@@ -1,5 +1,26 @@
+use super::frame::read_frame;
 use super::*;
-use leaddeal_wire::mesh::NodeHeartbeat;
+use crate::event::Event;
+use leaddeal_core::Input;
+use leaddeal_wire::mesh::{Hello, NodeHeartbeat, NodeMessage};
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, Notify};
+use tokio::time::timeout;
+
+/// Connects as node `n-0`, in a task of its own.
+fn dial(peer_addr: String, boot: u64, read_signal_timeout: Duration) -> mpsc::Sender<NodeMessage> {
+    let dialer = Dialer {
+        node: "n-0".into(),
+        peer_addr,
+        boot: BootNumber::new(boot),
+        peer_restarted: Arc::default(),
+        read_signal_timeout,
+    };
+    let (queue, work) = dialer.connect();
+    tokio::spawn(work);
+    queue
+}
 
 /// A listener that swallows everything stands for a sibling that is gone unnoticed.
 #[tokio::test]
@@ -7,8 +28,7 @@
     let l = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = l.local_addr().expect("its address").to_string();
     let work = async {
-        let (boot, restarted) = (Boot::new(1), Arc::default());
-        let tx = dial("n-0".into(), addr, boot, restarted, Duration::from_millis(20));
+        let tx = dial(addr, 1, Duration::from_millis(20));
         let feed = tokio::spawn(async move {
             while tx.send(NodeMessage::Heartbeat(NodeHeartbeat::default())).await.is_ok() {
                 tokio::task::yield_now().await;
@@ -21,9 +41,9 @@
             let mut buf = Vec::new();
             read_frame(&mut s, &mut buf).await.expect("a frame");
             hellos.push(ciborium::from_reader::<Hello, _>(&buf[..]).expect("a hello"));
-            kept.push(tokio::spawn(async move {
-                while read_frame(&mut s, &mut buf).await.is_some() {}
-            }));
+            kept.push(tokio::spawn(
+                async move { while read_frame(&mut s, &mut buf).await.is_ok() {} },
+            ));
         }
         feed.abort();
         kept.iter().for_each(tokio::task::JoinHandle::abort);
@@ -43,10 +63,7 @@
     let (events, mut heard) = mpsc::channel(10);
     let restarted: Arc<Notify> = Arc::default();
     tokio::spawn(listen(l, events, [("n-0".to_string(), restarted.clone())].into()));
-    let start = |boot| {
-        let (boot, none) = (Boot::new(boot), Arc::default());
-        dial("n-0".into(), addr.clone(), boot, none, PATIENCE)
-    };
+    let start = |boot| dial(addr.clone(), boot, READ_SIGNAL_TIMEOUT);
     let epoch_of = |e: Option<Event>| match e {
         Some(Event::Input(Input::Mesh { msg, .. })) => match *msg {
             NodeMessage::Heartbeat(b) => b.owned[0].1,
--- a/crates/leaddeal/src/main.rs
+++ b/crates/leaddeal/src/main.rs
@@ -1,15 +1,24 @@
 //! The leaddeal cluster scheduler: one controller.
 use clap::{Parser, Subcommand};
-use leaddeal_wire::settings::Settings;
+use driver::DriverError;
+use leaddeal_wire::settings::{Settings, SettingsError};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
-mod client;
 mod driver;
 mod event;
 mod gateway;
+mod http_client;
 mod link;
-mod slow;
+mod sync;
+mod write_timeout;
+
+/// The environment variable with the log level: `debug`, `info`, or else errors only.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+/// The exit code when nothing was started: the command line or the settings are wrong.
+const EXIT_USAGE: u8 = 2;
 
 #[derive(Parser)]
 #[command(name = "leaddeal", version, about = "A cluster scheduler: runs jobs on rented machines")]
@@ -30,41 +39,75 @@
     },
 }
 
-fn read(path: &Path) -> Result<Settings, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Settings::parse(&text).map_err(|e| e.to_string())
+/// Why the program ends without success.
+#[derive(Debug, Error)]
+enum ProgramError {
+    #[error("--config FILE is needed; see --help")]
+    NoConfig,
+    #[error("{}: {source}", path.display())]
+    ReadSettings { path: PathBuf, source: io::Error },
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error("starting the runtime: {0}")]
+    Runtime(#[source] io::Error),
+    #[error(transparent)]
+    Driver(#[from] DriverError),
+}
+
+impl ProgramError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            ProgramError::NoConfig
+            | ProgramError::ReadSettings { .. }
+            | ProgramError::Settings(_) => ExitCode::from(EXIT_USAGE),
+            ProgramError::Runtime(_) | ProgramError::Driver(_) => ExitCode::FAILURE,
+        }
+    }
 }
 
 fn main() -> ExitCode {
-    let cli = Cli::parse();
-    let fail = |e: String| {
-        eprintln!("leaddeal: {e}");
-        ExitCode::from(2)
-    };
+    match run(Cli::parse()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("leaddeal: {error}");
+            error.exit_code()
+        }
+    }
+}
+
+fn run(cli: Cli) -> Result<(), ProgramError> {
     match (cli.verb, cli.config) {
-        (Some(Verb::Check { config }), _) => match read(&config) {
-            Ok(s) => {
-                println!("{}: good, node {} of {}", config.display(), s.node, s.nodes().len());
-                ExitCode::SUCCESS
-            }
-            Err(e) => fail(e),
-        },
-        (None, Some(config)) => match read(&config) {
-            Ok(s) => match serve(s) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("leaddeal: {e}");
-                    ExitCode::FAILURE
-                }
-            },
-            Err(e) => fail(e),
-        },
-        (None, None) => fail("--config FILE is needed; see --help".into()),
+        (Some(Verb::Check { config }), _) => check(&config),
+        (None, Some(config)) => serve(read_settings(&config)?),
+        (None, None) => Err(ProgramError::NoConfig),
     }
 }
 
-fn serve(settings: Settings) -> std::io::Result<()> {
-    let level = match std::env::var("LOG_LEVEL").unwrap_or_default().as_str() {
+fn read_settings(path: &Path) -> Result<Settings, ProgramError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ProgramError::ReadSettings { path: path.to_path_buf(), source })?;
+    Ok(Settings::parse(&text)?)
+}
+
+fn check(path: &Path) -> Result<(), ProgramError> {
+    let settings = read_settings(path)?;
+    let nodes = settings.nodes().len();
+    println!("{}: good, node {} of {nodes}", path.display(), settings.node);
+    Ok(())
+}
+
+fn serve(settings: Settings) -> Result<(), ProgramError> {
+    start_logging();
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(ProgramError::Runtime)?
+        .block_on(driver::run(settings))?;
+    Ok(())
+}
+
+fn start_logging() {
+    let level = match std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_default().as_str() {
         "debug" => tracing::Level::DEBUG,
         "info" => tracing::Level::INFO,
         _ => tracing::Level::ERROR,
@@ -75,8 +118,4 @@
         .with_ansi(false)
         .with_target(false)
         .init();
-    tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()?
-        .block_on(driver::run(settings))
 }
--- a/crates/leaddeal/src/slow/tests.rs
+++ b/crates/leaddeal/src/write_timeout/tests.rs
@@ -2,9 +2,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[tokio::test(start_paused = true)]
-async fn who_never_reads_is_given_up_and_who_reads_slowly_is_not() {
+async fn a_reader_that_never_reads_times_out_and_a_slow_one_does_not() {
     let (mut there, here) = tokio::io::duplex(64);
-    let mut here = Patient::new(here, Duration::from_secs(10));
+    let mut here = WriteTimeout::new(here, Duration::from_secs(10));
     let reader = tokio::spawn(async move {
         let mut some = [0; 32];
         for _ in 0..6 {
