--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -1,6 +1,6 @@
 //! Three real processes on loopback: the gateway, a worker, a kill.
 use common::{http, job, start, until};
-use leaddeal_testkit::worker::{Done, Worker};
+use leaddeal_testkit::worker::{CompletedTasks, Worker};
 use leaddeal_wire::user::Job;
 use leaddeal_wire::worker::{HeartbeatResponse, Redirect};
 use serde_json::{json, Value};
@@ -16,18 +16,18 @@
         let now = || start.elapsed().as_millis() as u64;
         let jobs: BTreeMap<String, Job> = jobs.into_iter().map(|j| (j.id.clone(), j)).collect();
         let mut w = Worker::new("m-000001", "small", "a", false, 0, 8000);
-        let mut done = Done::default();
+        let mut done = CompletedTasks::default();
         let mut at = 0;
         loop {
             w.advance(now(), &mut done, &jobs);
-            let body = serde_json::to_string(&w.report()).expect("a report");
+            let body = serde_json::to_string(&w.heartbeat()).expect("a report");
             let sent = now();
             let (status, text) = http(&nodes[at].1, "POST", "/checkin", &body);
             let to = serde_json::from_str::<Redirect>(&text).ok().and_then(|r| r.report_to);
             match (status, serde_json::from_str::<HeartbeatResponse>(&text)) {
                 (200, Ok(a)) if a.token >= w.token => {
                     w.token = a.token;
-                    w.granted = sent;
+                    w.lease_granted_at = sent;
                     w.execute(now(), &a.orders, &jobs);
                 }
                 _ => {
--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -33,12 +33,12 @@
                     return;
                 }
                 let plan = if cli.storm { Plan::storm(seed) } else { Plan::new(seed) };
-                let mut sim = Sim::new(Plan { seconds: cli.seconds, calm: 100, ..plan });
+                let mut sim = Sim::new(Plan { seconds: cli.seconds, calm_seconds: 100, ..plan });
                 let run = sim.run();
                 for s in sim.under_half().iter().filter(|_| run.is_ok()) {
                     println!("seed {seed}: {s:?} is served less than half");
                 }
-                let neglected = sim.rules.neglect.jobs.len();
+                let neglected = sim.rules.starvation.starved.len();
                 if neglected > 0 {
                     println!("seed {seed}: {neglected} neglected, with more work than room");
                 }
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -57,14 +57,14 @@
 }
 
 fn cancel(at: u64) -> (u64, Fault) {
-    (at, Fault::Cancel { percent: 35 })
+    (at, Fault::CancelJobs { percent: 35 })
 }
 
 fn gap(more: Vec<(u64, Fault)>) -> Vec<(u64, Fault)> {
     let mut script = vec![
-        (60_000, Fault::Refuse { node: 0, ms: 14_000 }),
-        (60_300, Fault::Cancel { percent: 60 }),
-        (62_500, Fault::Outage { ms: 45_000 }),
+        (60_000, Fault::StoreRefusesNode { node: 0, ms: 14_000 }),
+        (60_300, Fault::CancelJobs { percent: 60 }),
+        (62_500, Fault::StoreOutage { ms: 45_000 }),
     ];
     script.extend(more);
     script
@@ -100,33 +100,35 @@
         match self {
             History::Ordinary | History::Storm => Vec::new(),
             History::Gap => gap(Vec::new()),
-            History::GapAlone => gap(vec![(60_000, Fault::Lone { node: 0, ms: 60_000 })]),
+            History::GapAlone => {
+                gap(vec![(60_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 })])
+            }
             History::GapForgotten => {
-                let cut = (60_200, Fault::Between { nodes: (0, 1), ms: 4000 });
+                let cut = (60_200, Fault::PairPartition { nodes: (0, 1), ms: 4000 });
                 gap(vec![cut, (62_450, crash(1, 200))])
             }
             History::OldReports => vec![
-                (20_000, Fault::LateReports { percent: 90, ms: 100_000 }),
-                (40_000, Fault::Reborn { machines: 4 }),
-                (44_500, Fault::Reborn { machines: 4 }),
+                (20_000, Fault::LateHeartbeatCopies { percent: 90, ms: 100_000 }),
+                (40_000, Fault::RestartWorkers { machines: 4 }),
+                (44_500, Fault::RestartWorkers { machines: 4 }),
                 (45_000, crash(0, 3000)),
                 (52_000, crash(1, 200)),
-                (79_000, Fault::Reborn { machines: 4 }),
+                (79_000, Fault::RestartWorkers { machines: 4 }),
                 (80_000, crash(2, 9000)),
             ],
             History::Deaf => vec![
-                (41_000, Fault::Deaf { machines: 5, ms: 25_000 }),
+                (41_000, Fault::InboundPartition { machines: 5, ms: 25_000 }),
                 (42_000, crash(0, 60_000)),
-                (80_000, Fault::Deaf { machines: 5, ms: 10_000 }),
+                (80_000, Fault::InboundPartition { machines: 5, ms: 10_000 }),
                 (81_000, crash(1, 200)),
                 cancel(83_000),
             ],
             History::HeldUp => vec![
-                (20_000, Fault::SlowOrders { by_ms: 9000, ms: 100_000 }),
-                (40_000, Fault::Hang { machines: 5, ms: 12_000 }),
+                (20_000, Fault::DelayCommands { by_ms: 9000, ms: 100_000 }),
+                (40_000, Fault::HangMachines { machines: 5, ms: 12_000 }),
                 cancel(45_000),
                 (48_000, crash(0, 300)),
-                (70_000, Fault::Hang { machines: 5, ms: 12_000 }),
+                (70_000, Fault::HangMachines { machines: 5, ms: 12_000 }),
                 cancel(71_000),
                 (73_000, crash(1, 9000)),
             ],
@@ -153,39 +155,47 @@
                 script
             }
             History::Alone => {
-                let polls = (40_000, Fault::Polls { ms: 90_000 });
-                let alone = (40_000, Fault::Lone { node: 0, ms: 60_000 });
+                let polls = (40_000, Fault::FrequentPolls { ms: 90_000 });
+                let alone = (40_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 });
                 let back = (101_000, crash(0, 100));
                 vec![polls, alone, cancel(46_000), cancel(50_000), cancel(60_000), back]
             }
             History::Apart => {
                 let cancels = (42_000..80_000).step_by(4000).map(cancel);
-                cancels.chain([(40_000, Fault::Apart { ms: 60_000 })]).collect()
+                cancels.chain([(40_000, Fault::PeerPartition { ms: 60_000 })]).collect()
             }
             History::Frozen => {
-                let freeze = |at, node| (at, Fault::Freeze { node, ms: 14_000 });
+                let freeze = |at, node| (at, Fault::FreezeNode { node, ms: 14_000 });
                 let frozen = [freeze(30_000, 0), freeze(60_000, 1), freeze(90_000, 2)];
                 let cancels = (32_000..120_000).step_by(5000).map(cancel);
-                cancels.chain(frozen).chain([(30_000, Fault::Polls { ms: 90_000 })]).collect()
+                cancels
+                    .chain(frozen)
+                    .chain([(30_000, Fault::FrequentPolls { ms: 90_000 })])
+                    .collect()
             }
             History::Refused => {
-                let refuse = |at, node| (at, Fault::Refuse { node, ms: 35_000 });
+                let refuse = |at, node| (at, Fault::StoreRefusesNode { node, ms: 35_000 });
                 let refused = [refuse(30_000, 0), refuse(70_000, 1), refuse(110_000, 2)];
                 let cancels = (32_000..140_000).step_by(5000).map(cancel);
-                cancels.chain(refused).chain([(30_000, Fault::Polls { ms: 110_000 })]).collect()
+                cancels
+                    .chain(refused)
+                    .chain([(30_000, Fault::FrequentPolls { ms: 110_000 })])
+                    .collect()
             }
             History::ApartLate => {
                 let cancels = (42_000..100_000).step_by(2000).map(cancel);
-                let polls = (40_000, Fault::Polls { ms: 65_000 });
+                let polls = (40_000, Fault::FrequentPolls { ms: 65_000 });
                 let late = (40_000, Fault::LateWrites { percent: 60, ms: 60_000 });
-                cancels.chain([(40_000, Fault::Apart { ms: 60_000 }), polls, late]).collect()
+                cancels
+                    .chain([(40_000, Fault::PeerPartition { ms: 60_000 }), polls, late])
+                    .collect()
             }
             History::LateFinals => {
                 let at = |at: u64, node| {
                     let late = Fault::LateWrites { percent: 90, ms: 2500 };
-                    let cancel = (at, Fault::Cancel { percent: 60 });
+                    let cancel = (at, Fault::CancelJobs { percent: 60 });
                     let slow = Fault::SlowStore { by_ms: 1200, ms: 14_000 };
-                    let polls = Fault::Polls { ms: 20_000 };
+                    let polls = Fault::FrequentPolls { ms: 20_000 };
                     let ends = (at + 1500, crash(node, 20_000));
                     [(at, late), cancel, ends, (at + 1500, slow), (at + 1500, polls)]
                 };
@@ -193,18 +203,18 @@
             }
             History::AloneThenCut => {
                 let at = |at: u64, node| {
-                    let alone = Fault::Lone { node, ms: 40_000 };
-                    [(at, alone), (at + 10_000, Fault::Hang { machines: 99, ms: 15_500 })]
+                    let alone = Fault::StoreAndPeerPartition { node, ms: 40_000 };
+                    [(at, alone), (at + 10_000, Fault::HangMachines { machines: 99, ms: 15_500 })]
                 };
                 [at(40_000, 0), at(95_000, 1)].concat()
             }
             History::SlowThenAlone => {
                 let at = |at: u64, node| {
                     let slow = Fault::SlowStore { by_ms: 1900, ms: 12_000 };
-                    let alone = Fault::Lone { node, ms: 20_000 };
-                    let polls = Fault::Polls { ms: 12_000 };
+                    let alone = Fault::StoreAndPeerPartition { node, ms: 20_000 };
+                    let polls = Fault::FrequentPolls { ms: 12_000 };
                     // From when a successor may be there: a few at a time, so that some are left.
-                    let few = |at| (at, Fault::Cancel { percent: 6 });
+                    let few = |at| (at, Fault::CancelJobs { percent: 6 });
                     let cancels = (at + 13_700..at + 18_700).step_by(150).map(few);
                     let faults = [(at, slow), (at + 11_900, alone), (at + 12_000, polls)];
                     cancels.chain(faults).collect::<Vec<_>>()
@@ -215,22 +225,22 @@
                 let slow = (25_000, Fault::SlowStore { by_ms: 700, ms: 110_000 });
                 let freeze = |i: u64| {
                     let node = i as usize % NODES;
-                    (30_000 + i * 16_000, Fault::Freeze { node, ms: 12_000 })
+                    (30_000 + i * 16_000, Fault::FreezeNode { node, ms: 12_000 })
                 };
                 (0..7).map(freeze).chain([slow]).collect()
             }
             History::ConfirmedThenEnded => {
                 let at = |at: u64, node| {
-                    let deaf = Fault::Deaf { machines: 99, ms: 2500 };
-                    let cancel = (at, Fault::Cancel { percent: 60 });
+                    let deaf = Fault::InboundPartition { machines: 99, ms: 2500 };
+                    let cancel = (at, Fault::CancelJobs { percent: 60 });
                     [(at - 200, deaf), cancel, (at + 700, crash(node, 60_000))]
                 };
                 [at(40_000, 0), at(110_000, 1)].concat()
             }
             History::DeafThenOutage => vec![
-                (59_500, Fault::Deaf { machines: 99, ms: 5000 }),
-                (60_300, Fault::Cancel { percent: 60 }),
-                (61_800, Fault::Outage { ms: 60_000 }),
+                (59_500, Fault::InboundPartition { machines: 99, ms: 5000 }),
+                (60_300, Fault::CancelJobs { percent: 60 }),
+                (61_800, Fault::StoreOutage { ms: 60_000 }),
             ],
         }
     }
@@ -239,15 +249,15 @@
     pub fn plan(self, seed: u64) -> Plan {
         let script = self.script();
         let plan = match self {
-            History::Ordinary => Plan { calm: 100, ..Plan::new(seed) },
+            History::Ordinary => Plan { calm_seconds: 100, ..Plan::new(seed) },
             History::Storm => Plan::storm(seed),
             _ => {
                 let quiet = Plan { seconds: 150, script, faults: false, ..Plan::new(seed) };
                 let long = !seed.is_multiple_of(2);
-                Plan { long, team_max: 20.0, lease_ms: LEASE_MS, ..quiet }
+                Plan { long_tasks: long, team_cpu_limit: 20.0, lease_ms: LEASE_MS, ..quiet }
             }
         };
         // The seeds in the table were found with few kinds of jobs.
-        Plan { gangs: 1, teams: Teams::One, ..plan }
+        Plan { max_gang_tasks: 1, teams: Teams::One, ..plan }
     }
 }
--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -1,122 +1,128 @@
-//! Faults at set times, for the hard cases of takeover and recovery, and how long it took.
+//! Faults at set times, for the hard cases of takeover and recovery, and what was observed of a run.
 
 use std::collections::BTreeMap;
 
-/// What fails, for how long in milliseconds.
+/// What fails. Durations are in simulated milliseconds; `percent` is a share in hundredths, and values above
+/// 100 count as 100. Where `machines` is a count, the machines are taken in the order of their names.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// These controllers end and come back.
+    /// These controllers end, and start again `back_ms` later.
     Crash { nodes: Vec<usize>, back_ms: u64 },
-    /// So many machines die at once, the first by name.
-    Die { machines: usize },
-    /// So many machines hang, from the last by name.
-    Hang { machines: usize, ms: u64 },
+    /// The first `machines` die at once and do not come back.
+    LoseMachines { machines: usize },
+    /// The last `machines` hang: they run nothing and answer nothing.
+    HangMachines { machines: usize, ms: u64 },
     /// A controller gets no processor time.
-    Freeze { node: usize, ms: u64 },
-    /// Controllers refuse each other's connections.
-    Apart { ms: u64 },
+    FreezeNode { node: usize, ms: u64 },
+    /// All controllers are partitioned from each other.
+    PeerPartition { ms: u64 },
     /// The state service refuses everything.
-    Outage { ms: u64 },
-    /// The state service answers so much later.
+    StoreOutage { ms: u64 },
+    /// The state service's answers take `by_ms` longer.
     SlowStore { ms: u64, by_ms: u64 },
-    /// A controller is cut from all workers, and from nothing else.
-    Shut { node: usize, ms: u64 },
-    /// A controller reaches neither the state service nor its siblings, but workers and users.
-    Lone { node: usize, ms: u64 },
-    /// So many machines, the first by name, hear neither answers nor commands.
-    Deaf { machines: usize, ms: u64 },
-    /// So many machines are back at once with new workers, whose sessions begin anew.
-    Reborn { machines: usize },
-    /// So many machines fail every task that they start.
-    Faulty { machines: usize, ms: u64 },
-    /// Users ask eight times as often.
-    Polls { ms: u64 },
+    /// A controller is partitioned from all workers, and from nothing else.
+    WorkerPartition { node: usize, ms: u64 },
+    /// A controller is partitioned from the state service and its siblings, but reaches workers and users.
+    StoreAndPeerPartition { node: usize, ms: u64 },
+    /// The first `machines` receive neither answers nor commands, while their heartbeats arrive.
+    InboundPartition { machines: usize, ms: u64 },
+    /// The workers of the first `machines` restart at once, each with a new incarnation.
+    RestartWorkers { machines: usize },
+    /// The first `machines` fail every task that they start.
+    FailTasks { machines: usize, ms: u64 },
+    /// Users poll eight times as often.
+    FrequentPolls { ms: u64 },
     /// The state service refuses this controller alone.
-    Refuse { node: usize, ms: u64 },
-    /// It refuses so many of a hundred calls of anyone.
-    Flaky { percent: u32, ms: u64 },
-    /// It ends all watches: whoever watched has to read anew.
-    NoWatch { ms: u64 },
-    /// Two controllers don't reach each other.
-    Between { nodes: (usize, usize), ms: u64 },
-    /// So many of a hundred transactions get no answer and are carried out 2 to 12 s later.
+    StoreRefusesNode { node: usize, ms: u64 },
+    /// The state service refuses this share of all calls.
+    FlakyStore { percent: u32, ms: u64 },
+    /// The state service ends all watches: whoever watched has to read anew.
+    NoWatches { ms: u64 },
+    /// Two controllers are partitioned from each other.
+    PairPartition { nodes: (usize, usize), ms: u64 },
+    /// This share of the transactions gets no answer and is carried out 2 to 25 s later.
     LateWrites { percent: u32, ms: u64 },
-    /// Of so many of a hundred reports a copy arrives again, up to half a minute later.
-    LateReports { percent: u32, ms: u64 },
-    /// So many of a hundred transactions are carried out at once, and only their answers are lost.
-    LostAnswers { percent: u32, ms: u64 },
-    /// So many machines, the first by name, reach no controller, while commands reach them.
-    Mute { machines: usize, ms: u64 },
-    /// So many of a hundred reports are kept until that moment and arrive then, at the owner of their
-    /// machine's shard or at every controller: copies, or, until a new owner acts, the reports
-    /// themselves.
-    Keep { percent: u32, ms: u64, moment: Moment, to_all: bool },
-    /// Whoever does this next gets no answer, ends so much later and comes back.
-    EndsOn { what: Written, after_ms: u64, back_ms: u64 },
-    /// Machines that are rented are up within 0.2 to 2 s.
-    QuickBoots { ms: u64 },
-    /// Commands, or their answers, are held up for so long.
-    SlowOrders { by_ms: u64, ms: u64 },
-    /// Right after so many of a hundred jobs were accepted, ended or called off, their users ask at all
-    /// controllers, again and again within milliseconds, and repeat the submission; some cancel.
-    CloseLooks { percent: u32, ms: u64 },
-    /// At the very moment at which the last task of so many of a hundred jobs ends, their users ask,
-    /// cancel and repeat the submission.
-    AtEnd { percent: u32, ms: u64 },
-    /// Users repeat submissions of what is open and over, cancel what is done, and submit what lacks a
-    /// field or can never run, every quarter of a second.
-    OddRequests { ms: u64 },
+    /// Of this share of the heartbeats a copy arrives again, up to half a minute later.
+    LateHeartbeatCopies { percent: u32, ms: u64 },
+    /// This share of the transactions is carried out at once, and only the answers are lost.
+    LostStoreAnswers { percent: u32, ms: u64 },
+    /// The heartbeats of the first `machines` reach no controller, while commands reach the machines.
+    OutboundPartition { machines: usize, ms: u64 },
+    /// This share of the heartbeats is delayed until the next `owner_change`, and arrives then: at the
+    /// owner of the machine's shard, or at every controller. Copies are delayed, or, with
+    /// [`OwnerChange::FirstCommand`], the heartbeats themselves.
+    DelayHeartbeats { percent: u32, ms: u64, owner_change: OwnerChange, to_all: bool },
+    /// The next controller that writes this gets no answer, ends `after_ms` later and starts again `back_ms`
+    /// after that.
+    CrashAfterWrite { what: Written, after_ms: u64, back_ms: u64 },
+    /// New instances are up within 0.2 to 2 s.
+    FastBoots { ms: u64 },
+    /// Commands, or their answers, are delayed by `by_ms`.
+    DelayCommands { by_ms: u64, ms: u64 },
+    /// Right after this share of the jobs was accepted, ended or cancelled, their users query all
+    /// controllers, repeatedly within milliseconds, and repeat the submission; some cancel.
+    QueryBursts { percent: u32, ms: u64 },
+    /// At the instant at which the last task of this share of the jobs ends, their users query, cancel and
+    /// repeat the submission.
+    QueriesAtCompletion { percent: u32, ms: u64 },
+    /// Every quarter of a second users repeat submissions of open and terminal jobs, cancel what is done, or
+    /// submit what lacks a field or can never run.
+    InvalidRequests { ms: u64 },
     /// Jobs of one task come four a second; users cancel a quarter of them.
-    Ones { ms: u64 },
-    /// Users cancel so many of a hundred of their jobs.
-    Cancel { percent: u32 },
-    /// Nothing gets out of a zone or into it; what was sent is held back.
-    CutZone { zone: &'static str, ms: u64 },
+    SingleTaskJobs { ms: u64 },
+    /// Users cancel this share of their jobs.
+    CancelJobs { percent: u32 },
+    /// A zone is partitioned: what is sent into it or out of it is held back until the partition ends.
+    ZonePartition { zone: &'static str, ms: u64 },
     /// The same with a controller inside, which reaches that zone's workers and nobody else.
-    CutZoneWith { zone: &'static str, node: usize, ms: u64 },
+    ZonePartitionWithNode { zone: &'static str, node: usize, ms: u64 },
 }
 
-/// When a shard changes hands.
+/// The instant of a change of a shard's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Moment {
-    /// A controller has acquired it.
+pub enum OwnerChange {
+    /// A controller has acquired the shard.
     Acquired,
-    /// It has loaded it: the tick in which it becomes ready.
-    Ready,
-    /// It has commanded a machine of it.
-    Acted,
+    /// It has loaded the shard: the tick in which it becomes ready.
+    Loaded,
+    /// It has sent the first commands to a machine of the shard.
+    FirstCommand,
 }
 
-/// What a controller writes.
+/// What a controller writes to the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Written {
+    /// The shard's record, with its new owner.
     Acquisition,
+    /// The deletion of the shard's record.
     Release,
+    /// A placement decision.
     Decision,
-    Final,
+    /// A job's terminal state.
+    TerminalState,
 }
 
-/// When what happened, in simulated milliseconds.
+/// What was observed in a run, with times in simulated milliseconds.
 #[derive(Debug, Default)]
-pub struct Marks {
-    /// A controller has loaded a shard.
+pub struct Observations {
+    /// Shards loaded: when, and by which controller.
     pub loaded: Vec<(u64, usize)>,
-    /// Pages that the state service gave out.
+    /// Pages that the state service returned.
     pub pages: u64,
     /// Calls of the state service other than watches.
     pub store_calls: u64,
-    /// Final states as they were written: when, and how long after the job's last task was done.
+    /// Terminal states as they were written: when, and how long after the job's last task was done.
     pub finals: Vec<(u64, u64)>,
     /// Answers of transactions that were carried out at once and got lost.
     pub lost_answers: u64,
-    /// Kept reports that arrived, by the moment they were kept for.
-    pub kept: BTreeMap<Moment, u64>,
-    /// What controllers had just written when they ended for it.
+    /// Delayed heartbeats that arrived, by the change of owner that they were delayed until.
+    pub delayed_heartbeats: BTreeMap<OwnerChange, u64>,
+    /// Scripted crashes after a write: when, and what had been written.
     pub ended_on: Vec<(u64, Written)>,
 }
 
-impl Marks {
-    /// The last shard loaded after that time, and how many were.
+impl Observations {
+    /// The time at which the last shard was loaded after the time `at`, and how many were loaded after it.
     pub fn loaded_after(&self, at: u64) -> (u64, usize) {
         let later = self.loaded.iter().filter(|l| l.0 > at);
         (later.clone().map(|l| l.0).max().unwrap_or(0), later.count())
--- a/crates/testkit/src/served/tests.rs
+++ b/crates/testkit/src/served/tests.rs
@@ -3,21 +3,21 @@
 #[test]
 fn who_gets_less_than_half_is_named() {
     let mut s = Served::default();
-    let line = |class, tasks, asked| {
-        let (team, started) = ("free".to_string(), BTreeSet::new());
-        Line { class, team, tasks, asked, begun: None, started }
+    let job = |class, tasks, submitted_at| {
+        let (team, started_tasks) = ("free".to_string(), BTreeSet::new());
+        WantedJob { class, team, tasks, submitted_at, started_at: None, started_tasks }
     };
     for n in 0..20u32 {
-        s.jobs.insert(format!("wk-{n:06}"), line("array", n + 1, 1000));
+        s.jobs.insert(format!("wk-{n:06}"), job("array", n + 1, 1000));
     }
-    s.jobs.insert("wk-000099".into(), line("gang", 2, 1000));
-    s.jobs.insert("wk-000100".into(), line("gang", 1, 900_000));
+    s.jobs.insert("wk-000099".into(), job("gang", 2, 1000));
+    s.jobs.insert("wk-000100".into(), job("gang", 1, 900_000));
     // All arrays but the largest are served whole, and those begin too late.
     for n in 0..18u32 {
-        (0..=n).for_each(|t| s.starts(&format!("wk-{n:06}/{t}"), 2000));
+        (0..=n).for_each(|t| s.started(&format!("wk-{n:06}/{t}"), 2000));
     }
-    s.starts("wk-000018/0", 2000 + LARGEST_MS);
-    s.starts("wk-000019/0", 2000 + LARGEST_MS);
+    s.started("wk-000018/0", 2000 + LARGEST_START_MS);
+    s.started("wk-000019/0", 2000 + LARGEST_START_MS);
     let teams = BTreeSet::from(["free"]);
     let under = |s: &Served| -> Vec<String> {
         let all = s.shares(10_000, &teams).into_iter();
@@ -25,6 +25,6 @@
     };
     let gang = ["class gang", "largest array", "largest array begun", "largest gang"];
     assert_eq!(under(&s), [&gang[..], &["largest gang begun"]].concat());
-    s.gives_up("wk-000099");
+    s.cancelled("wk-000099");
     assert_eq!(under(&s), ["largest array", "largest array begun"]);
 }
--- /dev/null
+++ b/crates/testkit/src/sim/dispatch.rs
@@ -0,0 +1,54 @@
+//! The dispatcher: each event goes to the function that handles it.
+use super::event::Event;
+use super::{Sim, GANG_STEP_MS, LIVENESS_CHECK_MS};
+
+impl Sim {
+    /// Handles an event.
+    ///
+    /// # Errors
+    /// The rule that was broken.
+    pub(super) fn handle(&mut self, event: Event) -> Result<(), String> {
+        match event {
+            Event::Tick(process) => self.tick(process)?,
+            Event::NodeInput { process, input } => self.node_input(process, input)?,
+            Event::Store(call) => self.store_call(call)?,
+            Event::Heartbeat(heartbeat) => self.deliver_heartbeat(heartbeat)?,
+            Event::CheckLiveness => self.check_liveness()?,
+            Event::GangStep => self.gang_step()?,
+            Event::NextSubmission => self.next_submission()?,
+            Event::Poll { job } => self.poll(job)?,
+            Event::Cancel { job } => self.cancel(job)?,
+            Event::RepeatCancel { job } => self.repeat_cancel(job)?,
+            Event::RequestAt { node, kind, job } => self.request_at(node, kind, &job)?,
+            Event::InvalidRequest { until } => self.invalid_request(until)?,
+            Event::SingleTaskJob { until } => self.single_task_job(until)?,
+            // No rule can be broken by these at once: they give no controller an input.
+            Event::Watch(watch) => self.watch(watch),
+            Event::WorkerStep { machine } => self.worker_step(machine),
+            Event::HeartbeatReply(reply) => self.deliver_heartbeat_reply(reply),
+            Event::Commands(commands) => self.deliver_commands(commands),
+            Event::InstanceUp { machine } => self.instance_up(&machine),
+            Event::Restart { node } => self.start(node),
+            Event::RandomFault => self.random_fault(),
+            Event::ScriptedFault(fault) => self.inject(fault),
+            Event::CalmBegins => self.begin_calm(),
+            Event::RandomQueryBurst => self.random_query_burst(),
+        }
+        Ok(())
+    }
+
+    /// Once all faults are over: every user is answered, and no job starves.
+    fn check_liveness(&mut self) -> Result<(), String> {
+        self.schedule(LIVENESS_CHECK_MS, Event::CheckLiveness);
+        self.rules.check_answered(self.now)?;
+        self.rules.check_starvation(self.now, &self.workers, &self.done)
+    }
+
+    /// Gangs advance, and their tasks are checked to run together.
+    fn gang_step(&mut self) -> Result<(), String> {
+        self.schedule(GANG_STEP_MS, Event::GangStep);
+        self.gangs.advance(self.now, &mut self.workers, &self.rules.jobs, &mut self.done);
+        let (jobs, workers) = (&self.rules.jobs, &self.workers);
+        self.rules.coscheduling.check(self.now, jobs, workers, &self.done)
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/sim/effects.rs
@@ -0,0 +1,146 @@
+//! What controllers send, and to whom it goes: users, workers, siblings, the state service, the cloud.
+use super::cloud::CLOUD_CALL_MS;
+use super::event::{Event, PendingRequest, RequestId, SentCommands};
+use super::workers::COMMAND_TIMEOUT_MS;
+use super::{Sabotage, Sim};
+use leaddeal_core::io::{CloudResult, Effect, Input, StoreCall, UserReply};
+use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
+use rand::Rng;
+
+/// One of this many batches of commands gets no answer, where faults are random.
+const LOST_COMMAND_ODDS: u32 = 30;
+/// For how long such a batch may be held back.
+const LATE_COMMANDS_MS: std::ops::Range<u64> = 0..20_000;
+/// Larger transactions are not printed.
+const MAX_TRACED_CHANGES: usize = 8;
+
+fn is_grant(msg: &NodeMessage) -> bool {
+    matches!(msg, NodeMessage::Shard { msg: ShardMessage::TeamGrant { .. }, .. })
+}
+
+impl Sim {
+    /// How long a message takes.
+    pub(super) fn latency_ms(&mut self) -> u64 {
+        self.plan.extra_latency_ms
+            + match self.rng.random_range(0..100) {
+                0..90 => self.rng.random_range(1..6),
+                90..99 => self.rng.random_range(5..60),
+                _ if self.plan.faults => self.rng.random_range(60..900),
+                _ => 20,
+            }
+    }
+
+    /// Notes who waits for the answer to a request, and returns the request's number.
+    pub(super) fn add_pending(&mut self, node: usize, pending: PendingRequest) -> u64 {
+        self.next_request += 1;
+        let number = self.next_request;
+        self.pending.insert(RequestId { process: self.process(node), number }, pending);
+        number
+    }
+
+    /// Carries out what a controller's core puts out.
+    pub(super) fn carry_out(&mut self, node: usize, effect: Effect) -> Result<(), String> {
+        let latency_ms = self.latency_ms();
+        match effect {
+            Effect::User { req, reply } => self.reply_to_user(node, req, &reply)?,
+            Effect::Worker { req, reply } => self.reply_to_worker(node, req, reply, latency_ms),
+            Effect::Mesh { to, msg } => self.send_to_sibling(node, &to, msg, latency_ms)?,
+            Effect::Store { op, call } => {
+                self.trace_transaction(node, &call);
+                self.send_to_store(node, op, latency_ms, call);
+            }
+            Effect::Cloud { op, call } => {
+                let result = match self.controllers[node].partitions.isolated {
+                    true => CloudResult::Refused,
+                    false => self.cloud(call)?,
+                };
+                let input = Input::Cloud { op, result };
+                self.schedule_input(CLOUD_CALL_MS + latency_ms, self.process(node), input);
+            }
+            Effect::Commands { machine, batch, direct, .. } => {
+                let process = self.process(node);
+                let commands = direct;
+                let answer_lost = false;
+                let sent = SentCommands { process, machine, batch, commands, answer_lost };
+                self.send_commands(sent, latency_ms);
+            }
+            Effect::Log(_, event, fields) => self.note_log(node, event, &fields),
+        }
+        Ok(())
+    }
+
+    fn reply_to_user(&mut self, node: usize, req: u64, reply: &UserReply) -> Result<(), String> {
+        let id = RequestId { process: self.process(node), number: req };
+        match self.pending.remove(&id) {
+            Some(PendingRequest::User(request)) => self.answer(&request, reply),
+            _ => Ok(()),
+        }
+    }
+
+    fn send_to_sibling(
+        &mut self,
+        from: usize,
+        to_name: &str,
+        msg: NodeMessage,
+        latency_ms: u64,
+    ) -> Result<(), String> {
+        let to: usize = to_name[2..].parse().map_err(|_| "bad node name".to_string())?;
+        let not_sent = self.plan.sabotage == Sabotage::NoGrants && is_grant(&msg);
+        if not_sent || self.are_partitioned(from, to) || self.controllers[to].core.is_none() {
+            return Ok(());
+        }
+        // A connection keeps its order.
+        let previous = self.last_delivery.get(&(from, to)).copied().unwrap_or(0);
+        let time = (self.now + latency_ms).max(previous);
+        self.last_delivery.insert((from, to), time);
+        let input = Input::Mesh { from: format!("n-{from}"), msg: Box::new(msg) };
+        self.schedule_input(time - self.now, self.process(to), input);
+        Ok(())
+    }
+
+    /// Whether two controllers don't reach each other.
+    fn are_partitioned(&self, one: usize, other: usize) -> bool {
+        let lacks_peers = |node: usize| self.controllers[node].lacks_store_and_peers(self.now);
+        let is_pair = self.windows.is_pair_partitioned(one, other, self.now);
+        is_pair || lacks_peers(one) || lacks_peers(other) || self.now < self.peer_partition_until
+    }
+
+    /// Sends commands to a worker. Now and then the answer is lost, or the packets are held back for long.
+    fn send_commands(&mut self, mut sent: SentCommands, latency_ms: u64) {
+        let node = sent.process.node;
+        if self.trace {
+            let orders = &sent.commands.orders;
+            eprintln!("{} n-{node} direct {} {orders:?}", self.now, sent.machine);
+        }
+        self.note_commands(node, &sent.machine);
+        let (is_lost, held_ms) = match self.rng.random_range(0..LOST_COMMAND_ODDS) {
+            0 if self.plan.faults => (true, self.rng.random_range(LATE_COMMANDS_MS)),
+            _ => (false, 0),
+        };
+        // Held up for longer than whoever sent it waits, it is carried out all the same.
+        let slow_ms = self.windows.delayed_commands.strongest(self.now).unwrap_or(0);
+        sent.answer_lost = is_lost || slow_ms > COMMAND_TIMEOUT_MS;
+        if sent.answer_lost {
+            self.report_unknown_outcome(&sent);
+        }
+        self.schedule(latency_ms + held_ms + slow_ms, Event::Commands(sent));
+    }
+
+    fn note_log(&mut self, node: usize, event: &str, fields: &str) {
+        if event == "seat_loaded" {
+            self.observations.loaded.push((self.now, node));
+        }
+        if self.trace {
+            eprintln!("{} n-{node} {event} {fields}", self.now);
+        }
+        self.note_owner_change(node, event, fields);
+    }
+
+    fn trace_transaction(&self, node: usize, call: &StoreCall) {
+        if let (true, StoreCall::Transaction(transaction)) = (self.trace, call) {
+            if transaction.changes.len() <= MAX_TRACED_CHANGES {
+                eprintln!("{} n-{node} txn {transaction:?}", self.now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/sim/event.rs
@@ -0,0 +1,147 @@
+//! The simulator's events and the queue that orders them.
+use super::controllers::Process;
+use crate::script::Fault;
+use crate::user_knowledge::{RequestKind, UserRequest};
+use leaddeal_core::io::{Input, StoreCall, WorkerReply};
+use leaddeal_wire::worker::{CommandBatch, WorkerHeartbeat};
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+
+/// Something that happens at a simulated time.
+pub(super) enum Event {
+    /// A controller's periodic tick.
+    Tick(Process),
+    /// An input reaches a controller.
+    NodeInput { process: Process, input: Input },
+    /// A call reaches the state service.
+    Store(SentStoreCall),
+    /// A watch looks for changes.
+    Watch(OpenWatch),
+    /// A worker checks what is due at it.
+    WorkerStep { machine: String },
+    /// A worker's heartbeat reaches a controller.
+    Heartbeat(SentHeartbeat),
+    /// The reply to a heartbeat reaches its worker.
+    HeartbeatReply(SentHeartbeatReply),
+    /// Commands reach a worker.
+    Commands(SentCommands),
+    /// A launched instance is up.
+    InstanceUp { machine: String },
+    /// A controller starts again.
+    Restart { node: usize },
+    /// The next random fault.
+    RandomFault,
+    /// A fault of the plan's script.
+    ScriptedFault(Fault),
+    /// All faults are over.
+    CalmBegins,
+    /// The checks of jobs that nobody is told of and of jobs that starve.
+    CheckLiveness,
+    /// Gangs advance.
+    GangStep,
+    /// Somebody submits a new job.
+    NextSubmission,
+    /// A user polls its job.
+    Poll { job: String },
+    /// A user cancels its job.
+    Cancel { job: String },
+    /// A user repeats a cancellation until it is answered.
+    RepeatCancel { job: String },
+    /// A user sends a request to this controller.
+    RequestAt { node: usize, kind: RequestKind, job: String },
+    /// The next random burst of queries begins.
+    RandomQueryBurst,
+    /// An invalid request; others follow until then.
+    InvalidRequest { until: u64 },
+    /// A job of a single task; others follow until then.
+    SingleTaskJob { until: u64 },
+}
+
+/// A call on its way to the state service.
+pub(super) struct SentStoreCall {
+    pub(super) process: Process,
+    pub(super) op: u64,
+    pub(super) call: StoreCall,
+}
+
+/// A watch that waits for changes after the revision `after`, until the time `until`.
+pub(super) struct OpenWatch {
+    pub(super) process: Process,
+    pub(super) op: u64,
+    pub(super) prefix: String,
+    pub(super) after: u64,
+    pub(super) until: u64,
+}
+
+/// A heartbeat on its way to a controller.
+pub(super) struct SentHeartbeat {
+    pub(super) node: usize,
+    /// When it was sent; 0: a copy, whose reply nobody waits for.
+    pub(super) sent_at: u64,
+    pub(super) heartbeat: WorkerHeartbeat,
+}
+
+/// The reply to a heartbeat on its way to the worker; absent if it got lost.
+pub(super) struct SentHeartbeatReply {
+    pub(super) request: HeartbeatRequest,
+    pub(super) reply: Option<WorkerReply>,
+}
+
+/// Commands on their way to a worker.
+pub(super) struct SentCommands {
+    pub(super) process: Process,
+    pub(super) machine: String,
+    pub(super) batch: u64,
+    pub(super) commands: CommandBatch,
+    /// The sender does not learn what became of them.
+    pub(super) answer_lost: bool,
+}
+
+/// Identifies a request that a controller process has to answer.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct RequestId {
+    pub(super) process: Process,
+    pub(super) number: u64,
+}
+
+/// Who waits for the answer to a request.
+pub(super) enum PendingRequest {
+    User(UserRequest),
+    Heartbeat(HeartbeatRequest),
+}
+
+/// A heartbeat whose worker waits for the reply.
+pub(super) struct HeartbeatRequest {
+    pub(super) machine: String,
+    pub(super) sent_at: u64,
+    pub(super) incarnation: u64,
+}
+
+/// Events by time; events of the same time come in the order in which they were added.
+#[derive(Default)]
+pub(super) struct EventQueue {
+    added: u64,
+    due: BinaryHeap<Reverse<(u64, u64)>>,
+    events: HashMap<u64, Event>,
+}
+
+impl EventQueue {
+    /// Adds an event that is due at that time.
+    pub(super) fn add(&mut self, time: u64, event: Event) {
+        self.added += 1;
+        self.due.push(Reverse((time, self.added)));
+        self.events.insert(self.added, event);
+    }
+
+    /// Removes the next event that is due at `end` or before, and returns it with its time.
+    pub(super) fn next_until(&mut self, end: u64) -> Option<(u64, Event)> {
+        let &Reverse((time, number)) = self.due.peek()?;
+        if time > end {
+            return None;
+        }
+        self.due.pop();
+        let event = self.events.remove(&number);
+        debug_assert!(event.is_some(), "each due number has its event");
+        Some((time, event?))
+    }
+}
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -101,7 +101,7 @@
             }
             Effect::Log(_, event, what) => {
                 if event == "seat_loaded" {
-                    self.marks.loaded.push((self.now, n));
+                    self.observations.loaded.push((self.now, n));
                 }
                 if self.trace {
                     eprintln!("{} n-{n} {event} {what}", self.now);
@@ -143,7 +143,7 @@
                 CloudResult::Catalog(Catalog { types: types(self.plan.has_gpus()) })
             }
             CloudCall::Launch(mut r) => {
-                if self.plan.sabotage == Sabotage::NameTwice {
+                if self.plan.sabotage == Sabotage::ReusedRequestNames {
                     r.request = r.request.rsplit('-').next().unwrap_or_default().to_string();
                 }
                 // Asked again for the same, it answers the same; for something else, the name is
--- /dev/null
+++ b/crates/testkit/src/sim/store.rs
@@ -0,0 +1,119 @@
+//! Calls of the state service on their way, and what becomes of their answers.
+use super::event::{Event, OpenWatch, SentStoreCall};
+use super::Sim;
+use leaddeal_core::io::{Input, StoreCall, StoreResult};
+use rand::Rng;
+
+/// How long a controller waits for the answer to a call, or less.
+pub(super) const STORE_TIMEOUT_MS: u64 = 2000;
+/// Between two looks of a watch for changes.
+const WATCH_INTERVAL_MS: u64 = 50;
+/// After this long a watch is refused, while all are.
+const WATCH_REFUSED_MS: u64 = 5;
+/// For how long a transaction that gets no answer may be held back.
+const LATE_WRITE_MS: std::ops::Range<u64> = 2000..25_000;
+/// One of this many transactions is late, where faults are random.
+const LATE_WRITE_ODDS: u32 = 150;
+/// One of this many answers is lost, where faults are random.
+const LOST_ANSWER_ODDS: u32 = 60;
+
+impl Sim {
+    /// Whether the state service refuses this controller now.
+    fn store_refuses(&self, node: usize) -> bool {
+        let partitions = &self.controllers[node].partitions;
+        let refused_until = self.store_outage_until.max(partitions.store_refuses_until);
+        partitions.store_refuses || self.now < refused_until
+    }
+
+    /// Whether a transaction gets no answer and is carried out late.
+    fn is_write_late(&mut self) -> bool {
+        (self.plan.faults && self.rng.random_range(0..LATE_WRITE_ODDS) == 0)
+            || self.windows.late_writes.draw(self.now, &mut self.rng)
+    }
+
+    /// Sends a controller's call to the state service, which it reaches after `latency_ms`.
+    pub(super) fn send_to_store(&mut self, node: usize, op: u64, latency_ms: u64, call: StoreCall) {
+        let process = self.process(node);
+        match call {
+            StoreCall::Watch { prefix, after, wait_ms } => {
+                let until = self.now + wait_ms;
+                let watch = OpenWatch { process, op, prefix, after, until };
+                self.schedule(latency_ms, Event::Watch(watch));
+            }
+            // Executed late, after whoever sent it gave it up or ended.
+            StoreCall::Transaction(transaction) if self.is_write_late() => {
+                let unknown = Input::Store { op, result: StoreResult::Unknown };
+                self.schedule_input(STORE_TIMEOUT_MS, process, unknown);
+                let held_ms = self.rng.random_range(LATE_WRITE_MS);
+                let call = StoreCall::Transaction(transaction);
+                self.schedule(held_ms, Event::Store(SentStoreCall { process, op: 0, call }));
+            }
+            call => self.schedule(latency_ms, Event::Store(SentStoreCall { process, op, call })),
+        }
+    }
+
+    /// Carries out a call at the state service.
+    pub(super) fn store_call(&mut self, sent: SentStoreCall) -> Result<(), String> {
+        let SentStoreCall { process, op, call } = sent;
+        let mut result = self.store_result(process.node, &call);
+        if let (StoreCall::Transaction(transaction), StoreResult::Committed(_)) = (&call, &result) {
+            self.note_terminal_states(transaction);
+        }
+        // An answer that is lost: executed, but the controller does not know.
+        if self.plan.faults && self.rng.random_range(0..LOST_ANSWER_ODDS) == 0
+            || self.is_answer_lost(process.node, &call, &result)
+        {
+            result = StoreResult::Unknown;
+        }
+        if let Some(transaction) = &self.state.repeatable {
+            return Err(format!("written_again: a late copy would do it again: {transaction}"));
+        }
+        self.observations.store_calls += 1;
+        self.observations.pages += u64::from(matches!(result, StoreResult::Page(_)));
+        let slow_ms = self.windows.slow_store.strongest(self.now).unwrap_or(0);
+        let answer_ms = match result {
+            StoreResult::Unknown => STORE_TIMEOUT_MS,
+            _ => self.latency_ms() + slow_ms,
+        };
+        self.schedule_input(answer_ms, process, Input::Store { op, result });
+        Ok(())
+    }
+
+    /// What a call gives, where neither a partition nor the service itself keeps it from being carried out.
+    fn store_result(&mut self, node: usize, call: &StoreCall) -> StoreResult {
+        let flaky = self.windows.flaky_store.draw(self.now, &mut self.rng);
+        if self.controllers[node].lacks_store_and_peers(self.now) {
+            return StoreResult::Unknown;
+        }
+        if flaky || self.store_refuses(node) {
+            return StoreResult::Refused;
+        }
+        self.state.call(self.now, call)
+    }
+
+    /// A watch looks for changes, and looks again later if there are none.
+    pub(super) fn watch(&mut self, watch: OpenWatch) {
+        if !self.is_alive(watch.process) {
+            return;
+        }
+        let (process, op) = (watch.process, watch.op);
+        if self.windows.no_watches.strongest(self.now).is_some() {
+            let refused = Input::Store { op, result: StoreResult::Refused };
+            self.schedule_input(WATCH_REFUSED_MS, process, refused);
+            return;
+        }
+        let unreachable = self.store_refuses(process.node)
+            || self.controllers[process.node].lacks_store_and_peers(self.now);
+        if !unreachable {
+            self.state.expire(self.now);
+        }
+        let found = self.state.events(&watch.prefix, watch.after);
+        if !unreachable && (!found.events.is_empty() || self.now >= watch.until) {
+            let latency_ms = self.latency_ms();
+            let result = StoreResult::Events(found);
+            self.schedule_input(latency_ms, process, Input::Store { op, result });
+        } else {
+            self.schedule(WATCH_INTERVAL_MS, Event::Watch(watch));
+        }
+    }
+}
--- a/crates/testkit/src/sim/teams.rs
+++ b/crates/testkit/src/sim/teams.rs
@@ -1,5 +1,7 @@
 //! Teams, their limits and who works with GPUs.
-use super::*;
+use super::{Plan, Sim, ZONES};
+use leaddeal_wire::user::{Job, Kind};
+use rand::Rng;
 use serde_json::{json, Value};
 
 /// Which teams have limits.
@@ -13,19 +15,25 @@
     AllLimited,
 }
 
-/// Of a team with a limit of them.
-const GPUS_MAX: f64 = 3.0;
+/// The limit of GPUs of a team that has one.
+const GPU_LIMIT: f64 = 3.0;
 
 impl Plan {
-    /// GPU machines are there, and work for them.
+    /// Whether there are GPU machines, and work for them.
     pub(super) fn has_gpus(&self) -> bool {
         self.scale > 1 || self.teams != Teams::One
     }
 
+    /// Whether some jobs of a small deployment need GPUs; a fleet has its own GPU machines and work.
+    fn has_few_gpus(&self) -> bool {
+        self.scale <= 1 && self.has_gpus()
+    }
+
+    /// The teams, as the settings have them.
     pub(super) fn teams(&self) -> Value {
-        let max = self.team_max;
-        let tight = json!({"name": "tight", "cpus_max": max});
-        let both = |name| json!({"name": name, "cpus_max": 1.5 * max, "gpus_max": GPUS_MAX});
+        let limit = self.team_cpu_limit;
+        let tight = json!({"name": "tight", "cpus_max": limit});
+        let both = |name| json!({"name": name, "cpus_max": 1.5 * limit, "gpus_max": GPU_LIMIT});
         match self.teams {
             Teams::One => json!([{"name": "free"}, tight]),
             Teams::Three => json!([{"name": "free"}, tight, both("vision")]),
@@ -35,13 +43,13 @@
 }
 
 impl Sim {
-    /// One a zone; a fleet has its own among the others.
+    /// One GPU machine a zone; a fleet has its own among the others.
     pub(super) fn boot_gpu_machines(&mut self) {
-        if self.plan.scale > 1 || !self.plan.has_gpus() {
+        if !self.plan.has_few_gpus() {
             return;
         }
         for zone in ZONES {
-            let name = self.machine_name();
+            let name = self.next_machine_name();
             self.boot_machine(&name, "gpu", zone, false);
         }
     }
@@ -57,16 +65,16 @@
     }
 
     /// Some gangs and a few arrays need GPUs, too.
-    pub(super) fn with_gpus(&mut self, mut j: Job) -> Job {
-        if self.plan.scale > 1 || !self.plan.has_gpus() || j.kind == Kind::Service {
-            return j;
+    pub(super) fn with_gpus(&mut self, mut job: Job) -> Job {
+        if !self.plan.has_few_gpus() || job.kind == Kind::Service {
+            return job;
         }
-        let share = if j.kind == Kind::Gang { 0.4 } else { 0.1 };
-        if self.rng.random_bool(share) {
-            j.gpus = 1.0;
-            let most = if j.kind == Kind::Gang { GPUS_MAX as u32 } else { j.tasks };
-            j.tasks = j.tasks.min(most);
+        let chance = if job.kind == Kind::Gang { 0.4 } else { 0.1 };
+        if self.rng.random_bool(chance) {
+            job.gpus = 1.0;
+            let max_tasks = if job.kind == Kind::Gang { GPU_LIMIT as u32 } else { job.tasks };
+            job.tasks = job.tasks.min(max_tasks);
         }
-        j
+        job
     }
 }
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -1,272 +1,199 @@
-//! Users: what they submit, ask and cancel, and what is in the store from the beginning.
-use super::*;
-use leaddeal_core::io::UserReply;
+//! Users: what they submit, query and cancel, and the answers that they get.
+use super::event::{Event, PendingRequest};
+use super::{Sabotage, Sim, NODES};
+use crate::user_knowledge::{RequestKind, UserRequest};
+use leaddeal_core::ids::{shard_of_job, JobId, Shard};
+use leaddeal_core::io::{Input, UserReply};
+use leaddeal_core::keys;
 use leaddeal_core::stored::TerminalState;
-use serde_json::json;
+use leaddeal_wire::state::{Change, Transaction};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, Kind, Status};
+use rand::Rng;
 
-impl Sim {
-    /// Puts jobs into the store as controllers before these would have left them.
-    pub(super) fn preload(&mut self) {
-        let put = |state: &mut State, key: String, value| {
-            let change = Change::Put { key, value, lease: None };
-            state.call(
-                0,
-                &StoreCall::Transaction(Transaction {
-                    conditions: Vec::new(),
-                    changes: vec![change],
-                }),
-            );
-        };
-        if self.plan.garbled {
-            let wrong = [
-                json!(null),
-                json!(7),
-                json!("nonsense"),
-                json!([1, "x"]),
-                json!({"job": {"id": 5}, "at": "then", "a": -1}),
-                json!({"a": 9, "p": [[1], "x", [u64::MAX, -4, "n-000001", 1, 0], null]}),
-            ];
-            for (shard, (i, v)) in
-                (0..NODES as u8).flat_map(|s| wrong.iter().enumerate().map(move |w| (Shard(s), w)))
-            {
-                let id = JobId(700_000 + i as u64);
-                put(&mut self.state, keys::job_key(shard, id), v.clone());
-                put(&mut self.state, keys::run_key(shard, id, 1), v.clone());
-                put(&mut self.state, keys::final_key(shard, JobId(id.0 + 50)), v.clone());
-                let key = format!("{}{i}", keys::decision_prefix(shard));
-                put(&mut self.state, key, v.clone());
-            }
-        }
-        if self.plan.open + self.plan.closed == 0 {
-            return;
-        }
-        self.state.page = 300;
-        for n in 0..self.plan.closed {
-            let id = JobId(900_000 + n);
-            let key = keys::final_key(shard_of_job(id, NODES), id);
-            let over = TerminalState { status: Status::Done, done: 1 };
-            put(&mut self.state, key, over.encode());
-        }
-        for n in 0..self.plan.open {
-            let id = JobId(800_000 + n);
-            let job = Job { id: leaddeal_wire::user::job_id(id.0), ..self.waiting_job() };
-            let value = serde_json::json!({"job": job, "at": self.now});
-            put(&mut self.state, keys::job_key(shard_of_job(id, NODES), id), value);
-            self.rules.accepted.insert(job.id.clone());
-            self.rules.jobs.insert(job.id.clone(), job);
-        }
-    }
-
-    /// Of a type that nobody rents: it is there, and stays there.
-    pub(super) fn waiting_job(&self) -> Job {
-        Job {
-            id: String::new(),
-            class: "x".into(),
-            team: "free".into(),
-            kind: Kind::Array,
-            priority: Priority::Low,
-            tasks: 3,
-            cpus: 1.0,
-            gpus: 0.0,
-            memory_gb: 1.0,
-            image: "i-0".into(),
-            image_gb: 1.0,
-            types: Some(vec!["none".into()]),
-            zone: None,
-            one_zone: false,
-            spread: false,
-            spot: true,
-            estimate_s: 5.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
-            deadline_s: None,
-        }
-    }
+/// Between a submission and the first query.
+const FIRST_POLL_MS: u64 = 1000;
+/// Between two queries of a job.
+const POLL_INTERVAL_MS: u64 = 4000;
+/// The same while users poll often.
+const FREQUENT_POLL_INTERVAL_MS: u64 = 500;
+/// Until a cancellation that was not answered is repeated.
+const CANCEL_RETRY_MS: u64 = 1500;
+/// Until a job that was not accepted is cancelled again.
+const CANCEL_WHEN_ACCEPTED_MS: u64 = 3000;
+/// A job that ended this long before its cancellation counts as ended before it.
+const ENDED_BEFORE_CANCEL_MS: u64 = 1000;
+/// Between two submissions, at the usual rate.
+const SUBMISSION_INTERVAL_MS: std::ops::Range<u64> = 500..4000;
+/// One of this many queries is a submission that is repeated.
+const RESUBMISSION_ODDS: u32 = 20;
+/// One of this many answers is lost, where faults are random.
+const LOST_REPLY_ODDS: u32 = 50;
 
-    /// How long after its last task was done a job's final state was written.
-    pub(super) fn note_finals(&mut self, t: &Transaction) {
-        for c in &t.changes {
-            let Change::Put { key, value, .. } = c else { continue };
+impl Sim {
+    /// A transaction was committed: how long after its last task was done a job's terminal state was
+    /// written.
+    pub(super) fn note_terminal_states(&mut self, transaction: &Transaction) {
+        for change in &transaction.changes {
+            let Change::Put { key, value, .. } = change else { continue };
             let Some(id) = keys::job_of_key(key).filter(|_| key.starts_with("f/")) else {
                 continue;
             };
-            let job = leaddeal_wire::user::job_id(id.0);
-            if let (Ok(TerminalState { status: Status::Done, .. }), Some(at)) =
-                (TerminalState::decode(value), self.done.last(&job))
+            if let (Ok(TerminalState { status: Status::Done, .. }), Some(ended_at)) =
+                (TerminalState::decode(value), self.done.last(&job_id(id.0)))
             {
-                self.marks.finals.push((self.now, self.now.saturating_sub(at)));
+                self.observations.finals.push((self.now, self.now.saturating_sub(ended_at)));
             }
         }
     }
 
-    pub(super) fn random_job(&mut self) -> Job {
-        self.next_job += 1;
-        let kind =
-            [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
-        let tasks = match kind {
-            Kind::Array => self.rng.random_range(1..self.plan.array),
-            Kind::Gang if self.plan.gangs > 1 => self.rng.random_range(1..=self.plan.gangs),
-            Kind::Gang => 1,
-            Kind::Service => self.rng.random_range(1..4),
-        };
-        let gpu_work = kind == Kind::Gang && self.plan.scale > 1;
-        let spread = kind == Kind::Service;
-        let job = Job {
-            id: leaddeal_wire::user::job_id(self.next_job * 7),
-            class: "x".into(),
-            team: self.random_team().into(),
-            kind,
-            priority: [Priority::Low, Priority::Normal, Priority::High, Priority::Production]
-                [self.rng.random_range(0..4)],
-            tasks,
-            cpus: f64::from(self.rng.random_range(1..3)) * if gpu_work { 4.0 } else { 1.0 },
-            gpus: if gpu_work { 2.0 } else { 0.0 },
-            memory_gb: 1.0,
-            image: format!("i-{}", self.rng.random_range(0..3)),
-            image_gb: 1.0,
-            types: None,
-            zone: self.rng.random_bool(0.1).then(|| "b".to_string()),
-            one_zone: !spread && self.rng.random_bool(self.plan.one_zone),
-            spread,
-            spot: kind != Kind::Service,
-            estimate_s: f64::from(self.rng.random_range(1..9))
-                * if self.plan.long { 15.0 } else { 1.0 },
-            checkpoint_s: if self.rng.random_bool(0.3) { 3.0 } else { 0.0 },
-            save_s: 1.0,
-            deadline_s: None,
-        };
-        self.with_gpus(job)
-    }
-
     /// A new job, which its user asks about from now on.
-    pub(super) fn wants(&mut self, j: &Job) {
-        self.rules.jobs.insert(j.id.clone(), j.clone());
-        self.rules.served.asks(j, self.now);
-        self.at(1000, Ev::Poll(j.id.clone()));
+    pub(super) fn add_job(&mut self, job: &Job) {
+        self.rules.jobs.insert(job.id.clone(), job.clone());
+        self.rules.served.submitted(job, self.now);
+        self.schedule(FIRST_POLL_MS, Event::Poll { job: job.id.clone() });
     }
 
-    /// Controllers that the load balancer has a connection to.
-    pub(super) fn up(&self) -> Vec<usize> {
-        let up = |&n: &usize| self.reached(n) && self.now >= self.stalled[n];
-        (0..NODES).filter(up).collect()
+    /// A controller that the load balancer has a connection to, if there is any.
+    pub(super) fn random_reachable_node(&mut self) -> Option<usize> {
+        let is_reachable = |&node: &usize| {
+            self.controllers[node].reaches_users() && self.controllers[node].runs(self.now)
+        };
+        let reachable: Vec<usize> = (0..NODES).filter(is_reachable).collect();
+        if reachable.is_empty() {
+            return None;
+        }
+        Some(reachable[self.rng.random_range(0..reachable.len())])
     }
 
-    fn reached(&self, n: usize) -> bool {
-        self.nodes[n].is_some() && !self.cut[n]
+    /// Sends a request to any controller that is up.
+    pub(super) fn request(&mut self, kind: RequestKind, id: &str) -> Result<(), String> {
+        match self.random_reachable_node() {
+            Some(node) => self.request_at(node, kind, id),
+            None => Ok(()),
+        }
     }
 
-    /// At any controller that is up.
-    pub(super) fn ask(&mut self, what: What, id: &str) -> Result<(), String> {
-        let up = self.up();
-        if up.is_empty() {
+    /// Sends a request to this controller, if it is up.
+    pub(super) fn request_at(
+        &mut self,
+        node: usize,
+        kind: RequestKind,
+        id: &str,
+    ) -> Result<(), String> {
+        let Some(job) = self.rules.jobs.get(id) else { return Ok(()) };
+        if !self.controllers[node].reaches_users() {
             return Ok(());
         }
-        let n = up[self.rng.random_range(0..up.len())];
-        self.ask_at(n, what, id)
-    }
-
-    /// At this one, if it is there. One that gets no processor time takes it in when it goes on.
-    pub(super) fn ask_at(&mut self, n: usize, what: What, id: &str) -> Result<(), String> {
-        let Some(j) = self.rules.jobs.get(id).filter(|_| self.reached(n)) else { return Ok(()) };
-        let job = Box::new(j.clone());
-        let num = JobId(parse_job_id(id).unwrap_or(0));
-        let misroute = self.plan.sabotage == Sabotage::Misroute;
-        self.request(n, what, id, |req| match what {
-            What::Cancel if misroute => Input::Get { req, id: num },
-            What::Submit => Input::Submit { req, id: Some(num), job: Ok(job) },
-            What::Poll => Input::Get { req, id: num },
-            What::Cancel => Input::Cancel { req, id: num },
+        let job = Box::new(job.clone());
+        let number = JobId(parse_job_id(id).unwrap_or(0));
+        let is_misrouted = self.plan.sabotage == Sabotage::MisroutedCancellations;
+        self.send_request(node, kind, id, |req| match kind {
+            RequestKind::Cancel if is_misrouted => Input::Get { req, id: number },
+            RequestKind::Submit => Input::Submit { req, id: Some(number), job: Ok(job) },
+            RequestKind::Poll => Input::Get { req, id: number },
+            RequestKind::Cancel => Input::Cancel { req, id: number },
         })
     }
 
-    /// Sends a request, and remembers what its user knew until then.
-    pub(super) fn request(
+    /// Sends the input that `make` gives for the request's number, and notes what the user knew until then.
+    /// A controller that gets no processor time takes it in when it goes on.
+    pub(super) fn send_request(
         &mut self,
-        n: usize,
-        what: What,
+        node: usize,
+        kind: RequestKind,
         id: &str,
         make: impl FnOnce(u64) -> Input,
     ) -> Result<(), String> {
-        self.next_req += 1;
-        let req = self.next_req;
-        let boot = self.boots[n].1;
-        let q = Question { what, job: id.into(), knew: self.rules.news(id) };
-        self.reqs.insert((n, boot, req), Req::User(q));
-        let input = make(req);
-        if self.now >= self.stalled[n] {
-            return self.step(n, input);
+        let request = UserRequest { kind, job: id.into(), knew: self.rules.knowledge(id) };
+        let number = self.add_pending(node, PendingRequest::User(request));
+        let input = make(number);
+        if self.controllers[node].runs(self.now) {
+            return self.step(node, input);
         }
-        self.at(0, Ev::In(n, boot, input));
+        self.schedule_input(0, self.process(node), input);
         Ok(())
     }
 
-    /// Somebody submits a job, and somebody else will.
-    pub(super) fn user_next(&mut self) -> Result<(), String> {
-        let j = self.random_job();
-        self.wants(&j);
-        if self.plan.faults && j.kind != Kind::Service && self.rng.random_bool(0.04) {
-            self.done.mistaken.insert(j.id.clone());
-            let wait = self.rng.random_range(20_000..60_000);
-            self.at(wait, Ev::Cancel(j.id.clone()));
-        } else if self.rng.random_bool(0.15) || j.kind == Kind::Service {
-            let wait = self.rng.random_range(3000..40_000);
-            self.at(wait, Ev::Cancel(j.id.clone()));
+    /// A user submits a job, and another user will.
+    pub(super) fn next_submission(&mut self) -> Result<(), String> {
+        let job = self.random_job();
+        self.add_job(&job);
+        let is_service = job.kind == Kind::Service;
+        if self.plan.faults && !is_service && self.rng.random_bool(0.04) {
+            self.done.always_failing.insert(job.id.clone());
+            self.cancel_within(&job.id, 20_000..60_000);
+        } else if self.rng.random_bool(0.15) || is_service {
+            self.cancel_within(&job.id, 3000..40_000);
         }
-        self.ask(What::Submit, &j.id)?;
-        let wait = self.rng.random_range(500..4000);
-        self.at(wait / u64::from(self.plan.rate), Ev::UserNext);
+        self.request(RequestKind::Submit, &job.id)?;
+        let wait_ms = self.rng.random_range(SUBMISSION_INTERVAL_MS);
+        self.schedule(wait_ms / u64::from(self.plan.submission_rate), Event::NextSubmission);
         Ok(())
     }
 
+    /// A user queries its job, or repeats the submission, and will do so again.
     pub(super) fn poll(&mut self, id: String) -> Result<(), String> {
-        let often = self.now < self.polls_until;
-        self.at(if often { 500 } else { 4000 }, Ev::Poll(id.clone()));
+        let is_frequent = self.now < self.frequent_polls_until;
+        let wait_ms = if is_frequent { FREQUENT_POLL_INTERVAL_MS } else { POLL_INTERVAL_MS };
+        self.schedule(wait_ms, Event::Poll { job: id.clone() });
         // A retry may come at any later time, even when the job is over.
-        let again = !self.rules.accepted.contains(&id) || self.rng.random_range(0..20) == 0;
-        self.ask(if again { What::Submit } else { What::Poll }, &id)
+        let resubmits =
+            !self.rules.accepted.contains(&id) || self.rng.random_range(0..RESUBMISSION_ODDS) == 0;
+        let kind = if resubmits { RequestKind::Submit } else { RequestKind::Poll };
+        self.request(kind, &id)
     }
 
-    /// Its user changes its mind. What it was told is done stays so, whatever it asks for.
+    /// A user cancels its job. What it was told is done stays so, whatever it asks for.
     pub(super) fn cancel(&mut self, id: String) -> Result<(), String> {
         if !self.rules.accepted.contains(&id) {
-            self.at(3000, Ev::Cancel(id));
+            self.schedule(CANCEL_WHEN_ACCEPTED_MS, Event::Cancel { job: id });
             return Ok(());
         }
-        let over = self.rules.told.contains_key(&id);
-        if !over && self.rules.cancel_asked.insert(id.clone()) {
-            self.rules.served.gives_up(&id);
-            let ended = self.rules.jobs.get(&id).is_some_and(|j| self.done.all_of(j));
-            if ended && self.done.last(&id).is_some_and(|at| self.now >= at + 1000) {
-                self.rules.ended.insert(id.clone());
-            }
-            self.rules.unheeded.insert(id.clone(), self.now);
-            self.at(1500, Ev::Insist(id.clone()));
+        let is_over = self.rules.acknowledged.contains_key(&id);
+        if !is_over && self.rules.cancel_asked.insert(id.clone()) {
+            self.note_first_cancel(&id);
+            self.schedule(CANCEL_RETRY_MS, Event::RepeatCancel { job: id.clone() });
         }
-        self.ask(What::Cancel, &id)
+        self.request(RequestKind::Cancel, &id)
     }
 
-    pub(super) fn insist(&mut self, id: String) -> Result<(), String> {
-        if !self.rules.unheeded.contains_key(&id) {
+    /// The first cancellation of a job that is not over, as far as its user knows.
+    fn note_first_cancel(&mut self, id: &str) {
+        self.rules.served.cancelled(id);
+        let has_ended = self.rules.jobs.get(id).is_some_and(|job| self.done.all_of(job));
+        let ended_at = self.done.last(id);
+        if has_ended && ended_at.is_some_and(|at| self.now >= at + ENDED_BEFORE_CANCEL_MS) {
+            self.rules.ended_before_cancel.insert(id.into());
+        }
+        self.rules.unanswered_cancels.insert(id.into(), self.now);
+    }
+
+    /// A user repeats a cancellation that was not answered.
+    pub(super) fn repeat_cancel(&mut self, id: String) -> Result<(), String> {
+        if !self.rules.unanswered_cancels.contains_key(&id) {
             return Ok(());
         }
-        self.at(1500, Ev::Insist(id.clone()));
-        self.ask(What::Cancel, &id)
+        self.schedule(CANCEL_RETRY_MS, Event::RepeatCancel { job: id.clone() });
+        self.request(RequestKind::Cancel, &id)
     }
 
-    /// What a controller answers a user.
-    pub(super) fn answer(&mut self, q: &Question, reply: &UserReply) -> Result<(), String> {
-        let id = q.job.as_str();
+    /// What a controller answers a user, unless the answer is lost on its way.
+    pub(super) fn answer(
+        &mut self,
+        request: &UserRequest,
+        reply: &UserReply,
+    ) -> Result<(), String> {
+        let id = request.job.as_str();
         let shard = shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
-        let mute = self.plan.sabotage == Sabotage::Mute && shard == Shard(0);
-        // The answer may be lost on its way to the user.
-        let lost = self.plan.faults && self.rng.random_range(0..50) == 0;
-        if lost || (mute && self.rules.accepted.contains(id)) {
+        let is_sabotaged = self.plan.sabotage == Sabotage::UnansweredShard && shard == Shard(0);
+        let is_lost = self.plan.faults && self.rng.random_range(0..LOST_REPLY_ODDS) == 0;
+        if is_lost || (is_sabotaged && self.rules.accepted.contains(id)) {
             return Ok(());
         }
-        let before = self.rules.news(id);
-        self.rules.answer(self.now, q, reply.status, reply.state.as_ref(), &self.done)?;
-        if self.rules.news(id) != before {
-            self.look_closely(id);
+        let before = self.rules.knowledge(id);
+        self.rules.answer(self.now, request, reply.status, reply.state.as_ref(), &self.done)?;
+        if self.rules.knowledge(id) != before {
+            self.query_after_answer(id);
         }
         Ok(())
     }
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -6,37 +6,64 @@
 /// What is broken on purpose, to see that the checker notices.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Broken {
+    /// Nothing is broken.
     #[default]
     Nothing,
-    /// Conditions are not looked at.
+    /// Conditions are not checked.
     Conditions,
     /// Decisions are not kept.
     Decisions,
-    /// A single key is read as it was a moment ago.
-    Stale,
+    /// A single key is read as it was half a second ago.
+    StaleReads,
 }
 
-/// So old is what a stale read gives.
-const STALE_MS: u64 = 500;
+/// The age of what a stale read gives.
+const STALE_READ_MS: u64 = 500;
+/// Items a page: few, so that reading on is exercised.
+const SMALL_PAGE: usize = 5;
 
+/// A lease and when it ends.
+#[derive(Clone, Copy, Debug)]
+struct Lease {
+    ttl_ms: u64,
+    ends_at: u64,
+}
+
+impl Lease {
+    fn renew(&mut self, now: u64) {
+        self.ends_at = now + self.ttl_ms;
+    }
+}
+
+/// A key as it was before its last change.
+#[derive(Clone, Debug)]
+struct Previous {
+    changed_at: u64,
+    item: Option<Item>,
+}
+
+/// The state service: keys with versions, leases, and the log of changes. Times are in milliseconds.
 #[derive(Default)]
 pub struct State {
+    /// The revision of the last change.
     pub revision: u64,
     keys: BTreeMap<String, Item>,
-    leases: BTreeMap<u64, (u64, u64)>,
-    next_lease: u64,
+    leases: BTreeMap<u64, Lease>,
+    last_lease: u64,
     log: Vec<Event>,
     broken: Broken,
-    /// Keys as they were before their last change, and when that was: for stale reads.
-    before: BTreeMap<String, (u64, Option<Item>)>,
-    /// Items a page: few, so that reading on is exercised.
+    /// For stale reads.
+    previous: BTreeMap<String, Previous>,
+    /// Items a page.
     pub page: usize,
-    /// Changes a second that it takes, with bursts of a second's worth; none: any.
-    pub limit: Option<f64>,
+    /// How many changes a second it takes, with bursts of a second's worth; without a limit if absent.
+    pub max_changes_per_s: Option<f64>,
+    /// Changes that it would take now.
     tokens: f64,
-    at: u64,
-    /// Changes taken, and transactions refused for the limit.
+    tokens_at: u64,
+    /// How many changes were taken.
     pub changes: u64,
+    /// How many transactions were refused for the limit.
     pub refused: u64,
     /// A write that a late copy of it would do again, over newer ones: no condition of it fails once
     /// it is done.
@@ -44,84 +71,87 @@
 }
 
 impl State {
+    /// An empty store with small pages and without a limit.
     pub fn new(broken: Broken) -> State {
-        State { broken, page: 5, ..State::default() }
+        State { broken, page: SMALL_PAGE, ..State::default() }
     }
 
     /// Ends leases that ran out.
     pub fn expire(&mut self, now: u64) {
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, l)| l.1 < now).map(|(k, _)| *k).collect();
-        for l in over {
-            self.end(l);
+        let expired = self.leases.iter().filter(|(_, lease)| lease.ends_at < now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for lease in expired {
+            self.end_lease(lease);
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// After an outage every lease has its full duration again.
     pub fn renew_all(&mut self, now: u64) {
-        for l in self.leases.values_mut() {
-            l.1 = now + l.0;
-        }
+        self.leases.values_mut().for_each(|lease| lease.renew(now));
     }
 
-    fn end(&mut self, lease: u64) {
+    fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
-        let keys: Vec<String> =
-            self.keys.values().filter(|i| i.lease == Some(lease)).map(|i| i.key.clone()).collect();
+        let of_lease = self.keys.values().filter(|item| item.lease == Some(lease));
+        let keys: Vec<String> = of_lease.map(|item| item.key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
         }
-        for k in keys {
-            self.remove(&k);
+        for key in keys {
+            self.remove(&key);
         }
     }
 
     /// How many keys there are under a prefix.
     pub fn count(&self, prefix: &str) -> usize {
-        self.keys.range(prefix.to_string()..).take_while(|k| k.0.starts_with(prefix)).count()
+        let from = self.keys.range(prefix.to_string()..);
+        from.take_while(|(key, _)| key.starts_with(prefix)).count()
     }
 
-    fn remove(&mut self, k: &str) {
-        if self.keys.remove(k).is_some() {
+    fn remove(&mut self, key: &str) {
+        if self.keys.remove(key).is_some() {
             self.log.push(Event {
                 put: None,
-                delete: Some(k.to_string()),
+                delete: Some(key.to_string()),
                 value: serde_json::Value::Null,
                 version: self.revision,
             });
         }
     }
 
+    /// The changes of keys under a prefix after a revision.
     pub fn events(&self, prefix: &str, after: u64) -> Events {
-        let events = self
-            .log
-            .iter()
-            .filter(|e| e.version > after)
-            .filter(|e| e.put.as_ref().or(e.delete.as_ref()).is_some_and(|k| k.starts_with(prefix)))
-            .cloned()
-            .collect();
+        let is_under_prefix = |event: &&Event| {
+            let key = event.put.as_ref().or(event.delete.as_ref());
+            key.is_some_and(|key| key.starts_with(prefix))
+        };
+        let later = self.log.iter().filter(|event| event.version > after);
+        let events = later.filter(is_under_prefix).cloned().collect();
         Events { revision: self.revision, events }
     }
 
-    /// Whether so many changes are within the limit now.
+    /// Whether that number of changes is within the limit now.
     fn takes(&mut self, now: u64, changes: usize) -> bool {
-        let Some(limit) = self.limit else { return true };
-        let came = now.saturating_sub(self.at) as f64 / 1000.0 * limit;
+        let Some(limit) = self.max_changes_per_s else { return true };
+        let came = now.saturating_sub(self.tokens_at) as f64 / 1000.0 * limit;
         self.tokens = (self.tokens + came).min(limit);
-        self.at = now;
-        let within = self.tokens >= changes as f64;
-        if within {
+        self.tokens_at = now;
+        let is_within = self.tokens >= changes as f64;
+        if is_within {
             self.tokens -= changes as f64;
         } else {
             self.refused += 1;
         }
-        within
+        is_within
     }
 
-    /// The conditions of a transaction that don't hold.
-    fn failed(&self, t: &Transaction) -> Vec<String> {
-        let fails = |c: &&Condition| self.keys.get(&c.key).map_or(0, |i| i.version) != c.version;
-        t.conditions.iter().filter(fails).map(|c| c.key.clone()).collect()
+    /// The keys of a transaction's conditions that don't hold.
+    fn failed_conditions(&self, transaction: &Transaction) -> Vec<String> {
+        let fails = |condition: &&Condition| {
+            let version = self.keys.get(&condition.key).map_or(0, |item| item.version);
+            version != condition.version
+        };
+        transaction.conditions.iter().filter(fails).map(|c| c.key.clone()).collect()
     }
 
     /// Executes a call other than a watch.
@@ -129,93 +159,112 @@
         self.expire(now);
         match call {
             StoreCall::NewLease { ttl_ms } => {
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (*ttl_ms, now + ttl_ms));
-                StoreResult::Lease(self.next_lease)
+                self.last_lease += 1;
+                let lease = Lease { ttl_ms: *ttl_ms, ends_at: now + ttl_ms };
+                self.leases.insert(self.last_lease, lease);
+                StoreResult::Lease(self.last_lease)
             }
             StoreCall::RenewLease { lease } => match self.leases.get_mut(lease) {
-                Some(l) => {
-                    l.1 = now + l.0;
+                Some(lease) => {
+                    lease.renew(now);
                     StoreResult::LeaseRenewed
                 }
                 None => StoreResult::NoLease,
             },
             StoreCall::EndLease { lease } => {
-                self.end(*lease);
+                self.end_lease(*lease);
                 StoreResult::LeaseRenewed
             }
-            StoreCall::Transaction(t) => {
-                // Those whose conditions fail count as well.
-                if !self.takes(now, t.changes.len()) {
-                    return StoreResult::RateLimited;
-                }
-                let failed = self.failed(t);
-                if !failed.is_empty() && self.broken != Broken::Conditions {
-                    return StoreResult::Conflict(failed);
-                }
-                let dead = t.changes.iter().any(|c| match c {
-                    Change::Put { lease: Some(l), .. } => !self.leases.contains_key(l),
-                    _ => false,
-                });
-                if dead {
-                    return StoreResult::NoLease;
-                }
-                self.revision += 1;
-                self.changes += t.changes.len() as u64;
-                if self.broken == Broken::Stale {
-                    for c in &t.changes {
-                        let (Change::Put { key, .. } | Change::Delete { key }) = c;
-                        let was = self.keys.get(key).cloned();
-                        self.before.insert(key.clone(), (now, was));
-                    }
-                }
-                for c in &t.changes {
-                    match c {
-                        Change::Put { key, .. }
-                            if self.broken == Broken::Decisions && key.starts_with("d/") => {}
-                        Change::Put { key, value, lease } => {
-                            let item = Item {
-                                key: key.clone(),
-                                value: value.clone(),
-                                version: self.revision,
-                                lease: *lease,
-                            };
-                            self.keys.insert(key.clone(), item);
-                            self.log.push(Event {
-                                put: Some(key.clone()),
-                                delete: None,
-                                value: value.clone(),
-                                version: self.revision,
-                            });
-                        }
-                        Change::Delete { key } => self.remove(key),
-                    }
-                }
-                let writes = |c: &Change| matches!(c, Change::Put { .. });
-                let sound = self.broken == Broken::Nothing;
-                if sound && t.changes.iter().any(writes) && self.failed(t).is_empty() {
-                    self.repeatable.get_or_insert_with(|| format!("{t:?}"));
-                }
-                StoreResult::Committed(self.revision)
-            }
-            StoreCall::Get { key } => StoreResult::Item(match self.before.get(key) {
-                Some((at, was)) if now < at + STALE_MS => was.clone(),
-                _ => self.keys.get(key).cloned(),
-            }),
+            StoreCall::Transaction(transaction) => self.transaction(now, transaction),
+            StoreCall::Get { key } => StoreResult::Item(self.get(now, key)),
             StoreCall::List { prefix, after } => {
-                let from = after.as_ref().filter(|a| *a >= prefix).unwrap_or(prefix);
-                let under = self.keys.range(from.clone()..).map(|x| x.1);
-                let mut items: Vec<Item> = under
-                    .take_while(|i| i.key.starts_with(prefix.as_str()))
-                    .filter(|i| after.as_ref().is_none_or(|a| i.key > *a))
-                    .take(self.page + 1)
-                    .cloned()
-                    .collect();
-                let more = items.len() > self.page;
-                items.truncate(self.page);
-                StoreResult::Page(Page { items, more, revision: self.revision })
+                StoreResult::Page(self.list(prefix, after.as_ref()))
             }
             StoreCall::Watch { .. } => StoreResult::Refused,
         }
     }
+
+    fn transaction(&mut self, now: u64, transaction: &Transaction) -> StoreResult {
+        // Those whose conditions fail count as well.
+        if !self.takes(now, transaction.changes.len()) {
+            return StoreResult::RateLimited;
+        }
+        let failed = self.failed_conditions(transaction);
+        if !failed.is_empty() && self.broken != Broken::Conditions {
+            return StoreResult::Conflict(failed);
+        }
+        let lacks_lease = |change: &Change| match change {
+            Change::Put { lease: Some(lease), .. } => !self.leases.contains_key(lease),
+            Change::Put { lease: None, .. } | Change::Delete { .. } => false,
+        };
+        if transaction.changes.iter().any(lacks_lease) {
+            return StoreResult::NoLease;
+        }
+        self.revision += 1;
+        self.changes += transaction.changes.len() as u64;
+        if self.broken == Broken::StaleReads {
+            self.keep_previous(now, transaction);
+        }
+        transaction.changes.iter().for_each(|change| self.apply(change));
+        self.note_repeatable(transaction);
+        StoreResult::Committed(self.revision)
+    }
+
+    fn keep_previous(&mut self, now: u64, transaction: &Transaction) {
+        for change in &transaction.changes {
+            let (Change::Put { key, .. } | Change::Delete { key }) = change;
+            let item = self.keys.get(key).cloned();
+            self.previous.insert(key.clone(), Previous { changed_at: now, item });
+        }
+    }
+
+    fn apply(&mut self, change: &Change) {
+        match change {
+            Change::Put { key, .. }
+                if self.broken == Broken::Decisions && key.starts_with("d/") => {}
+            Change::Put { key, value, lease } => {
+                let (key, value, version) = (key.clone(), value.clone(), self.revision);
+                let item = Item { key: key.clone(), value: value.clone(), version, lease: *lease };
+                self.keys.insert(key.clone(), item);
+                self.log.push(Event { put: Some(key), delete: None, value, version });
+            }
+            Change::Delete { key } => self.remove(key),
+        }
+    }
+
+    /// Notes a write that was carried out and whose conditions hold still.
+    fn note_repeatable(&mut self, transaction: &Transaction) {
+        let is_put = |change: &Change| matches!(change, Change::Put { .. });
+        let is_sound = self.broken == Broken::Nothing;
+        if is_sound
+            && transaction.changes.iter().any(is_put)
+            && self.failed_conditions(transaction).is_empty()
+        {
+            self.repeatable.get_or_insert_with(|| format!("{transaction:?}"));
+        }
+    }
+
+    fn get(&self, now: u64, key: &str) -> Option<Item> {
+        match self.previous.get(key) {
+            Some(previous) if now < previous.changed_at + STALE_READ_MS => previous.item.clone(),
+            _ => self.keys.get(key).cloned(),
+        }
+    }
+
+    /// A page of the keys under a prefix, from the key `after` on.
+    fn list(&self, prefix: &str, after: Option<&String>) -> Page {
+        let from = after.map(String::as_str).filter(|after| *after >= prefix).unwrap_or(prefix);
+        let mut items: Vec<Item> = self
+            .keys
+            .range(from.to_string()..)
+            .map(|(_, item)| item)
+            .take_while(|item| item.key.starts_with(prefix))
+            .filter(|item| after.is_none_or(|after| item.key > *after))
+            .take(self.page + 1)
+            .cloned()
+            .collect();
+        let more = items.len() > self.page;
+        items.truncate(self.page);
+        Page { items, more, revision: self.revision }
+    }
 }
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -9,14 +9,14 @@
 
 pub fn plan(seed: u64, seconds: u64, script: Vec<(u64, Fault)>) -> Plan {
     let quiet = Plan { seconds, script, faults: false, ..Plan::new(seed) };
-    Plan { long: true, team_max: 20.0, lease_ms: LEASE_MS, ..quiet }
+    Plan { long_tasks: true, team_cpu_limit: 20.0, lease_ms: LEASE_MS, ..quiet }
 }
 
 /// Plays it with short tasks and with long ones, and then without any trouble: the rules hold, and every
 /// job that was not cancelled is answered about.
 pub fn played(what: &str, seed: u64, script: &[(u64, Fault)]) -> Vec<Sim> {
     let one = |long| {
-        let plan = Plan { calm: 100, long, ..plan(seed, 150, script.to_vec()) };
+        let plan = Plan { calm_seconds: 100, long_tasks: long, ..plan(seed, 150, script.to_vec()) };
         let mut sim = Sim::new(plan);
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         assert!(sim.rules.starts > 60, "{what}: only {} starts", sim.rules.starts);
@@ -30,5 +30,5 @@
 }
 
 pub fn cancel(at: u64) -> (u64, Fault) {
-    (at, Fault::Cancel { percent: 35 })
+    (at, Fault::CancelJobs { percent: 35 })
 }
--- a/crates/testkit/tests/known.rs
+++ b/crates/testkit/tests/known.rs
@@ -4,10 +4,17 @@
 use leaddeal_testkit::sim::{Plan, Sim};
 
 fn known(seed: u64, garbled: bool, script: Vec<(u64, Fault)>) -> (Sim, usize) {
-    let plan = Plan { calm: 100, faults: false, garbled, script, seconds: 120, ..Plan::new(seed) };
+    let plan = Plan {
+        calm_seconds: 100,
+        faults: false,
+        corrupt_records: garbled,
+        script,
+        seconds: 120,
+        ..Plan::new(seed)
+    };
     let mut sim = Sim::new(plan);
     sim.run().unwrap_or_else(|e| panic!("{e}"));
-    let told = sim.rules.told.len();
+    let told = sim.rules.acknowledged.len();
     (sim, told)
 }
 
@@ -29,7 +36,7 @@
 fn pages_that_are_refused_time_and_again_come_in_the_end() {
     for percent in [50, 85] {
         let script = vec![
-            (30_000, Fault::Flaky { percent, ms: 60_000 }),
+            (30_000, Fault::FlakyStore { percent, ms: 60_000 }),
             (31_000, Fault::Crash { nodes: vec![0, 1], back_ms: 1000 }),
             (50_000, Fault::Crash { nodes: vec![2], back_ms: 200 }),
         ];
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -6,8 +6,15 @@
 
 /// Team "tight" asks for several times its limit.
 fn tight(seed: u64, script: Vec<(u64, Fault)>) -> Plan {
-    let one = Plan { teams: Teams::One, gangs: 1, ..Plan::new(seed) };
-    Plan { team_max: 4.0, faults: false, script, rate: 2, array: 40, ..one }
+    let one = Plan { teams: Teams::One, max_gang_tasks: 1, ..Plan::new(seed) };
+    Plan {
+        team_cpu_limit: 4.0,
+        faults: false,
+        script,
+        submission_rate: 2,
+        array_tasks_limit: 40,
+        ..one
+    }
 }
 
 fn played(plan: Plan) -> Sim {
@@ -34,7 +41,7 @@
     let (mut n, mut of) = (0, 0);
     for j in those {
         of += 1;
-        n += usize::from(sim.rules.told.get(&j.id).is_some_and(|t| t.0 == Status::Done));
+        n += usize::from(sim.rules.acknowledged.get(&j.id).is_some_and(|t| t.0 == Status::Done));
     }
     (n, of)
 }
@@ -44,7 +51,7 @@
 #[test]
 fn what_may_not_run_costs_nothing() {
     for seed in 1..=3 {
-        let sim = played(Plan { counted: true, ..tight(seed, Vec::new()) });
+        let sim = played(Plan { count_traffic: true, ..tight(seed, Vec::new()) });
         let (looked, starts) = (sim.looked(), sim.rules.starts as u64);
         assert!(
             looked < starts * 40,
@@ -73,13 +80,13 @@
     let mut all = 0;
     for seed in 1..=12 {
         let script = vec![
-            (60_000, Fault::Hang { machines: 4, ms: 20_000 }),
-            (60_000, Fault::Deaf { machines: 4, ms: 25_000 }),
-            (60_500, Fault::Cancel { percent: 70 }),
+            (60_000, Fault::HangMachines { machines: 4, ms: 20_000 }),
+            (60_000, Fault::InboundPartition { machines: 4, ms: 25_000 }),
+            (60_500, Fault::CancelJobs { percent: 70 }),
             (61_000, Fault::Crash { nodes: vec![seed as usize % 3], back_ms: 9000 }),
             (75_000, Fault::Crash { nodes: vec![(seed as usize + 1) % 3], back_ms: 300 }),
         ];
-        all += served(&played(Plan { long: true, ..tight(seed, script) }));
+        all += served(&played(Plan { long_tasks: true, ..tight(seed, script) }));
     }
     assert!(all > 8, "{all} jobs of the team were served in twelve runs");
 }
@@ -90,11 +97,11 @@
     let mut all = 0;
     for seed in 1..=4 {
         let script = vec![
-            (30_000, Fault::LateReports { percent: 40, ms: 120_000 }),
+            (30_000, Fault::LateHeartbeatCopies { percent: 40, ms: 120_000 }),
             (30_000, Fault::LateWrites { percent: 10, ms: 60_000 }),
-            (50_000, Fault::Lone { node: 0, ms: 20_000 }),
-            (80_000, Fault::Apart { ms: 10_000 }),
-            (100_000, Fault::Between { nodes: (1, 2), ms: 20_000 }),
+            (50_000, Fault::StoreAndPeerPartition { node: 0, ms: 20_000 }),
+            (80_000, Fault::PeerPartition { ms: 10_000 }),
+            (100_000, Fault::PairPartition { nodes: (1, 2), ms: 20_000 }),
             (130_000, Fault::Crash { nodes: vec![0, 1, 2], back_ms: 4000 }),
         ];
         all += served(&played(tight(seed, script)));
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -10,9 +10,9 @@
 /// The store refuses one controller, users cancel through the others, and then it is down for all for
 /// longer than a cancellation may take, while workers report on.
 fn gap(refused: usize, more: Vec<(u64, Fault)>) -> Vec<(u64, Fault)> {
-    let refuse = Fault::Refuse { node: refused, ms: 14_000 };
-    let outage = Fault::Outage { ms: CANCEL_MS + 15_000 };
-    let gap = [(60_000, refuse), (60_300, Fault::Cancel { percent: 60 }), (62_500, outage)];
+    let refuse = Fault::StoreRefusesNode { node: refused, ms: 14_000 };
+    let outage = Fault::StoreOutage { ms: CANCEL_MS + 15_000 };
+    let gap = [(60_000, refuse), (60_300, Fault::CancelJobs { percent: 60 }), (62_500, outage)];
     gap.into_iter().chain(more).collect()
 }
 
@@ -24,7 +24,7 @@
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         let window = BEGIN + 60_000..BEGIN + 64_000;
         let cancelled = |t: &&(Status, u64)| t.0 == Status::Cancelled && window.contains(&t.1);
-        told += sim.rules.told.values().filter(cancelled).count();
+        told += sim.rules.acknowledged.values().filter(cancelled).count();
     }
     assert!(told > 20, "{what}: only {told} cancellations were told");
     told
@@ -52,7 +52,7 @@
 #[test]
 fn the_gap_with_a_confirmer_that_is_heard_again_and_has_forgotten() {
     for node in [1, 2] {
-        let cut = Fault::Between { nodes: (0, node), ms: 4000 };
+        let cut = Fault::PairPartition { nodes: (0, node), ms: 4000 };
         let crash = Fault::Crash { nodes: vec![node], back_ms: 200 };
         play("forgotten", &gap(0, vec![(60_200, cut), (62_450, crash)]));
     }
@@ -60,11 +60,11 @@
 
 #[test]
 fn the_gap_with_two_refused_in_turn_and_a_store_that_is_back_for_a_second() {
-    let second = Fault::Refuse { node: 1, ms: 14_000 };
+    let second = Fault::StoreRefusesNode { node: 1, ms: 14_000 };
     play("two in turn", &gap(0, vec![(61_000, second.clone())]));
     // Up from 107.5 s on, for one second.
-    let again = Fault::Outage { ms: 45_000 };
-    let cancel = (107_600, Fault::Cancel { percent: 60 });
+    let again = Fault::StoreOutage { ms: 45_000 };
+    let cancel = (107_600, Fault::CancelJobs { percent: 60 });
     play("back for a second", &gap(0, vec![cancel, (108_500, again), (107_400, second)]));
 }
 
@@ -72,21 +72,21 @@
 fn the_gap_with_a_cut_between_the_confirmer_and_the_old_leader() {
     for at in [59_000, 60_800, 62_000] {
         for other in [1, 2] {
-            let cut = Fault::Between { nodes: (0, other), ms: 60_000 };
+            let cut = Fault::PairPartition { nodes: (0, other), ms: 60_000 };
             play("cut between", &gap(0, vec![(at, cut)]));
         }
     }
-    let alone = Fault::Lone { node: 0, ms: 60_000 };
+    let alone = Fault::StoreAndPeerPartition { node: 0, ms: 60_000 };
     play("cut from both", &gap(0, vec![(60_000, alone)]));
-    play("all apart", &gap(0, vec![(61_500, Fault::Apart { ms: 50_000 })]));
+    play("all apart", &gap(0, vec![(61_500, Fault::PeerPartition { ms: 50_000 })]));
 }
 
 #[test]
 fn the_gap_with_new_sessions_and_an_old_leader_that_stands_still() {
-    let reborn = |at| (at, Fault::Reborn { machines: 5 });
+    let reborn = |at| (at, Fault::RestartWorkers { machines: 5 });
     play("new sessions", &gap(0, vec![reborn(61_500), reborn(70_000), reborn(85_000)]));
     for (at, ms) in [(60_500, 20_000), (61_000, 35_000), (70_000, 30_000)] {
-        let freeze = Fault::Freeze { node: 0, ms };
+        let freeze = Fault::FreezeNode { node: 0, ms };
         play("frozen", &gap(0, vec![(at, freeze)]));
     }
 }
@@ -94,7 +94,7 @@
 /// An owner that answered for as long as it liked would break the rule: the tests above see that.
 #[test]
 fn an_owner_that_answers_too_long_is_caught() {
-    let alone = Fault::Lone { node: 0, ms: 60_000 };
+    let alone = Fault::StoreAndPeerPartition { node: 0, ms: 60_000 };
     let script = gap(0, vec![(60_000, alone)]);
     let found = (1..=6).any(|seed| {
         let plan = plan(seed, 140, script.clone());
@@ -110,7 +110,7 @@
 fn no_lease_runs_out_in_an_outage_while_the_controllers_hear_each_other() {
     let mut replicas = 0;
     for seed in 1..=12 {
-        let outage = (60_000, Fault::Outage { ms: 120_000 });
+        let outage = (60_000, Fault::StoreOutage { ms: 120_000 });
         let mut sim = Sim::new(plan(seed, 220, vec![outage]));
         sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
         let (before, up) = (sim.leases_ended(), sim.replicas());
@@ -131,8 +131,8 @@
 /// a new owner hears.
 #[test]
 fn old_reports_after_newer_ones() {
-    let late = (20_000, Fault::LateReports { percent: 90, ms: 100_000 });
-    let reborn = |at| (at, Fault::Reborn { machines: 4 });
+    let late = (20_000, Fault::LateHeartbeatCopies { percent: 90, ms: 100_000 });
+    let reborn = |at| (at, Fault::RestartWorkers { machines: 4 });
     let script = vec![
         late,
         reborn(40_000),
@@ -149,9 +149,9 @@
 #[test]
 fn a_leader_ends_while_machines_are_out_of_reach() {
     for ms in [10_000, 16_500, 40_000] {
-        let cut = Fault::CutZone { zone: "a", ms };
-        let hang = Fault::Hang { machines: 4, ms };
-        let deaf = Fault::Deaf { machines: 4, ms };
+        let cut = Fault::ZonePartition { zone: "a", ms };
+        let hang = Fault::HangMachines { machines: 4, ms };
+        let deaf = Fault::InboundPartition { machines: 4, ms };
         for out in [cut, hang, deaf] {
             let again = (43_000 + ms, crash(1, 200));
             meeting("out of reach", &[(41_000, out), (42_000, crash(0, 60_000)), again]);
@@ -166,7 +166,7 @@
     let cancels = [60_500, 61_500, 64_000, 80_000, 100_000, 109_000].map(cancel);
     for by_ms in [300, 1500] {
         let slow = (50_000, Fault::SlowStore { ms: 80_000, by_ms });
-        let polls = (50_000, Fault::Polls { ms: 70_000 });
+        let polls = (50_000, Fault::FrequentPolls { ms: 70_000 });
         let more = cancels.iter().cloned().chain([slow, polls]).collect();
         meeting("slow, refused, down", &gap(2, more));
     }
@@ -177,8 +177,8 @@
 #[test]
 fn a_leader_that_only_workers_and_users_reach() {
     for ms in [8000, 30_000, 70_000] {
-        let alone = (40_000, Fault::Lone { node: 0, ms });
-        let polls = (40_000, Fault::Polls { ms: 90_000 });
+        let alone = (40_000, Fault::StoreAndPeerPartition { node: 0, ms });
+        let polls = (40_000, Fault::FrequentPolls { ms: 90_000 });
         let back = (41_000 + ms, crash(0, 100));
         meeting("alone", &[alone, polls, cancel(46_000), cancel(50_000), cancel(60_000), back]);
     }
@@ -219,9 +219,9 @@
 #[test]
 fn commands_that_are_held_up() {
     for by_ms in [3000, 9000, 25_000] {
-        let hang = |at| (at, Fault::Hang { machines: 5, ms: 12_000 });
+        let hang = |at| (at, Fault::HangMachines { machines: 5, ms: 12_000 });
         let script = vec![
-            (20_000, Fault::SlowOrders { by_ms, ms: 100_000 }),
+            (20_000, Fault::DelayCommands { by_ms, ms: 100_000 }),
             hang(40_000),
             cancel(45_000),
             (48_000, crash(0, 300)),
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -1,20 +1,20 @@
 //! Two troubles at once, of the store, the network and the machines: the hard cases, brought about with
 //! three controllers. The rules are checked after each step; `docs/meetings.md` says what carries them.
 use common::{cancel, crash, plan, played, CANCEL_MS, LEASE_MS};
-use leaddeal_testkit::script::{Fault, Moment, Written};
+use leaddeal_testkit::script::{Fault, OwnerChange, Written};
 use leaddeal_testkit::sim::{Plan, Sim, BEGIN};
 use leaddeal_wire::user::Status;
 
 mod common;
 
 /// So many kept reports arrived at that moment.
-fn arrived(played: &[Sim], moment: Moment) -> u64 {
-    played.iter().filter_map(|s| s.marks.kept.get(&moment)).sum()
+fn arrived(played: &[Sim], owner_change: OwnerChange) -> u64 {
+    played.iter().filter_map(|s| s.observations.delayed_heartbeats.get(&owner_change)).sum()
 }
 
 /// So many controllers ended on a write of that kind.
 fn ended(played: &[Sim], on: Written) -> usize {
-    played.iter().flat_map(|s| &s.marks.ended_on).filter(|e| e.1 == on).count()
+    played.iter().flat_map(|s| &s.observations.ended_on).filter(|e| e.1 == on).count()
 }
 
 /// A shard is acquired, the answer is lost, and whoever acquired it is refused until its lease is over
@@ -24,12 +24,12 @@
     for (seed, other, refused_at) in
         [(1, 1, 44_200), (2, 2, 44_600), (3, 1, 45_200), (4, 2, 45_200)]
     {
-        let lost = (40_500, Fault::LostAnswers { percent: 100, ms: 9000 });
-        let refuse = (refused_at, Fault::Refuse { node: other, ms: 7000 });
+        let lost = (40_500, Fault::LostStoreAnswers { percent: 100, ms: 9000 });
+        let refuse = (refused_at, Fault::StoreRefusesNode { node: other, ms: 7000 });
         let script =
             [(40_000, crash(0, 60_000)), lost, refuse, cancel(47_000), (70_000, crash(1, 200))];
         let played = played("acquired without an answer", seed, &script);
-        assert!(played.iter().all(|s| s.marks.lost_answers > 2), "no answer was lost");
+        assert!(played.iter().all(|s| s.observations.lost_answers > 2), "no answer was lost");
     }
 }
 
@@ -39,7 +39,7 @@
 fn a_shard_given_back_without_an_answer_by_a_process_that_is_back_at_once() {
     for what in [Written::Release, Written::Acquisition] {
         for (seed, after_ms, back_ms) in [(1, 0, 100), (2, 2100, 20)] {
-            let ends = |at| (at, Fault::EndsOn { what, after_ms, back_ms });
+            let ends = |at| (at, Fault::CrashAfterWrite { what, after_ms, back_ms });
             let away = |at, node| (at, crash(node, 7000));
             let script = [
                 ends(39_000),
@@ -67,8 +67,8 @@
             script.extend([
                 (at, crash(0, 6000)),
                 (at + 7500, Fault::LateWrites { percent: 100, ms: 5500 }),
-                (at + 7500, Fault::NoWatch { ms: 12_000 }),
-                (at + 13_000, Fault::Die { machines: 1 }),
+                (at + 7500, Fault::NoWatches { ms: 12_000 }),
+                (at + 13_000, Fault::LoseMachines { machines: 1 }),
                 cancel(at + 14_000),
             ]);
         }
@@ -81,14 +81,14 @@
 #[test]
 fn a_decision_without_an_answer_whose_machines_are_up_at_once_and_whose_owner_ends() {
     for (seed, by_ms, after_ms) in [(1, 0, 300), (2, 400, 0), (3, 1500, 900)] {
-        let mut script = vec![(20_000, Fault::QuickBoots { ms: 110_000 })];
+        let mut script = vec![(20_000, Fault::FastBoots { ms: 110_000 })];
         for (i, at) in (40_000..120_000).step_by(10_000).enumerate() {
             let back_ms = if i % 2 == 0 { 100 } else { 5000 };
             let what = Written::Decision;
             script.extend([
-                (at, Fault::Die { machines: 2 }),
+                (at, Fault::LoseMachines { machines: 2 }),
                 (at, Fault::SlowStore { ms: 6000, by_ms }),
-                (at + 1500, Fault::EndsOn { what, after_ms, back_ms }),
+                (at + 1500, Fault::CrashAfterWrite { what, after_ms, back_ms }),
                 cancel(at + 2500),
             ]);
         }
@@ -101,13 +101,20 @@
 #[test]
 fn a_final_state_without_an_answer_whose_owner_ends() {
     for (seed, after_ms, back_ms) in [(1, 0, 100), (2, 300, 6000)] {
-        let mut script = vec![(30_000, Fault::Polls { ms: 100_000 })];
+        let mut script = vec![(30_000, Fault::FrequentPolls { ms: 100_000 })];
         for at in (40_000..120_000).step_by(10_000) {
-            script.push((at, Fault::EndsOn { what: Written::Final, after_ms, back_ms }));
+            script.push((
+                at,
+                Fault::CrashAfterWrite { what: Written::TerminalState, after_ms, back_ms },
+            ));
             script.push(cancel(at + 100));
         }
         let played = played("over without an answer", seed, &script);
-        assert!(ended(&played, Written::Final) > 12, "{}", ended(&played, Written::Final));
+        assert!(
+            ended(&played, Written::TerminalState) > 12,
+            "{}",
+            ended(&played, Written::TerminalState)
+        );
     }
 }
 
@@ -116,9 +123,9 @@
 #[test]
 fn answers_that_are_lost_of_what_was_carried_out() {
     for (seed, percent, ms) in [(1, 100, 5000), (2, 50, 60_000)] {
-        let lost = |at| (at, Fault::LostAnswers { percent, ms });
+        let lost = |at| (at, Fault::LostStoreAnswers { percent, ms });
         let script = [
-            (20_000, Fault::Polls { ms: 100_000 }),
+            (20_000, Fault::FrequentPolls { ms: 100_000 }),
             lost(40_000),
             cancel(40_500),
             (42_000, crash(0, 300)),
@@ -129,7 +136,10 @@
             (78_000, crash(2, 100)),
         ];
         let played = played("answers lost", seed, &script);
-        assert!(played.iter().all(|s| s.marks.lost_answers > 10), "hardly any answer was lost");
+        assert!(
+            played.iter().all(|s| s.observations.lost_answers > 10),
+            "hardly any answer was lost"
+        );
     }
 }
 
@@ -137,10 +147,10 @@
 #[test]
 fn answers_that_are_lost_hold_up_nothing() {
     for seed in 1..=3 {
-        let lost = |at| (at, Fault::LostAnswers { percent: 100, ms: 5000 });
+        let lost = |at| (at, Fault::LostStoreAnswers { percent: 100, ms: 5000 });
         let sims = played("answers lost once", seed, &[lost(8000), lost(20_000), lost(40_000)]);
         for sim in sims {
-            assert!(sim.marks.lost_answers > 10, "hardly any answer was lost");
+            assert!(sim.observations.lost_answers > 10, "hardly any answer was lost");
             let under: Vec<_> = sim.under_half().into_iter().filter(|s| s.of > 3).collect();
             assert!(under.is_empty(), "served less than half: {under:?}");
         }
@@ -153,7 +163,7 @@
 fn mute_machines_whose_tasks_are_cancelled_through_two_changes_of_owner() {
     for (seed, ms) in [(1, 10_000), (2, 16_500), (3, 40_000)] {
         for machines in [4, 9] {
-            let mute = (41_000, Fault::Mute { machines, ms });
+            let mute = (41_000, Fault::OutboundPartition { machines, ms });
             let script = [
                 mute,
                 cancel(42_000),
@@ -175,17 +185,18 @@
 fn commands_alone_stop_what_was_cancelled_on_mute_machines() {
     let mut stopped = 0;
     for seed in 1..=6 {
-        let mute = (41_000, Fault::Mute { machines: 9, ms: 60_000 });
-        let script = vec![mute, (41_200, Fault::Cancel { percent: 100 })];
+        let mute = (41_000, Fault::OutboundPartition { machines: 9, ms: 60_000 });
+        let script = vec![mute, (41_200, Fault::CancelJobs { percent: 100 })];
         let mut sim = Sim::new(plan(seed, 60, script));
         sim.run_to(41_100).unwrap_or_else(|e| panic!("{e}"));
-        let before = sim.on_mute_machines();
+        let before = sim.tasks_behind_outbound_partitions();
         sim.run_to(46_000).unwrap_or_else(|e| panic!("{e}"));
         let cancelled = |task: &String| {
-            let told = sim.rules.told.get(task.split('/').next().unwrap_or_default());
+            let told = sim.rules.acknowledged.get(task.split('/').next().unwrap_or_default());
             told.is_some_and(|t| t.0 == Status::Cancelled && t.1 < BEGIN + 43_500)
         };
-        let late: Vec<_> = sim.on_mute_machines().into_iter().filter(cancelled).collect();
+        let late: Vec<_> =
+            sim.tasks_behind_outbound_partitions().into_iter().filter(cancelled).collect();
         assert!(late.is_empty(), "seed {seed}: {late:?} run on");
         stopped += before.iter().filter(|t| cancelled(t)).count();
     }
@@ -196,10 +207,11 @@
 /// shard, or all three controllers, in the very tick in which it acquires the shard or is ready.
 #[test]
 fn old_reports_that_arrive_just_as_a_new_owner_begins() {
-    for moment in [Moment::Acquired, Moment::Ready] {
+    for owner_change in [OwnerChange::Acquired, OwnerChange::Loaded] {
         for (seed, to_all) in [(1, false), (2, true)] {
-            let keep = |at| (at, Fault::Keep { percent: 30, ms: 6000, moment, to_all });
-            let reborn = |at| (at, Fault::Reborn { machines: 4 });
+            let keep =
+                |at| (at, Fault::DelayHeartbeats { percent: 30, ms: 6000, owner_change, to_all });
+            let reborn = |at| (at, Fault::RestartWorkers { machines: 4 });
             let script = [
                 keep(30_000),
                 reborn(36_500),
@@ -214,8 +226,8 @@
                 (88_000, Fault::Crash { nodes: vec![0, 1, 2], back_ms: 500 }),
             ];
             let played = played("kept reports", seed, &script);
-            let n = arrived(&played, moment);
-            assert!(n > 60, "{moment:?}: only {n} reports arrived");
+            let n = arrived(&played, owner_change);
+            assert!(n > 60, "{owner_change:?}: only {n} reports arrived");
         }
     }
 }
@@ -225,14 +237,15 @@
 #[test]
 fn reports_held_back_until_a_new_owner_has_acted() {
     for (seed, ms) in [(1, 2500), (2, 8000), (3, LEASE_MS + 3000)] {
-        let moment = Moment::Acted;
-        let keep = |at, percent| (at, Fault::Keep { percent, ms, moment, to_all: false });
+        let owner_change = OwnerChange::FirstCommand;
+        let keep =
+            |at, percent| (at, Fault::DelayHeartbeats { percent, ms, owner_change, to_all: false });
         let script = [
             keep(40_000, 60),
-            (40_500, Fault::Mute { machines: 3, ms: 12_000 }),
+            (40_500, Fault::OutboundPartition { machines: 3, ms: 12_000 }),
             (42_000, crash(0, 5000)),
             cancel(44_000),
-            (49_000, Fault::Hang { machines: 4, ms: 9000 }),
+            (49_000, Fault::HangMachines { machines: 4, ms: 9000 }),
             keep(50_000, 100),
             (52_000, crash(1, 200)),
             (52_100, crash(2, 9000)),
@@ -240,7 +253,7 @@
             keep(80_000, 30),
             (82_000, crash(0, 100)),
         ];
-        let n = arrived(&played("held back", seed, &script), moment);
+        let n = arrived(&played("held back", seed, &script), owner_change);
         assert!(n > 20, "only {n} reports arrived");
     }
 }
@@ -249,7 +262,7 @@
 #[test]
 fn ten_changes_of_leaders_in_two_minutes_and_in_an_outage() {
     for (seed, outage) in [(1, 8000), (2, 25_000), (3, CANCEL_MS + 10_000)] {
-        let mut script = vec![(64_000, Fault::Outage { ms: outage })];
+        let mut script = vec![(64_000, Fault::StoreOutage { ms: outage })];
         for (i, at) in (30_000..140_000).step_by(11_000).enumerate() {
             script.push((at, crash(i % 3, if i % 2 == 0 { 200 } else { 8000 })));
             script.push(cancel(at + 3700));
@@ -264,9 +277,9 @@
 fn all_controllers_away_for_longer_than_a_lease() {
     for (seed, back_ms) in [(1, LEASE_MS - 2000), (2, LEASE_MS + 3000), (3, CANCEL_MS + 10_000)] {
         let all = Fault::Crash { nodes: vec![0, 1, 2], back_ms };
-        let hang = |at, ms| (at, Fault::Hang { machines: 3, ms });
+        let hang = |at, ms| (at, Fault::HangMachines { machines: 3, ms });
         let script = [
-            (35_000, Fault::Mute { machines: 2, ms: back_ms + 20_000 }),
+            (35_000, Fault::OutboundPartition { machines: 2, ms: back_ms + 20_000 }),
             hang(38_000, LEASE_MS - 3000),
             cancel(39_000),
             (40_500, all),
@@ -285,7 +298,7 @@
     let cuts =
         [(0, LEASE_MS - 3000), (0, LEASE_MS + 6000), (1, LEASE_MS + 6000), (2, CANCEL_MS + 20_000)];
     for (seed, (node, ms)) in (1..).zip(cuts) {
-        let cut = Fault::CutZoneWith { zone: "b", node, ms };
+        let cut = Fault::ZonePartitionWithNode { zone: "b", node, ms };
         let after = 40_000 + ms;
         let script = [
             (40_000, cut),
@@ -299,7 +312,7 @@
     }
     // Nobody else changes hands: what is cut off is placed anew once it is gone.
     for node in 0..3 {
-        let cut = Fault::CutZoneWith { zone: "b", node, ms: CANCEL_MS + 20_000 };
+        let cut = Fault::ZonePartitionWithNode { zone: "b", node, ms: CANCEL_MS + 20_000 };
         played("a zone alone with a controller", 7, &[(40_000, cut)]);
     }
 }
@@ -311,22 +324,23 @@
     let mut told = 0;
     for node in 0..3 {
         // Heard by its siblings on, or by workers and users alone.
-        let heard = Fault::Refuse { node, ms: 9000 };
-        let alone = Fault::Lone { node, ms: CANCEL_MS + 20_000 };
+        let heard = Fault::StoreRefusesNode { node, ms: 9000 };
+        let alone = Fault::StoreAndPeerPartition { node, ms: CANCEL_MS + 20_000 };
         for (lost, refused) in [(0, heard), (50, alone)] {
             let script = vec![
-                (59_500, Fault::LostAnswers { percent: lost, ms: 3000 }),
+                (59_500, Fault::LostStoreAnswers { percent: lost, ms: 3000 }),
                 (60_000, refused),
-                (60_000, Fault::Cancel { percent: 70 }),
-                (61_000, Fault::Outage { ms: CANCEL_MS + 15_000 }),
+                (60_000, Fault::CancelJobs { percent: 70 }),
+                (61_000, Fault::StoreOutage { ms: CANCEL_MS + 15_000 }),
             ];
             for seed in 1..=2 {
-                let mut sim = Sim::new(Plan { calm: 100, ..plan(seed, 140, script.clone()) });
+                let mut sim =
+                    Sim::new(Plan { calm_seconds: 100, ..plan(seed, 140, script.clone()) });
                 sim.run().unwrap_or_else(|e| panic!("in the very moment: {e}"));
                 let window = BEGIN + 60_000..BEGIN + 64_000;
                 let cancelled =
                     |t: &&(Status, u64)| t.0 == Status::Cancelled && window.contains(&t.1);
-                told += sim.rules.told.values().filter(cancelled).count();
+                told += sim.rules.acknowledged.values().filter(cancelled).count();
             }
         }
     }
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -8,13 +8,13 @@
 const LEASE_MS: u64 = 17_000;
 
 fn plan(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    let quiet = Plan { seconds: 150, faults: false, calm: 60, ..Plan::new(seed) };
-    Plan { script: script.to_vec(), long: true, lease_ms: LEASE_MS, ..quiet }
+    let quiet = Plan { seconds: 150, faults: false, calm_seconds: 60, ..Plan::new(seed) };
+    Plan { script: script.to_vec(), long_tasks: true, lease_ms: LEASE_MS, ..quiet }
 }
 
 /// Every team has a limit, and far more work than that.
 fn at_limits(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    Plan { teams: Teams::AllLimited, rate: 2, ..plan(seed, script) }
+    Plan { teams: Teams::AllLimited, submission_rate: 2, ..plan(seed, script) }
 }
 
 fn run(what: &str, plan: Plan) -> Sim {
@@ -30,11 +30,11 @@
     for seed in 1..=2 {
         let sim = run(what, at_limits(seed, script));
         for t in &sim.rules.teams {
-            let most = sim.rules.most.get(&t.name).copied().unwrap_or_default();
+            let most = sim.rules.peak_usage.get(&t.name).copied().unwrap_or_default();
             assert!(most.0 >= t.cpus_max - 1.0, "{what}: {} used {most:?} at the most", t.name);
         }
         let cancelled = |t: &&(Status, u64)| t.0 == Status::Cancelled && t.1 > BEGIN + from;
-        told += sim.rules.told.values().filter(cancelled).count();
+        told += sim.rules.acknowledged.values().filter(cancelled).count();
     }
     assert!(told > 20, "{what}: only {told} cancellations were told");
 }
@@ -44,13 +44,13 @@
 }
 
 fn cancel(at: u64) -> (u64, Fault) {
-    (at, Fault::Cancel { percent: 50 })
+    (at, Fault::CancelJobs { percent: 50 })
 }
 
 /// Machines that can't be reached, in three ways.
 fn out_of_reach(ms: u64) -> [Fault; 3] {
-    let cut = Fault::CutZone { zone: "b", ms };
-    [cut, Fault::Hang { machines: 7, ms }, Fault::Deaf { machines: 7, ms }]
+    let cut = Fault::ZonePartition { zone: "b", ms };
+    [cut, Fault::HangMachines { machines: 7, ms }, Fault::InboundPartition { machines: 7, ms }]
 }
 
 /// Jobs are cancelled whose machines can't be reached, and the team's owner changes: what their tasks hold
@@ -82,13 +82,13 @@
         for between in [(0, 1), (1, 2)] {
             let script = [
                 (45_000, out.clone()),
-                (45_500, Fault::Freeze { node: 1, ms: 9000 }),
-                (52_000, Fault::Between { nodes: between, ms: 12_000 }),
+                (45_500, Fault::FreezeNode { node: 1, ms: 9000 }),
+                (52_000, Fault::PairPartition { nodes: between, ms: 12_000 }),
                 cancel(50_500),
                 (56_000, crash(2, 5000)),
                 cancel(57_000),
                 cancel(61_000),
-                (62_000, Fault::LateReports { percent: 80, ms: 20_000 }),
+                (62_000, Fault::LateHeartbeatCopies { percent: 80, ms: 20_000 }),
                 (64_000, crash(0, 200)),
             ];
             all_at_limits("cannot ask", &script, 50_500);
@@ -103,7 +103,7 @@
     for ms in [2500, 6000] {
         let mut script = vec![(20_000, Fault::LateWrites { percent: 30, ms: 100_000 })];
         for (i, at) in (30_000..110_000).step_by(8000).enumerate() {
-            script.push((at, Fault::Between { nodes: (i % 3, (i + 1) % 3), ms }));
+            script.push((at, Fault::PairPartition { nodes: (i % 3, (i + 1) % 3), ms }));
             script.push((at + 300, crash((i + 1) % 3, 250)));
             script.push((at + 700, Fault::SlowStore { by_ms: 900, ms: 3000 }));
             script.push(cancel(at + 1000));
@@ -121,14 +121,14 @@
             .step_by(15_000)
             .enumerate()
             .flat_map(|(i, at)| [(at, crash(i % 3, 400)), (at + 700, crash((i + 1) % 3, 6000))])
-            .chain([(70_000, Fault::Hang { machines: 3, ms: 20_000 })])
+            .chain([(70_000, Fault::HangMachines { machines: 3, ms: 20_000 })])
             .collect();
-        let few = Plan { array: 4, team_max: 20.0, ..plan(seed, &script) };
+        let few = Plan { array_tasks_limit: 4, team_cpu_limit: 20.0, ..plan(seed, &script) };
         let sim = run("far apart", Plan { seconds: 180, ..few });
         let done = |kind| {
             let of =
                 |id: &String| sim.rules.jobs.get(id).is_some_and(|j| j.kind == kind && j.tasks > 1);
-            let told = sim.rules.told.iter().filter(|t| t.1 .0 == Status::Done);
+            let told = sim.rules.acknowledged.iter().filter(|t| t.1 .0 == Status::Done);
             told.filter(|t| of(t.0)).count()
         };
         over += done(Kind::Array);
@@ -143,19 +143,26 @@
 fn gangs_of_several_tasks_are_with_three_owners() {
     let (mut started, mut completed, mut resumed) = (0, 0, 0);
     let (mut stopped, mut alone) = (0, 0);
-    let hang = |at, ms| (at, Fault::Hang { machines: 4, ms });
-    let outage = |at, ms| (at, Fault::Outage { ms });
+    let hang = |at, ms| (at, Fault::HangMachines { machines: 4, ms });
+    let outage = |at, ms| (at, Fault::StoreOutage { ms });
     for script in [
         vec![(50_000, crash(0, 300)), (51_000, crash(1, 9000)), (80_000, crash(2, 200))],
         vec![hang(45_000, 3000), hang(60_000, 12_000), hang(80_000, 40_000)],
         vec![outage(45_000, 20_000), hang(50_000, 20_000), outage(90_000, 45_000)],
-        vec![(40_000, Fault::SlowOrders { by_ms: 7000, ms: 70_000 }), (60_000, crash(1, 300))],
-        vec![(45_000, Fault::Die { machines: 2 }), cancel(46_000), (75_000, crash(2, 400))],
-        vec![(45_000, Fault::Reborn { machines: 4 }), (60_000, Fault::Reborn { machines: 4 })],
-        vec![(45_000, Fault::CutZone { zone: "c", ms: 12_000 }), (50_000, crash(0, 300))],
+        vec![(40_000, Fault::DelayCommands { by_ms: 7000, ms: 70_000 }), (60_000, crash(1, 300))],
+        vec![
+            (45_000, Fault::LoseMachines { machines: 2 }),
+            cancel(46_000),
+            (75_000, crash(2, 400)),
+        ],
+        vec![
+            (45_000, Fault::RestartWorkers { machines: 4 }),
+            (60_000, Fault::RestartWorkers { machines: 4 }),
+        ],
+        vec![(45_000, Fault::ZonePartition { zone: "c", ms: 12_000 }), (50_000, crash(0, 300))],
     ] {
         for seed in 1..=3 {
-            let plan = Plan { team_max: 30.0, long: seed == 1, ..plan(seed, &script) };
+            let plan = Plan { team_cpu_limit: 30.0, long_tasks: seed == 1, ..plan(seed, &script) };
             let sim = run("gangs", plan);
             started += sim.gangs.started;
             completed += sim.gangs.completed;
@@ -177,7 +184,7 @@
 #[test]
 fn gangs_are_placed_whole() {
     for seed in 1..=6 {
-        let quiet = Plan { long: false, team_max: 30.0, ..plan(seed, &[]) };
+        let quiet = Plan { long_tasks: false, team_cpu_limit: 30.0, ..plan(seed, &[]) };
         let sim = run("quiet", quiet);
         assert!(sim.gangs.completed > 5, "seed {seed}: {} gangs", sim.gangs.completed);
         assert!(sim.gangs.alone.is_empty(), "seed {seed}: waited in vain: {:?}", sim.gangs.alone);
@@ -191,7 +198,15 @@
         for seed in 1..=2 {
             let script = [(50_000, crash(0, 300)), (70_000, crash(1, 7000)), cancel(75_000)];
             let long = seed == 1;
-            let sim = run("slow", Plan { rate: 4, slow_ms, long, ..plan(seed, &script) });
+            let sim = run(
+                "slow",
+                Plan {
+                    submission_rate: 4,
+                    extra_latency_ms: slow_ms,
+                    long_tasks: long,
+                    ..plan(seed, &script)
+                },
+            );
             assert!(sim.rules.starts > 80, "{slow_ms} ms: only {} starts", sim.rules.starts);
         }
     }
@@ -202,25 +217,26 @@
 #[test]
 fn jobs_of_one_zone_lose_machines() {
     let mut bound = 0;
-    let hang = |at, ms| (at, Fault::Hang { machines: 6, ms });
+    let hang = |at, ms| (at, Fault::HangMachines { machines: 6, ms });
     for ms in [4000, 12_000, 30_000] {
-        let cut = |at| (at, Fault::CutZone { zone: "b", ms });
-        let die = |at| (at, Fault::Die { machines: 3 });
-        let reborn = |at| (at, Fault::Reborn { machines: 5 });
+        let cut = |at| (at, Fault::ZonePartition { zone: "b", ms });
+        let die = |at| (at, Fault::LoseMachines { machines: 3 });
+        let reborn = |at| (at, Fault::RestartWorkers { machines: 5 });
         for script in [
             vec![die(40_000), hang(41_000, ms), (42_000, crash(0, 300)), (46_000, crash(1, 5000))],
             vec![cut(40_000), (41_000, Fault::Crash { nodes: vec![0, 1, 2], back_ms: 400 })],
             vec![reborn(40_000), hang(40_500, ms), (43_000, crash(2, 200)), reborn(60_000)],
             vec![
-                (40_000, Fault::Deaf { machines: 6, ms }),
+                (40_000, Fault::InboundPartition { machines: 6, ms }),
                 (41_000, crash(1, 90_000)),
                 die(50_000),
             ],
         ] {
             for seed in 1..=2 {
-                let plan = Plan { one_zone: 0.8, team_max: 20.0, ..plan(seed, &script) };
+                let plan =
+                    Plan { one_zone_share: 0.8, team_cpu_limit: 20.0, ..plan(seed, &script) };
                 let sim = run("one zone", plan);
-                let jobs = sim.rules.told.keys().filter_map(|id| sim.rules.jobs.get(id));
+                let jobs = sim.rules.acknowledged.keys().filter_map(|id| sim.rules.jobs.get(id));
                 bound += jobs.filter(|j| j.one_zone && j.tasks > 1).count();
             }
         }
@@ -234,9 +250,9 @@
 fn new_machines_get_work_at_once_while_teams_are_at_their_limits_and_an_owner_ends() {
     for node in 0..3 {
         let slow = Fault::SlowStore { by_ms: 1500, ms: 60_000 };
-        let mut script = vec![(30_000, slow), (20_000, Fault::QuickBoots { ms: 120_000 })];
+        let mut script = vec![(30_000, slow), (20_000, Fault::FastBoots { ms: 120_000 })];
         for at in [35_000, 50_000, 65_000] {
-            script.push((at, Fault::Die { machines: 6 }));
+            script.push((at, Fault::LoseMachines { machines: 6 }));
             script.push((at + 1500, crash(node, 300)));
             script.push((at + 2500, crash((node + 1) % 3, 5000)));
         }
@@ -254,7 +270,7 @@
         let crashes = (30_000..150_000).step_by(3000).map(|at| (at, crash(node, 150)));
         let script: Vec<_> = crashes.chain([cancel(60_000), cancel(100_000)]).collect();
         let sim = run("forty changes", at_limits(node as u64, &script));
-        let loaded = sim.marks.loaded.iter().filter(|l| l.0 > BEGIN + 30_000).count();
+        let loaded = sim.observations.loaded.iter().filter(|l| l.0 > BEGIN + 30_000).count();
         assert!(loaded >= 40, "{loaded} changes");
         assert!(sim.rules.starts > 60, "only {} starts", sim.rules.starts);
     }
@@ -265,9 +281,15 @@
 #[test]
 fn teams_that_want_more_than_their_limits_neglect_nobody() {
     for seed in 100..104 {
-        let quiet = Plan { seconds: 250, calm: 1, faults: false, long: true, ..Plan::new(seed) };
+        let quiet = Plan {
+            seconds: 250,
+            calm_seconds: 1,
+            faults: false,
+            long_tasks: true,
+            ..Plan::new(seed)
+        };
         let sim = run("limits", quiet);
-        let neglected = &sim.rules.neglect.jobs;
+        let neglected = &sim.rules.starvation.starved;
         assert!(neglected.is_empty(), "seed {seed}: {neglected:?}");
     }
 }
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -28,21 +28,22 @@
 fn play(what: &str, seeds: u64, script: &Script) -> Figures {
     let mut all = Figures::default();
     for seed in 1..=seeds {
-        let simple = Plan { gangs: 1, teams: Teams::One, ..Plan::new(seed) };
-        let quiet = Plan { faults: false, seconds: SECONDS, calm: 90, ..simple };
-        let plan = Plan { script: script.clone(), team_max: 12.0, rate: 3, ..quiet };
+        let simple = Plan { max_gang_tasks: 1, teams: Teams::One, ..Plan::new(seed) };
+        let quiet = Plan { faults: false, seconds: SECONDS, calm_seconds: 90, ..simple };
+        let plan =
+            Plan { script: script.clone(), team_cpu_limit: 12.0, submission_rate: 3, ..quiet };
         let mut sim = Sim::new(Plan { lease_ms: LEASE_MS, ..plan });
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
-        assert_eq!(sim.untold(UNTOLD_MS), Vec::<String>::new(), "{what}, seed {seed}");
-        let told = |status| sim.rules.told.values().filter(|t| t.0 == status).count();
+        assert_eq!(sim.unacknowledged(UNTOLD_MS), Vec::<String>::new(), "{what}, seed {seed}");
+        let told = |status| sim.rules.acknowledged.values().filter(|t| t.0 == status).count();
         all.done += told(Status::Done);
         all.cancelled += told(Status::Cancelled);
         all.starts += sim.rules.starts;
-        all.slips += sim.rules.slips;
-        all.latest_slip_ms = all.latest_slip_ms.max(sim.rules.latest_slip_ms);
-        all.refused += sim.rules.odd_refused;
-        all.ended += sim.rules.ended.len();
-        all.undone += sim.rules.undone;
+        all.slips += sim.rules.starts_after_cancel;
+        all.latest_slip_ms = all.latest_slip_ms.max(sim.rules.latest_start_after_cancel_ms);
+        all.refused += sim.rules.invalid_refused;
+        all.ended += sim.rules.ended_before_cancel.len();
+        all.undone += sim.rules.ended_but_cancelled;
     }
     println!("{what}: {all:?}");
     assert!(all.done as u64 > 20 * seeds, "{what}: {all:?}");
@@ -57,8 +58,8 @@
 /// Users look closely at everything, from 20 s on.
 fn watched(percent: u32) -> Script {
     vec![
-        (20_000, Fault::CloseLooks { percent, ms: 90_000 }),
-        (20_000, Fault::AtEnd { percent, ms: 90_000 }),
+        (20_000, Fault::QueryBursts { percent, ms: 90_000 }),
+        (20_000, Fault::QueriesAtCompletion { percent, ms: 90_000 }),
     ]
 }
 
@@ -82,7 +83,7 @@
         for at in (30_000..100_000).step_by(10_000) {
             script.push((at, Fault::LateWrites { percent, ms: 6000 }));
             let cancels = (at..at + 6000).step_by(300);
-            script.extend(cancels.map(|at| (at, Fault::Cancel { percent: 10 })));
+            script.extend(cancels.map(|at| (at, Fault::CancelJobs { percent: 10 })));
         }
         play("late writes", 2, &script);
     }
@@ -93,7 +94,7 @@
     let changes = [
         (40_000, crash(0, 300)),
         (52_000, crash(1, 6000)),
-        (66_000, Fault::Freeze { node: 2, ms: 9000 }),
+        (66_000, Fault::FreezeNode { node: 2, ms: 9000 }),
         (80_000, crash(0, 200)),
         (81_000, crash(2, 200)),
     ];
@@ -111,9 +112,9 @@
 #[test]
 fn a_final_state_whose_answer_was_lost_is_told_by_siblings_first() {
     for (lost, back_ms) in [(100, 200), (100, 20_000), (50, 4000)] {
-        let mut script = with(watched(100), [(20_000, Fault::Polls { ms: 90_000 })]);
+        let mut script = with(watched(100), [(20_000, Fault::FrequentPolls { ms: 90_000 })]);
         for (node, at) in [(0, 35_000), (1, 60_000), (2, 85_000)] {
-            script.push((at - 3000, Fault::LostAnswers { percent: lost, ms: 4500 }));
+            script.push((at - 3000, Fault::LostStoreAnswers { percent: lost, ms: 4500 }));
             script.push((at, crash(node, back_ms)));
             script.push((at, Fault::SlowStore { ms: 8000, by_ms: 250 }));
         }
@@ -126,12 +127,12 @@
 #[test]
 fn a_submission_whose_answer_was_lost_is_repeated_everywhere() {
     for percent in [30, 100] {
-        let spell = |at| (at, Fault::LostAnswers { percent, ms: 6000 });
-        let cancel = |at| (at, Fault::Cancel { percent: 40 });
+        let spell = |at| (at, Fault::LostStoreAnswers { percent, ms: 6000 });
+        let cancel = |at| (at, Fault::CancelJobs { percent: 40 });
         let script = with(
             watched(100),
             [
-                (20_000, Fault::OddRequests { ms: 80_000 }),
+                (20_000, Fault::InvalidRequests { ms: 80_000 }),
                 spell(30_000),
                 cancel(32_500),
                 cancel(36_100),
@@ -153,18 +154,18 @@
     let hands: [(&str, Script); 6] = [
         ("home", vec![(40_000, crash(0, 3000)), (70_000, crash(1, 3000))]),
         ("crash", vec![(40_000, crash(0, 60_000)), (70_000, crash(1, 200))]),
-        ("frozen", vec![(40_000, Fault::Freeze { node: 0, ms: 14_000 })]),
-        ("refused", vec![(40_000, Fault::Refuse { node: 0, ms: 20_000 })]),
-        ("alone", vec![(40_000, Fault::Lone { node: 0, ms: 25_000 })]),
+        ("frozen", vec![(40_000, Fault::FreezeNode { node: 0, ms: 14_000 })]),
+        ("refused", vec![(40_000, Fault::StoreRefusesNode { node: 0, ms: 20_000 })]),
+        ("alone", vec![(40_000, Fault::StoreAndPeerPartition { node: 0, ms: 25_000 })]),
         ("between", {
-            let cut = Fault::Between { nodes: (0, 1), ms: 30_000 };
-            vec![(38_000, cut), (40_000, Fault::Refuse { node: 0, ms: 12_000 })]
+            let cut = Fault::PairPartition { nodes: (0, 1), ms: 30_000 };
+            vec![(38_000, cut), (40_000, Fault::StoreRefusesNode { node: 0, ms: 12_000 })]
         }),
     ];
     for (what, script) in hands {
         let cancels = [40_100, 43_500, 44_200, 45_000, 47_000, 70_500, 74_500];
-        let cancels = cancels.map(|at| (at, Fault::Cancel { percent: 25 }));
-        let polls = (39_000, Fault::Polls { ms: 45_000 });
+        let cancels = cancels.map(|at| (at, Fault::CancelJobs { percent: 25 }));
+        let polls = (39_000, Fault::FrequentPolls { ms: 45_000 });
         let script = with(with(watched(60), script), cancels);
         play(what, 2, &with(script, [polls]));
     }
@@ -175,13 +176,16 @@
 #[test]
 fn cancellations_in_the_last_second_of_a_lease() {
     for lost in [0, 100] {
-        for out in [Fault::Refuse { node: 0, ms: 12_000 }, Fault::Freeze { node: 0, ms: 12_000 }] {
+        for out in [
+            Fault::StoreRefusesNode { node: 0, ms: 12_000 },
+            Fault::FreezeNode { node: 0, ms: 12_000 },
+        ] {
             let mut script = with(watched(50), [(44_000, out)]);
             script.push((40_000, Fault::SlowStore { ms: 25_000, by_ms: 300 }));
-            script.push((40_000, Fault::Polls { ms: 30_000 }));
-            script.push((41_000, Fault::LostAnswers { percent: lost, ms: 3000 }));
+            script.push((40_000, Fault::FrequentPolls { ms: 30_000 }));
+            script.push((41_000, Fault::LostStoreAnswers { percent: lost, ms: 3000 }));
             for at in [42_500, 43_200, 43_900, 46_000, 47_500, 48_500] {
-                script.push((at, Fault::Cancel { percent: 25 }));
+                script.push((at, Fault::CancelJobs { percent: 25 }));
             }
             play("in the last second of a lease", 2, &script);
         }
@@ -193,12 +197,12 @@
 #[test]
 fn an_owner_in_doubt_that_a_sibling_asks() {
     for (owner, other) in [(0, 1), (1, 2), (2, 0)] {
-        let refuse = |node| (40_000, Fault::Refuse { node, ms: 15_000 });
+        let refuse = |node| (40_000, Fault::StoreRefusesNode { node, ms: 15_000 });
         let mut script = with(watched(100), [refuse(owner), refuse(other)]);
         for at in (42_500..47_500).step_by(100) {
-            script.push((at, Fault::Cancel { percent: 10 }));
+            script.push((at, Fault::CancelJobs { percent: 10 }));
         }
-        script.push((40_000, Fault::Polls { ms: 15_000 }));
+        script.push((40_000, Fault::FrequentPolls { ms: 15_000 }));
         play("the owner and a sibling refused", 2, &script);
     }
 }
@@ -209,9 +213,9 @@
 fn a_decision_that_is_known_only_after_its_jobs_cancellation() {
     let mut script = watched(50);
     for at in (30_000..100_000).step_by(8000) {
-        script.push((at, Fault::LostAnswers { percent: 50, ms: 7000 }));
+        script.push((at, Fault::LostStoreAnswers { percent: 50, ms: 7000 }));
         let cancels = (at..at + 7000).step_by(250);
-        script.extend(cancels.map(|at| (at, Fault::Cancel { percent: 8 })));
+        script.extend(cancels.map(|at| (at, Fault::CancelJobs { percent: 8 })));
     }
     let all = play("a decision known late", 4, &script);
     assert!(all.slips < 4, "{all:?}");
@@ -223,9 +227,9 @@
 fn what_has_ended_is_done_though_it_is_cancelled_before_that_is_written() {
     let mut script = Script::new();
     for at in (30_000..100_000).step_by(12_000) {
-        script.push((at, Fault::LostAnswers { percent: 100, ms: 6000 }));
+        script.push((at, Fault::LostStoreAnswers { percent: 100, ms: 6000 }));
         for at in (at + 1200..at + 7000).step_by(200) {
-            script.push((at, Fault::Cancel { percent: 15 }));
+            script.push((at, Fault::CancelJobs { percent: 15 }));
         }
     }
     let all = play("waits to be written", 6, &script);
@@ -237,21 +241,21 @@
 #[test]
 fn four_jobs_of_one_task_a_second() {
     let mut script = vec![
-        (20_000, Fault::Ones { ms: 180_000 }),
-        (20_000, Fault::CloseLooks { percent: 10, ms: 180_000 }),
-        (20_000, Fault::AtEnd { percent: 10, ms: 180_000 }),
-        (110_000, Fault::Outage { ms: 15_000 }),
+        (20_000, Fault::SingleTaskJobs { ms: 180_000 }),
+        (20_000, Fault::QueryBursts { percent: 10, ms: 180_000 }),
+        (20_000, Fault::QueriesAtCompletion { percent: 10, ms: 180_000 }),
+        (110_000, Fault::StoreOutage { ms: 15_000 }),
     ];
     for round in 0..3 {
         for node in 0..3 {
             script.push((40_000 + round * 55_000 + node * 4000, crash(node as usize, 1500)));
         }
     }
-    let plan = Plan { faults: false, seconds: 210, calm: 100, script, ..Plan::new(5) };
-    let mut sim = Sim::new(Plan { team_max: 6.0, lease_ms: LEASE_MS, ..plan });
+    let plan = Plan { faults: false, seconds: 210, calm_seconds: 100, script, ..Plan::new(5) };
+    let mut sim = Sim::new(Plan { team_cpu_limit: 6.0, lease_ms: LEASE_MS, ..plan });
     sim.run().unwrap_or_else(|e| panic!("{e}"));
-    let told = |status| sim.rules.told.values().filter(|t| t.0 == status).count();
+    let told = |status| sim.rules.acknowledged.values().filter(|t| t.0 == status).count();
     let (done, cancelled) = (told(Status::Done), told(Status::Cancelled));
-    println!("{done} done, {cancelled} cancelled, {} slips", sim.rules.slips);
+    println!("{done} done, {cancelled} cancelled, {} slips", sim.rules.starts_after_cancel);
     assert!(done > 300 && cancelled > 120, "{done} done, {cancelled} cancelled");
 }
--- a/crates/testkit/tests/recovery.rs
+++ b/crates/testkit/tests/recovery.rs
@@ -14,7 +14,7 @@
 }
 
 fn pages(sim: &Sim) -> u64 {
-    sim.marks.pages
+    sim.observations.pages
 }
 
 /// What is over is not read again, and open jobs are read in pages: a shard with 20,000 closed and
@@ -24,14 +24,20 @@
     let slow = Fault::SlowStore { ms: 60_000, by_ms: 300 };
     let crash = Fault::Crash { nodes: vec![0], back_ms: 120_000 };
     let script = vec![(20_000, slow), (20_000, crash)];
-    let few = Plan { seconds: 60, script, open: 6000, closed: 600, ..Plan::fleet(7, 1) };
-    let many = Plan { closed: 60_000, ..few.clone() };
+    let few = Plan {
+        seconds: 60,
+        script,
+        preloaded_open_jobs: 6000,
+        preloaded_terminal_jobs: 600,
+        ..Plan::fleet(7, 1)
+    };
+    let many = Plan { preloaded_terminal_jobs: 60_000, ..few.clone() };
     let read = |plan: Plan| {
         let mut sim = Sim::new(plan);
         run(&mut sim, 20_000);
         let before = pages(&sim);
         run(&mut sim, 45_000);
-        let (at, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+        let (at, shards) = sim.observations.loaded_after(BEGIN + 20_000);
         assert_eq!(shards, 1, "the shard of the dead one is loaded");
         (at - BEGIN - 20_000, pages(&sim) - before)
     };
@@ -48,13 +54,13 @@
     let all = Fault::Crash { nodes: (0..NODES).collect(), back_ms: 3000 };
     let mut sim = fleet(14, 40, vec![(20_000, all)]);
     run(&mut sim, 20_000);
-    let calls = sim.marks.store_calls;
+    let calls = sim.observations.store_calls;
     run(&mut sim, 32_000);
-    let (at, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+    let (at, shards) = sim.observations.loaded_after(BEGIN + 20_000);
     println!("all shards loaded {} ms after the crash", at - BEGIN - 20_000);
     assert_eq!(shards, NODES, "each shard is loaded once");
     assert!(at < BEGIN + 20_000 + 9000, "{} ms", at - BEGIN - 20_000);
-    let calls = sim.marks.store_calls - calls;
+    let calls = sim.observations.store_calls - calls;
     println!("{calls} calls of the state service in 12 s");
     assert!(calls < 1700, "{calls} calls of the state service in 12 s");
 }
@@ -76,8 +82,8 @@
 
 /// How many milliseconds after the loss half of the lost replicas, and 19 of 20, run again.
 fn half_and_most_run_again(seed: u64) -> (u64, u64) {
-    let die = Fault::Die { machines: 200 };
-    let hang = Fault::Hang { machines: 108, ms: 14_000 };
+    let die = Fault::LoseMachines { machines: 200 };
+    let hang = Fault::HangMachines { machines: 108, ms: 14_000 };
     let script = vec![(20_000, die), (20_000, hang)];
     let mut sim = Sim::new(Plan { seconds: 60, script, ..Plan::fleet(seed, 7) });
     run(&mut sim, 19_900);
@@ -107,13 +113,13 @@
 /// steady for a while.
 #[test]
 fn a_frozen_controller_wakes_up_with_a_backlog() {
-    let freeze = Fault::Freeze { node: 0, ms: 40_000 };
+    let freeze = Fault::FreezeNode { node: 0, ms: 40_000 };
     let mut sim = fleet(4, 100, vec![(20_000, freeze)]);
     run(&mut sim, 75_000);
-    let (_, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+    let (_, shards) = sim.observations.loaded_after(BEGIN + 20_000);
     assert_eq!(shards, 1, "taken over, and not given back at once");
     run(&mut sim, 95_000);
-    let (_, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+    let (_, shards) = sim.observations.loaded_after(BEGIN + 20_000);
     assert!((2..=4).contains(&shards), "taken over, and given back: {shards} shards loaded");
 }
 
@@ -122,13 +128,13 @@
 #[test]
 fn takeovers_while_connections_fail() {
     let crash = Fault::Crash { nodes: vec![1], back_ms: 8000 };
-    let apart = Fault::Apart { ms: 25_000 };
-    let cut = Fault::CutZone { zone: "b", ms: 20_000 };
+    let apart = Fault::PeerPartition { ms: 25_000 };
+    let cut = Fault::ZonePartition { zone: "b", ms: 20_000 };
     for faults in [vec![apart.clone()], vec![cut.clone()], vec![apart, cut]] {
         let script = faults.into_iter().map(|f| (19_000, f)).chain([(20_000, crash.clone())]);
         let mut sim = fleet(3, 70, script.collect());
         run(&mut sim, 70_000);
-        let (_, shards) = sim.marks.loaded_after(BEGIN + 20_000);
+        let (_, shards) = sim.observations.loaded_after(BEGIN + 20_000);
         assert!(shards >= 2, "the shard was taken over and went home: {shards}");
         assert!(sim.rules.starts > 500, "only {} starts", sim.rules.starts);
     }
@@ -157,14 +163,14 @@
 /// Found on incidents: its siblings sent the workers back to a controller that they could not reach.
 #[test]
 fn no_lease_runs_out_while_a_controller_is_cut_from_its_workers_alone() {
-    assert!(most_down(Fault::Shut { node: 0, ms: 40_000 }) < 0.05);
+    assert!(most_down(Fault::WorkerPartition { node: 0, ms: 40_000 }) < 0.05);
 }
 
 /// It lets its workers go in time, and a successor is in office by then.
 #[test]
 fn replicas_outlive_a_controller_that_hears_only_workers() {
     for ms in [10_000, 40_000, 120_000] {
-        assert!(most_down(Fault::Lone { node: 1, ms }) < 0.05, "for {ms} ms");
+        assert!(most_down(Fault::StoreAndPeerPartition { node: 1, ms }) < 0.05, "for {ms} ms");
     }
 }
 
@@ -175,12 +181,12 @@
     let calls = |script| {
         let mut sim = fleet(7, 90, script);
         run(&mut sim, 20_000);
-        let before = sim.marks.store_calls;
+        let before = sim.observations.store_calls;
         run(&mut sim, 80_000);
-        (sim.marks.store_calls - before, sim.rules.starts)
+        (sim.observations.store_calls - before, sim.rules.starts)
     };
     let quiet = calls(Vec::new());
-    let deaf = calls(vec![(20_000, Fault::Deaf { machines: 126, ms: 60_000 })]);
+    let deaf = calls(vec![(20_000, Fault::InboundPartition { machines: 126, ms: 60_000 })]);
     println!(
         "calls of the state service in a minute, and starts: {quiet:?}, with deaf ones {deaf:?}"
     );
@@ -193,24 +199,24 @@
 #[test]
 fn the_operators_troubles_together() {
     let script = vec![
-        (20_000, Fault::Polls { ms: 60_000 }),
+        (20_000, Fault::FrequentPolls { ms: 60_000 }),
         (21_000, Fault::Crash { nodes: vec![0], back_ms: 200 }),
         (21_300, Fault::Crash { nodes: vec![1], back_ms: 200 }),
-        (40_000, Fault::Freeze { node: 1, ms: 6000 }),
-        (47_000, Fault::Freeze { node: 1, ms: 25_000 }),
-        (50_000, Fault::Deaf { machines: 5, ms: 40_000 }),
-        (60_000, Fault::Reborn { machines: 4 }),
-        (60_300, Fault::Reborn { machines: 4 }),
-        (65_000, Fault::Faulty { machines: 3, ms: 30_000 }),
-        (80_000, Fault::Lone { node: 2, ms: 40_000 }),
-        (100_000, Fault::Shut { node: 0, ms: 40_000 }),
-        (120_000, Fault::Polls { ms: 30_000 }),
-        (121_000, Fault::Lone { node: 0, ms: 10_000 }),
+        (40_000, Fault::FreezeNode { node: 1, ms: 6000 }),
+        (47_000, Fault::FreezeNode { node: 1, ms: 25_000 }),
+        (50_000, Fault::InboundPartition { machines: 5, ms: 40_000 }),
+        (60_000, Fault::RestartWorkers { machines: 4 }),
+        (60_300, Fault::RestartWorkers { machines: 4 }),
+        (65_000, Fault::FailTasks { machines: 3, ms: 30_000 }),
+        (80_000, Fault::StoreAndPeerPartition { node: 2, ms: 40_000 }),
+        (100_000, Fault::WorkerPartition { node: 0, ms: 40_000 }),
+        (120_000, Fault::FrequentPolls { ms: 30_000 }),
+        (121_000, Fault::StoreAndPeerPartition { node: 0, ms: 10_000 }),
         (121_100, Fault::Crash { nodes: vec![1, 2], back_ms: 100 }),
     ];
     for seed in 1..=3 {
         let plan = Plan { seconds: 180, script: script.clone(), scale: 3, ..Plan::new(seed) };
-        let mut sim = Sim::new(Plan { calm: 100, team_max: 20.0, ..plan });
+        let mut sim = Sim::new(Plan { calm_seconds: 100, team_cpu_limit: 20.0, ..plan });
         run(&mut sim, 280_000);
         let under: Vec<_> = sim.under_half().into_iter().filter(|s| s.of > 3).collect();
         assert!(under.is_empty(), "seed {seed}: served less than half: {under:?}");
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -4,7 +4,7 @@
 
 /// Troubles for four minutes, and then none: whoever is still not answered is forgotten.
 fn plan(seed: u64) -> Plan {
-    Plan { calm: 100, ..Plan::new(seed) }
+    Plan { calm_seconds: 100, ..Plan::new(seed) }
 }
 
 #[test]
@@ -12,7 +12,7 @@
     for seed in 1..=4 {
         let mut sim = Sim::new(Plan { faults: false, ..plan(seed) });
         sim.run().unwrap_or_else(|e| panic!("{e}"));
-        let told = sim.rules.told.len();
+        let told = sim.rules.acknowledged.len();
         let accepted = sim.rules.accepted.len();
         assert!(sim.rules.starts > 100, "seed {seed}: only {} starts", sim.rules.starts);
         assert!(told * 10 > accepted * 6, "seed {seed}: {told} of {accepted} jobs are over");
@@ -52,8 +52,13 @@
 /// time once went into packets, and into looks at machines without room.
 #[test]
 fn a_large_fleet_is_run_with_few_messages_and_looks() {
-    let mut sim =
-        Sim::new(Plan { seconds: 120, scale: 5, array: 60, team_max: 100.0, ..Plan::large(3) });
+    let mut sim = Sim::new(Plan {
+        seconds: 120,
+        scale: 5,
+        array_tasks_limit: 60,
+        team_cpu_limit: 100.0,
+        ..Plan::large(3)
+    });
     sim.run().unwrap_or_else(|e| panic!("{e}"));
     let starts = sim.rules.starts as u64;
     assert!(starts > 500, "only {starts} starts");
@@ -107,12 +112,12 @@
 #[test]
 fn missing_fences_are_caught() {
     // Which rule breaks first depends on the seed: what counts is that one does.
-    caught(Sabotage::NoFence, ":");
+    caught(Sabotage::NoFencing, ":");
 }
 
 #[test]
 fn a_takeover_that_calls_machines_lost_too_early_is_caught() {
-    caught(Sabotage::HastyClock, "ran_twice");
+    caught(Sabotage::FastClock, "ran_twice");
 }
 
 #[test]
@@ -122,12 +127,12 @@
 
 #[test]
 fn jobs_that_nobody_is_told_of_are_caught() {
-    caught(Sabotage::Mute, "forgotten: nothing is said");
+    caught(Sabotage::UnansweredShard, "forgotten: nothing is said");
 }
 
 #[test]
 fn a_rental_name_used_twice_is_caught() {
-    caught(Sabotage::NameTwice, "name_reused");
+    caught(Sabotage::ReusedRequestNames, "name_reused");
 }
 
 /// Where a single key is read as it was a moment ago, users who look closely are told what is older than
@@ -135,8 +140,8 @@
 #[test]
 fn answers_older_than_what_was_told_are_caught() {
     // The store is asked where the owner can't be: by some of all that users ask, right after each news.
-    let looks = (20_000, Fault::CloseLooks { percent: 100, ms: 200_000 });
-    let apart = |at| (at, Fault::Apart { ms: 20_000 });
+    let looks = (20_000, Fault::QueryBursts { percent: 100, ms: 200_000 });
+    let apart = |at| (at, Fault::PeerPartition { ms: 20_000 });
     let script = [looks, apart(40_000), apart(80_000), apart(120_000)];
     caught_with(&script, Sabotage::StaleReads, "forgotten: ");
     caught_with(&script, Sabotage::StaleReads, "went_back: ");
@@ -144,15 +149,15 @@
 
 #[test]
 fn a_submission_that_is_misread_is_caught() {
-    caught(Sabotage::Misread, "accepted_wrong: ");
-    caught(Sabotage::Misread, "refused_wrong: ");
+    caught(Sabotage::MisparsedSubmissions, "accepted_wrong: ");
+    caught(Sabotage::MisparsedSubmissions, "refused_wrong: ");
 }
 
 #[test]
 fn a_job_accepted_though_its_team_may_never_run_it_is_caught() {
     // Its limit is high, or the team's use would break it first.
     let found = (0..40).any(|seed| {
-        let high = Plan { sabotage: Sabotage::NoLimits, team_max: 60.0, ..plan(seed) };
+        let high = Plan { sabotage: Sabotage::NoLimits, team_cpu_limit: 60.0, ..plan(seed) };
         Sim::new(high).run().is_err_and(|e| e.contains("accepted_wrong: "))
     });
     assert!(found, "it went unnoticed");
@@ -160,12 +165,12 @@
 
 #[test]
 fn a_job_accepted_twice_is_caught() {
-    caught(Sabotage::NoFence, "accepted_twice: ");
+    caught(Sabotage::NoFencing, "accepted_twice: ");
 }
 
 #[test]
 fn a_cancellation_that_cancels_nothing_is_caught() {
-    caught(Sabotage::Misroute, "not_cancelled: ");
+    caught(Sabotage::MisroutedCancellations, "not_cancelled: ");
 }
 
 /// Starts of what is cancelled are counted; what goes on is caught.
@@ -173,12 +178,13 @@
 fn starts_after_a_confirmed_cancellation_are_counted() {
     caught(Sabotage::LostStops, "ran_cancelled");
     // Until the first task goes on for too long.
-    let cancels: Vec<_> = (6..34).map(|s| (s * 1000, Fault::Cancel { percent: 60 })).collect();
+    let cancels: Vec<_> = (6..34).map(|s| (s * 1000, Fault::CancelJobs { percent: 60 })).collect();
     let slips = (1..=3).map(|seed| {
-        let plan = Plan { faults: false, rate: 8, script: cancels.clone(), ..plan(seed) };
+        let plan =
+            Plan { faults: false, submission_rate: 8, script: cancels.clone(), ..plan(seed) };
         let mut sim = Sim::new(Plan { sabotage: Sabotage::LostStops, ..plan });
         sim.run_to(34_000).unwrap_or_else(|e| panic!("{e}"));
-        sim.rules.slips
+        sim.rules.starts_after_cancel
     });
     let slips: Vec<usize> = slips.collect();
     assert!(slips.iter().sum::<usize>() > 3, "{slips:?}");
@@ -198,7 +204,13 @@
 #[test]
 fn a_job_left_waiting_beside_room_is_caught() {
     let found = (0..10).any(|seed| {
-        let quiet = Plan { faults: false, team_max: 60.0, array: 2, gangs: 2, ..plan(seed) };
+        let quiet = Plan {
+            faults: false,
+            team_cpu_limit: 60.0,
+            array_tasks_limit: 2,
+            max_gang_tasks: 2,
+            ..plan(seed)
+        };
         let run = |sabotage| Sim::new(Plan { sabotage, ..quiet.clone() }).run();
         run(Sabotage::None).unwrap_or_else(|e| panic!("{e}"));
         run(Sabotage::NoGrants).is_err_and(|e| e.contains("neglected"))
--- a/crates/testkit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -18,10 +18,10 @@
 
 /// Plays it; final states are judged that were written after `from`.
 fn play(times: u32, seconds: u64, store: f64, script: Vec<(u64, Fault)>, from: u64) -> Seen {
-    let plan = Plan { seconds, script, store: Some(store), ..Plan::fleet(11, times) };
+    let plan = Plan { seconds, script, store_changes_per_s: Some(store), ..Plan::fleet(11, times) };
     let mut sim = Sim::new(plan);
     sim.run_to(seconds * 1000).unwrap_or_else(|e| panic!("{e}"));
-    let later = sim.marks.finals.iter().filter(|f| f.0 > BEGIN + from);
+    let later = sim.observations.finals.iter().filter(|f| f.0 > BEGIN + from);
     let mut lags: Vec<u64> = later.map(|f| f.1).collect();
     lags.sort_unstable();
     let (changes, refused, decisions) = sim.store("d/");
@@ -61,7 +61,7 @@
 
 #[test]
 fn and_after_an_outage_and_by_one_controller_with_all_shards() {
-    let outage = play(14, 90, LIMIT, vec![(30_000, Fault::Outage { ms: 25_000 })], 55_000);
+    let outage = play(14, 90, LIMIT, vec![(30_000, Fault::StoreOutage { ms: 25_000 })], 55_000);
     assert!(outage.finals > 180, "{} finals in 35 s after the outage", outage.finals);
     let alone = Fault::Crash { nodes: vec![1, 2], back_ms: 200_000 };
     let alone = play(14, 90, LIMIT, vec![(20_000, alone)], 30_000);
@@ -73,11 +73,11 @@
 #[test]
 fn after_all_controllers_ended_at_five_times_a_fleet() {
     let all = Fault::Crash { nodes: vec![0, 1, 2], back_ms: 3000 };
-    let plan = Plan { seconds: 60, store: Some(LIMIT), ..Plan::fleet(7, 31) };
+    let plan = Plan { seconds: 60, store_changes_per_s: Some(LIMIT), ..Plan::fleet(7, 31) };
     let mut sim = Sim::new(Plan { script: vec![(25_000, all)], ..plan });
     sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
-    let (at, shards) = sim.marks.loaded_after(BEGIN + 25_000);
-    let told = sim.marks.finals.iter().filter(|f| f.0 > BEGIN + 28_000).count();
+    let (at, shards) = sim.observations.loaded_after(BEGIN + 25_000);
+    let told = sim.observations.finals.iter().filter(|f| f.0 > BEGIN + 28_000).count();
     println!("{shards} shards loaded {} ms after the crash; {told} finals", at - BEGIN - 25_000);
     assert!(shards == 3 && at < BEGIN + 25_000 + 9000, "{shards} shards, {at}");
     assert!(told > 150, "{told} finals told in 32 s after the restart");
