--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -2,49 +2,55 @@
 use crate::script::Fault;
 use crate::sim::{Plan, Teams, NODES};
 
-/// Of a `cancel_s` of 30 s, as much as at the operators' largest deployment.
+/// Duration of the workers' leases: as much of a `cancel_s` of 30 s as at the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
+/// More machines than there are: all of them.
+const ALL_MACHINES: usize = 99;
 
+/// Faults at set times, in milliseconds from the beginning.
+type Script = Vec<(u64, Fault)>;
+
+/// A history of faults. The names are those of the table in `docs/meetings.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum History {
-    /// Faults at random, one upon the other.
+    /// Random faults, which overlap.
     Ordinary,
-    /// The same while every controller ends twenty times within a minute.
+    /// Random faults while every controller ends twenty times within a minute.
     Storm,
     /// The store refuses one controller, cancellations by the others, then an outage for all.
     Gap,
-    /// The same while that controller hears nobody but workers.
+    /// The same while that controller is partitioned from the store and its siblings.
     GapAlone,
-    /// The same; who confirmed the cancellations was not heard and has forgotten them.
+    /// The same; the controller that confirmed the cancellations was partitioned and has restarted since.
     GapForgotten,
-    /// Copies of old reports, new sessions, and changes of owner.
+    /// Copies of old heartbeats, new incarnations, and changes of owner.
     OldReports,
-    /// Machines don't hear while their owner ends.
+    /// Inbound partitions of machines while their owner ends.
     Deaf,
-    /// Commands are held up while machines hang and owners end.
+    /// Commands are delayed while machines hang and owners end.
     HeldUp,
     /// Transactions without an answer are carried out late.
     LateWrites,
-    /// Shards are handed over and back, and all end.
+    /// Shards change to another owner and back, and all controllers end.
     OverAndBack,
-    /// A controller reaches only workers and users while its shard moves.
+    /// A controller reaches only workers and users while its shard changes its owner.
     Alone,
-    /// Controllers reach all but each other, and users cancel.
+    /// All controllers are partitioned from each other, and users cancel.
     Apart,
-    /// Controllers stand still for longer than their lease.
+    /// Controllers get no processor time for longer than their lease.
     Frozen,
     /// The store refuses one controller after the other, and users cancel.
     Refused,
-    /// Controllers reach all but each other, transactions are late, and users cancel and ask.
+    /// All controllers are partitioned from each other, transactions are late, and users cancel and poll.
     ApartLate,
-    /// Final states without an answer are carried out while the next owner loads from a slow store.
+    /// Terminal states without an answer are written while the next owner loads from a slow store.
     LateFinals,
-    /// A leader reaches only workers and users, and just before it lets its workers go nobody reaches
-    /// them for as long as their leases last.
+    /// An owner reaches only workers and users, and just before it gives its workers up they hang for as
+    /// long as their leases last.
     AloneThenCut,
-    /// The store's answers are slow, then the leader reaches only workers and users, who cancel and ask.
+    /// The store's answers are slow, then the owner reaches only workers and users, who cancel and poll.
     SlowThenAlone,
-    /// Controllers stand still while their decisions and their acquisitions are being written.
+    /// Controllers get no processor time while their decisions and their acquisitions are being written.
     FrozenDeciding,
     /// Controllers end right after they confirmed cancellations.
     ConfirmedThenEnded,
@@ -52,25 +58,8 @@
     DeafThenOutage,
 }
 
-fn crash(node: usize, back_ms: u64) -> Fault {
-    Fault::Crash { nodes: vec![node], back_ms }
-}
-
-fn cancel(at: u64) -> (u64, Fault) {
-    (at, Fault::CancelJobs { percent: 35 })
-}
-
-fn gap(more: Vec<(u64, Fault)>) -> Vec<(u64, Fault)> {
-    let mut script = vec![
-        (60_000, Fault::StoreRefusesNode { node: 0, ms: 14_000 }),
-        (60_300, Fault::CancelJobs { percent: 60 }),
-        (62_500, Fault::StoreOutage { ms: 45_000 }),
-    ];
-    script.extend(more);
-    script
-}
-
 impl History {
+    /// All histories.
     pub const ALL: [History; 21] = [
         History::Ordinary,
         History::Storm,
@@ -95,157 +84,33 @@
         History::DeafThenOutage,
     ];
 
-    /// Without a plan's faults at random, a history has its own alone.
-    fn script(self) -> Vec<(u64, Fault)> {
+    /// The faults at set times; histories with a script have no others.
+    fn script(self) -> Script {
         match self {
             History::Ordinary | History::Storm => Vec::new(),
             History::Gap => gap(Vec::new()),
-            History::GapAlone => {
-                gap(vec![(60_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 })])
-            }
-            History::GapForgotten => {
-                let cut = (60_200, Fault::PairPartition { nodes: (0, 1), ms: 4000 });
-                gap(vec![cut, (62_450, crash(1, 200))])
-            }
-            History::OldReports => vec![
-                (20_000, Fault::LateHeartbeatCopies { percent: 90, ms: 100_000 }),
-                (40_000, Fault::RestartWorkers { machines: 4 }),
-                (44_500, Fault::RestartWorkers { machines: 4 }),
-                (45_000, crash(0, 3000)),
-                (52_000, crash(1, 200)),
-                (79_000, Fault::RestartWorkers { machines: 4 }),
-                (80_000, crash(2, 9000)),
-            ],
-            History::Deaf => vec![
-                (41_000, Fault::InboundPartition { machines: 5, ms: 25_000 }),
-                (42_000, crash(0, 60_000)),
-                (80_000, Fault::InboundPartition { machines: 5, ms: 10_000 }),
-                (81_000, crash(1, 200)),
-                cancel(83_000),
-            ],
-            History::HeldUp => vec![
-                (20_000, Fault::DelayCommands { by_ms: 9000, ms: 100_000 }),
-                (40_000, Fault::HangMachines { machines: 5, ms: 12_000 }),
-                cancel(45_000),
-                (48_000, crash(0, 300)),
-                (70_000, Fault::HangMachines { machines: 5, ms: 12_000 }),
-                cancel(71_000),
-                (73_000, crash(1, 9000)),
-            ],
-            History::LateWrites => vec![
-                (20_000, Fault::LateWrites { percent: 50, ms: 100_000 }),
-                cancel(40_000),
-                (50_000, crash(0, 300)),
-                cancel(69_900),
-                (70_000, crash(1, 9000)),
-                (72_000, crash(2, 200)),
-                cancel(90_000),
-            ],
-            History::OverAndBack => {
-                let mut script = Vec::new();
-                for at in (30_000..110_000).step_by(16_000) {
-                    script.push((at, crash(0, 300)));
-                    script.push((at + 5200, crash(1, 6000)));
-                    script.push((
-                        at + 9000,
-                        Fault::Crash { nodes: (0..NODES).collect(), back_ms: 4000 },
-                    ));
-                    script.push((at + 9300, crash(2, 100)));
-                }
-                script
-            }
-            History::Alone => {
-                let polls = (40_000, Fault::FrequentPolls { ms: 90_000 });
-                let alone = (40_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 });
-                let back = (101_000, crash(0, 100));
-                vec![polls, alone, cancel(46_000), cancel(50_000), cancel(60_000), back]
-            }
-            History::Apart => {
-                let cancels = (42_000..80_000).step_by(4000).map(cancel);
-                cancels.chain([(40_000, Fault::PeerPartition { ms: 60_000 })]).collect()
-            }
-            History::Frozen => {
-                let freeze = |at, node| (at, Fault::FreezeNode { node, ms: 14_000 });
-                let frozen = [freeze(30_000, 0), freeze(60_000, 1), freeze(90_000, 2)];
-                let cancels = (32_000..120_000).step_by(5000).map(cancel);
-                cancels
-                    .chain(frozen)
-                    .chain([(30_000, Fault::FrequentPolls { ms: 90_000 })])
-                    .collect()
-            }
-            History::Refused => {
-                let refuse = |at, node| (at, Fault::StoreRefusesNode { node, ms: 35_000 });
-                let refused = [refuse(30_000, 0), refuse(70_000, 1), refuse(110_000, 2)];
-                let cancels = (32_000..140_000).step_by(5000).map(cancel);
-                cancels
-                    .chain(refused)
-                    .chain([(30_000, Fault::FrequentPolls { ms: 110_000 })])
-                    .collect()
-            }
-            History::ApartLate => {
-                let cancels = (42_000..100_000).step_by(2000).map(cancel);
-                let polls = (40_000, Fault::FrequentPolls { ms: 65_000 });
-                let late = (40_000, Fault::LateWrites { percent: 60, ms: 60_000 });
-                cancels
-                    .chain([(40_000, Fault::PeerPartition { ms: 60_000 }), polls, late])
-                    .collect()
-            }
-            History::LateFinals => {
-                let at = |at: u64, node| {
-                    let late = Fault::LateWrites { percent: 90, ms: 2500 };
-                    let cancel = (at, Fault::CancelJobs { percent: 60 });
-                    let slow = Fault::SlowStore { by_ms: 1200, ms: 14_000 };
-                    let polls = Fault::FrequentPolls { ms: 20_000 };
-                    let ends = (at + 1500, crash(node, 20_000));
-                    [(at, late), cancel, ends, (at + 1500, slow), (at + 1500, polls)]
-                };
-                [at(30_000, 0), at(60_000, 1), at(90_000, 2)].concat()
-            }
-            History::AloneThenCut => {
-                let at = |at: u64, node| {
-                    let alone = Fault::StoreAndPeerPartition { node, ms: 40_000 };
-                    [(at, alone), (at + 10_000, Fault::HangMachines { machines: 99, ms: 15_500 })]
-                };
-                [at(40_000, 0), at(95_000, 1)].concat()
-            }
-            History::SlowThenAlone => {
-                let at = |at: u64, node| {
-                    let slow = Fault::SlowStore { by_ms: 1900, ms: 12_000 };
-                    let alone = Fault::StoreAndPeerPartition { node, ms: 20_000 };
-                    let polls = Fault::FrequentPolls { ms: 12_000 };
-                    // From when a successor may be there: a few at a time, so that some are left.
-                    let few = |at| (at, Fault::CancelJobs { percent: 6 });
-                    let cancels = (at + 13_700..at + 18_700).step_by(150).map(few);
-                    let faults = [(at, slow), (at + 11_900, alone), (at + 12_000, polls)];
-                    cancels.chain(faults).collect::<Vec<_>>()
-                };
-                [at(30_000, 0), at(70_000, 1), at(110_000, 2)].concat()
-            }
-            History::FrozenDeciding => {
-                let slow = (25_000, Fault::SlowStore { by_ms: 700, ms: 110_000 });
-                let freeze = |i: u64| {
-                    let node = i as usize % NODES;
-                    (30_000 + i * 16_000, Fault::FreezeNode { node, ms: 12_000 })
-                };
-                (0..7).map(freeze).chain([slow]).collect()
-            }
-            History::ConfirmedThenEnded => {
-                let at = |at: u64, node| {
-                    let deaf = Fault::InboundPartition { machines: 99, ms: 2500 };
-                    let cancel = (at, Fault::CancelJobs { percent: 60 });
-                    [(at - 200, deaf), cancel, (at + 700, crash(node, 60_000))]
-                };
-                [at(40_000, 0), at(110_000, 1)].concat()
-            }
-            History::DeafThenOutage => vec![
-                (59_500, Fault::InboundPartition { machines: 99, ms: 5000 }),
-                (60_300, Fault::CancelJobs { percent: 60 }),
-                (61_800, Fault::StoreOutage { ms: 60_000 }),
-            ],
+            History::GapAlone => gap_alone(),
+            History::GapForgotten => gap_forgotten(),
+            History::OldReports => old_reports(),
+            History::Deaf => deaf(),
+            History::HeldUp => held_up(),
+            History::LateWrites => late_writes(),
+            History::OverAndBack => over_and_back(),
+            History::Alone => alone(),
+            History::Apart => apart(),
+            History::Frozen => frozen(),
+            History::Refused => refused(),
+            History::ApartLate => apart_late(),
+            History::LateFinals => late_finals(),
+            History::AloneThenCut => alone_then_cut(),
+            History::SlowThenAlone => slow_then_alone(),
+            History::FrozenDeciding => frozen_deciding(),
+            History::ConfirmedThenEnded => confirmed_then_ended(),
+            History::DeafThenOutage => deaf_then_outage(),
         }
     }
 
-    /// Of scripted histories every other seed has long tasks.
+    /// The plan of this history. Of those with a script every other seed has long tasks.
     pub fn plan(self, seed: u64) -> Plan {
         let script = self.script();
         let plan = match self {
@@ -261,3 +126,182 @@
         Plan { max_gang_tasks: 1, teams: Teams::One, ..plan }
     }
 }
+
+fn crash(node: usize, back_ms: u64) -> Fault {
+    Fault::Crash { nodes: vec![node], back_ms }
+}
+
+/// Users cancel a third of their jobs.
+fn cancel(at: u64) -> (u64, Fault) {
+    (at, Fault::CancelJobs { percent: 35 })
+}
+
+/// The store refuses one controller, the others confirm cancellations, and then the store is down.
+fn gap(more: Script) -> Script {
+    let mut script = vec![
+        (60_000, Fault::StoreRefusesNode { node: 0, ms: 14_000 }),
+        (60_300, Fault::CancelJobs { percent: 60 }),
+        (62_500, Fault::StoreOutage { ms: 45_000 }),
+    ];
+    script.extend(more);
+    script
+}
+
+fn gap_alone() -> Script {
+    gap(vec![(60_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 })])
+}
+
+fn gap_forgotten() -> Script {
+    let cut = (60_200, Fault::PairPartition { nodes: (0, 1), ms: 4000 });
+    gap(vec![cut, (62_450, crash(1, 200))])
+}
+
+fn old_reports() -> Script {
+    vec![
+        (20_000, Fault::LateHeartbeatCopies { percent: 90, ms: 100_000 }),
+        (40_000, Fault::RestartWorkers { machines: 4 }),
+        (44_500, Fault::RestartWorkers { machines: 4 }),
+        (45_000, crash(0, 3000)),
+        (52_000, crash(1, 200)),
+        (79_000, Fault::RestartWorkers { machines: 4 }),
+        (80_000, crash(2, 9000)),
+    ]
+}
+
+fn deaf() -> Script {
+    vec![
+        (41_000, Fault::InboundPartition { machines: 5, ms: 25_000 }),
+        (42_000, crash(0, 60_000)),
+        (80_000, Fault::InboundPartition { machines: 5, ms: 10_000 }),
+        (81_000, crash(1, 200)),
+        cancel(83_000),
+    ]
+}
+
+fn held_up() -> Script {
+    vec![
+        (20_000, Fault::DelayCommands { by_ms: 9000, ms: 100_000 }),
+        (40_000, Fault::HangMachines { machines: 5, ms: 12_000 }),
+        cancel(45_000),
+        (48_000, crash(0, 300)),
+        (70_000, Fault::HangMachines { machines: 5, ms: 12_000 }),
+        cancel(71_000),
+        (73_000, crash(1, 9000)),
+    ]
+}
+
+fn late_writes() -> Script {
+    vec![
+        (20_000, Fault::LateWrites { percent: 50, ms: 100_000 }),
+        cancel(40_000),
+        (50_000, crash(0, 300)),
+        cancel(69_900),
+        (70_000, crash(1, 9000)),
+        (72_000, crash(2, 200)),
+        cancel(90_000),
+    ]
+}
+
+fn over_and_back() -> Script {
+    let mut script = Vec::new();
+    for at in (30_000..110_000).step_by(16_000) {
+        script.push((at, crash(0, 300)));
+        script.push((at + 5200, crash(1, 6000)));
+        script.push((at + 9000, Fault::Crash { nodes: (0..NODES).collect(), back_ms: 4000 }));
+        script.push((at + 9300, crash(2, 100)));
+    }
+    script
+}
+
+fn alone() -> Script {
+    let polls = (40_000, Fault::FrequentPolls { ms: 90_000 });
+    let alone = (40_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 });
+    let back = (101_000, crash(0, 100));
+    vec![polls, alone, cancel(46_000), cancel(50_000), cancel(60_000), back]
+}
+
+fn apart() -> Script {
+    let cancels = (42_000..80_000).step_by(4000).map(cancel);
+    cancels.chain([(40_000, Fault::PeerPartition { ms: 60_000 })]).collect()
+}
+
+fn frozen() -> Script {
+    let freeze = |at, node| (at, Fault::FreezeNode { node, ms: 14_000 });
+    let frozen = [freeze(30_000, 0), freeze(60_000, 1), freeze(90_000, 2)];
+    let cancels = (32_000..120_000).step_by(5000).map(cancel);
+    cancels.chain(frozen).chain([(30_000, Fault::FrequentPolls { ms: 90_000 })]).collect()
+}
+
+fn refused() -> Script {
+    let refuse = |at, node| (at, Fault::StoreRefusesNode { node, ms: 35_000 });
+    let refused = [refuse(30_000, 0), refuse(70_000, 1), refuse(110_000, 2)];
+    let cancels = (32_000..140_000).step_by(5000).map(cancel);
+    cancels.chain(refused).chain([(30_000, Fault::FrequentPolls { ms: 110_000 })]).collect()
+}
+
+fn apart_late() -> Script {
+    let cancels = (42_000..100_000).step_by(2000).map(cancel);
+    let polls = (40_000, Fault::FrequentPolls { ms: 65_000 });
+    let late = (40_000, Fault::LateWrites { percent: 60, ms: 60_000 });
+    cancels.chain([(40_000, Fault::PeerPartition { ms: 60_000 }), polls, late]).collect()
+}
+
+fn late_finals() -> Script {
+    let at = |at: u64, node| {
+        let late = Fault::LateWrites { percent: 90, ms: 2500 };
+        let cancel = (at, Fault::CancelJobs { percent: 60 });
+        let slow = Fault::SlowStore { by_ms: 1200, ms: 14_000 };
+        let polls = Fault::FrequentPolls { ms: 20_000 };
+        let ends = (at + 1500, crash(node, 20_000));
+        [(at, late), cancel, ends, (at + 1500, slow), (at + 1500, polls)]
+    };
+    [at(30_000, 0), at(60_000, 1), at(90_000, 2)].concat()
+}
+
+fn alone_then_cut() -> Script {
+    let at = |at: u64, node| {
+        let alone = Fault::StoreAndPeerPartition { node, ms: 40_000 };
+        [(at, alone), (at + 10_000, Fault::HangMachines { machines: ALL_MACHINES, ms: 15_500 })]
+    };
+    [at(40_000, 0), at(95_000, 1)].concat()
+}
+
+fn slow_then_alone() -> Script {
+    let at = |at: u64, node| {
+        let slow = Fault::SlowStore { by_ms: 1900, ms: 12_000 };
+        let alone = Fault::StoreAndPeerPartition { node, ms: 20_000 };
+        let polls = Fault::FrequentPolls { ms: 12_000 };
+        // From when a successor may be there: a few at a time, so that some are left.
+        let few = |at| (at, Fault::CancelJobs { percent: 6 });
+        let cancels = (at + 13_700..at + 18_700).step_by(150).map(few);
+        let faults = [(at, slow), (at + 11_900, alone), (at + 12_000, polls)];
+        cancels.chain(faults).collect::<Vec<_>>()
+    };
+    [at(30_000, 0), at(70_000, 1), at(110_000, 2)].concat()
+}
+
+fn frozen_deciding() -> Script {
+    let slow = (25_000, Fault::SlowStore { by_ms: 700, ms: 110_000 });
+    let freeze = |i: u64| {
+        let node = i as usize % NODES;
+        (30_000 + i * 16_000, Fault::FreezeNode { node, ms: 12_000 })
+    };
+    (0..7).map(freeze).chain([slow]).collect()
+}
+
+fn confirmed_then_ended() -> Script {
+    let at = |at: u64, node| {
+        let deaf = Fault::InboundPartition { machines: ALL_MACHINES, ms: 2500 };
+        let cancel = (at, Fault::CancelJobs { percent: 60 });
+        [(at - 200, deaf), cancel, (at + 700, crash(node, 60_000))]
+    };
+    [at(40_000, 0), at(110_000, 1)].concat()
+}
+
+fn deaf_then_outage() -> Script {
+    vec![
+        (59_500, Fault::InboundPartition { machines: ALL_MACHINES, ms: 5000 }),
+        (60_300, Fault::CancelJobs { percent: 60 }),
+        (61_800, Fault::StoreOutage { ms: 60_000 }),
+    ]
+}
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -333,7 +333,8 @@
             let is_of_team = |placement: &&Placement| {
                 jobs.get(job_of_task(&placement.task)).is_some_and(|job| job.team == *name)
             };
-            let who: Vec<_> = placements.all.iter().filter(is_of_team).collect();
+            let of_team = placements.all.iter().filter(is_of_team);
+            let who: Vec<_> = of_team.map(|p| (&p.task, &p.machine, p.attempt)).collect();
             let max = (team.cpus_max, team.gpus_max);
             return Err(format!("quota: {name} uses {cpus}, {gpus} of {max:?}: {who:?}"));
         }
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -16,7 +16,7 @@
 const SLOW_RESTART_MS: Range<u64> = 2000..8000;
 
 impl Sim {
-    /// A fault begins. (A row a fault: the list of [`Fault`] in its order of subjects.)
+    /// A fault begins. This is a plain table, one row for each kind of fault.
     pub(super) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -222,19 +222,7 @@
                 let ms = self.draw_ms(1000..25_000);
                 self.freeze(node, ms);
             }
-            // Controllers reach all but each other, for longer than a cancellation may take.
-            10 => {
-                let ms = self.draw_ms(5000..45_000);
-                extend(&mut self.peer_partition_until, self.now + ms);
-            }
-            11 => {
-                let ms = self.draw_ms(5000..40_000);
-                self.partition_from_workers(node, ms);
-            }
-            12 => {
-                let ms = self.draw_ms(5000..60_000);
-                self.partition_from_store_and_peers(node, ms);
-            }
+            10..=12 | 20 => self.random_partition(number, node),
             17 => {
                 let ms = self.draw_ms(5000..30_000);
                 extend(&mut self.frequent_polls_until, self.now + ms);
@@ -243,10 +231,6 @@
                 let ms = self.draw_ms(5000..40_000);
                 self.refuse_at_store(node, ms);
             }
-            20 => {
-                let until = self.now + self.draw_ms(5000..45_000);
-                self.windows.partition_pair((node, (node + 1) % NODES), until);
-            }
             21 => self.random_late_messages(),
             22 => {
                 let until = self.now + self.draw_ms(3000..20_000);
@@ -257,6 +241,29 @@
         }
     }
 
+    /// Partitions between controllers, and of a controller from others.
+    fn random_partition(&mut self, number: u32, node: usize) {
+        match number {
+            // For longer than a cancellation may take.
+            10 => {
+                let ms = self.draw_ms(5000..45_000);
+                extend(&mut self.peer_partition_until, self.now + ms);
+            }
+            11 => {
+                let ms = self.draw_ms(5000..40_000);
+                self.partition_from_workers(node, ms);
+            }
+            12 => {
+                let ms = self.draw_ms(5000..60_000);
+                self.partition_from_store_and_peers(node, ms);
+            }
+            _ => {
+                let until = self.now + self.draw_ms(5000..45_000);
+                self.windows.partition_pair((node, (node + 1) % NODES), until);
+            }
+        }
+    }
+
     fn random_crash(&mut self, node: usize) {
         if self.controllers[node].core.is_some() {
             let back_ms = self.random_restart_ms();
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -5,24 +5,30 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How many, and how many bytes they take on the wire.
+/// Messages of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
+    /// How many there were.
     pub times: u64,
+    /// How many bytes they take on the wire; 0 where that is not counted.
     pub bytes: u64,
 }
 
+/// What went into the cores and came out.
 #[derive(Debug, Default)]
 pub struct Tally {
+    /// By the kind of message; the names are those of `docs/performance.md`.
     pub by_kind: BTreeMap<&'static str, Count>,
 }
 
-fn json<T: Serialize>(v: &T) -> u64 {
-    serde_json::to_vec(v).map_or(0, |b| b.len() as u64)
+/// The length of a message in JSON, in bytes.
+fn json<T: Serialize>(message: &T) -> u64 {
+    serde_json::to_vec(message).map_or(0, |text| text.len() as u64)
 }
 
-fn shard_msg(m: &ShardMessage) -> &'static str {
-    match m {
+/// The name of a kind of message between shards.
+fn shard_msg(msg: &ShardMessage) -> &'static str {
+    match msg {
         ShardMessage::RequestOffers { .. } => "mesh Request",
         ShardMessage::CloseNegotiation { .. } => "mesh Close",
         ShardMessage::Place { .. } => "mesh Place",
@@ -46,20 +52,20 @@
 
 impl Tally {
     fn add(&mut self, kind: &'static str, bytes: u64) {
-        let c = self.by_kind.entry(kind).or_default();
-        c.times += 1;
-        c.bytes += bytes;
+        let count = self.by_kind.entry(kind).or_default();
+        count.times += 1;
+        count.bytes += bytes;
     }
 
-    pub fn input(&mut self, i: &Input) {
-        match i {
+    /// Counts what goes into a core. Messages of siblings are counted where they are sent.
+    pub fn input(&mut self, input: &Input) {
+        match input {
             Input::Tick => self.add("tick", 0),
             Input::Submit { .. } => self.add("user submission", 0),
             Input::Get { .. } => self.add("user question", 0),
             Input::Cancel { .. } => self.add("user cancellation", 0),
             Input::WorkerHeartbeat { report, .. } => self.add("worker report", json(report)),
             Input::CommandOutcome { .. } => self.add("worker answer to commands", 0),
-            // Counted where it is sent.
             Input::Mesh { .. } => {}
             Input::Store { result, .. } => match result {
                 StoreResult::Page(p) => self.add("store page", json(p)),
@@ -70,8 +76,9 @@
         }
     }
 
-    pub fn output(&mut self, o: &Effect) {
-        match o {
+    /// Counts what comes out of a core.
+    pub fn output(&mut self, effect: &Effect) {
+        match effect {
             Effect::Mesh { msg, .. } => {
                 let mut bytes = Vec::new();
                 let _ = ciborium::into_writer(msg, &mut bytes);
