--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -36,6 +36,7 @@
 mod plan;
 mod preload;
 mod query_bursts;
+mod random_faults;
 mod run;
 mod sabotage;
 mod setup;
