--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,7 +1,7 @@
 //! What parts of the core need while they handle an input: the time, names, settings, who owns
 //! what, and ways to send, write, ask and answer. Below all parts, so that none needs the node.
 use crate::budget::{WriteBudget, WriteClass};
-use crate::health::lately;
+use crate::health::is_recent;
 use crate::horizon::Horizons;
 use crate::ids::{
     shard_of_job, shard_of_machine, Epoch, JobId, MachineIdx, NodeIdx, Shard, Timestamp,
@@ -19,68 +19,133 @@
 use leaddeal_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
+/// A user asks again after this many seconds if nothing can be said now.
+pub(crate) const UNKNOWN_RETRY_S: u32 = 1;
+
 /// What the core needs of the settings.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// For how long a worker runs on after its last answered heartbeat, in ms.
     pub worker_lease_ms: u64,
-    /// A cancelled job's tasks must be gone so long after its user was told.
+    /// A cancelled job's tasks must be gone this long after its user was told, in ms.
     pub cancel_ms: u64,
-    /// A machine silent for this long gets no new work.
+    /// A machine silent for this long, in ms, gets no new work.
     pub quiet_ms: u64,
-    /// A worker that was answered reports again within this time.
+    /// A worker that was answered sends its next heartbeat within this time, in ms.
     pub report_due_ms: u64,
+    /// Placements in one decision: as many as one record of the store holds.
     pub max_picks: usize,
+    /// Conditions and changes that one transaction of the store may have.
     pub txn_ops: usize,
+    /// A new instance may be missing from the cloud's list for this long, in ms.
     pub list_lag_ms: u64,
-    /// Between calls to the cloud, so that all together stay below its limit.
+    /// Between calls to the cloud, in ms, so that all together stay below its limit.
     pub cloud_gap_ms: u64,
+    /// The teams with their limits; a team's place here is its number.
     pub teams: Vec<leaddeal_wire::settings::Team>,
+    /// The service-level objectives.
     pub aims: Objectives,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum LookupPurpose {
-    Get,
-    /// A submission of a job that is known already.
-    Known,
-    /// A submission that is wrong unless the job is known: the status to give then.
-    Wrong(u16),
-    Cancel,
+/// Why a submission is refused, unless its job is known already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SubmissionRejection {
+    /// The job can't be read.
+    Malformed,
+    /// No machine type could take a task of it, or its team's limit is too small for it.
+    CanNeverRun,
+}
+
+impl SubmissionRejection {
+    /// The HTTP status and the text for the user.
+    fn status(self) -> (u16, &'static str) {
+        match self {
+            SubmissionRejection::Malformed => (400, "malformed"),
+            SubmissionRejection::CanNeverRun => (422, "can never run"),
+        }
+    }
+}
+
+/// What a job is looked up for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LookupPurpose {
+    /// A user asks for its state.
+    GetState,
+    /// It was submitted, and the store says that it is known already.
+    Resubmission,
+    /// It was submitted in a form that is refused unless the job is known.
+    RejectedSubmission(SubmissionRejection),
+    /// A user cancels it.
+    Cancellation,
 }
 
+/// A request about a job that is looked up: here, at a sibling or in the store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JobLookup {
+    /// The request that is answered.
+    pub req: RequestId,
+    /// The job.
+    pub id: JobId,
+    /// What it is looked up for.
+    pub purpose: LookupPurpose,
+}
+
+/// A call of the provisioner to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProvisionerOperation {
+    /// A page of the list of instances.
     List,
-    /// The request's number.
+    /// A launch of instances, by the request's number.
     Launch(u64),
+    /// A release of instances.
     Release,
 }
 
+/// A call to an outside service: what its answer is for. Epochs are those under which the call was
+/// made: the answer is for no other owner of the shard.
 #[derive(Debug)]
 pub enum Operation {
+    /// A request for a lease for this node, sent at that time.
     NewLease { sent: Timestamp },
+    /// A renewal of this node's lease, sent at that time.
     RenewLease { sent: Timestamp, lease: u64 },
-    Shards,
-    ShardWatch,
+    /// The list of all shards' keys.
+    ListShards,
+    /// The watch on all shards' keys.
+    WatchShards,
+    /// A transaction that makes this node the shard's owner.
     Acquire(Shard),
+    /// A transaction that gives the shard back.
     Release(Shard, Epoch),
+    /// A page or an event of the records that a coordinator reads.
     Records { shard: Shard, epoch: Epoch },
+    /// The write of a decision.
     Decide { shard: Shard, epoch: Epoch },
+    /// The write of completed tasks as bitmaps.
     Compaction { shard: Shard, epoch: Epoch },
+    /// The write of a job's terminal state.
     Finish { shard: Shard, epoch: Epoch, job: JobId },
+    /// The write of a new job, with its record.
     Submit { req: RequestId, id: JobId, value: serde_json::Value },
-    ReadJob { req: RequestId, id: JobId, ask: Lookup },
-    ReadFinal { req: RequestId, id: JobId, ask: Lookup },
-    Finals { shard: Shard, asked: Timestamp },
-    BasePut,
-    BaseGet,
+    /// The read of a job.
+    ReadJob { lookup: JobLookup },
+    /// The read of a job's terminal state.
+    ReadTerminalState { lookup: JobLookup },
+    /// A page or an event of a silent owner's terminal states, asked for at that time.
+    TerminalStates { shard: Shard, asked: Timestamp },
+    /// The creation of the record of the newest machine of the operator.
+    PutOperatorMachines,
+    /// The read of that record.
+    GetOperatorMachines,
+    /// The cloud's machine types.
     Catalog,
+    /// A call of the provisioner that acts under that epoch.
     Provisioner(Epoch, ProvisionerOperation),
 }
 
 impl Operation {
     /// Whether it counts against the service's limit of changes.
-    pub(crate) fn writes(&self) -> bool {
+    pub(crate) fn counts_as_write(&self) -> bool {
         matches!(
             self,
             Operation::Decide { .. }
@@ -91,55 +156,99 @@
     }
 }
 
-/// Opaque outside: what a lookup is for.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lookup(pub(crate) LookupPurpose);
-
+/// Calls to outside services that are not answered yet. Invariant: no number is given twice.
+#[derive(Debug, Default)]
 pub(crate) struct PendingOperations {
-    pub next: OperationId,
+    /// The newest number given.
+    last: OperationId,
+    /// By number.
     pub open: HashMap<OperationId, Operation>,
 }
 
+impl PendingOperations {
+    /// Gives a call its number.
+    fn begin(&mut self, operation: Operation) -> OperationId {
+        self.last += 1;
+        self.open.insert(self.last, operation);
+        self.last
+    }
+}
+
+/// A message from one shard to another, on its way out.
+#[derive(Debug)]
+pub(crate) struct OutgoingMessage {
+    pub from: Shard,
+    pub to: Shard,
+    pub message: ShardMessage,
+}
+
+/// A request that a sibling made on behalf of its user.
+#[derive(Debug)]
+pub(crate) struct RelayedRequest {
+    /// The sibling's name.
+    pub node: String,
+    /// Its number of the call.
+    pub call: u64,
+}
+
 /// What parts of the core need of the node while they handle an input.
 pub struct Context<'a> {
+    /// The steady clock, in ms since an arbitrary moment: it never goes back. For intervals.
     pub now: Timestamp,
-    pub time_ms: u64,
+    /// The wall clock, in ms since 1970: it may be set, also back. For what is stored or shown.
+    pub wall_clock_ms: u64,
+    /// This node's lease is certainly not over yet: what it owns is its own.
     pub valid: bool,
+    /// Set by a part when a coordinator may have work for a decision round.
     pub wake: bool,
+    /// What is sent, written and answered.
     pub effects: &'a mut Effects,
+    /// Numbers of names, and the cloud's catalog.
     pub names: &'a mut Names,
+    /// The settings.
     pub config: &'a Config,
+    /// Changes that this node may still write.
     pub budget: &'a mut WriteBudget,
+    /// What was cancelled, and up to when it is known.
     pub horizons: &'a mut Horizons,
+    /// This node.
     pub(crate) me: NodeIdx,
+    /// By shard: its owner, as far as is known.
     pub(crate) view: &'a [ShardView],
-    pub(crate) heard: &'a [Timestamp],
-    pub(crate) ops: &'a mut PendingOperations,
-    pub(crate) sends: &'a mut VecDeque<(Shard, Shard, ShardMessage)>,
-    pub(crate) relays: &'a mut HashMap<RequestId, (String, u64)>,
+    /// By node: when something was last received from it.
+    pub(crate) heard_at: &'a [Timestamp],
+    pub(crate) operations: &'a mut PendingOperations,
+    /// Messages between shards that are not delivered yet.
+    pub(crate) outbox: &'a mut VecDeque<OutgoingMessage>,
+    /// Requests that siblings made, by the number they have here.
+    pub(crate) relayed_requests: &'a mut HashMap<RequestId, RelayedRequest>,
 }
 
 impl Context<'_> {
+    /// All shards.
     pub fn shards(&self) -> impl Iterator<Item = Shard> {
         (0..self.view.len() as u8).map(Shard)
     }
 
-    pub fn owner(&self, s: Shard) -> Option<Owner> {
-        self.view.get(s.0 as usize).and_then(|v| v.owner)
+    /// The shard's owner, as far as is known.
+    pub fn owner(&self, shard: Shard) -> Option<Owner> {
+        self.view.get(shard.0 as usize).and_then(|view| view.owner)
     }
 
-    /// Owned by a node that has been heard of lately.
-    pub fn reachable(&self, s: Shard) -> bool {
-        self.owner(s).is_some_and(|o| {
-            o.node == self.me
-                || self.heard.get(o.node.0 as usize).is_some_and(|&h| lately(h, self.now))
+    /// Owned by this node, or by one from which something was received recently.
+    pub fn reachable(&self, shard: Shard) -> bool {
+        self.owner(shard).is_some_and(|owner| {
+            let heard_at = self.heard_at.get(owner.node.0 as usize);
+            owner.node == self.me || heard_at.is_some_and(|&at| is_recent(at, self.now))
         })
     }
 
-    pub fn shard_of_job(&self, j: JobId) -> Shard {
-        shard_of_job(j, self.view.len())
+    /// The shard that the job belongs to.
+    pub fn shard_of_job(&self, job: JobId) -> Shard {
+        shard_of_job(job, self.view.len())
     }
 
+    /// The shard that the machine of that name belongs to.
     pub fn shard_of_machine(&self, name: &str) -> Shard {
         shard_of_machine(name, self.view.len())
     }
@@ -151,92 +260,100 @@
         Some((i as u8, j.shape.need.cpu, j.shape.need.gpu))
     }
 
-    pub fn send(&mut self, from: Shard, to: Shard, msg: ShardMessage) {
-        self.sends.push_back((from, to, msg));
-    }
-
-    pub fn store(&mut self, kind: Operation, call: StoreCall) {
-        let op = self.op(kind);
-        self.effects.list.push(Effect::Store { op, call });
+    /// Sends a message from one shard to another, which may be on this node too.
+    pub fn send(&mut self, from: Shard, to: Shard, message: ShardMessage) {
+        self.outbox.push_back(OutgoingMessage { from, to, message });
     }
 
-    pub fn cloud(&mut self, kind: Operation, call: CloudCall) {
-        let op = self.op(kind);
-        self.effects.list.push(Effect::Cloud { op, call });
+    /// Calls the state service; the answer comes to what the operation says.
+    pub fn store(&mut self, operation: Operation, call: StoreCall) {
+        let op = self.operations.begin(operation);
+        self.effects.push(Effect::Store { op, call });
     }
 
-    fn op(&mut self, kind: Operation) -> OperationId {
-        self.ops.next += 1;
-        self.ops.open.insert(self.ops.next, kind);
-        self.ops.next
+    /// Calls the cloud service; the answer comes to what the operation says.
+    pub fn cloud(&mut self, operation: Operation, call: CloudCall) {
+        let op = self.operations.begin(operation);
+        self.effects.push(Effect::Cloud { op, call });
     }
 
-    pub fn direct(&mut self, m: MachineIdx, addr: String, batch: u64, direct: CommandBatch) {
-        let machine = self.names.machine_name(m).to_string();
-        self.effects.list.push(Effect::Commands { machine, addr, batch, direct });
+    /// Sends commands to a worker at that address; `batch` ties the answer to them.
+    pub fn direct(&mut self, machine: MachineIdx, addr: String, batch: u64, direct: CommandBatch) {
+        let machine = self.names.machine_name(machine).to_string();
+        self.effects.push(Effect::Commands { machine, addr, batch, direct });
     }
 
-    /// Creates the mark of the newest machine that was there before the service, or reads it.
+    /// Creates the record of the newest machine that was there before the service, or reads it.
     pub fn find_base(&mut self, newest: String) {
         let change = Change::Put {
             key: keys::BASE.into(),
             value: OperatorMachinesRecord(&newest).encode(),
             lease: None,
         };
-        let txn = Transaction {
+        let transaction = Transaction {
             conditions: vec![Condition { key: keys::BASE.into(), version: 0 }],
             changes: vec![change],
         };
         self.budget.spend(WriteClass::Deferrable, 1);
-        self.store(Operation::BasePut, StoreCall::Transaction(txn));
+        self.store(Operation::PutOperatorMachines, StoreCall::Transaction(transaction));
     }
 
-    pub(crate) fn read_key(&mut self, req: RequestId, id: JobId, ask: Lookup) {
-        let key = keys::job_key(self.shard_of_job(id), id);
-        self.store(Operation::ReadJob { req, id, ask }, StoreCall::Get { key });
+    /// Reads the job from the store.
+    pub(crate) fn read_job(&mut self, lookup: JobLookup) {
+        let key = keys::job_key(self.shard_of_job(lookup.id), lookup.id);
+        self.store(Operation::ReadJob { lookup }, StoreCall::Get { key });
     }
 
-    pub(crate) fn read_final(&mut self, req: RequestId, id: JobId, ask: Lookup) {
-        let key = keys::final_key(self.shard_of_job(id), id);
-        self.store(Operation::ReadFinal { req, id, ask }, StoreCall::Get { key });
+    /// Reads the job's terminal state from the store.
+    pub(crate) fn read_terminal_state(&mut self, lookup: JobLookup) {
+        let key = keys::final_key(self.shard_of_job(lookup.id), lookup.id);
+        self.store(Operation::ReadTerminalState { lookup }, StoreCall::Get { key });
     }
 
-    /// Neither the job nor its final state is in the store.
-    pub(crate) fn unknown(&mut self, req: RequestId, ask: Lookup) {
-        match ask.0 {
-            LookupPurpose::Wrong(400) => self.reply_error(req, 400, "malformed", None),
-            LookupPurpose::Wrong(s) => self.reply_error(req, s, "can never run", None),
-            LookupPurpose::Known => self.reply_later(req, 503, 1),
-            LookupPurpose::Get | LookupPurpose::Cancel => {
-                self.reply_error(req, 404, "unknown job", None)
+    /// Answers a lookup: neither the job nor its terminal state is in the store.
+    pub(crate) fn reply_unknown(&mut self, lookup: JobLookup) {
+        match lookup.purpose {
+            LookupPurpose::RejectedSubmission(rejection) => {
+                self.reply_rejection(lookup.req, rejection);
+            }
+            LookupPurpose::Resubmission => self.reply_later(lookup.req, 503, UNKNOWN_RETRY_S),
+            LookupPurpose::GetState | LookupPurpose::Cancellation => {
+                self.reply_error(lookup.req, 404, "unknown job", None);
             }
         }
     }
 
+    /// Refuses a submission for good.
+    pub(crate) fn reply_rejection(&mut self, req: RequestId, rejection: SubmissionRejection) {
+        let (status, why) = rejection.status();
+        self.reply_error(req, status, why, None);
+    }
+
+    /// Answers a request of a user, or of a sibling on behalf of its user.
     pub fn reply(&mut self, req: RequestId, reply: UserReply) {
-        let Some((to, call)) = self.relays.remove(&req) else {
-            self.effects.list.push(Effect::User { req, reply });
+        let Some(RelayedRequest { node, call }) = self.relayed_requests.remove(&req) else {
+            self.effects.push(Effect::User { req, reply });
             return;
         };
         let answer = match (reply.status, reply.state) {
-            (200 | 201, Some(s)) => JobAnswer::State(s),
+            (200 | 201, Some(state)) => JobAnswer::State(state),
             (404, _) => JobAnswer::Unknown,
             _ => JobAnswer::Later,
         };
-        self.effects.list.push(Effect::Mesh { to, msg: NodeMessage::JobAnswer { call, answer } });
+        self.effects.push(Effect::Mesh { to: node, msg: NodeMessage::JobAnswer { call, answer } });
     }
 
+    /// Answers with a job's state and that HTTP status.
     pub fn reply_state(&mut self, req: RequestId, status: u16, state: JobState) {
-        let mut r = known(state, false);
-        r.status = status;
-        self.reply(req, r);
+        self.reply(req, UserReply { status, ..known(state, false) });
     }
 
-    /// Refused at once, with the time after which to ask again.
+    /// Refuses for now; the user may ask again after that many seconds.
     pub fn reply_later(&mut self, req: RequestId, status: u16, after_s: u32) {
         self.reply_error(req, status, "try again later", Some(after_s));
     }
 
+    /// Refuses with that HTTP status and text; if `after_s` is given, the user may ask again then.
     pub fn reply_error(&mut self, req: RequestId, status: u16, why: &str, after_s: Option<u32>) {
         let reply =
             UserReply { status, state: None, error: Some(why.to_string()), retry_after_s: after_s };
@@ -244,11 +361,12 @@
     }
 }
 
-/// What is told of a job of which nothing is known but that it is there.
+/// The state of a job of which nothing is known but that it is there.
 pub(crate) fn queued(id: JobId) -> JobState {
     JobState { id: user::job_id(id.0), status: Status::Queued, done: 0, running: 0 }
 }
 
+/// The answer about a known job: 201 if the request `created` it, else 200.
 pub fn known(state: JobState, created: bool) -> UserReply {
     UserReply {
         status: if created { 201 } else { 200 },
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -2,7 +2,7 @@
 use super::{Coordinator, Load};
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::io::StoreResult;
+use crate::io::{LogLevel, StoreResult};
 use crate::jobs::{wire_shape, Job};
 use crate::keys;
 use crate::placed::Placement;
@@ -17,7 +17,7 @@
 
 /// A record that does not decode silences only itself.
 fn unreadable(ctx: &mut Context, key: &str) {
-    ctx.effects.log(0, "record_unreadable", || key.to_string());
+    ctx.effects.log(LogLevel::Error, "record_unreadable", || key.to_string());
 }
 
 impl Coordinator {
@@ -39,7 +39,7 @@
         }
         if !heard {
             if let Some(what) = self.feed.in_vain() {
-                ctx.effects.log(1, "records_refused", || what);
+                ctx.effects.log(LogLevel::Info, "records_refused", || what);
             }
             return;
         }
@@ -86,7 +86,7 @@
                 }
                 ctx.wake = true;
                 let (s, n) = (self.shard.0, self.jobs.len());
-                ctx.effects.log(1, "seat_loaded", || format!("seat={s} jobs={n}"));
+                ctx.effects.log(LogLevel::Info, "seat_loaded", || format!("seat={s} jobs={n}"));
             }
             Load::Ready => {}
         }
@@ -101,10 +101,10 @@
         }
         let Ok(JobRecord { accepted_at_ms, job: wire }) = JobRecord::decode(value) else {
             let k = key.to_string();
-            ctx.effects.log(0, "job_unreadable", || k);
+            ctx.effects.log(LogLevel::Error, "job_unreadable", || k);
             return;
         };
-        let age = ctx.time_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.time_ms));
+        let age = ctx.wall_clock_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.wall_clock_ms));
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
         let job = Job::new(id, wire, shape, ctx.now.saturating_sub(age), &ctx.config.aims);
         self.served.asks(&job);
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -3,6 +3,7 @@
 use crate::context::Context;
 use crate::guards::{holds, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Negotiation, Shard, Timestamp};
+use crate::io::LogLevel;
 use crate::jobs::{CompletedAttempt, Job};
 use crate::keys;
 use crate::records::{Record, RecordReader};
@@ -352,7 +353,7 @@
                 j.not_before = j.failure_suspicion.failed(p.machine, now, j.not_before);
                 if j.failure_suspicion.is_suspected() && !before {
                     let name = &j.wire.id;
-                    ctx.effects.log(1, "job_in_doubt", || name.clone());
+                    ctx.effects.log(LogLevel::Info, "job_in_doubt", || name.clone());
                 }
             }
             TaskPhase::Exited(ExitReason::Full | ExitReason::Busy, _) => j.not_before = now + 300,
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -2,87 +2,99 @@
 //!
 //! Invariants:
 //! - evidence is only ever what a sibling itself said or did, with the time it reached us;
-//! - what a word proves, it proves for good: an epoch that a sibling knows it will not forget, so
+//! - what a statement proves, it proves for good: an epoch that a sibling knows it will not forget, so
 //!   that it acts for that shard under no older one again;
 //! - silence proves nothing. A sibling that is not heard may act on for its whole grace.
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, NodeIdx, Shard, Timestamp};
 use leaddeal_wire::mesh::NodeHeartbeat;
 
-/// A sibling not heard of for this long is taken for unreachable.
-const SILENT_MS: u64 = 3000;
+/// A sibling from which nothing was received for this long is taken for unreachable.
+const UNREACHABLE_AFTER_MS: u64 = 3000;
 
-/// Whether a sibling heard at that time is taken for reachable.
-pub(crate) fn lately(heard: Timestamp, now: Timestamp) -> bool {
-    now < heard + SILENT_MS
+/// Whether a sibling that was last heard at that time is taken for reachable.
+pub(crate) fn is_recent(heard_at: Timestamp, now: Timestamp) -> bool {
+    now < heard_at + UNREACHABLE_AFTER_MS
 }
 
-/// What a sibling said last.
+/// What a sibling said of itself.
 #[derive(Clone, Debug, Default)]
-struct LastStatement {
-    /// The newest epoch it knows of, by shard.
-    knows: Vec<Epoch>,
+struct Statement {
+    /// The newest epoch it knows of, by shard. Invariant: none ever goes back.
+    known_epochs: Vec<Epoch>,
+    /// It can do what users ask for, by its last heartbeat.
     ready: bool,
 }
 
-/// The siblings, as this node knows them; its own place stays empty.
+/// The siblings, as this node knows them. Invariant: its own place stays empty.
 #[derive(Debug)]
 pub struct Health {
     me: NodeIdx,
-    heard: Vec<Timestamp>,
-    words: Vec<LastStatement>,
+    /// By node: when something was last received from it; 0: never.
+    heard_at: Vec<Timestamp>,
+    /// By node.
+    statements: Vec<Statement>,
 }
 
 impl Health {
-    /// So many nodes, with as many shards.
+    /// Nothing is known yet of that many nodes, which have as many shards.
     pub fn new(me: NodeIdx, nodes: usize) -> Health {
-        let word = LastStatement { knows: vec![Epoch(0); nodes], ready: false };
-        Health { me, heard: vec![0; nodes], words: vec![word; nodes] }
+        let nothing = Statement { known_epochs: vec![Epoch(0); nodes], ready: false };
+        Health { me, heard_at: vec![0; nodes], statements: vec![nothing; nodes] }
     }
 
-    /// Something came from a sibling.
-    pub fn hear(&mut self, node: NodeIdx, now: Timestamp) {
-        if let Some(h) = self.heard.get_mut(node.0 as usize) {
-            *h = now;
+    /// Something was received from a sibling.
+    pub fn record_contact(&mut self, node: NodeIdx, now: Timestamp) {
+        if let Some(heard_at) = self.heard_at.get_mut(node.0 as usize) {
+            *heard_at = now;
         }
     }
 
-    /// Its beat. Epochs never go back, whatever order beats come in.
-    pub fn beat(&mut self, node: NodeIdx, b: &NodeHeartbeat) {
-        let Some(w) = self.words.get_mut(node.0 as usize) else { return };
-        w.ready = b.ready;
-        for &(shard, _, epoch) in &b.known {
-            if let Some(k) = w.knows.get_mut(shard as usize) {
-                *k = (*k).max(Epoch(epoch));
+    /// A sibling's heartbeat. Epochs never go back, whatever order heartbeats come in.
+    pub fn record_heartbeat(&mut self, node: NodeIdx, heartbeat: &NodeHeartbeat) {
+        let Some(statement) = self.statements.get_mut(node.0 as usize) else { return };
+        statement.ready = heartbeat.ready;
+        for &(shard, _, epoch) in &heartbeat.known {
+            if let Some(known) = statement.known_epochs.get_mut(shard as usize) {
+                *known = (*known).max(Epoch(epoch));
             }
         }
     }
 
-    pub fn heard(&self) -> &[Timestamp] {
-        &self.heard
+    /// By node: when something was last received from it; 0: never.
+    pub fn heard_at(&self) -> &[Timestamp] {
+        &self.heard_at
     }
 
-    fn siblings(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.heard.len()).filter(|&i| i != self.me.0 as usize)
+    /// Whether something was received from the node recently.
+    pub fn hears(&self, node: NodeIdx, now: Timestamp) -> bool {
+        self.heard_at.get(node.0 as usize).is_some_and(|&at| is_recent(at, now))
+    }
+
+    fn siblings(&self) -> impl Iterator<Item = NodeIdx> + '_ {
+        (0..self.heard_at.len()).map(|node| NodeIdx(node as u8)).filter(|&node| node != self.me)
     }
 
     /// A sibling is heard, or there is none.
-    pub fn hears_any(&self, now: Timestamp) -> bool {
+    pub fn hears_any_sibling(&self, now: Timestamp) -> bool {
         let mut siblings = self.siblings().peekable();
-        siblings.peek().is_none() || siblings.any(|i| lately(self.heard[i], now))
+        siblings.peek().is_none() || siblings.any(|node| self.hears(node, now))
     }
 
-    /// A sibling is heard that takes users' requests.
-    pub fn another_serves(&self, now: Timestamp) -> bool {
-        self.siblings().any(|i| lately(self.heard[i], now) && self.words[i].ready)
+    /// A sibling is heard that can do what users ask for.
+    pub fn another_is_ready(&self, now: Timestamp) -> bool {
+        let is_ready = |node: NodeIdx| self.statements[node.0 as usize].ready;
+        self.siblings().any(|node| self.hears(node, now) && is_ready(node))
     }
 
     /// Every sibling has said that it knows this epoch of the shard, or a newer one: whatever they,
     /// and the processes before them, granted under older ones, they granted before now.
-    pub fn all_know(&self, shard: Shard, epoch: Epoch) -> bool {
-        let knows =
-            |i: usize| self.words[i].knows.get(shard.0 as usize).is_some_and(|k| *k >= epoch);
-        self.siblings().all(knows) || !holds(Guard::AllKnow)
+    pub fn all_acknowledge(&self, shard: Shard, epoch: Epoch) -> bool {
+        let acknowledges = |node: NodeIdx| {
+            let known_epochs = &self.statements[node.0 as usize].known_epochs;
+            known_epochs.get(shard.0 as usize).is_some_and(|known| *known >= epoch)
+        };
+        self.siblings().all(acknowledges) || !holds(Guard::AllKnow)
     }
 }
 
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -8,27 +8,27 @@
 fn only_the_word_of_every_sibling_proves_that_older_owners_let_go() {
     let mut h = Health::new(NodeIdx(0), 3);
     let (shard, epoch) = (Shard(1), Epoch(7));
-    h.beat(NodeIdx(1), &beat(&[(1, 0, 7)], true));
-    assert!(!h.all_know(shard, epoch), "the third said nothing");
-    h.beat(NodeIdx(2), &beat(&[(1, 2, 5), (0, 0, 9)], true));
-    assert!(!h.all_know(shard, epoch), "the third knows an older owner");
-    h.beat(NodeIdx(2), &beat(&[(1, 0, 7)], true));
-    assert!(h.all_know(shard, epoch));
+    h.record_heartbeat(NodeIdx(1), &beat(&[(1, 0, 7)], true));
+    assert!(!h.all_acknowledge(shard, epoch), "the third said nothing");
+    h.record_heartbeat(NodeIdx(2), &beat(&[(1, 2, 5), (0, 0, 9)], true));
+    assert!(!h.all_acknowledge(shard, epoch), "the third knows an older owner");
+    h.record_heartbeat(NodeIdx(2), &beat(&[(1, 0, 7)], true));
+    assert!(h.all_acknowledge(shard, epoch));
     // Held back, and out of its order: what was known is not forgotten.
-    h.beat(NodeIdx(2), &beat(&[(1, 2, 5)], true));
-    assert!(h.all_know(shard, epoch) && !h.all_know(shard, Epoch(8)));
+    h.record_heartbeat(NodeIdx(2), &beat(&[(1, 2, 5)], true));
+    assert!(h.all_acknowledge(shard, epoch) && !h.all_acknowledge(shard, Epoch(8)));
 }
 
 #[test]
 fn who_is_heard_and_ready_serves() {
     let mut h = Health::new(NodeIdx(0), 3);
-    h.beat(NodeIdx(1), &beat(&[], true));
-    assert!(!h.another_serves(10_000) && !h.hears_any(10_000));
-    h.hear(NodeIdx(2), 8000);
-    assert!(!h.another_serves(10_000) && h.hears_any(10_000));
-    h.hear(NodeIdx(1), 9000);
-    assert!(h.another_serves(10_000));
-    assert!(!h.another_serves(12_100) && !h.hears_any(12_100));
+    h.record_heartbeat(NodeIdx(1), &beat(&[], true));
+    assert!(!h.another_is_ready(10_000) && !h.hears_any_sibling(10_000));
+    h.record_contact(NodeIdx(2), 8000);
+    assert!(!h.another_is_ready(10_000) && h.hears_any_sibling(10_000));
+    h.record_contact(NodeIdx(1), 9000);
+    assert!(h.another_is_ready(10_000));
+    assert!(!h.another_is_ready(12_100) && !h.hears_any_sibling(12_100));
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -249,7 +249,7 @@
         now: Timestamp,
     ) {
         let (i, epoch) = (w.shard as usize, Epoch(w.epoch));
-        let newest = view.get(i).and_then(|v| v.last).map_or(Epoch(0), |o| o.epoch);
+        let newest = view.get(i).and_then(|v| v.newest_owner).map_or(Epoch(0), |o| o.epoch);
         let Some(s) = self.shards.get_mut(i).filter(|_| epoch >= newest) else { return };
         let acknowledged = if s.acknowledged.0 == epoch { s.acknowledged.1 } else { 0 };
         let no_gap = w.after <= acknowledged;
@@ -285,7 +285,7 @@
             }
             // In doubt: nobody else has acted under a newer epoch, as all others say.
             let Some((epoch, said)) = s.spoken else { continue };
-            let newest = view.get(i).and_then(|v| v.last).map_or(Epoch(0), |o| o.epoch);
+            let newest = view.get(i).and_then(|v| v.newest_owner).map_or(Epoch(0), |o| o.epoch);
             let floor = s.floor.is_none_or(|f| f > epoch) && holds(Guard::HorizonFloor);
             if newest > epoch || floor {
                 continue;
@@ -326,7 +326,7 @@
         let Some(peer) = self.peers.get(to.0 as usize) else { return };
         b.echo = peer.stamp;
         let newest = |(s, v): (&ShardHorizon, &ShardView)| {
-            let last = v.last.map_or(0, |o| o.epoch.0);
+            let last = v.newest_owner.map_or(0, |o| o.epoch.0);
             let floor =
                 if holds(Guard::HorizonFloor) { s.floor } else { s.floor.or(Some(Epoch(0))) };
             floor.map(|f| f.0.max(last))
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -84,7 +84,7 @@
     assert!(again.is_over(JobId(0)) && again.is_over(JobId(MOST_NAMED as u64)));
     // Words of an owner whose time is over say nothing.
     let mut newer = views();
-    newer[1].own(Owner { node: NodeIdx(2), boot: 1, epoch: Epoch(9) }, 0);
+    newer[1].set_owner(Owner { node: NodeIdx(2), boot: 1, epoch: Epoch(9) }, 0);
     exchange(&mut a, &mut b, 20_000, &of_b, &newer);
     assert_eq!(a.behind_ms(JOBS, 20_700), Some(9700));
 }
@@ -336,7 +336,7 @@
                     let owner =
                         Owner { node: NodeIdx(k.node as u8), boot: k.boot, epoch: Epoch(k.epoch) };
                     node.h.first_seen(shard, k.epoch);
-                    node.view[s].own(owner, now);
+                    node.view[s].set_owner(owner, now);
                     if (k.node, k.boot) != (n, node.boot) {
                         node.owns[s] = None;
                     }
@@ -359,7 +359,7 @@
                 node.owns[s] = Some(Epoch(epoch));
                 node.h.begin(shard);
                 let owner = Owner { node: NodeIdx(n as u8), boot: node.boot, epoch: Epoch(epoch) };
-                node.view[s].own(owner, now);
+                node.view[s].set_owner(owner, now);
                 if shard == JOBS && self.is_final {
                     node.h.cancelled(shard, Epoch(epoch), JOB, now);
                 }
@@ -385,11 +385,13 @@
                 from.h.tell(NodeIdx(b as u8), &mine, &from.view, now, &mut beat);
                 let last = from.view.iter().enumerate();
                 let known: Vec<(usize, Owner)> =
-                    last.filter_map(|(s, v)| Some((s, v.last?))).collect();
+                    last.filter_map(|(s, v)| Some((s, v.newest_owner?))).collect();
                 let to = &mut self.nodes[b];
                 to.heard[a] = now;
                 for (s, o) in known {
-                    if o.node.0 as usize != b && to.view[s].claimed(Owner { boot: 0, ..o }, now) {
+                    if o.node.0 as usize != b
+                        && to.view[s].accept_claim(Owner { boot: 0, ..o }, now)
+                    {
                         to.owns[s] = None;
                     }
                 }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -11,50 +11,35 @@
 /// Ties an answer of an outside service to the core's call.
 pub type OperationId = u64;
 
+/// What happens to the core, one at a time.
 #[derive(Debug)]
 pub enum Input {
+    /// Some time has passed.
     Tick,
-    Submit {
-        req: RequestId,
-        id: Option<JobId>,
-        job: Result<Box<Job>, BadJob>,
-    },
-    Get {
-        req: RequestId,
-        id: JobId,
-    },
-    Cancel {
-        req: RequestId,
-        id: JobId,
-    },
-    WorkerHeartbeat {
-        req: RequestId,
-        report: Box<WorkerHeartbeat>,
-    },
-    /// Answer to direct commands.
-    CommandOutcome {
-        machine: String,
-        batch: u64,
-        outcome: CommandOutcome,
-    },
-    Mesh {
-        from: String,
-        msg: Box<NodeMessage>,
-    },
-    Store {
-        op: OperationId,
-        result: StoreResult,
-    },
-    Cloud {
-        op: OperationId,
-        result: CloudResult,
-    },
+    /// A user submits a job; `id` is none if it can't be read.
+    Submit { req: RequestId, id: Option<JobId>, job: Result<Box<Job>, BadJob> },
+    /// A user asks for a job's state.
+    Get { req: RequestId, id: JobId },
+    /// A user cancels a job.
+    Cancel { req: RequestId, id: JobId },
+    /// A worker's heartbeat.
+    WorkerHeartbeat { req: RequestId, report: Box<WorkerHeartbeat> },
+    /// What became of a batch of direct commands to a worker.
+    CommandOutcome { machine: String, batch: u64, outcome: CommandOutcome },
+    /// A message of the sibling of that name.
+    Mesh { from: String, msg: Box<NodeMessage> },
+    /// The state service's answer to a call.
+    Store { op: OperationId, result: StoreResult },
+    /// The cloud service's answer to a call.
+    Cloud { op: OperationId, result: CloudResult },
 }
 
+/// What became of a batch of direct commands.
 #[derive(Debug)]
 pub enum CommandOutcome {
-    /// 200 or 409, with the worker's report.
+    /// 200, with the worker's report.
     Executed(Box<WorkerHeartbeat>),
+    /// 409: not executed, with the worker's report.
     Refused(Box<WorkerHeartbeat>),
     /// The connection never came about: nothing will be executed.
     NotSent,
@@ -62,15 +47,24 @@
     Unknown,
 }
 
+/// The state service's answer. Revisions count all changes of the store.
 #[derive(Debug)]
 pub enum StoreResult {
+    /// A new lease, with its number.
     Lease(u64),
+    /// The lease was renewed.
     LeaseRenewed,
+    /// The lease is over, or never was.
     NoLease,
+    /// The transaction was executed, at this revision.
     Committed(u64),
+    /// The transaction was not executed: these keys did not have the versions of its conditions.
     Conflict(Vec<String>),
+    /// The value of a key, if it is there.
     Item(Option<Item>),
+    /// A page of a list.
     Page(Page),
+    /// What a watch has seen.
     Events(Events),
     /// The watch is too far behind.
     Compacted,
@@ -82,94 +76,135 @@
     Unknown,
 }
 
+/// The cloud service's answer.
 #[derive(Debug)]
 pub enum CloudResult {
+    /// The machine types.
     Catalog(cloud::Catalog),
+    /// Instances were launched, with these names.
     Launched(Vec<String>),
+    /// Not launched: the cloud has no such instances now.
     NoCapacity,
+    /// The instances were released.
     Released,
+    /// A page of the list of instances.
     InstanceList(cloud::InstanceList),
     /// Not executed: over the limit, or an outage.
     Refused,
+    /// May have been executed, or may yet be.
     Unknown,
 }
 
+/// A call to the state service.
 #[derive(Debug)]
 pub enum StoreCall {
+    /// A lease that is over so many ms after its last renewal.
     NewLease { ttl_ms: u64 },
+    /// Renews the lease.
     RenewLease { lease: u64 },
+    /// Ends the lease, and deletes its keys.
     EndLease { lease: u64 },
+    /// Makes the changes together, if all conditions hold.
     Transaction(Transaction),
+    /// Reads one key.
     Get { key: String },
+    /// A page of the keys with that prefix, after that key if one is given.
     List { prefix: String, after: Option<String> },
+    /// Changes of keys with that prefix, after that revision; answered after `wait_ms` if there
+    /// are none.
     Watch { prefix: String, after: u64, wait_ms: u64 },
 }
 
+/// A call to the cloud service.
 #[derive(Debug)]
 pub enum CloudCall {
+    /// The machine types.
     Catalog,
+    /// Launches instances.
     Launch(cloud::InstanceRequest),
+    /// Releases the instances of these names.
     Release(Vec<String>),
+    /// A page of the instances, after that name if one is given.
     List { after: Option<String> },
 }
 
+/// An answer to a user.
 #[derive(Debug, Clone)]
 pub struct UserReply {
+    /// The HTTP status.
     pub status: u16,
+    /// The job's state, if the request succeeded.
     pub state: Option<JobState>,
+    /// Why the request was refused, for people.
     pub error: Option<String>,
+    /// After how many seconds to ask again (`Retry-After`).
     pub retry_after_s: Option<u32>,
 }
 
+/// An answer to a worker's heartbeat.
 #[derive(Debug, Clone)]
 pub enum WorkerReply {
+    /// The answer of its machine's participant, which renews its lease.
     HeartbeatResponse(HeartbeatResponse),
+    /// To be asked instead: the node of that name, or the next one.
     Redirect(Option<String>),
+    /// No owner of its machine's shard is known, or this node may not answer for it now.
     Unavailable,
 }
 
+/// How important a line of the log is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogLevel {
+    /// Something is wrong that people should look into.
+    Error = 0,
+    /// What operators want to see of normal work.
+    Info = 1,
+    /// For the search for faults.
+    Debug = 2,
+}
+
+/// What the core wants done, after one input.
 #[derive(Debug)]
 pub enum Effect {
-    User {
-        req: RequestId,
-        reply: UserReply,
-    },
-    Worker {
-        req: RequestId,
-        reply: WorkerReply,
-    },
-    Mesh {
-        to: String,
-        msg: mesh::NodeMessage,
-    },
-    Store {
-        op: OperationId,
-        call: StoreCall,
-    },
-    Cloud {
-        op: OperationId,
-        call: CloudCall,
-    },
-    Commands {
-        machine: String,
-        addr: String,
-        batch: u64,
-        direct: CommandBatch,
-    },
-    /// (level, event, details); level 0 is an error, 1 info, 2 debug.
-    Log(u8, &'static str, String),
+    /// An answer to a user.
+    User { req: RequestId, reply: UserReply },
+    /// An answer to a worker's heartbeat.
+    Worker { req: RequestId, reply: WorkerReply },
+    /// A message to the sibling of that name.
+    Mesh { to: String, msg: mesh::NodeMessage },
+    /// A call to the state service.
+    Store { op: OperationId, call: StoreCall },
+    /// A call to the cloud service.
+    Cloud { op: OperationId, call: CloudCall },
+    /// Direct commands to a worker at that address.
+    Commands { machine: String, addr: String, batch: u64, direct: CommandBatch },
+    /// A line of the log; the events are listed in `docs/operations.md`.
+    Log { level: LogLevel, event: &'static str, details: String },
 }
 
 /// Where the core puts its outputs while it handles one input.
 pub struct Effects {
+    /// When the input is handled, by the steady clock.
     pub now: Timestamp,
+    /// In the order in which they are to be done.
     pub list: Vec<Effect>,
-    /// How often a machine was looked at to judge it for a job.
+    /// How often a machine was evaluated for a job.
     pub looked: u64,
 }
 
 impl Effects {
-    pub fn log(&mut self, level: u8, event: &'static str, what: impl FnOnce() -> String) {
-        self.list.push(Effect::Log(level, event, what()));
+    /// No outputs yet.
+    pub fn new(now: Timestamp) -> Effects {
+        Effects { now, list: Vec::new(), looked: 0 }
+    }
+
+    /// One more output.
+    pub fn push(&mut self, effect: Effect) {
+        self.list.push(effect);
+    }
+
+    /// One more line of the log.
+    pub fn log(&mut self, level: LogLevel, event: &'static str, details: impl FnOnce() -> String) {
+        self.push(Effect::Log { level, event, details: details() });
     }
 }
--- /dev/null
+++ b/crates/core/src/node/calls.rs
@@ -0,0 +1,197 @@
+//! Calls to siblings that wait for an answer: queries about jobs, and relayed heartbeats.
+use super::{Node, MAX_OPEN_REQUESTS};
+use crate::context::{JobLookup, LookupPurpose, RelayedRequest};
+use crate::guards::{holds, Guard};
+use crate::ids::{shard_of_job, JobId, NodeIdx, Timestamp};
+use crate::io::{Effect, Effects, RequestId, WorkerReply};
+use leaddeal_wire::mesh::{JobAnswer, NodeMessage};
+use leaddeal_wire::worker::{HeartbeatResponse, WorkerHeartbeat};
+use std::collections::BTreeMap;
+
+/// A sibling that has not answered a query about a job, or a relayed heartbeat, within this time is
+/// not waited for.
+const CALL_TIMEOUT_MS: u64 = 700;
+/// The same for a cancellation, which its owner first writes to the store.
+const CANCELLATION_TIMEOUT_MS: u64 = 2500;
+/// Marks the numbers of siblings' requests, so that they never meet those of the gateway.
+const SIBLING_REQUEST_BIT: RequestId = 1 << 62;
+/// A process numbers its calls from its boot times two to the power of this.
+const BOOT_SHIFT: u32 = 20;
+
+/// A query about a job, to the owner of its shard.
+#[derive(Debug)]
+struct PendingJobQuery {
+    lookup: JobLookup,
+    timeout_at: Timestamp,
+}
+
+/// A worker's heartbeat that was passed on to the owner of its machine's shard.
+#[derive(Debug)]
+struct PendingRelay {
+    req: RequestId,
+    timeout_at: Timestamp,
+}
+
+/// Calls to siblings by their numbers. Invariant: no number is given twice, also not by former
+/// processes of this node, so that a late answer meets no other call.
+#[derive(Debug)]
+pub(super) struct SiblingCalls {
+    last_number: u64,
+    job_queries: BTreeMap<u64, PendingJobQuery>,
+    relays: BTreeMap<u64, PendingRelay>,
+}
+
+impl SiblingCalls {
+    pub(super) fn new(boot: u64) -> SiblingCalls {
+        SiblingCalls {
+            last_number: boot << BOOT_SHIFT,
+            job_queries: BTreeMap::new(),
+            relays: BTreeMap::new(),
+        }
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    pub(super) fn too_many_queries(&self) -> bool {
+        self.job_queries.len() > MAX_OPEN_REQUESTS
+    }
+
+    pub(super) fn may_relay(&self) -> bool {
+        self.relays.len() < MAX_OPEN_REQUESTS
+    }
+}
+
+impl Node {
+    /// Asks the owner of the job's shard.
+    pub(super) fn query_job(&mut self, effects: &mut Effects, owner: NodeIdx, lookup: JobLookup) {
+        let call = self.calls.next_number();
+        let cancel = lookup.purpose == LookupPurpose::Cancellation;
+        let to = self.shared.node_name(owner);
+        let msg = NodeMessage::QueryJob { call, job: lookup.id.0, cancel };
+        effects.push(Effect::Mesh { to, msg });
+        let timeout_ms = if cancel { CANCELLATION_TIMEOUT_MS } else { CALL_TIMEOUT_MS };
+        let timeout_at = effects.now + timeout_ms;
+        self.calls.job_queries.insert(call, PendingJobQuery { lookup, timeout_at });
+    }
+
+    /// Queries that got no answer in time: the store knows.
+    pub(super) fn expire_job_queries(&mut self, effects: &mut Effects) {
+        let now = effects.now;
+        let queries = self.calls.job_queries.iter();
+        let expired = queries.filter(|(_, query)| now >= query.timeout_at).map(|(call, _)| *call);
+        for call in expired.collect::<Vec<u64>>() {
+            let Some(query) = self.calls.job_queries.remove(&call) else { continue };
+            self.sibling_can_not_answer(effects, query.lookup);
+        }
+    }
+
+    /// No answer about a job, or a refusal: what can be read is read from the store.
+    fn sibling_can_not_answer(&mut self, effects: &mut Effects, lookup: JobLookup) {
+        if lookup.purpose == LookupPurpose::Cancellation {
+            self.reply_later(effects, lookup.req, 1);
+        } else {
+            self.read_job(effects, lookup);
+        }
+    }
+
+    /// A sibling's answer. One that comes after the timeout is ignored.
+    pub(super) fn job_answered(&mut self, effects: &mut Effects, call: u64, answer: JobAnswer) {
+        let Some(query) = self.calls.job_queries.remove(&call) else { return };
+        match answer {
+            JobAnswer::State(state) => {
+                self.shared.context(effects).reply_state(query.lookup.req, 200, state);
+            }
+            JobAnswer::Later => self.sibling_can_not_answer(effects, query.lookup),
+            JobAnswer::NotMine | JobAnswer::Unknown => self.read_job(effects, query.lookup),
+        }
+    }
+
+    /// A sibling asks about a job of a shard that is ours, as far as it knows.
+    pub(super) fn answer_job_query(
+        &mut self,
+        effects: &mut Effects,
+        from: &str,
+        call: u64,
+        query: JobQuery,
+    ) {
+        let JobQuery { id, cancel } = query;
+        let shard = shard_of_job(id, self.shared.shard_count());
+        let valid = self.shared.lease.valid(effects.now) || !holds(Guard::DoubtTells);
+        let slot = self.owned[shard.0 as usize].as_mut();
+        let refusal = |answer| {
+            let msg = NodeMessage::JobAnswer { call, answer };
+            Effect::Mesh { to: from.to_string(), msg }
+        };
+        let Some(active) = slot.filter(|active| valid && active.coordinator.ready()) else {
+            return effects.push(refusal(JobAnswer::NotMine));
+        };
+        if self.shared.relayed_requests.len() > MAX_OPEN_REQUESTS {
+            return effects.push(refusal(JobAnswer::Later));
+        }
+        let req = SIBLING_REQUEST_BIT | self.calls.next_number();
+        let request = RelayedRequest { node: from.to_string(), call };
+        self.shared.relayed_requests.insert(req, request);
+        let mut context = self.shared.context(effects);
+        if cancel {
+            if !active.coordinator.cancel(&mut context, req, id) {
+                context.reply_error(req, 404, "unknown", None);
+            }
+            return;
+        }
+        match active.coordinator.state(id) {
+            Some(state) => context.reply_state(req, 200, state),
+            None => context.reply_error(req, 404, "unknown", None),
+        }
+    }
+
+    /// Passes a worker's heartbeat on to the owner of its machine's shard.
+    pub(super) fn relay_heartbeat(
+        &mut self,
+        effects: &mut Effects,
+        owner: NodeIdx,
+        req: RequestId,
+        report: Box<WorkerHeartbeat>,
+    ) {
+        let call = self.calls.next_number();
+        let timeout_at = effects.now + CALL_TIMEOUT_MS;
+        self.calls.relays.insert(call, PendingRelay { req, timeout_at });
+        let to = self.shared.node_name(owner);
+        effects.push(Effect::Mesh { to, msg: NodeMessage::RelayedHeartbeat { call, report } });
+    }
+
+    /// The owner's answer to a relayed heartbeat; if it has none to give, the worker asks the next
+    /// node.
+    pub(super) fn relay_answered(
+        &mut self,
+        effects: &mut Effects,
+        call: u64,
+        answer: Option<HeartbeatResponse>,
+    ) {
+        let Some(relay) = self.calls.relays.remove(&call) else { return };
+        let reply = answer.map_or(WorkerReply::Redirect(None), WorkerReply::HeartbeatResponse);
+        effects.push(Effect::Worker { req: relay.req, reply });
+    }
+
+    /// The owner has not answered in time: the worker asks the next node.
+    pub(super) fn expire_relays(&mut self, effects: &mut Effects) {
+        let now = effects.now;
+        while let Some(entry) = self.calls.relays.first_entry() {
+            if now < entry.get().timeout_at {
+                return;
+            }
+            let PendingRelay { req, .. } = entry.remove();
+            effects.push(Effect::Worker { req, reply: WorkerReply::Redirect(None) });
+        }
+    }
+}
+
+/// What a sibling wants of a job.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct JobQuery {
+    pub(super) id: JobId,
+    /// It is to be cancelled; otherwise its state is wanted.
+    pub(super) cancel: bool,
+}
--- /dev/null
+++ b/crates/core/src/node/delivery.rs
@@ -0,0 +1,150 @@
+//! Delivery of messages between shards, on this node and on siblings.
+use super::{ActiveShard, Node};
+use crate::context::{Context, OutgoingMessage};
+use crate::guards::{holds, Guard};
+use crate::ids::{Epoch, Shard, PROVISIONER_SHARD};
+use crate::io::{Effect, Effects};
+use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
+
+/// Rounds of delivery after one input; what is left then is delivered after the next one.
+const MAX_DELIVERY_ROUNDS: usize = 50;
+
+/// A message to a shard of this node.
+pub(super) struct IncomingMessage {
+    pub(super) from: Shard,
+    /// The epoch under which the sender's node acts for its shard.
+    pub(super) from_epoch: Epoch,
+    pub(super) to: Shard,
+    pub(super) message: ShardMessage,
+}
+
+impl Node {
+    /// Delivers messages between shards, and starts decision rounds, until there are none.
+    pub(super) fn settle(&mut self, effects: &mut Effects) {
+        for _ in 0..MAX_DELIVERY_ROUNDS {
+            if std::mem::take(&mut self.wake) {
+                self.start_rounds(effects);
+            }
+            while let Some(outgoing) = self.shared.outbox.pop_front() {
+                self.dispatch(effects, outgoing);
+            }
+            self.stop_terminal_jobs(effects);
+            for active in self.owned.iter_mut().flatten() {
+                active.participant.flush(&mut self.shared.context(effects));
+            }
+            if self.shared.outbox.is_empty() && !self.wake {
+                return;
+            }
+        }
+    }
+
+    fn start_rounds(&mut self, effects: &mut Effects) {
+        for active in self.owned.iter_mut().flatten() {
+            let mut context = self.shared.context(effects);
+            active.coordinator.start_round(&mut context);
+            self.wake |= context.wake;
+        }
+    }
+
+    /// Stops everywhere here the tasks of jobs that were learned to be over.
+    fn stop_terminal_jobs(&mut self, effects: &mut Effects) {
+        for job in self.shared.horizons.take_fresh() {
+            for active in self.owned.iter_mut().flatten().filter(|_| holds(Guard::StopOver)) {
+                active.participant.job_over(&mut self.shared.context(effects), job);
+            }
+        }
+    }
+
+    /// Delivers a message here or sends it to the owner of its shard. It is lost if the sender's shard
+    /// was lost meanwhile, or if the other one has no owner that is known.
+    fn dispatch(&mut self, effects: &mut Effects, outgoing: OutgoingMessage) {
+        let OutgoingMessage { from, to, message } = outgoing;
+        let Some(from_epoch) = self.active_epoch(from) else { return };
+        let Some(owner) = self.shared.view.get(to.0 as usize).and_then(|view| view.owner) else {
+            return;
+        };
+        if owner.node == self.shared.me {
+            if self.active_epoch(to) == Some(owner.epoch) {
+                self.deliver(effects, IncomingMessage { from, from_epoch, to, message });
+            }
+            return;
+        }
+        let msg = NodeMessage::Shard {
+            from: from.0,
+            from_epoch: from_epoch.0,
+            to: to.0,
+            to_epoch: owner.epoch.0,
+            msg: message,
+        };
+        effects.push(Effect::Mesh { to: self.shared.node_name(owner.node), msg });
+    }
+
+    /// Hands a message to the part of the shard that it is for.
+    pub(super) fn deliver(&mut self, effects: &mut Effects, incoming: IncomingMessage) {
+        let IncomingMessage { from, from_epoch, to, message } = incoming;
+        let mut context = self.shared.context(effects);
+        let Some(active) = &mut self.owned[to.0 as usize] else { return };
+        match message {
+            ShardMessage::RequestOffers { .. }
+            | ShardMessage::CloseNegotiation { .. }
+            | ShardMessage::Place { .. }
+            | ShardMessage::Stop { .. }
+            | ShardMessage::Forget { .. } => {
+                active.participant.handle(&mut context, from, from_epoch, message);
+            }
+            ShardMessage::Offers { .. }
+            | ShardMessage::AskDecision { .. }
+            | ShardMessage::TeamGrant { .. }
+            | ShardMessage::CapacityFreed { .. }
+            | ShardMessage::TaskEvents { .. } => {
+                active.coordinator.handle(&mut context, from, message);
+            }
+            ShardMessage::Drain { .. }
+            | ShardMessage::OperatorMachines { .. }
+            | ShardMessage::ResendInventory
+            | ShardMessage::Released { .. } => {
+                if from == PROVISIONER_SHARD {
+                    active.handle_provisioner(&mut context, to, message);
+                }
+            }
+            ShardMessage::UnmetDemand { .. }
+            | ShardMessage::Inventory { .. }
+            | ShardMessage::Drained { .. } => {
+                if let Some(provisioner) = &mut self.provisioner {
+                    provisioner.provisioner.handle(&mut context, from, message);
+                }
+            }
+            ShardMessage::TeamUsage { serial, usage } => {
+                let granted = active.quota.report(context.now, from, from_epoch, serial, &usage);
+                if let Some(granted) = granted {
+                    context.send(to, from, ShardMessage::TeamGrant { serial, granted });
+                }
+            }
+        }
+        self.wake |= context.wake;
+    }
+}
+
+impl ActiveShard {
+    /// A message of the provisioner to this shard's participant.
+    fn handle_provisioner(&mut self, context: &mut Context, shard: Shard, message: ShardMessage) {
+        match message {
+            ShardMessage::Drain { machine } => self.drain(context, shard, machine),
+            ShardMessage::OperatorMachines { newest } => self.participant.base = Some(newest),
+            ShardMessage::ResendInventory => {
+                self.participant.tell_all();
+                for message in self.participant.inventory(context) {
+                    context.send(shard, PROVISIONER_SHARD, message);
+                }
+            }
+            ShardMessage::Released { machine } => self.participant.released(context, &machine),
+            _ => {}
+        }
+    }
+    /// Sets an idle machine aside for the provisioner and says so; one with work is left as it is.
+    fn drain(&mut self, context: &mut Context, shard: Shard, machine: String) {
+        if self.participant.drain(context, &machine) {
+            context.send(shard, PROVISIONER_SHARD, ShardMessage::Drained { machine });
+        }
+    }
+}
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -1,89 +1,108 @@
-//! Workers that don't reach the owner of their machine's shard, though this node does: their reports
-//! are passed on to it, and its answers back. (Found on incidents and hunts: a controller that lost
-//! its workers and nothing else kept its shard, all its siblings sent the workers back to it, and the
-//! leases of its whole part ran out.)
+//! Workers that don't reach the owner of their machine's shard, though this node does: their
+//! heartbeats are relayed to it, and its answers back. (Found on incidents and hunts: a controller that
+//! lost its workers and nothing else kept its shard, all its siblings sent the workers back to it, and
+//! the leases of its whole part ran out.)
 //!
 //! Invariants:
-//! - an answer is the owner's own, under its epoch: who passes it on grants and commands nothing;
+//! - an answer is the owner's own, under its epoch: the node that relays it grants and commands nothing;
 //! - a worker is tried on the direct way again, ever more rarely, and only just after an answer, so
 //!   that its lease outlasts a try in vain;
-//! - who comes here because its owner is new is sent there at once: a takeover brings them all.
+//! - a worker that comes here because its owner is new is sent there at once: a takeover brings them
+//!   all.
 use crate::ids::{MachineIdx, Timestamp};
 use std::collections::HashMap;
 
-/// Who comes back so soon after it was sent to its owner did not reach it: a worker waits 4 s for an
-/// answer, and 1 s more.
-const CAME_BACK_MS: u64 = 12_000;
-/// Passed on for so long before the direct way is tried again; twice as long after each try in vain.
-const FIRST_MS: u64 = 15_000;
-const MOST_MS: u64 = 120_000;
-/// A lease was renewed here if a report was passed on so lately.
-const FRESH_MS: u64 = 8_000;
-/// Who has not come for so long starts anew.
-const FORGET_MS: u64 = 180_000;
-/// An owner is new for so long: workers are still on their way to it.
+/// A worker that comes back within this time after it was sent to its owner did not reach it: a
+/// worker waits 4 s for an answer, and 1 s more.
+const RETURN_WINDOW_MS: u64 = 12_000;
+/// A worker's heartbeats are relayed for this long before the direct way is tried again; twice as long
+/// after each try in vain.
+const INITIAL_RELAY_MS: u64 = 15_000;
+/// At most this long.
+const MAX_RELAY_MS: u64 = 120_000;
+/// The worker's lease was renewed by a relayed heartbeat within this time: it outlasts a try.
+const FRESH_LEASE_MS: u64 = 8_000;
+/// A worker that has not come for this long starts anew.
+const FORGET_AFTER_MS: u64 = 180_000;
+/// An owner is new for this long: workers are still on their way to it.
 const NEW_OWNER_MS: u64 = 10_000;
 
+/// How a worker's heartbeat gets to the owner of its machine's shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// It is sent to the owner.
+    /// The worker is sent to the owner.
     Direct,
-    /// Its report is passed on.
-    Detour,
+    /// Its heartbeat is passed on.
+    Relayed,
 }
 
+/// A heartbeat of a worker whose machine's shard is a sibling's.
 #[derive(Clone, Copy, Debug)]
-struct Visit {
-    seen: Timestamp,
+pub(super) struct WorkerVisit {
+    pub(super) machine: MachineIdx,
+    /// It has tasks, which its lease keeps alive.
+    pub(super) busy: bool,
+    /// For how long, in ms, the shard has had its present owner.
+    pub(super) owner_for_ms: u64,
+}
+
+/// What is remembered of one such worker.
+#[derive(Clone, Copy, Debug)]
+struct VisitHistory {
+    last_visit: Timestamp,
     /// When it was last sent to the owner, and not come back yet.
-    sent_on: Option<Timestamp>,
-    /// When a report of it was last passed on.
-    passed_at: Option<Timestamp>,
-    /// The direct way is not tried before.
-    try_at: Timestamp,
-    wait_ms: u64,
+    redirected_at: Option<Timestamp>,
+    /// When a heartbeat of it was last relayed.
+    relayed_at: Option<Timestamp>,
+    /// The direct way is not tried before this time.
+    retry_direct_at: Timestamp,
+    /// For how long it is relayed after the next try in vain. Invariant: at most `MAX_RELAY_MS`.
+    relay_ms: u64,
 }
 
 /// Workers that came here though their machines' shards are a sibling's.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RelayTable {
-    visits: HashMap<MachineIdx, Visit>,
+    visits: HashMap<MachineIdx, VisitHistory>,
 }
 
 impl RelayTable {
-    /// A worker of a sibling's shard has come; `busy`: it has tasks, which its lease keeps alive;
-    /// `owner_for`: so long the shard has had this owner.
-    pub fn way(&mut self, m: MachineIdx, busy: bool, owner_for: u64, now: Timestamp) -> Route {
-        let (sent_on, passed_at) = (None, None);
-        let new = Visit { seen: now, sent_on, passed_at, try_at: now, wait_ms: FIRST_MS };
-        let v = self.visits.entry(m).or_insert(new);
-        v.seen = now;
-        let came_back = v.sent_on.take().is_some_and(|at| now < at + CAME_BACK_MS);
-        if came_back {
-            v.try_at = now + v.wait_ms;
-            v.wait_ms = (v.wait_ms * 2).min(MOST_MS);
+    /// A worker of a sibling's shard has come: decides how its heartbeat goes on.
+    pub(super) fn route(&mut self, visit: WorkerVisit, now: Timestamp) -> Route {
+        let history = self.visits.entry(visit.machine).or_insert(VisitHistory {
+            last_visit: now,
+            redirected_at: None,
+            relayed_at: None,
+            retry_direct_at: now,
+            relay_ms: INITIAL_RELAY_MS,
+        });
+        history.last_visit = now;
+        let redirected_at = history.redirected_at.take();
+        if redirected_at.is_some_and(|at| now < at + RETURN_WINDOW_MS) {
+            history.retry_direct_at = now + history.relay_ms;
+            history.relay_ms = (history.relay_ms * 2).min(MAX_RELAY_MS);
         }
         // By the time that it comes, most of its lease may be over: one more try in vain, and its
         // tasks are lost. (Found on a hunt: workers that had come by during a takeover, long before
-        // their owner lost them, were sent on first, and 169 leases ran out.)
-        let fresh = v.passed_at.is_some_and(|at| now < at + FRESH_MS);
-        let in_need = !fresh && busy && owner_for >= NEW_OWNER_MS;
-        if in_need || now < v.try_at {
-            v.passed_at = Some(now);
-            return Route::Detour;
+        // their owner lost them, were redirected first, and 169 leases ran out.)
+        let fresh = history.relayed_at.is_some_and(|at| now < at + FRESH_LEASE_MS);
+        let lease_at_risk = !fresh && visit.busy && visit.owner_for_ms >= NEW_OWNER_MS;
+        if lease_at_risk || now < history.retry_direct_at {
+            history.relayed_at = Some(now);
+            return Route::Relayed;
         }
-        v.sent_on = Some(now);
+        history.redirected_at = Some(now);
         Route::Direct
     }
 
-    /// Forgets who has not come for long.
-    pub fn expire(&mut self, now: Timestamp) {
-        self.visits.retain(|_, v| now < v.seen + FORGET_MS);
+    /// Forgets workers that have not come for long.
+    pub(super) fn expire(&mut self, now: Timestamp) {
+        self.visits.retain(|_, history| now < history.last_visit + FORGET_AFTER_MS);
     }
 
-    /// How many workers are on a detour now.
-    pub fn count(&self, now: Timestamp) -> usize {
-        self.visits.values().filter(|v| now < v.try_at).count()
+    /// How many workers' heartbeats are relayed now.
+    pub(super) fn relayed_workers(&self, now: Timestamp) -> usize {
+        self.visits.values().filter(|history| now < history.retry_direct_at).count()
     }
 }
 
--- a/crates/core/src/node/relay/tests.rs
+++ b/crates/core/src/node/relay/tests.rs
@@ -8,6 +8,10 @@
 const NEXT_MS: u64 = 1000;
 const LEASE_MS: u64 = 12_000;
 
+fn visit(machine: MachineIdx, busy: bool, owner_for_ms: u64) -> WorkerVisit {
+    WorkerVisit { machine, busy, owner_for_ms }
+}
+
 /// Plays a worker that can't reach its owner; returns the longest time between two reports that
 /// were answered, and how many were sent on in vain.
 fn cut_off(d: &mut RelayTable, minutes: u64) -> (Timestamp, u32) {
@@ -16,8 +20,8 @@
     let mut now = granted + REPORT_MS + TIMEOUT_MS + NEXT_MS;
     let (mut longest, mut vain) = (0, 0);
     while now < granted + minutes * 60_000 && now < 100_000 + minutes * 60_000 {
-        match d.way(M, true, 60_000, now) {
-            Route::Detour => {
+        match d.route(visit(M, true, 60_000), now) {
+            Route::Relayed => {
                 longest = longest.max(now - granted);
                 granted = now;
                 now += REPORT_MS;
@@ -37,7 +41,7 @@
     let (longest, vain) = cut_off(&mut d, 10);
     assert!(longest < LEASE_MS, "no answer for {longest} ms");
     assert!((2..12).contains(&vain), "{vain} tries in ten minutes");
-    assert_eq!(d.count(100_000 + 600_000 + FORGET_MS), 0);
+    assert_eq!(d.relayed_workers(100_000 + 600_000 + FORGET_AFTER_MS), 0);
 }
 
 /// A worker somewhere in a bounded search: where its next report goes, and when it was answered.
@@ -58,8 +62,8 @@
     }
     let mut next = s.clone();
     if !s.at_owner {
-        match next.relay_table.way(M, true, 60_000, s.now) {
-            Route::Detour => {
+        match next.relay_table.route(visit(M, true, 60_000), s.now) {
+            Route::Relayed => {
                 (next.granted, next.now) = (s.now, s.now + REPORT_MS);
             }
             // At once or after up to half a second.
@@ -84,12 +88,20 @@
 #[test]
 fn who_can_reach_its_owner_is_sent_there() {
     let mut d = RelayTable::default();
-    assert_eq!(d.way(M, false, 60_000, 1000), Route::Direct, "nothing to lose");
-    assert_eq!(d.way(M, true, 500, 80_000), Route::Direct, "its owner is new");
+    assert_eq!(d.route(visit(M, false, 60_000), 1000), Route::Direct, "nothing to lose");
+    assert_eq!(d.route(visit(M, true, 500), 80_000), Route::Direct, "its owner is new");
     let n = MachineIdx(4);
-    assert_eq!(d.way(n, true, 60_000, 1000), Route::Detour);
-    assert_eq!(d.way(n, true, 60_000, 3500), Route::Direct, "with a fresh lease it is tried");
-    assert_eq!(d.way(n, true, 60_000, 90_000), Route::Detour, "much later it is in need again");
-    d.expire(90_000 + FORGET_MS);
+    assert_eq!(d.route(visit(n, true, 60_000), 1000), Route::Relayed);
+    assert_eq!(
+        d.route(visit(n, true, 60_000), 3500),
+        Route::Direct,
+        "with a fresh lease it is tried"
+    );
+    assert_eq!(
+        d.route(visit(n, true, 60_000), 90_000),
+        Route::Relayed,
+        "much later it is in need again"
+    );
+    d.expire(90_000 + FORGET_AFTER_MS);
     assert!(d.visits.is_empty());
 }
--- /dev/null
+++ b/crates/core/src/node/shard_list.rs
@@ -0,0 +1,146 @@
+//! What the state service says of the shards' owners: the list, then a watch stream.
+use super::Node;
+use crate::context::Operation;
+use crate::ids::{Epoch, NodeIdx, Shard, Timestamp};
+use crate::io::{Effects, StoreCall, StoreResult};
+use crate::keys;
+use crate::shard::{Owner, ShardKeyState};
+use crate::stored::OwnerRecord;
+use leaddeal_wire::state::Events;
+
+/// A watch without events is answered after this time.
+const WATCH_WAIT_MS: u64 = 15_000;
+/// After a list that failed.
+const LIST_RETRY_DELAY_MS: u64 = 300;
+/// After a watch that failed; then the shards are listed anew.
+const RELIST_DELAY_MS: u64 = 200;
+
+/// Whether the shards' keys are known. Invariant: while they are, a watch is in flight.
+#[derive(Debug)]
+pub(super) struct ShardListState {
+    /// They were listed, and every change since then was watched.
+    pub(super) known: bool,
+    /// They are not listed before this time.
+    next_list: Timestamp,
+    list_in_flight: bool,
+}
+
+impl ShardListState {
+    pub(super) fn new(now: Timestamp) -> ShardListState {
+        ShardListState { known: false, next_list: now, list_in_flight: false }
+    }
+
+    /// The shards' keys are listed anew from that time on.
+    pub(super) fn relist_from(&mut self, at: Timestamp) {
+        self.known = false;
+        self.next_list = at;
+    }
+}
+
+impl Node {
+    /// Lists the shards' keys, when that is due.
+    pub(super) fn tick_shard_list(&mut self, effects: &mut Effects) {
+        let list = &mut self.shard_list;
+        if list.known || list.list_in_flight || effects.now < list.next_list {
+            return;
+        }
+        list.list_in_flight = true;
+        let call = StoreCall::List { prefix: keys::SHARDS.into(), after: None };
+        self.shared.context(effects).store(Operation::ListShards, call);
+    }
+
+    pub(super) fn shards_listed(&mut self, effects: &mut Effects, result: &StoreResult) {
+        self.shard_list.list_in_flight = false;
+        let StoreResult::Page(page) = result else {
+            self.shard_list.next_list = effects.now + LIST_RETRY_DELAY_MS;
+            return;
+        };
+        for shard in self.shared.shards() {
+            let key = keys::shard_key(shard);
+            let item = page.items.iter().find(|item| item.key == key);
+            let state = match item {
+                Some(item) => ShardKeyState::Owned { value: &item.value, version: item.version },
+                None => ShardKeyState::Vacant { revision: page.revision },
+            };
+            self.observe_shard_key(effects, &key, state);
+        }
+        self.shard_list.known = true;
+        self.watch_shards(effects, page.revision);
+        self.tick_ownership(effects);
+    }
+
+    fn watch_shards(&mut self, effects: &mut Effects, after: u64) {
+        let prefix = keys::SHARDS.into();
+        let call = StoreCall::Watch { prefix, after, wait_ms: WATCH_WAIT_MS };
+        self.shared.context(effects).store(Operation::WatchShards, call);
+    }
+
+    pub(super) fn shards_watched(&mut self, effects: &mut Effects, result: &StoreResult) {
+        match result {
+            StoreResult::Events(events) => {
+                self.observe_shard_events(effects, events);
+                self.watch_shards(effects, events.revision);
+                self.tick_ownership(effects);
+            }
+            _ => self.shard_list.relist_from(effects.now + RELIST_DELAY_MS),
+        }
+    }
+
+    fn observe_shard_events(&mut self, effects: &mut Effects, events: &Events) {
+        for event in &events.events {
+            let version = event.version;
+            if let Some(key) = &event.put {
+                let state = ShardKeyState::Owned { value: &event.value, version };
+                self.observe_shard_key(effects, key, state);
+            } else if let Some(key) = &event.delete {
+                // A deletion older than the acquisition we know of says nothing.
+                let state = ShardKeyState::Vacant { revision: version };
+                self.observe_shard_key(effects, key, state);
+            }
+        }
+    }
+
+    /// The state service tells of one key. A key or value that can't be read is ignored.
+    fn observe_shard_key(&mut self, effects: &mut Effects, key: &str, state: ShardKeyState) {
+        let Some(shard) = keys::parse_shard_key(key)
+            .filter(|shard| (shard.0 as usize) < self.shared.shard_count())
+        else {
+            return;
+        };
+        self.shared.horizons.first_seen(shard, state.revision());
+        match state {
+            ShardKeyState::Owned { value, version } => {
+                if let Some(owner) = self.parse_owner(value, version) {
+                    self.observe_owner(effects, shard, owner);
+                }
+            }
+            ShardKeyState::Vacant { revision } => {
+                self.shared.view[shard.0 as usize].vacate(revision, effects.now);
+                if self.active_epoch(shard).is_some_and(|epoch| epoch.0 <= revision) {
+                    self.drop_shard(effects, shard);
+                }
+            }
+        }
+    }
+
+    fn parse_owner(&self, value: &serde_json::Value, version: u64) -> Option<Owner> {
+        let record = OwnerRecord::decode(value).ok()?;
+        let node = self.shared.nodes.iter().position(|name| *name == record.node)?;
+        Some(Owner { node: NodeIdx(node as u8), boot: record.boot, epoch: Epoch(version) })
+    }
+
+    fn observe_owner(&mut self, effects: &mut Effects, shard: Shard, owner: Owner) {
+        if self.shared.owner(shard).is_some_and(|known| known.epoch > owner.epoch) {
+            return;
+        }
+        self.shared.view[shard.0 as usize].set_owner(owner, effects.now);
+        let is_this_process = owner.node == self.shared.me && owner.boot == self.shared.boot;
+        if is_this_process && self.shared.lease.valid(effects.now) {
+            self.begin_ownership(effects, shard, owner.epoch);
+        } else if !is_this_process && self.active_epoch(shard).is_some() {
+            self.drop_shard(effects, shard);
+        }
+        self.propagate_owners();
+        self.wake = true;
+    }
+}
--- /dev/null
+++ b/crates/core/src/node/step.rs
@@ -0,0 +1,69 @@
+//! Routing of one input to the part that it is for.
+use super::Node;
+use crate::context::{LookupPurpose, Operation};
+use crate::ids::Timestamp;
+use crate::io::{CloudResult, Effect, Effects, Input, OperationId, StoreResult};
+
+impl Node {
+    /// Takes one input; returns what to send, write and answer, in this order. `now` is the steady
+    /// clock, which never goes back; `wall_clock_ms` is the time in ms since 1970.
+    pub fn step(&mut self, now: Timestamp, wall_clock_ms: u64, input: Input) -> Vec<Effect> {
+        self.shared.wall_clock_ms = wall_clock_ms;
+        self.shared.budget.refill(now);
+        let mut effects = Effects::new(now);
+        self.route(&mut effects, input);
+        self.settle(&mut effects);
+        self.statistics.machines_evaluated += effects.looked;
+        effects.list
+    }
+
+    fn route(&mut self, effects: &mut Effects, input: Input) {
+        match input {
+            Input::Tick => self.tick(effects),
+            Input::Submit { req, id, job } => self.submit(effects, req, id, job),
+            Input::Get { req, id } => self.lookup(effects, req, id, LookupPurpose::GetState),
+            Input::Cancel { req, id } => self.lookup(effects, req, id, LookupPurpose::Cancellation),
+            Input::WorkerHeartbeat { req, report } => self.worker_heartbeat(effects, req, report),
+            Input::CommandOutcome { machine, batch, outcome } => {
+                self.command_outcome(effects, &machine, batch, &outcome);
+            }
+            Input::Mesh { from, msg } => self.mesh(effects, &from, *msg),
+            Input::Store { op, result } => self.store_result(effects, op, result),
+            Input::Cloud { op, result } => self.cloud_result(effects, op, result),
+        }
+    }
+
+    /// An answer of the state service. An answer to no call of this process is ignored.
+    fn store_result(&mut self, effects: &mut Effects, op: OperationId, result: StoreResult) {
+        let Some(operation) = self.shared.operations.open.remove(&op) else { return };
+        if !matches!(result, StoreResult::Refused | StoreResult::RateLimited | StoreResult::Unknown)
+        {
+            self.store_answered_at = effects.now;
+        }
+        if matches!(result, StoreResult::RateLimited) && operation.counts_as_write() {
+            self.shared.budget.refused(effects.now);
+        }
+        self.terminal_states.revisions.observe(match &result {
+            StoreResult::Committed(revision) => *revision,
+            StoreResult::Page(page) => page.revision,
+            StoreResult::Events(events) => events.revision,
+            _ => 0,
+        });
+        self.stored(effects, operation, result);
+    }
+
+    /// An answer of the cloud service. An answer to no call of this process is ignored.
+    fn cloud_result(&mut self, effects: &mut Effects, op: OperationId, result: CloudResult) {
+        let Some(operation) = self.shared.operations.open.remove(&op) else { return };
+        match (operation, result) {
+            (Operation::Catalog, CloudResult::Catalog(catalog)) => {
+                self.shared.names.set_catalog(catalog);
+                self.tick_ownership(effects);
+            }
+            (Operation::Provisioner(epoch, operation), result) => {
+                self.provisioner_answered(effects, epoch, operation, result);
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -1,213 +1,101 @@
-//! Answers of the state service, to whom they belong.
+//! Answers of the state service: each goes to the part that made the call.
 use super::Node;
-use crate::context::{queued, Context, LookupPurpose, Operation};
-use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, Shard};
-use crate::io::{Effects, StoreCall, StoreResult};
-use crate::jobs::job_state;
-use crate::keys;
-use crate::shard::{Lease, Seen};
-use crate::stored::{OperatorMachinesRecord, TerminalState};
+use crate::context::Operation;
+use crate::ids::{Epoch, JobId, Shard};
+use crate::io::{Effects, StoreResult};
 
-impl Node {
-    pub(super) fn coordinator(&mut self, shard: Shard, epoch: Epoch) -> Option<usize> {
-        let i = shard.0 as usize;
-        self.owned[i].as_ref().is_some_and(|o| o.epoch == epoch).then_some(i)
-    }
+/// Which of a coordinator's writes an answer belongs to.
+#[derive(Clone, Copy, Debug)]
+enum CoordinatorWrite {
+    Decision,
+    Compaction,
+    Finish(JobId),
+}
 
-    pub(super) fn stored(&mut self, effects: &mut Effects, kind: Operation, result: StoreResult) {
-        let now = effects.now;
-        match kind {
-            Operation::NewLease { sent } => {
-                self.lease.sent = None;
-                // Counted from when this very request was sent, not a later try.
-                if let (StoreResult::Lease(id), None) = (result, self.lease.id) {
-                    self.lease.id = Some(id);
-                    self.lease.renewed = sent;
-                    self.tick_shards(effects);
-                }
-            }
-            Operation::RenewLease { lease, .. } if self.lease.id != Some(lease) => {}
-            Operation::RenewLease { sent, .. } => {
-                self.lease.sent = None;
-                match result {
-                    StoreResult::LeaseRenewed => {
-                        let from = if holds(Guard::LeaseFromSent) { sent } else { now };
-                        self.lease.renewed = self.lease.renewed.max(from);
-                    }
-                    StoreResult::NoLease => {
-                        effects.log(1, "lease_lost", String::new);
-                        self.unsteady(now);
-                        self.lease = Lease { next: now, ..Lease::default() };
-                        self.drop_all(effects);
-                    }
-                    _ => self.lease.next = now + 300,
-                }
-            }
-            Operation::Shards => {
-                self.shards_busy = false;
-                let StoreResult::Page(p) = result else {
-                    self.shards_at = now + 300;
-                    return;
-                };
-                for i in 0..self.view.len() {
-                    let key = keys::shard_key(Shard(i as u8));
-                    let item = p.items.iter().find(|x| x.key == key);
-                    let seen =
-                        item.map_or(Seen::Vacant(p.revision), |x| Seen::Owned(&x.value, x.version));
-                    self.see_shard(effects, &key, seen);
-                }
-                self.view_known = true;
-                self.watch_shards(effects, p.revision);
-                self.tick_shards(effects);
-            }
-            Operation::ShardWatch => match result {
-                StoreResult::Events(e) => {
-                    for ev in &e.events {
-                        if let Some(k) = &ev.put {
-                            self.see_shard(effects, k, Seen::Owned(&ev.value, ev.version));
-                        } else if let Some(k) = &ev.delete {
-                            // Older than the acquisition we know of, it says nothing.
-                            self.see_shard(effects, k, Seen::Vacant(ev.version));
-                        }
-                    }
-                    self.watch_shards(effects, e.revision);
-                    self.tick_shards(effects);
-                }
-                _ => {
-                    self.view_known = false;
-                    self.shards_at = now + 200;
-                }
-            },
-            Operation::Acquire(shard) => {
-                self.view[shard.0 as usize].trying = false;
-                match result {
-                    StoreResult::Committed(rev)
-                        if self.lease.valid(now) || !holds(Guard::DoubtOwns) =>
-                    {
-                        self.own(effects, shard, Epoch(rev));
-                    }
-                    StoreResult::NoLease => {
-                        self.lease = Lease { next: now, ..Lease::default() };
-                        self.drop_all(effects);
-                    }
-                    // Whoever owns it, the watch will tell.
-                    _ => {}
-                }
+impl Node {
+    pub(super) fn stored(
+        &mut self,
+        effects: &mut Effects,
+        operation: Operation,
+        result: StoreResult,
+    ) {
+        match operation {
+            Operation::NewLease { sent } => self.lease_answered(effects, sent, &result),
+            Operation::RenewLease { sent, lease } => {
+                self.renewal_answered(effects, lease, sent, &result);
             }
+            Operation::ListShards => self.shards_listed(effects, &result),
+            Operation::WatchShards => self.shards_watched(effects, &result),
+            Operation::Acquire(shard) => self.acquisition_answered(effects, shard, &result),
             Operation::Release(shard, epoch) => {
-                let Some(i) = self.coordinator(shard, epoch) else {
-                    return;
-                };
-                match result {
-                    StoreResult::Committed(revision) => {
-                        self.drop_shard(effects, shard);
-                        self.view[i].vacate(revision, now);
-                        self.next_acquire[i] = now + 2000;
-                    }
-                    StoreResult::Conflict(_) => self.drop_shard(effects, shard),
-                    // It may be gone already: stop acting, and let the lease or the watch tell.
-                    StoreResult::Unknown if holds(Guard::ReleaseUnsure) => {
-                        self.drop_shard(effects, shard);
-                    }
-                    _ => {
-                        if let Some(o) = &mut self.owned[i] {
-                            o.releasing = false;
-                        }
-                    }
-                }
+                self.release_answered(effects, shard, epoch, &result);
             }
             Operation::Records { shard, epoch } => {
-                let Some(i) = self.coordinator(shard, epoch) else {
-                    return;
-                };
-                let mut c = ctx!(self, effects);
-                if let Some(o) = &mut self.owned[i] {
-                    o.coordinator.records(&mut c, result);
-                }
-                self.wake |= c.wake;
+                self.records_read(effects, shard, epoch, result);
             }
-            Operation::Decide { shard, epoch }
-            | Operation::Compaction { shard, epoch }
-            | Operation::Finish { shard, epoch, .. } => {
-                let Some(i) = self.coordinator(shard, epoch) else {
-                    return;
-                };
-                let mut c = ctx!(self, effects);
-                let Some(o) = &mut self.owned[i] else { return };
-                let k = &mut o.coordinator;
-                let kept = match kind {
-                    Operation::Decide { .. } => k.decided(&mut c, &result),
-                    Operation::Compaction { .. } => k.folded(&mut c, &result),
-                    Operation::Finish { job, .. } => k.finished(&mut c, job, &result),
-                    _ => true,
-                };
-                self.wake |= c.wake;
-                if !kept {
-                    self.drop_shard(effects, shard);
-                    self.view_known = false;
-                    self.shards_at = now;
-                }
+            Operation::Decide { shard, epoch } => {
+                self.written(effects, shard, epoch, CoordinatorWrite::Decision, &result);
             }
-            Operation::Submit { req, id, value } => {
-                self.submitted(effects, req, id, &value, result)
+            Operation::Compaction { shard, epoch } => {
+                self.written(effects, shard, epoch, CoordinatorWrite::Compaction, &result);
             }
-            Operation::ReadJob { req, id, ask } => {
-                let mut c = ctx!(self, effects);
-                match result {
-                    // Its owner does not answer, so it can't be cancelled now.
-                    StoreResult::Item(Some(_)) if ask.0 == LookupPurpose::Cancel => {
-                        c.reply_later(req, 503, 1);
-                    }
-                    StoreResult::Item(Some(_)) => c.reply_state(req, 200, queued(id)),
-                    StoreResult::Item(None) if holds(Guard::KeyBeforeFinal) => {
-                        c.read_final(req, id, ask);
-                    }
-                    StoreResult::Item(None) => c.unknown(req, ask),
-                    _ => c.reply_later(req, 503, 1),
-                }
+            Operation::Finish { shard, epoch, job } => {
+                self.written(effects, shard, epoch, CoordinatorWrite::Finish(job), &result);
             }
-            Operation::ReadFinal { req, id, ask } => {
-                let mut c = ctx!(self, effects);
-                match result {
-                    StoreResult::Item(Some(i)) => match TerminalState::decode(&i.value) {
-                        Ok(f) => c.reply_state(req, 200, job_state(id, f)),
-                        Err(_) => {
-                            c.effects.log(0, "record_unreadable", || i.key);
-                            c.reply_later(req, 503, 5);
-                        }
-                    },
-                    StoreResult::Item(None) if holds(Guard::KeyBeforeFinal) => c.unknown(req, ask),
-                    StoreResult::Item(None) => c.read_key(req, id, ask),
-                    _ => c.reply_later(req, 503, 1),
-                }
+            Operation::Submit { req, id, value } => {
+                self.submitted(effects, req, id, &value, &result);
             }
-            Operation::Finals { shard, asked } => self.finals_read(now, shard, asked, result),
-            Operation::BasePut => {
-                let mut c = ctx!(self, effects);
-                match result {
-                    StoreResult::Committed(_) | StoreResult::Conflict(_) => {
-                        c.store(Operation::BaseGet, StoreCall::Get { key: keys::BASE.into() });
-                    }
-                    _ => {
-                        if let Some((_, b)) = &mut self.provisioner {
-                            b.set_base(None);
-                        }
-                    }
-                }
+            Operation::ReadJob { lookup } => self.job_read(effects, lookup, &result),
+            Operation::ReadTerminalState { lookup } => {
+                self.terminal_state_read(effects, lookup, result);
             }
-            Operation::BaseGet => {
-                if let Some((_, b)) = &mut self.provisioner {
-                    b.set_base(match result {
-                        StoreResult::Item(Some(i)) => {
-                            let r = OperatorMachinesRecord::decode(&i.value);
-                            r.ok().map(|r| r.0.to_string())
-                        }
-                        _ => None,
-                    });
-                }
+            Operation::TerminalStates { shard, asked } => {
+                self.terminal_states_read(effects.now, shard, asked, result);
             }
+            Operation::PutOperatorMachines => self.operator_machines_put(effects, &result),
+            Operation::GetOperatorMachines => self.operator_machines_read(result),
             Operation::Catalog | Operation::Provisioner(..) => {}
         }
     }
+
+    /// A page or an event of the records that a coordinator reads.
+    fn records_read(
+        &mut self,
+        effects: &mut Effects,
+        shard: Shard,
+        epoch: Epoch,
+        result: StoreResult,
+    ) {
+        let slot = &mut self.owned[shard.0 as usize];
+        let Some(active) = slot.as_mut().filter(|active| active.epoch == epoch) else { return };
+        let mut context = self.shared.context(effects);
+        active.coordinator.records(&mut context, result);
+        self.wake |= context.wake;
+    }
+
+    /// The answer to a coordinator's write. If that was refused since the shard is another's, it is
+    /// lost, and the owners are listed anew.
+    fn written(
+        &mut self,
+        effects: &mut Effects,
+        shard: Shard,
+        epoch: Epoch,
+        write: CoordinatorWrite,
+        result: &StoreResult,
+    ) {
+        let slot = &mut self.owned[shard.0 as usize];
+        let Some(active) = slot.as_mut().filter(|active| active.epoch == epoch) else { return };
+        let mut context = self.shared.context(effects);
+        let coordinator = &mut active.coordinator;
+        let still_owner = match write {
+            CoordinatorWrite::Decision => coordinator.decided(&mut context, result),
+            CoordinatorWrite::Compaction => coordinator.folded(&mut context, result),
+            CoordinatorWrite::Finish(job) => coordinator.finished(&mut context, job, result),
+        };
+        self.wake |= context.wake;
+        if !still_owner {
+            self.drop_shard(effects, shard);
+            self.shard_list.relist_from(effects.now);
+        }
+    }
 }
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -1,6 +1,9 @@
 //! A node by itself, fed by hand.
 use super::*;
+use crate::ids::JobId;
+use crate::io::{CloudCall, CloudResult, Effect, Input, StoreResult};
 use leaddeal_wire::cloud::{Catalog, MachineType};
+use leaddeal_wire::mesh::NodeMessage;
 use leaddeal_wire::state::{Change, Item, Page};
 
 fn settings() -> Settings {
@@ -106,9 +109,9 @@
     let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
     w.answer(store);
     assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
-    let mut effects = Effects { now: w.now, list: Vec::new(), looked: 0 };
+    let mut effects = Effects::new(w.now);
     w.node.drop_shard(&mut effects, Shard(0));
-    w.node.view_known = false;
+    w.node.shard_list.known = false;
     w.asked.clear();
     w.answer(store);
     assert!(w.node.owned_shards().is_empty(), "listed again, it was given up");
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -1,164 +1,142 @@
-//! Workers: who may be answered, and what.
-use super::relay::Route;
-use super::{Node, CALL_MS, MOST_CALLS};
-use crate::context::Context;
-use crate::health::lately;
-use crate::ids::{shard_of_job, shard_of_machine, JobId, Shard, Timestamp};
-use crate::io::{CommandOutcome, Effect, Effects, RequestId, WorkerReply};
+//! Workers: which of them may be answered, and what.
+use super::relay::{Route, WorkerVisit};
+use super::Node;
+use crate::ids::{shard_of_job, shard_of_machine, JobId, NodeIdx, Shard, Timestamp};
+use crate::io::{CommandOutcome, Effect, Effects, LogLevel, RequestId, WorkerReply};
 use crate::reachability::HeartbeatPath;
-use leaddeal_wire::mesh::NodeMessage;
 use leaddeal_wire::worker::WorkerHeartbeat;
 
-/// The first words of all owners are heard within this time.
-const FIRST_WORDS_MS: u64 = 5000;
-
-/// A worker's report that was passed on to the owner of its machine's shard.
-#[derive(Debug)]
-pub(super) struct PendingRelay {
-    pub(super) req: RequestId,
-    until: Timestamp,
-}
+/// The first heartbeats of all owners are received within this time after a start.
+const FIRST_HEARTBEATS_MS: u64 = 5000;
 
 impl Node {
     /// Whether the worker may be answered: what was cancelled of its tasks' jobs is known here up to a
     /// moment from which its lease is over in time (`horizon.rs`), and its machine's shard is still
-    /// ours by then. If not, it is let go, for whoever owns that shard by now.
+    /// ours by then. If not, it is relinquished, for the node that owns that shard by now.
     ///
     /// (Found by the simulator: workers stayed with a node that heard nobody for its whole grace; and,
     /// seed 1498, with one that heard a sibling again which knew as little, while the third had
     /// cancelled a job and could not be heard. Found by the operators: a store that refused one
     /// controller and then all, while workers still reported to that one.)
-    fn may_answer(&self, r: &WorkerHeartbeat, now: Timestamp) -> bool {
-        let n = self.view.len();
-        let permits = |shard| self.horizons.permits(shard, now);
-        let home = shard_of_machine(&r.machine, n);
-        if (0..n).all(|i| permits(Shard(i as u8))) {
+    fn may_answer(&self, report: &WorkerHeartbeat, now: Timestamp) -> bool {
+        let shards = self.shared.shard_count();
+        let permits = |shard| self.shared.horizons.permits(shard, now);
+        let home = shard_of_machine(&report.machine, shards);
+        if self.shared.shards().all(permits) {
             return true;
         }
-        let listed = r.tasks.iter().filter_map(|t| Some(JobId(t.task?.job)));
-        let participant = self.owned[home.0 as usize].as_ref().map(|o| &o.participant);
-        let machine = self.names.find_machine(&r.machine);
-        let placed = participant.zip(machine).map(|(p, m)| p.jobs_on(m)).into_iter().flatten();
-        permits(home) && listed.chain(placed).all(|j| permits(shard_of_job(j, n)))
+        let listed = report.tasks.iter().filter_map(|task| Some(JobId(task.task?.job)));
+        let participant = self.owned[home.0 as usize].as_ref().map(|active| &active.participant);
+        let machine = self.shared.names.find_machine(&report.machine);
+        let placed = participant
+            .zip(machine)
+            .map(|(participant, machine)| participant.jobs_on(machine))
+            .into_iter()
+            .flatten();
+        permits(home) && listed.chain(placed).all(|job| permits(shard_of_job(job, shards)))
     }
 
-    /// Says once when workers are let go, and when they are answered again.
-    pub(super) fn note_let_go(&mut self, effects: &mut Effects) {
+    /// Logs once when workers are relinquished, and when they are answered again.
+    pub(super) fn log_relinquished_workers(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        let shards = (0..self.view.len()).map(|i| Shard(i as u8));
-        let behind: Vec<Shard> = shards.filter(|&s| !self.horizons.permits(s, now)).collect();
+        let horizons = &self.shared.horizons;
+        let behind: Vec<Shard> =
+            self.shared.shards().filter(|&shard| !horizons.permits(shard, now)).collect();
         // A process that has just begun has to hear of all first.
-        let acts = self.owned.iter().any(Option::is_some) && now >= self.started + FIRST_WORDS_MS;
-        let lets_go = !behind.is_empty() && acts;
-        if lets_go == std::mem::replace(&mut self.let_go, lets_go) {
+        let acts = self.owned.iter().any(Option::is_some)
+            && now >= self.timers.started + FIRST_HEARTBEATS_MS;
+        let relinquished = !behind.is_empty() && acts;
+        if relinquished == std::mem::replace(&mut self.workers_relinquished, relinquished) {
             return;
         }
-        if !lets_go {
-            return effects
-                .log(1, "workers_answered", || "all cancellations are known again".into());
+        if !relinquished {
+            return effects.log(LogLevel::Info, "workers_answered", || {
+                "all cancellations are known again".into()
+            });
         }
-        let of = |s: &Shard| {
-            let ms = self.horizons.behind_ms(*s, now);
-            format!("seat={} behind_ms={}", s.0, ms.map_or("ever".into(), |ms| ms.to_string()))
+        let describe = |shard: &Shard| {
+            let behind_ms = horizons.behind_ms(*shard, now);
+            let behind_ms = behind_ms.map_or("ever".into(), |ms| ms.to_string());
+            format!("seat={} behind_ms={behind_ms}", shard.0)
         };
-        let what = behind.iter().map(of).collect::<Vec<_>>().join(" ");
-        effects.log(1, "workers_let_go", || what);
+        let details = behind.iter().map(describe).collect::<Vec<_>>().join(" ");
+        effects.log(LogLevel::Info, "workers_let_go", || details);
     }
 
-    pub(super) fn report(
+    /// A worker's heartbeat that came straight from it.
+    pub(super) fn worker_heartbeat(
         &mut self,
         effects: &mut Effects,
         req: RequestId,
-        r: Box<WorkerHeartbeat>,
+        report: Box<WorkerHeartbeat>,
     ) {
-        let reply = self.judge(effects, &r, None);
-        match reply {
-            WorkerReply::Redirect(Some(_)) => self.send_on(effects, req, r, reply),
-            _ => effects.list.push(Effect::Worker { req, reply }),
+        let reply = self.answer_heartbeat(effects, &report, None);
+        if matches!(reply, WorkerReply::Redirect(Some(_))) {
+            if let Some(owner) = self.owner_to_relay_to(&report, effects.now) {
+                return self.relay_heartbeat(effects, owner, req, report);
+            }
         }
+        effects.push(Effect::Worker { req, reply });
     }
 
-    /// The shard is a sibling's: the worker is sent there, or its report is passed on.
-    fn send_on(
-        &mut self,
-        effects: &mut Effects,
-        req: RequestId,
-        report: Box<WorkerHeartbeat>,
-        direct: WorkerReply,
-    ) {
-        let now = effects.now;
-        let shard = shard_of_machine(&report.machine, self.view.len());
-        let view = self.view[shard.0 as usize];
-        let heard = view.owner.filter(|o| lately(self.health.heard()[o.node.0 as usize], now));
-        let owner = heard.filter(|_| self.pending_relays.len() < MOST_CALLS);
-        let machine = self.names.machine(&report.machine);
-        let owner_for = now.saturating_sub(view.owned_since);
-        let way =
-            owner.map(|_| self.relay_table.way(machine, !report.tasks.is_empty(), owner_for, now));
-        let (Some(o), Some(Route::Detour)) = (owner, way) else {
-            effects.list.push(Effect::Worker { req, reply: direct });
-            return;
+    /// The sibling that a worker's heartbeat is to be passed on to, since the worker does not reach
+    /// it; none: the worker is sent there.
+    fn owner_to_relay_to(&mut self, report: &WorkerHeartbeat, now: Timestamp) -> Option<NodeIdx> {
+        let shard = shard_of_machine(&report.machine, self.shared.shard_count());
+        let view = self.shared.view[shard.0 as usize];
+        let heard = view.owner.filter(|owner| self.shared.health.hears(owner.node, now));
+        let machine = self.shared.names.machine(&report.machine);
+        let owner = heard.filter(|_| self.calls.may_relay())?;
+        let visit = WorkerVisit {
+            machine,
+            busy: !report.tasks.is_empty(),
+            owner_for_ms: now.saturating_sub(view.owned_since),
         };
-        self.next_call += 1;
-        let call = self.next_call;
-        self.pending_relays.insert(call, PendingRelay { req, until: now + CALL_MS });
-        let to = self.nodes[o.node.0 as usize].clone();
-        effects.list.push(Effect::Mesh { to, msg: NodeMessage::RelayedHeartbeat { call, report } });
+        (self.relay_table.route(visit, now) == Route::Relayed).then_some(owner.node)
     }
 
-    /// The owner has not answered in time: the worker asks the next node.
-    pub(super) fn tick_detours(&mut self, effects: &mut Effects) {
-        let now = effects.now;
-        while let Some(e) = self.pending_relays.first_entry().filter(|e| now >= e.get().until) {
-            let PendingRelay { req, .. } = e.remove();
-            effects.list.push(Effect::Worker { req, reply: WorkerReply::Redirect(None) });
-        }
-    }
-
-    /// What the report is worth here: an answer, if its machine's shard is ours.
-    pub(super) fn judge(
+    /// The answer to a worker's heartbeat: the participant's, if its machine's shard is ours.
+    pub(super) fn answer_heartbeat(
         &mut self,
         effects: &mut Effects,
-        r: &WorkerHeartbeat,
+        report: &WorkerHeartbeat,
         via: HeartbeatPath,
     ) -> WorkerReply {
-        let now = effects.now;
-        let shard = shard_of_machine(&r.machine, self.view.len());
-        let may = self.may_answer(r, now);
-        let owner = self.view[shard.0 as usize].owner;
-        let mut c = ctx!(self, effects);
-        if let Some(o) = self.owned[shard.0 as usize].as_mut().filter(|_| may) {
-            match o.participant.report(&mut c, r, via) {
-                Some(a) => WorkerReply::HeartbeatResponse(a),
+        let shard = shard_of_machine(&report.machine, self.shared.shard_count());
+        let may_answer = self.may_answer(report, effects.now);
+        if let Some(active) = self.owned[shard.0 as usize].as_mut().filter(|_| may_answer) {
+            let mut context = self.shared.context(effects);
+            return match active.participant.report(&mut context, report, via) {
+                Some(response) => WorkerReply::HeartbeatResponse(response),
                 None => WorkerReply::Redirect(None),
+            };
+        }
+        match self.shared.owner(shard) {
+            Some(owner) if owner.node != self.shared.me => {
+                WorkerReply::Redirect(Some(self.shared.node_name(owner.node)))
             }
-        } else {
-            match owner {
-                Some(o) if o.node != self.me => {
-                    WorkerReply::Redirect(Some(self.nodes[o.node.0 as usize].clone()))
-                }
-                _ => WorkerReply::Unavailable,
-            }
+            _ => WorkerReply::Unavailable,
         }
     }
 
-    pub(super) fn direct_outcome(
+    /// What became of commands that were sent to a worker.
+    pub(super) fn command_outcome(
         &mut self,
         effects: &mut Effects,
         machine: &str,
         batch: u64,
         outcome: &CommandOutcome,
     ) {
-        let shard = shard_of_machine(machine, self.view.len());
-        let mut c = ctx!(self, effects);
-        let Some(o) = &mut self.owned[shard.0 as usize] else {
-            return;
-        };
+        let shard = shard_of_machine(machine, self.shared.shard_count());
+        let Some(active) = &mut self.owned[shard.0 as usize] else { return };
         let (report, unknown) = match outcome {
-            CommandOutcome::Executed(r) | CommandOutcome::Refused(r) => (Some(&**r), false),
+            CommandOutcome::Executed(report) | CommandOutcome::Refused(report) => {
+                (Some(&**report), false)
+            }
             CommandOutcome::NotSent => (None, false),
             CommandOutcome::Unknown => (None, true),
         };
-        o.participant.direct_outcome(&mut c, machine, batch, report, unknown);
+        let mut context = self.shared.context(effects);
+        active.participant.direct_outcome(&mut context, machine, batch, report, unknown);
     }
 }
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -5,6 +5,7 @@
 use crate::ids::{
     Attempt, Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD,
 };
+use crate::io::LogLevel;
 use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
 use crate::names::{Names, Resources, Shape};
 use crate::reachability::HeartbeatPath;
@@ -349,7 +350,7 @@
         let Some(m) = self.machines.get_mut(&idx) else { return };
         if suspected && !m.suspected {
             let n = ctx.names.machine_name(idx).to_string();
-            ctx.effects.log(1, "machine_suspected", || n);
+            ctx.effects.log(LogLevel::Info, "machine_suspected", || n);
         }
         m.suspected = suspected;
     }
@@ -730,7 +731,7 @@
             m.lapsed = true;
             m.all_gone();
             let n = ctx.names.machine_name(idx).to_string();
-            ctx.effects.log(1, "machine_lost", || n);
+            ctx.effects.log(LogLevel::Info, "machine_lost", || n);
             self.dirty.insert(idx);
         }
         if m.released || m.lapsed {
@@ -749,7 +750,8 @@
     /// What changed of the machines, for the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let (now, lease) = (ctx.now, at_least(ctx.config.worker_lease_ms));
-        let is_deaf = |m: &Machine| m.reachability.deaf_since().is_some_and(|t| now >= t + DEAF_MS);
+        let is_deaf =
+            |m: &Machine| m.reachability.unreachable_since().is_some_and(|t| now >= t + DEAF_MS);
         // Where many don't hear us, it is us.
         let deaf = self.machines.values().filter(|m| !m.released && is_deaf(m)).count();
         let few_deaf = deaf * DEAF_SHARE < self.machines.len();
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -110,7 +110,7 @@
             && !m.lapsed
             && m.confirmed
             && m.notice.is_none()
-            && m.reachability.deaf_since().is_none()
+            && m.reachability.unreachable_since().is_none()
             && m.shunned_until <= now
             && !self.suspected(idx, now)
             && now < m.heard + ctx.config.quiet_ms
--- a/crates/core/src/participant/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -5,6 +5,7 @@
 use super::{GangQueue, Participant};
 use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, ZoneIdx};
+use crate::io::LogLevel;
 use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use crate::preemption::{victims, Candidate};
@@ -274,8 +275,9 @@
         if self.reservations.count(key.0) == before {
             return;
         }
-        ctx.effects
-            .log(2, "replica_moved", || format!("{} task {} from {}", key.0 .0, key.1, idx.0));
+        ctx.effects.log(LogLevel::Debug, "replica_moved", || {
+            format!("{} task {} from {}", key.0 .0, key.1, idx.0)
+        });
         if let Some(m) = self.machines.get_mut(&idx) {
             if let Some(t) = m.tasks.get_mut(&key) {
                 t.stop = Some(StopRequest { grace_s: 0.0, since: now });
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -54,7 +54,7 @@
             aims: Objectives::default(),
         };
         let mut shard = ShardView::default();
-        shard.own(Owner { node: NodeIdx(0), boot: 1, epoch: EPOCH }, 0);
+        shard.set_owner(Owner { node: NodeIdx(0), boot: 1, epoch: EPOCH }, 0);
         let horizons = Horizons::new(NodeIdx(0), 1, 1, config.cancel_ms, LEASE_MS);
         World { names, config, budget: WriteBudget::new(50.0, 1, 1), horizons, view: vec![shard] }
     }
@@ -66,11 +66,11 @@
         f: impl FnOnce(&mut Context),
     ) -> (Vec<ShardMessage>, Vec<&'static str>) {
         let mut effects = Effects { now, list: Vec::new(), looked: 0 };
-        let mut ops = PendingOperations { next: 0, open: HashMap::new() };
-        let (mut sends, mut relays) = (VecDeque::new(), HashMap::new());
+        let mut operations = PendingOperations::default();
+        let (mut outbox, mut relayed_requests) = (VecDeque::new(), HashMap::new());
         f(&mut Context {
             now,
-            time_ms: now,
+            wall_clock_ms: now,
             valid: true,
             wake: false,
             effects: &mut effects,
@@ -80,16 +80,16 @@
             horizons: &mut self.horizons,
             me: NodeIdx(0),
             view: &self.view,
-            heard: &[0],
-            ops: &mut ops,
-            sends: &mut sends,
-            relays: &mut relays,
+            heard_at: &[0],
+            operations: &mut operations,
+            outbox: &mut outbox,
+            relayed_requests: &mut relayed_requests,
         });
         let logged = effects.list.iter().filter_map(|o| match o {
-            Effect::Log(_, event, _) => Some(*event),
+            Effect::Log { event, .. } => Some(*event),
             _ => None,
         });
-        (sends.into_iter().map(|s| s.2).collect(), logged.collect())
+        (outbox.into_iter().map(|sent| sent.message).collect(), logged.collect())
     }
 }
 
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -1,7 +1,7 @@
 //! Rents and returns machines for all participants, from the owner of one fixed shard.
 use crate::context::{Context, Operation, ProvisionerOperation};
 use crate::ids::{Epoch, Shard, Timestamp, TypeIdx, ZoneIdx, PROVISIONER_SHARD};
-use crate::io::{CloudCall, CloudResult};
+use crate::io::{CloudCall, CloudResult, LogLevel};
 use crate::names::{older, Resources};
 use leaddeal_wire::cloud::{Instance, InstanceRequest, InstanceStatus};
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage, UnmetDemand};
@@ -241,7 +241,7 @@
                         if (names.len() as u32) < rent.count {
                             self.refuse(now, &rent);
                         }
-                        ctx.effects.log(1, "rented", || {
+                        ctx.effects.log(LogLevel::Info, "rented", || {
                             format!(
                                 "{} {} {} spot={} {names:?}",
                                 rent.request, rent.type_name, rent.zone, rent.spot
@@ -264,7 +264,7 @@
                 let names = std::mem::take(&mut self.releasing);
                 if matches!(result, CloudResult::Released) {
                     for n in names {
-                        ctx.effects.log(1, "released", || n.clone());
+                        ctx.effects.log(LogLevel::Info, "released", || n.clone());
                         self.booting.remove(&n);
                         self.listed.remove(&n);
                         self.gone.insert(n.clone());
@@ -314,7 +314,7 @@
                         let price = kind.map_or(0.0, |i| ctx.names.price(i, l.spot));
                         self.vain += price * l.age_s / 3600.0;
                         let (at, vain) = (&place, self.vain);
-                        ctx.effects.log(1, "never_up", || {
+                        ctx.effects.log(LogLevel::Info, "never_up", || {
                             format!(
                                 "{name} {} {} after {:.0} s, spent on such {vain:.2}",
                                 at.0, at.1, l.age_s
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -1,61 +1,73 @@
-//! Whether a worker hears us, though its reports reach us.
+//! Whether a worker receives what we send, though its heartbeats reach us.
 //!
-//! Reports may come from a machine that neither answers nor commands reach. Nothing that was sent to
-//! it proves anything then; what it reports proves what it always did. It is told by its ways: a worker
-//! without an answer waits 4 s, turns to the next controller a second later, and goes round; one that
-//! was answered comes again the same way when its next report is due.
-//!
-//! Invariants: only what the worker itself did proves that it hears; a worker that is not known to
-//! hear after two reports in a row, or whose lease ran out although it was answered, gets no new work
-//! until that is proven again; its tasks are not called gone for it.
+//! Heartbeats may come from a machine that neither answers nor commands reach (a one-way partition).
+//! Nothing that was sent to it proves anything then; what it reports proves what it always did. It is
+//! told apart by the paths that it takes: a worker without an answer waits 4 s, turns to the next
+//! controller a second later, and goes round; one that was answered comes again by the same path when
+//! its next heartbeat is due.
 use crate::ids::{NodeIdx, Timestamp};
 
-/// So many reports without proof make a machine deaf.
-const SIGNS: u32 = 2;
+/// This many heartbeats in a row without proof make a worker unreachable.
+const MAX_UNPROVEN_HEARTBEATS: u32 = 2;
 
-/// The way a report came: straight, or passed on by a sibling.
+/// The path a heartbeat came by: straight from the worker (none), or relayed by that sibling.
 pub type HeartbeatPath = Option<NodeIdx>;
 
+/// The last heartbeat of a worker.
+#[derive(Clone, Copy, Debug)]
+struct LastHeartbeat {
+    path: HeartbeatPath,
+    at: Timestamp,
+}
+
+/// Whether one worker is reachable.
+///
+/// Invariants: only what the worker itself did proves that it is; a worker that is not known to be
+/// after `MAX_UNPROVEN_HEARTBEATS` in a row, or whose lease ran out although it was answered, gets no
+/// new work until that is proven again; its tasks are not called gone for it.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
-    last: Option<(HeartbeatPath, Timestamp)>,
-    signs: u32,
-    deaf_since: Option<Timestamp>,
+    /// None: the next heartbeat proves nothing.
+    last: Option<LastHeartbeat>,
+    /// Heartbeats, or an equivalent, since the last proof.
+    unproven: u32,
+    unreachable_since: Option<Timestamp>,
 }
 
 impl Reachability {
-    /// A new report came; `due_ms`: the next report of a worker that was answered comes so soon.
+    /// A new heartbeat came; a worker that was answered sends its next one within `due_ms`.
     pub fn report(&mut self, via: HeartbeatPath, due_ms: u64, now: Timestamp) {
-        let same_way = self.last.is_some_and(|(v, at)| v == via && now <= at + due_ms);
-        self.last = Some((via, now));
-        if same_way {
+        let same_path = self.last.is_some_and(|last| last.path == via && now <= last.at + due_ms);
+        self.last = Some(LastHeartbeat { path: via, at: now });
+        if same_path {
             self.proven();
         } else {
-            self.sign(1, now);
+            self.add_unproven(1, now);
         }
     }
 
     /// Its lease ran out although it was answered, or it began anew: it has to prove itself.
     pub fn lease_ended(&mut self, now: Timestamp) {
         self.last = None;
-        self.sign(SIGNS, now);
+        self.add_unproven(MAX_UNPROVEN_HEARTBEATS, now);
     }
 
-    /// It did what it was told, or answered.
+    /// It did what it was told to do, or answered: it is reachable.
     pub fn proven(&mut self) {
-        (self.signs, self.deaf_since) = (0, None);
+        self.unproven = 0;
+        self.unreachable_since = None;
     }
 
-    fn sign(&mut self, n: u32, now: Timestamp) {
-        self.signs = self.signs.saturating_add(n);
-        if self.signs >= SIGNS {
-            self.deaf_since.get_or_insert(now);
+    fn add_unproven(&mut self, heartbeats: u32, now: Timestamp) {
+        self.unproven = self.unproven.saturating_add(heartbeats);
+        if self.unproven >= MAX_UNPROVEN_HEARTBEATS {
+            self.unreachable_since.get_or_insert(now);
         }
     }
 
-    /// Since when it is taken not to hear.
-    pub fn deaf_since(&self) -> Option<Timestamp> {
-        self.deaf_since
+    /// Since when it is taken for unreachable; none: it is not.
+    pub fn unreachable_since(&self) -> Option<Timestamp> {
+        self.unreachable_since
     }
 }
 
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -2,92 +2,131 @@
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, NodeIdx, Timestamp};
 
-/// Life of a controller's lease at the state service.
+/// A controller's lease at the state service is over this long after its last renewal.
 pub const LEASE_MS: u64 = 4000;
-/// Between renewals.
+/// Between two renewals.
 pub const RENEW_MS: u64 = 1000;
 
-/// Clocks may differ by 0.05%; this is a safe factor, and the rounding of timers besides.
+/// An interval of our clock, in ms, within which `ms` are certainly not over by another clock. Clocks
+/// may differ by 0.05%; this is a safe factor, and the rounding of timers besides.
 pub fn at_most(ms: u64) -> u64 {
     ms.saturating_sub(if holds(Guard::Drift) { ms / 1000 + 50 } else { 0 })
 }
 
+/// An interval of our clock, in ms, after which `ms` are certainly over by another clock.
 pub fn at_least(ms: u64) -> u64 {
     ms + if holds(Guard::Drift) { ms / 1000 + 250 } else { 0 }
 }
 
+/// A node that owns a shard, or owned it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner {
+    /// The node.
     pub node: NodeIdx,
+    /// Which process of it; 0 if that is not known, since a sibling named it.
     pub boot: u64,
+    /// The revision at which it acquired the shard.
     pub epoch: Epoch,
 }
 
+/// What is known of the ownership of one shard.
+///
+/// Invariants: epochs of `newest_owner` never go back; `vacated` never goes back; an owner that only a
+/// sibling named has an epoch above `vacated`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShardView {
+    /// The present owner, as far as is known.
     pub owner: Option<Owner>,
     /// The newest owner there ever was, as far as is known: `owner`, or one whose time is over.
-    pub last: Option<Owner>,
-    /// Whoever owned it at this revision or before owns it no more.
+    pub newest_owner: Option<Owner>,
+    /// Whatever epoch is not above this revision is over.
     pub vacated: u64,
+    /// When it was first known that the last owner's time is over.
     pub vacant_since: Timestamp,
     /// When the present owner was first known of.
     pub owned_since: Timestamp,
-    /// An acquisition is under way.
-    pub trying: bool,
+    /// An acquisition by this node is in flight.
+    pub acquiring: bool,
 }
 
-/// What the state service tells of a shard's key.
+/// What the state service says of a shard's key.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen<'a> {
-    /// Its value and version.
-    Owned(&'a serde_json::Value, u64),
+pub enum ShardKeyState<'a> {
+    /// It has this value, since that revision.
+    Owned {
+        /// The owner's record.
+        value: &'a serde_json::Value,
+        /// The revision at which it was written: the owner's epoch.
+        version: u64,
+    },
     /// It is not there at this revision.
-    Vacant(u64),
+    Vacant {
+        /// The store's revision.
+        revision: u64,
+    },
+}
+
+impl ShardKeyState<'_> {
+    /// The revision that is known of by this.
+    pub fn revision(&self) -> u64 {
+        match *self {
+            ShardKeyState::Owned { version, .. } => version,
+            ShardKeyState::Vacant { revision } => revision,
+        }
+    }
 }
 
 impl ShardView {
     /// Nobody owns it at that revision; the time is counted from when that was first seen.
     pub fn vacate(&mut self, revision: u64, now: Timestamp) {
         self.vacated = self.vacated.max(revision);
-        if self.owner.is_some_and(|o| o.epoch.0 <= revision) {
+        if self.owner.is_some_and(|owner| owner.epoch.0 <= revision) {
             self.owner = None;
             self.vacant_since = now;
-            self.trying = false;
+            self.acquiring = false;
         }
     }
 
-    /// A sibling says that it owns the shard, and its lease may be in doubt: that is believed unless
-    /// the store has said that the shard was given up since. True: it is news.
+    /// A sibling says that this is the owner, whose lease may be in doubt: that is believed unless a
+    /// newer owner is known, or the store has said that the shard was given up since. True: it is
+    /// news.
     ///
-    /// (Found by the simulator: beats of an owner in doubt told nothing of its shards, and the owner
-    /// before, whom the store refused, kept workers with cancelled tasks.)
-    pub fn claimed(&mut self, by: Owner, now: Timestamp) -> bool {
-        let news = self.owner.is_none_or(|o| o.epoch < by.epoch) && by.epoch.0 > self.vacated;
+    /// (Found by the simulator: heartbeats of an owner in doubt named none of its shards, and the
+    /// owner before, which the store refused, kept workers with cancelled tasks.)
+    pub fn accept_claim(&mut self, claimed: Owner, now: Timestamp) -> bool {
+        let is_newer = self.owner.is_none_or(|owner| owner.epoch < claimed.epoch);
+        let news = is_newer && claimed.epoch.0 > self.vacated;
         if news {
-            self.own(by, now);
+            self.set_owner(claimed, now);
         }
         news
     }
 
     /// The store says, or a sibling is believed, that this is the owner.
-    pub fn own(&mut self, by: Owner, now: Timestamp) {
-        if self.owner.is_none_or(|o| o.epoch != by.epoch) {
+    pub fn set_owner(&mut self, new: Owner, now: Timestamp) {
+        if self.owner.is_none_or(|owner| owner.epoch != new.epoch) {
             self.owned_since = now;
         }
-        self.owner = Some(by);
-        if self.last.is_none_or(|l| l.epoch < by.epoch) {
-            self.last = Some(by);
+        self.owner = Some(new);
+        if self.newest_owner.is_none_or(|newest| newest.epoch < new.epoch) {
+            self.newest_owner = Some(new);
         }
     }
 }
 
+/// This node's lease at the state service.
+///
+/// Invariant: `renewed` is never later than the renewal at the state service, so that the lease is
+/// over here before it is there.
 #[derive(Debug, Default)]
 pub struct Lease {
+    /// Its number; none: there is no lease.
     pub id: Option<u64>,
     /// When the renewal last answered was sent.
     pub renewed: Timestamp,
+    /// When the call that is in flight was sent.
     pub sent: Option<Timestamp>,
+    /// When the next call is due.
     pub next: Timestamp,
 }
 
@@ -97,7 +136,7 @@
         self.id.is_some() && now < self.renewed + at_most(LEASE_MS)
     }
 
-    /// For how long it has been in doubt.
+    /// For how long, in ms, it has been in doubt whether it is over.
     pub fn in_doubt_ms(&self, now: Timestamp) -> u64 {
         now.saturating_sub(self.renewed + at_most(LEASE_MS))
     }
--- a/crates/leaddeal/src/driver.rs
+++ b/crates/leaddeal/src/driver.rs
@@ -5,7 +5,7 @@
 use crate::link;
 use hyper::Method;
 use leaddeal_core::io::{
-    CloudCall, CloudResult, CommandOutcome, RequestId, StoreCall, StoreResult,
+    CloudCall, CloudResult, CommandOutcome, LogLevel, RequestId, StoreCall, StoreResult,
 };
 use leaddeal_core::{Effect, Input, Node};
 use leaddeal_wire::mesh::NodeMessage;
@@ -212,10 +212,10 @@
                     let _ = events.send(Event::Input(input)).await;
                 });
             }
-            Effect::Log(level, event, what) => match level {
-                0 => tracing::error!(event, "{what}"),
-                1 => tracing::info!(event, "{what}"),
-                _ => tracing::debug!(event, "{what}"),
+            Effect::Log { level, event, details } => match level {
+                LogLevel::Error => tracing::error!(event, "{details}"),
+                LogLevel::Info => tracing::info!(event, "{details}"),
+                LogLevel::Debug => tracing::debug!(event, "{details}"),
             },
         }
     }
--- a/crates/testkit/src/fingerprint.rs
+++ b/crates/testkit/src/fingerprint.rs
@@ -61,7 +61,7 @@
                 ("orders", machine, addr, batch).hash(&mut self.hasher);
                 self.json(direct);
             }
-            Effect::Log(level, ..) => ("log", level).hash(&mut self.hasher),
+            Effect::Log { level, .. } => ("log", *level as u8).hash(&mut self.hasher),
         }
     }
 
--- a/crates/testkit/src/sim/network.rs
+++ b/crates/testkit/src/sim/network.rs
@@ -99,7 +99,7 @@
                 }
                 self.at(lag + held, Ev::Direct(n, boot, machine, batch, direct, lose));
             }
-            Effect::Log(_, event, what) => {
+            Effect::Log { event, details: what, .. } => {
                 if event == "seat_loaded" {
                     self.marks.loaded.push((self.now, n));
                 }
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -95,7 +95,7 @@
                 _ => self.add("cloud request", 0),
             },
             Effect::Commands { direct, .. } => self.add("worker commands", json(direct)),
-            Effect::User { .. } | Effect::Worker { .. } | Effect::Log(..) => {}
+            Effect::User { .. } | Effect::Worker { .. } | Effect::Log { .. } => {}
         }
     }
 }
