--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -105,34 +105,90 @@
 /// made: the answer is for no other owner of the shard.
 #[derive(Debug)]
 pub enum Operation {
-    /// A request for a lease for this node, sent at that time.
-    NewLease { sent: Timestamp },
-    /// A renewal of this node's lease, sent at that time.
-    RenewLease { sent: Timestamp, lease: u64 },
+    /// A request for a lease for this node.
+    NewLease {
+        /// When it was sent.
+        sent: Timestamp,
+    },
+    /// A renewal of this node's lease.
+    RenewLease {
+        /// When it was sent.
+        sent: Timestamp,
+        /// The lease's number.
+        lease: u64,
+    },
     /// The list of all shards' keys.
     ListShards,
     /// The watch on all shards' keys.
     WatchShards,
     /// A transaction that makes this node the shard's owner.
-    Acquire(Shard),
+    Acquire {
+        /// The shard.
+        shard: Shard,
+    },
     /// A transaction that gives the shard back.
-    Release(Shard, Epoch),
+    Release {
+        /// The shard.
+        shard: Shard,
+        /// The epoch under which this node owned it.
+        epoch: Epoch,
+    },
     /// A page or an event of the records that a coordinator reads.
-    Records { shard: Shard, epoch: Epoch },
+    Records {
+        /// The shard.
+        shard: Shard,
+        /// The epoch of the coordinator that made the call.
+        epoch: Epoch,
+    },
     /// The write of a decision.
-    Decide { shard: Shard, epoch: Epoch },
+    Decide {
+        /// The shard.
+        shard: Shard,
+        /// The epoch of the coordinator that made the call.
+        epoch: Epoch,
+    },
     /// The write of completed tasks as bitmaps.
-    Compaction { shard: Shard, epoch: Epoch },
+    Compaction {
+        /// The shard.
+        shard: Shard,
+        /// The epoch of the coordinator that made the call.
+        epoch: Epoch,
+    },
     /// The write of a job's terminal state.
-    Finish { shard: Shard, epoch: Epoch, job: JobId },
-    /// The write of a new job, with its record.
-    Submit { req: RequestId, id: JobId, value: serde_json::Value },
+    Finish {
+        /// The shard.
+        shard: Shard,
+        /// The epoch of the coordinator that made the call.
+        epoch: Epoch,
+        /// The job.
+        job: JobId,
+    },
+    /// The write of a new job.
+    Submit {
+        /// The user's request.
+        req: RequestId,
+        /// The job.
+        id: JobId,
+        /// The job's record.
+        value: serde_json::Value,
+    },
     /// The read of a job.
-    ReadJob { lookup: JobLookup },
+    ReadJob {
+        /// What is looked up, and for what.
+        lookup: JobLookup,
+    },
     /// The read of a job's terminal state.
-    ReadTerminalState { lookup: JobLookup },
-    /// A page or an event of a silent owner's terminal states, asked for at that time.
-    TerminalStates { shard: Shard, asked: Timestamp },
+    ReadTerminalState {
+        /// What is looked up, and for what.
+        lookup: JobLookup,
+    },
+    /// A page or an event of a silent owner's terminal states.
+    TerminalStates {
+        /// The shard.
+        shard: Shard,
+        /// When the call was made.
+        asked: Timestamp,
+    },
     /// The creation of the record of the newest machine of the operator.
     PutOperatorMachines,
     /// The read of that record.
@@ -214,7 +270,7 @@
     /// This node.
     pub(crate) me: NodeIdx,
     /// By shard: its owner, as far as is known.
-    pub(crate) view: &'a [ShardView],
+    pub(crate) shard_views: &'a [ShardView],
     /// By node: when something was last received from it.
     pub(crate) heard_at: &'a [Timestamp],
     pub(crate) operations: &'a mut PendingOperations,
@@ -227,12 +283,12 @@
 impl Context<'_> {
     /// All shards.
     pub fn shards(&self) -> impl Iterator<Item = Shard> {
-        (0..self.view.len() as u8).map(Shard)
+        (0..self.shard_views.len() as u8).map(Shard)
     }
 
     /// The shard's owner, as far as is known.
     pub fn owner(&self, shard: Shard) -> Option<Owner> {
-        self.view.get(shard.0 as usize).and_then(|view| view.owner)
+        self.shard_views.get(shard.0 as usize).and_then(|view| view.owner)
     }
 
     /// Owned by this node, or by one from which something was received recently.
@@ -245,12 +301,12 @@
 
     /// The shard that the job belongs to.
     pub fn shard_of_job(&self, job: JobId) -> Shard {
-        shard_of_job(job, self.view.len())
+        shard_of_job(job, self.shard_views.len())
     }
 
     /// The shard that the machine of that name belongs to.
     pub fn shard_of_machine(&self, name: &str) -> Shard {
-        shard_of_machine(name, self.view.len())
+        shard_of_machine(name, self.shard_views.len())
     }
 
     /// A job's team and what a task takes of its limit, if it has one.
@@ -345,7 +401,7 @@
 
     /// Answers with a job's state and that HTTP status.
     pub fn reply_state(&mut self, req: RequestId, status: u16, state: JobState) {
-        self.reply(req, UserReply { status, ..known(state, false) });
+        self.reply(req, UserReply { status, ..UserReply::found(state) });
     }
 
     /// Refuses for now; the user may ask again after that many seconds.
@@ -365,13 +421,3 @@
 pub(crate) fn queued(id: JobId) -> JobState {
     JobState { id: user::job_id(id.0), status: Status::Queued, done: 0, running: 0 }
 }
-
-/// The answer about a known job: 201 if the request `created` it, else 200.
-pub fn known(state: JobState, created: bool) -> UserReply {
-    UserReply {
-        status: if created { 201 } else { 200 },
-        state: Some(state),
-        error: None,
-        retry_after_s: None,
-    }
-}
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-fn beat(known: &[(u8, u8, u64)], ready: bool) -> NodeHeartbeat {
+fn heartbeat(known: &[(u8, u8, u64)], ready: bool) -> NodeHeartbeat {
     NodeHeartbeat { known: known.to_vec(), ready, ..NodeHeartbeat::default() }
 }
 
 #[test]
 fn only_the_word_of_every_sibling_proves_that_older_owners_let_go() {
-    let mut h = Health::new(NodeIdx(0), 3);
+    let mut health = Health::new(NodeIdx(0), 3);
     let (shard, epoch) = (Shard(1), Epoch(7));
-    h.record_heartbeat(NodeIdx(1), &beat(&[(1, 0, 7)], true));
-    assert!(!h.all_acknowledge(shard, epoch), "the third said nothing");
-    h.record_heartbeat(NodeIdx(2), &beat(&[(1, 2, 5), (0, 0, 9)], true));
-    assert!(!h.all_acknowledge(shard, epoch), "the third knows an older owner");
-    h.record_heartbeat(NodeIdx(2), &beat(&[(1, 0, 7)], true));
-    assert!(h.all_acknowledge(shard, epoch));
+    health.record_heartbeat(NodeIdx(1), &heartbeat(&[(1, 0, 7)], true));
+    assert!(!health.all_acknowledge(shard, epoch), "the third said nothing");
+    health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5), (0, 0, 9)], true));
+    assert!(!health.all_acknowledge(shard, epoch), "the third knows an older owner");
+    health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 0, 7)], true));
+    assert!(health.all_acknowledge(shard, epoch));
     // Held back, and out of its order: what was known is not forgotten.
-    h.record_heartbeat(NodeIdx(2), &beat(&[(1, 2, 5)], true));
-    assert!(h.all_acknowledge(shard, epoch) && !h.all_acknowledge(shard, Epoch(8)));
+    health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5)], true));
+    assert!(health.all_acknowledge(shard, epoch) && !health.all_acknowledge(shard, Epoch(8)));
 }
 
 #[test]
 fn who_is_heard_and_ready_serves() {
-    let mut h = Health::new(NodeIdx(0), 3);
-    h.record_heartbeat(NodeIdx(1), &beat(&[], true));
-    assert!(!h.another_is_ready(10_000) && !h.hears_any_sibling(10_000));
-    h.record_contact(NodeIdx(2), 8000);
-    assert!(!h.another_is_ready(10_000) && h.hears_any_sibling(10_000));
-    h.record_contact(NodeIdx(1), 9000);
-    assert!(h.another_is_ready(10_000));
-    assert!(!h.another_is_ready(12_100) && !h.hears_any_sibling(12_100));
+    let mut health = Health::new(NodeIdx(0), 3);
+    health.record_heartbeat(NodeIdx(1), &heartbeat(&[], true));
+    assert!(!health.another_is_ready(10_000) && !health.hears_any_sibling(10_000));
+    health.record_contact(NodeIdx(2), 8000);
+    assert!(!health.another_is_ready(10_000) && health.hears_any_sibling(10_000));
+    health.record_contact(NodeIdx(1), 9000);
+    assert!(health.another_is_ready(10_000));
+    assert!(!health.another_is_ready(12_100) && !health.hears_any_sibling(12_100));
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -17,21 +17,65 @@
     /// Some time has passed.
     Tick,
     /// A user submits a job; `id` is none if it can't be read.
-    Submit { req: RequestId, id: Option<JobId>, job: Result<Box<Job>, BadJob> },
+    Submit {
+        /// The request that is to be answered.
+        req: RequestId,
+        /// The job's number.
+        id: Option<JobId>,
+        /// The job, or why it can't be read.
+        job: Result<Box<Job>, BadJob>,
+    },
     /// A user asks for a job's state.
-    Get { req: RequestId, id: JobId },
+    Get {
+        /// The request that is to be answered.
+        req: RequestId,
+        /// The job.
+        id: JobId,
+    },
     /// A user cancels a job.
-    Cancel { req: RequestId, id: JobId },
+    Cancel {
+        /// The request that is to be answered.
+        req: RequestId,
+        /// The job.
+        id: JobId,
+    },
     /// A worker's heartbeat.
-    WorkerHeartbeat { req: RequestId, report: Box<WorkerHeartbeat> },
+    WorkerHeartbeat {
+        /// The request that is to be answered.
+        req: RequestId,
+        /// The heartbeat.
+        report: Box<WorkerHeartbeat>,
+    },
     /// What became of a batch of direct commands to a worker.
-    CommandOutcome { machine: String, batch: u64, outcome: CommandOutcome },
+    CommandOutcome {
+        /// The machine's name.
+        machine: String,
+        /// The number of the batch.
+        batch: u64,
+        /// What became of it.
+        outcome: CommandOutcome,
+    },
     /// A message of the sibling of that name.
-    Mesh { from: String, msg: Box<NodeMessage> },
+    Mesh {
+        /// The sibling's name.
+        from: String,
+        /// The message.
+        msg: Box<NodeMessage>,
+    },
     /// The state service's answer to a call.
-    Store { op: OperationId, result: StoreResult },
+    Store {
+        /// The number of the call.
+        op: OperationId,
+        /// The answer.
+        result: StoreResult,
+    },
     /// The cloud service's answer to a call.
-    Cloud { op: OperationId, result: CloudResult },
+    Cloud {
+        /// The number of the call.
+        op: OperationId,
+        /// The answer.
+        result: CloudResult,
+    },
 }
 
 /// What became of a batch of direct commands.
@@ -98,21 +142,45 @@
 /// A call to the state service.
 #[derive(Debug)]
 pub enum StoreCall {
-    /// A lease that is over so many ms after its last renewal.
-    NewLease { ttl_ms: u64 },
+    /// A new lease.
+    NewLease {
+        /// Its life after a renewal, in ms.
+        ttl_ms: u64,
+    },
     /// Renews the lease.
-    RenewLease { lease: u64 },
+    RenewLease {
+        /// The lease's number.
+        lease: u64,
+    },
     /// Ends the lease, and deletes its keys.
-    EndLease { lease: u64 },
+    EndLease {
+        /// The lease's number.
+        lease: u64,
+    },
     /// Makes the changes together, if all conditions hold.
     Transaction(Transaction),
     /// Reads one key.
-    Get { key: String },
+    Get {
+        /// The key.
+        key: String,
+    },
     /// A page of the keys with that prefix, after that key if one is given.
-    List { prefix: String, after: Option<String> },
+    List {
+        /// The prefix of the keys.
+        prefix: String,
+        /// The last one of the page before; none: the first page.
+        after: Option<String>,
+    },
     /// Changes of keys with that prefix, after that revision; answered after `wait_ms` if there
     /// are none.
-    Watch { prefix: String, after: u64, wait_ms: u64 },
+    Watch {
+        /// The prefix of the keys.
+        prefix: String,
+        /// Changes after this revision.
+        after: u64,
+        /// For how long to wait for a change, in ms.
+        wait_ms: u64,
+    },
 }
 
 /// A call to the cloud service.
@@ -125,7 +193,10 @@
     /// Releases the instances of these names.
     Release(Vec<String>),
     /// A page of the instances, after that name if one is given.
-    List { after: Option<String> },
+    List {
+        /// The last one of the page before; none: the first page.
+        after: Option<String>,
+    },
 }
 
 /// An answer to a user.
@@ -141,6 +212,18 @@
     pub retry_after_s: Option<u32>,
 }
 
+impl UserReply {
+    /// 200: the job is known, and this is its state.
+    pub fn found(state: JobState) -> UserReply {
+        UserReply { status: 200, state: Some(state), error: None, retry_after_s: None }
+    }
+
+    /// 201: the request created the job.
+    pub fn created(state: JobState) -> UserReply {
+        UserReply { status: 201, ..UserReply::found(state) }
+    }
+}
+
 /// An answer to a worker's heartbeat.
 #[derive(Debug, Clone)]
 pub enum WorkerReply {
@@ -167,19 +250,60 @@
 #[derive(Debug)]
 pub enum Effect {
     /// An answer to a user.
-    User { req: RequestId, reply: UserReply },
+    User {
+        /// The request that this answers.
+        req: RequestId,
+        /// The answer.
+        reply: UserReply,
+    },
     /// An answer to a worker's heartbeat.
-    Worker { req: RequestId, reply: WorkerReply },
+    Worker {
+        /// The request that this answers.
+        req: RequestId,
+        /// The answer.
+        reply: WorkerReply,
+    },
     /// A message to the sibling of that name.
-    Mesh { to: String, msg: mesh::NodeMessage },
+    Mesh {
+        /// The sibling's name.
+        to: String,
+        /// The message.
+        msg: mesh::NodeMessage,
+    },
     /// A call to the state service.
-    Store { op: OperationId, call: StoreCall },
+    Store {
+        /// The number of the call.
+        op: OperationId,
+        /// The call.
+        call: StoreCall,
+    },
     /// A call to the cloud service.
-    Cloud { op: OperationId, call: CloudCall },
+    Cloud {
+        /// The number of the call.
+        op: OperationId,
+        /// The call.
+        call: CloudCall,
+    },
     /// Direct commands to a worker at that address.
-    Commands { machine: String, addr: String, batch: u64, direct: CommandBatch },
+    Commands {
+        /// The machine's name.
+        machine: String,
+        /// Where its worker listens.
+        addr: String,
+        /// The number of the batch.
+        batch: u64,
+        /// The commands.
+        direct: CommandBatch,
+    },
     /// A line of the log; the events are listed in `docs/operations.md`.
-    Log { level: LogLevel, event: &'static str, details: String },
+    Log {
+        /// How important it is.
+        level: LogLevel,
+        /// The name of the event.
+        event: &'static str,
+        /// Its fields, as `name=value`, or a name.
+        details: String,
+    },
 }
 
 /// Where the core puts its outputs while it handles one input.
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -60,7 +60,8 @@
     fn dispatch(&mut self, effects: &mut Effects, outgoing: OutgoingMessage) {
         let OutgoingMessage { from, to, message } = outgoing;
         let Some(from_epoch) = self.active_epoch(from) else { return };
-        let Some(owner) = self.shared.view.get(to.0 as usize).and_then(|view| view.owner) else {
+        let Some(owner) = self.shared.shard_views.get(to.0 as usize).and_then(|view| view.owner)
+        else {
             return;
         };
         if owner.node == self.shared.me {
@@ -115,8 +116,8 @@
                 }
             }
             ShardMessage::TeamUsage { serial, usage } => {
-                let granted = active.quota.report(context.now, from, from_epoch, serial, &usage);
-                if let Some(granted) = granted {
+                let now = context.now;
+                if let Some(granted) = active.quota.report(now, from, from_epoch, serial, &usage) {
                     context.send(to, from, ShardMessage::TeamGrant { serial, granted });
                 }
             }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -67,7 +67,7 @@
         effects
             .log(LogLevel::Info, "seat_acquired", || format!("seat={} epoch={}", shard.0, epoch.0));
         let owner = Owner { node: self.shared.me, boot: self.shared.boot, epoch };
-        self.shared.view[index].set_owner(owner, effects.now);
+        self.shared.shard_views[index].set_owner(owner, effects.now);
         self.owned[index] = Some(self.new_active_shard(shard, epoch, effects.now));
         if shard == PROVISIONER_SHARD {
             let provisioner = Provisioner::new(epoch, effects.now);
@@ -126,7 +126,7 @@
     /// Tells the participants here of all owners: a new epoch is a no to what older ones left open,
     /// whoever it was learned from.
     pub(super) fn propagate_owners(&mut self) {
-        for (shard, view) in self.shared.shards().zip(&self.shared.view) {
+        for (shard, view) in self.shared.shards().zip(&self.shared.shard_views) {
             let Some(owner) = view.owner else { continue };
             for active in self.owned.iter_mut().flatten() {
                 active.participant.see_coordinator(shard, owner.epoch);
@@ -148,7 +148,7 @@
             let Some(version) = self.acquirable_version(shard, now) else { continue };
             if self.owned[index].is_some()
                 || now < self.acquisitions[index].next_try
-                || self.shared.view[index].acquiring
+                || self.shared.shard_views[index].acquiring
             {
                 continue;
             }
@@ -161,7 +161,7 @@
 
     /// The version that the key of the shard must have to be acquired now; none: it is not to be.
     fn acquirable_version(&self, shard: Shard, now: Timestamp) -> Option<u64> {
-        let view = self.shared.view[shard.0 as usize];
+        let view = self.shared.shard_views[shard.0 as usize];
         let Some(owner) = view.owner else {
             let due = now >= view.vacant_since + self.acquisition_delay_ms(shard, now);
             return due.then_some(0);
@@ -196,7 +196,7 @@
     fn acquire(&mut self, effects: &mut Effects, shard: Shard, version: u64) {
         let index = shard.0 as usize;
         self.acquisitions[index].next_try = effects.now + ACQUIRE_INTERVAL_MS;
-        self.shared.view[index].acquiring = true;
+        self.shared.shard_views[index].acquiring = true;
         let key = keys::shard_key(shard);
         let node = self.shared.node_name(self.shared.me);
         let value = OwnerRecord { boot: self.shared.boot, node }.encode();
@@ -206,7 +206,7 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.store(Operation::Acquire(shard), StoreCall::Transaction(transaction));
+        context.store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
     }
 
     /// The answer to an acquisition. If another node owns the shard, the watch will tell.
@@ -216,7 +216,7 @@
         shard: Shard,
         result: &StoreResult,
     ) {
-        self.shared.view[shard.0 as usize].acquiring = false;
+        self.shared.shard_views[shard.0 as usize].acquiring = false;
         match result {
             StoreResult::Committed(revision)
                 if self.shared.lease.valid(effects.now) || !holds(Guard::DoubtOwns) =>
@@ -258,7 +258,7 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.store(Operation::Release(shard, epoch), StoreCall::Transaction(transaction));
+        context.store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
     }
 
     /// The answer to the transaction that gives a shard back.
@@ -276,7 +276,7 @@
         match result {
             StoreResult::Committed(revision) => {
                 self.drop_shard(effects, shard);
-                self.shared.view[index].vacate(*revision, effects.now);
+                self.shared.shard_views[index].vacate(*revision, effects.now);
                 self.acquisitions[index].next_try = effects.now + REACQUIRE_DELAY_MS;
             }
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -115,7 +115,7 @@
                 }
             }
             ShardKeyState::Vacant { revision } => {
-                self.shared.view[shard.0 as usize].vacate(revision, effects.now);
+                self.shared.shard_views[shard.0 as usize].vacate(revision, effects.now);
                 if self.active_epoch(shard).is_some_and(|epoch| epoch.0 <= revision) {
                     self.drop_shard(effects, shard);
                 }
@@ -133,7 +133,7 @@
         if self.shared.owner(shard).is_some_and(|known| known.epoch > owner.epoch) {
             return;
         }
-        self.shared.view[shard.0 as usize].set_owner(owner, effects.now);
+        self.shared.shard_views[shard.0 as usize].set_owner(owner, effects.now);
         let is_this_process = owner.node == self.shared.me && owner.boot == self.shared.boot;
         if is_this_process && self.shared.lease.valid(effects.now) {
             self.begin_ownership(effects, shard, owner.epoch);
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -27,7 +27,7 @@
     pub(super) budget: WriteBudget,
     pub(super) lease: Lease,
     /// By shard: its owner, as far as is known.
-    pub(super) view: Vec<ShardView>,
+    pub(super) shard_views: Vec<ShardView>,
     pub(super) health: Health,
     /// What was cancelled, and up to when it is known.
     pub(super) horizons: Horizons,
@@ -76,7 +76,7 @@
             names,
             budget: WriteBudget::new(settings.params.state.write_rps, count, now),
             lease: Lease::default(),
-            view: vec![ShardView::default(); count],
+            shard_views: vec![ShardView::default(); count],
             health: Health::new(me, count),
             horizons: Horizons::new(me, boot, count, config.cancel_ms, config.worker_lease_ms),
             operations: PendingOperations::default(),
@@ -100,7 +100,7 @@
             budget: &mut self.budget,
             horizons: &mut self.horizons,
             me: self.me,
-            view: &self.view,
+            shard_views: &self.shard_views,
             heard_at: self.health.heard_at(),
             operations: &mut self.operations,
             outbox: &mut self.outbox,
@@ -110,11 +110,11 @@
 
     /// As many shards as nodes.
     pub(super) fn shard_count(&self) -> usize {
-        self.view.len()
+        self.shard_views.len()
     }
 
     pub(super) fn shards(&self) -> impl Iterator<Item = Shard> + 'static {
-        (0..self.view.len()).map(|shard| Shard(shard as u8))
+        (0..self.shard_views.len()).map(|shard| Shard(shard as u8))
     }
 
     /// The shard that this node acts for whenever it can.
@@ -123,7 +123,7 @@
     }
 
     pub(super) fn owner(&self, shard: Shard) -> Option<Owner> {
-        self.view[shard.0 as usize].owner
+        self.shard_views[shard.0 as usize].owner
     }
 
     pub(super) fn node_name(&self, node: NodeIdx) -> String {
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -22,7 +22,13 @@
             }
             let mut heartbeat = heartbeat.clone();
             let horizons = &self.shared.horizons;
-            horizons.tell(node, &own_assertions, &self.shared.view, effects.now, &mut heartbeat);
+            horizons.tell(
+                node,
+                &own_assertions,
+                &self.shared.shard_views,
+                effects.now,
+                &mut heartbeat,
+            );
             let msg = NodeMessage::Heartbeat(heartbeat);
             effects.push(Effect::Mesh { to: name.clone(), msg });
         }
@@ -31,7 +37,7 @@
     /// The part of a heartbeat that is the same for all siblings.
     fn heartbeat(&self, now: Timestamp) -> NodeHeartbeat {
         let owned = self.owned_shards().iter().map(|(shard, epoch)| (shard.0, epoch.0)).collect();
-        let views = self.shared.view.iter().enumerate();
+        let views = self.shared.shard_views.iter().enumerate();
         let known = views.filter_map(|(shard, view)| {
             let newest = view.newest_owner?;
             Some((shard as u8, newest.node.0, newest.epoch.0))
@@ -57,11 +63,11 @@
             self.owner_claimed(effects, Shard(shard), claimed);
         }
         self.shared.health.record_heartbeat(from, heartbeat);
-        if self.shared.horizons.hear(from, heartbeat, &self.shared.view, effects.now) {
+        if self.shared.horizons.hear(from, heartbeat, &self.shared.shard_views, effects.now) {
             self.send_heartbeats(effects, |node| node == from);
         }
         let own_assertions = self.own_assertions(effects.now);
-        self.shared.horizons.advance(&own_assertions, &self.shared.view, effects.now);
+        self.shared.horizons.advance(&own_assertions, &self.shared.shard_views, effects.now);
         for active in self.owned.iter_mut().flatten() {
             if self.shared.health.all_acknowledge(active.participant.shard, active.epoch) {
                 active.participant.older_let_go(effects.now);
@@ -78,7 +84,7 @@
     /// cancelled meanwhile.)
     fn owner_claimed(&mut self, effects: &mut Effects, shard: Shard, claimed: Owner) {
         let known_node = (claimed.node.0 as usize) < self.shared.nodes.len();
-        let view = self.shared.view.get_mut(shard.0 as usize);
+        let view = self.shared.shard_views.get_mut(shard.0 as usize);
         let Some(view) = view.filter(|_| known_node) else { return };
         // Of our own former epochs we know, and of our present ones.
         if claimed.node == self.shared.me || !view.accept_claim(claimed, effects.now) {
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -26,8 +26,8 @@
             }
             Operation::ListShards => self.shards_listed(effects, &result),
             Operation::WatchShards => self.shards_watched(effects, &result),
-            Operation::Acquire(shard) => self.acquisition_answered(effects, shard, &result),
-            Operation::Release(shard, epoch) => {
+            Operation::Acquire { shard } => self.acquisition_answered(effects, shard, &result),
+            Operation::Release { shard, epoch } => {
                 self.release_answered(effects, shard, epoch, &result);
             }
             Operation::Records { shard, epoch } => {
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -56,7 +56,7 @@
         self.tick_lease(effects);
         self.tick_shard_list(effects);
         let own_assertions = self.own_assertions(now);
-        self.shared.horizons.advance(&own_assertions, &self.shared.view, now);
+        self.shared.horizons.advance(&own_assertions, &self.shared.shard_views, now);
         self.tick_ownership(effects);
         self.request_catalog(effects);
         self.expire_job_queries(effects);
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -2,11 +2,11 @@
 use super::Node;
 use crate::budget::WriteClass;
 use crate::context::{
-    known, queued, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
+    queued, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
 };
 use crate::guards::{holds, Guard};
 use crate::ids::{shard_of_job, JobId, NodeIdx, Shard, Timestamp, TypeIdx};
-use crate::io::{Effects, LogLevel, RequestId, StoreCall, StoreResult};
+use crate::io::{Effects, LogLevel, RequestId, StoreCall, StoreResult, UserReply};
 use crate::jobs::{job_state, wire_shape};
 use crate::keys;
 use crate::names::Resources;
@@ -234,13 +234,13 @@
         match result {
             StoreResult::Committed(revision) => {
                 self.job_created(effects, id, value, *revision);
-                self.shared.context(effects).reply(req, known(queued(id), true));
+                self.shared.context(effects).reply(req, UserReply::created(queued(id)));
             }
             StoreResult::Conflict(_) => {
                 self.lookup(effects, req, id, LookupPurpose::Resubmission);
             }
             StoreResult::Unknown if !holds(Guard::AcceptedDurable) => {
-                self.shared.context(effects).reply(req, known(queued(id), true));
+                self.shared.context(effects).reply(req, UserReply::created(queued(id)));
             }
             _ => self.reply_later(effects, req, UNKNOWN_RETRY_S),
         }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -83,7 +83,7 @@
     /// it; none: the worker is sent there.
     fn owner_to_relay_to(&mut self, report: &WorkerHeartbeat, now: Timestamp) -> Option<NodeIdx> {
         let shard = shard_of_machine(&report.machine, self.shared.shard_count());
-        let view = self.shared.view[shard.0 as usize];
+        let view = self.shared.shard_views[shard.0 as usize];
         let heard = view.owner.filter(|owner| self.shared.health.hears(owner.node, now));
         let machine = self.shared.names.machine(&report.machine);
         let owner = heard.filter(|_| self.calls.may_relay())?;
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -79,7 +79,7 @@
             budget: &mut self.budget,
             horizons: &mut self.horizons,
             me: NodeIdx(0),
-            view: &self.view,
+            shard_views: &self.view,
             heard_at: &[0],
             operations: &mut operations,
             outbox: &mut outbox,
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -3,17 +3,23 @@
 #[test]
 fn a_claim_is_believed_unless_the_shard_was_given_up_since() {
     let by = |epoch| Owner { node: NodeIdx(1), boot: 0, epoch: Epoch(epoch) };
-    let mut v = ShardView::default();
-    assert!(v.accept_claim(by(7), 0) && !v.accept_claim(by(7), 9) && !v.accept_claim(by(5), 9));
-    v.vacate(6, 100);
-    assert!(v.owner.is_some(), "an older deletion says nothing of a newer owner");
-    v.vacate(9, 100);
-    assert!(v.owner.is_none() && v.vacant_since == 100);
-    assert!(!v.accept_claim(by(7), 200), "it does not know yet that its lease is over");
-    assert_eq!(v.newest_owner.map(|o| o.epoch), Some(Epoch(7)), "siblings that know less are told");
-    v.vacate(9, 300);
-    assert_eq!(v.vacant_since, 100, "counted from when it was first seen");
-    assert!(v.accept_claim(by(12), 400) && v.owned_since == 400);
+    let mut view = ShardView::default();
+    assert!(
+        view.accept_claim(by(7), 0) && !view.accept_claim(by(7), 9) && !view.accept_claim(by(5), 9)
+    );
+    view.vacate(6, 100);
+    assert!(view.owner.is_some(), "an older deletion says nothing of a newer owner");
+    view.vacate(9, 100);
+    assert!(view.owner.is_none() && view.vacant_since == 100);
+    assert!(!view.accept_claim(by(7), 200), "it does not know yet that its lease is over");
+    assert_eq!(
+        view.newest_owner.map(|o| o.epoch),
+        Some(Epoch(7)),
+        "siblings that know less are told"
+    );
+    view.vacate(9, 300);
+    assert_eq!(view.vacant_since, 100, "counted from when it was first seen");
+    assert!(view.accept_claim(by(12), 400) && view.owned_since == 400);
 }
 
 /// A lease is over here before it is at the state service, and a worker's there before it is here, though
