--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,5 +1,5 @@
-//! What parts of the core need while they handle an input: the time, names, settings, who owns
-//! what, and ways to send, write, ask and answer. Below all parts, so that none needs the node.
+//! What parts of the core need while they handle an input: the time, names, settings, the shards'
+//! owners, and functions to send, write, call and reply. No part needs the node itself.
 use crate::budget::{WriteBudget, WriteClass};
 use crate::health::is_recent;
 use crate::horizon::Horizons;
@@ -273,6 +273,7 @@
     pub(crate) shard_views: &'a [ShardView],
     /// By node: when something was last received from it.
     pub(crate) heard_at: &'a [Timestamp],
+    /// Calls to outside services that are not answered yet.
     pub(crate) operations: &'a mut PendingOperations,
     /// Messages between shards that are not delivered yet.
     pub(crate) outbox: &'a mut VecDeque<OutgoingMessage>,
@@ -291,7 +292,7 @@
         self.shard_views.get(shard.0 as usize).and_then(|view| view.owner)
     }
 
-    /// Owned by this node, or by one from which something was received recently.
+    /// Whether it is owned by this node, or by one from which something was received recently.
     pub fn reachable(&self, shard: Shard) -> bool {
         self.owner(shard).is_some_and(|owner| {
             let heard_at = self.heard_at.get(owner.node.0 as usize);
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,10 +1,10 @@
-//! What is known of the siblings: evidence, by kind, and what it proves.
+//! Failure detection between controllers: evidence of each sibling, by kind, and what it proves.
 //!
 //! Invariants:
 //! - evidence is only ever what a sibling itself said or did, with the time it reached us;
 //! - what a statement proves, it proves for good: an epoch that a sibling knows it will not forget, so
 //!   that it acts for that shard under no older one again;
-//! - silence proves nothing. A sibling that is not heard may act on for its whole grace.
+//! - silence proves nothing: a sibling that is not heard may go on acting for its whole grace.
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, NodeIdx, Shard, Timestamp};
 use leaddeal_wire::mesh::NodeHeartbeat;
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -13,9 +13,9 @@
 const CALL_TIMEOUT_MS: u64 = 700;
 /// The same for a cancellation, which its owner first writes to the store.
 const CANCELLATION_TIMEOUT_MS: u64 = 2500;
-/// Marks the numbers of siblings' requests, so that they never meet those of the gateway.
+/// Set in the numbers of siblings' requests, which keeps them apart from those of the gateway.
 const SIBLING_REQUEST_BIT: RequestId = 1 << 62;
-/// A process numbers its calls from its boot times two to the power of this.
+/// The upper bits of a call's number are of the process's `boot`; this many count its calls.
 const BOOT_SHIFT: u32 = 20;
 
 /// A query about a job, to the owner of its shard.
@@ -32,8 +32,10 @@
     timeout_at: Timestamp,
 }
 
-/// Calls to siblings by their numbers. Invariant: no number is given twice, also not by former
-/// processes of this node, so that a late answer meets no other call.
+/// Calls to siblings by their numbers.
+///
+/// Invariant: a process gives no number twice, and begins elsewhere than the ones before it, so that a
+/// late answer is taken for no other call's.
 #[derive(Debug)]
 pub(super) struct SiblingCalls {
     last_number: u64,
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -142,7 +142,7 @@
             _ => {}
         }
     }
-    /// Sets an idle machine aside for the provisioner and says so; one with work is left as it is.
+    /// Drains an idle machine and confirms it to the provisioner; a machine with work is left as it is.
     fn drain(&mut self, context: &mut Context, shard: Shard, machine: String) {
         if self.participant.drain(context, &machine) {
             context.send(shard, PROVISIONER_SHARD, ShardMessage::Drained { machine });
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The answer to a renewal of that lease, sent at `sent`. Of an earlier lease it says nothing now.
+    /// The answer to a renewal of that lease, sent at `sent`. Ignored if it is of an earlier lease.
     pub(super) fn renewal_answered(
         &mut self,
         effects: &mut Effects,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -86,8 +86,8 @@
 }
 
 impl Node {
-    /// The node that the settings name. `boot` tells this process from former ones of the node and
-    /// grows from one to the next; `now` is the present time of the steady clock.
+    /// The node that the settings name. `boot` distinguishes this process from earlier ones of the
+    /// node and grows from one to the next; `now` is the present time of the steady clock.
     pub fn new(settings: &Settings, boot: u64, now: Timestamp) -> Node {
         let shared = SharedState::new(settings, boot, now);
         let shards = shared.shard_count();
@@ -114,11 +114,12 @@
         !self.shared.names.catalog.is_empty() && self.shard_list.known && store_available
     }
 
-    /// Whether users should come here: also while this node can only refuse, if no sibling could
-    /// do better, since a refusal with `Retry-After` is better than no answer. (Found on days of
-    /// our own: after a crash of all in an outage users met no controller until its end.)
+    /// Whether users' requests should be routed here: also while this node can only refuse them, if
+    /// no sibling could do better, since a refusal with `Retry-After` is better than no answer.
+    /// (Found on days of our own: after a crash of all in an outage users met no controller until its
+    /// end.)
     ///
-    /// A node that hears neither the state service nor any sibling can't tell whether they could: it
+    /// A node that reaches neither the state service nor any sibling can't know whether they could: it
     /// is cut off, more likely than all of them.
     pub fn healthy(&self, now: Timestamp) -> bool {
         let health = &self.shared.health;
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -18,9 +18,9 @@
 
 /// Between two tries to acquire the same shard.
 const ACQUIRE_INTERVAL_MS: u64 = 700;
-/// A shard whose home node is heard is left to that node for this long.
+/// A shard whose home node is reachable is left to that node for this long.
 const HOME_PRECEDENCE_MS: u64 = 1500;
-/// Each node that is heard and nearer to the shard's home goes first by this much.
+/// Each reachable node between the shard's home and this one goes first by this much.
 const ACQUIRE_STAGGER_MS: u64 = 400;
 /// For each shard that a node owns already, it waits longer by this much.
 const ACQUIRE_LOAD_DELAY_MS: u64 = 50;
@@ -40,8 +40,8 @@
 }
 
 impl Node {
-    /// What this node acts for and knows all of, by shard. Not while the shard is given back: that
-    /// may have been done already.
+    /// What this node asserts of the shards that it acts for and has loaded completely, by shard.
+    /// Nothing while a shard is being released: that may have been executed already.
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let doubt_ms = self.shared.lease.in_doubt_ms(now);
         let assertion = |active: &ActiveShard| {
@@ -56,7 +56,7 @@
         let index = shard.0 as usize;
         let owner = self.shared.owner(shard);
         let relinquished = self.acquisitions[index].relinquished;
-        // The second: an answer of the store that comes late, when a newer owner is known.
+        // The second condition: the store's answer came late, and a newer owner is known.
         if self.active_epoch(shard).is_some_and(|active| active >= epoch)
             || (holds(Guard::OlderEpoch) && owner.is_some_and(|owner| owner.epoch > epoch))
             || (holds(Guard::GivenUp) && epoch <= relinquished)
@@ -97,8 +97,8 @@
     /// Stops acting for the shard, if this node does.
     pub(super) fn drop_shard(&mut self, effects: &mut Effects, shard: Shard) {
         if let Some(mut active) = self.owned[shard.0 as usize].take() {
-            // Its numbers of rounds and attempts are used, and what gave the shard back may yet be
-            // executed: it is never acted under again.
+            // Numbers of rounds and attempts of this epoch are used, and the transaction that released
+            // the shard may yet be executed: this process never acts under the epoch again.
             self.acquisitions[shard.0 as usize].relinquished = active.epoch;
             active.coordinator.abandon(&mut self.shared.context(effects));
             effects.log(LogLevel::Info, "seat_lost", || {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Tells the participants here of all owners: a new epoch is a no to what older ones left open,
-    /// whoever it was learned from.
+    /// Informs the participants here of all owners: a newer epoch ends what coordinators left open under
+    /// older ones, whatever the source of the news.
     pub(super) fn propagate_owners(&mut self) {
         for (shard, view) in self.shared.shards().zip(&self.shared.shard_views) {
             let Some(owner) = view.owner else { continue };
@@ -173,8 +173,8 @@
         ours_and_over.then_some(owner.epoch.0)
     }
 
-    /// For how long a shard without owner is left to others. Home takes its own shard at once;
-    /// others in order of distance, and only later if home is alive.
+    /// For how long, in ms, a vacant shard is left to others. A node acquires its home shard at once;
+    /// others follow in order of distance from it, and later if the home node is alive.
     fn acquisition_delay_ms(&self, shard: Shard, now: Timestamp) -> u64 {
         if shard == self.shared.home_shard() {
             return 0;
@@ -209,7 +209,7 @@
         context.store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
     }
 
-    /// The answer to an acquisition. If another node owns the shard, the watch will tell.
+    /// The answer to an acquisition. If another node owns the shard, the watch will report it.
     pub(super) fn acquisition_answered(
         &mut self,
         effects: &mut Effects,
@@ -280,7 +280,7 @@
                 self.acquisitions[index].next_try = effects.now + REACQUIRE_DELAY_MS;
             }
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
-            // It may be gone already: stop acting, and let the lease or the watch tell.
+            // It may be released already: stop acting, and wait for the lease or the watch to show.
             StoreResult::Unknown if holds(Guard::ReleaseUnsure) => self.drop_shard(effects, shard),
             _ => {
                 if let Some(active) = &mut self.owned[index] {
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -5,8 +5,8 @@
 //!
 //! Invariants:
 //! - an answer is the owner's own, under its epoch: the node that relays it grants and commands nothing;
-//! - a worker is tried on the direct way again, ever more rarely, and only just after an answer, so
-//!   that its lease outlasts a try in vain;
+//! - a worker is redirected to its owner again at growing intervals, and only just after an answer, so
+//!   that its lease outlasts a failed attempt;
 //! - a worker that comes here because its owner is new is sent there at once: a takeover brings them
 //!   all.
 use crate::ids::{MachineIdx, Timestamp};
@@ -15,12 +15,12 @@
 /// A worker that comes back within this time after it was sent to its owner did not reach it: a
 /// worker waits 4 s for an answer, and 1 s more.
 const RETURN_WINDOW_MS: u64 = 12_000;
-/// A worker's heartbeats are relayed for this long before the direct way is tried again; twice as long
-/// after each try in vain.
+/// A worker's heartbeats are relayed for this long before the worker is redirected again; twice as
+/// long after each failed attempt.
 const INITIAL_RELAY_MS: u64 = 15_000;
-/// At most this long.
+/// Upper bound of that time.
 const MAX_RELAY_MS: u64 = 120_000;
-/// The worker's lease was renewed by a relayed heartbeat within this time: it outlasts a try.
+/// The worker's lease was renewed by a relayed heartbeat within this time: it outlasts an attempt.
 const FRESH_LEASE_MS: u64 = 8_000;
 /// A worker that has not come for this long starts anew.
 const FORGET_AFTER_MS: u64 = 180_000;
@@ -54,9 +54,10 @@
     redirected_at: Option<Timestamp>,
     /// When a heartbeat of it was last relayed.
     relayed_at: Option<Timestamp>,
-    /// The direct way is not tried before this time.
+    /// It is not redirected before this time.
     retry_direct_at: Timestamp,
-    /// For how long it is relayed after the next try in vain. Invariant: at most `MAX_RELAY_MS`.
+    /// For how long, in ms, it is relayed after the next failed attempt. Invariant: at most
+    /// `MAX_RELAY_MS`.
     relay_ms: u64,
 }
 
@@ -82,8 +83,8 @@
             history.retry_direct_at = now + history.relay_ms;
             history.relay_ms = (history.relay_ms * 2).min(MAX_RELAY_MS);
         }
-        // By the time that it comes, most of its lease may be over: one more try in vain, and its
-        // tasks are lost. (Found on a hunt: workers that had come by during a takeover, long before
+        // By the time that it comes, most of its lease may be over: one more failed attempt, and
+        // its tasks are lost. (Found on a hunt: workers that had come by during a takeover, long before
         // their owner lost them, were redirected first, and 169 leases ran out.)
         let fresh = history.relayed_at.is_some_and(|at| now < at + FRESH_LEASE_MS);
         let lease_at_risk = !fresh && visit.busy && visit.owner_for_ms >= NEW_OWNER_MS;
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -15,7 +15,9 @@
 /// After a watch that failed; then the shards are listed anew.
 const RELIST_DELAY_MS: u64 = 200;
 
-/// Whether the shards' keys are known. Invariant: while they are, a watch is in flight.
+/// Whether the shards' keys are known.
+///
+/// Invariant: while they are known, a watch is in flight.
 #[derive(Debug)]
 pub(super) struct ShardListState {
     /// They were listed, and every change since then was watched.
@@ -93,14 +95,14 @@
                 let state = ShardKeyState::Owned { value: &event.value, version };
                 self.observe_shard_key(effects, key, state);
             } else if let Some(key) = &event.delete {
-                // A deletion older than the acquisition we know of says nothing.
+                // A deletion older than the known acquisition changes nothing.
                 let state = ShardKeyState::Vacant { revision: version };
                 self.observe_shard_key(effects, key, state);
             }
         }
     }
 
-    /// The state service tells of one key. A key or value that can't be read is ignored.
+    /// Processes the state of one shard's key. A key or value that can't be read is ignored.
     fn observe_shard_key(&mut self, effects: &mut Effects, key: &str, state: ShardKeyState) {
         let Some(shard) = keys::parse_shard_key(key)
             .filter(|shard| (shard.0 as usize) < self.shared.shard_count())
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -16,7 +16,7 @@
 pub(super) struct SharedState {
     /// This node's place among the nodes, and the number of its home shard.
     pub(super) me: NodeIdx,
-    /// Tells this process from former ones of the node.
+    /// Distinguishes this process from earlier ones of the same node.
     pub(super) boot: u64,
     /// Names of all nodes, in the order that the settings give to all of them alike.
     pub(super) nodes: Vec<String>,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// The context of one input. It is made anew for each call of a part, since what it says of the
-    /// lease must be true at that moment.
+    /// The context of one input. It is made anew for each call of a part, since its `valid` must be
+    /// true at that moment.
     pub(super) fn context<'a>(&'a mut self, effects: &'a mut Effects) -> Context<'a> {
         Context {
             now: effects.now,
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -10,8 +10,8 @@
 use leaddeal_wire::worker::WorkerHeartbeat;
 
 impl Node {
-    /// Tells siblings what is owned here and what is known of the rest. Also while our lease may be
-    /// in doubt: an older owner's time is over all the same.
+    /// Sends heartbeats to siblings: which shards are owned here, and which owners of the others are
+    /// known. Also while our lease may be in doubt: an older owner's time is over all the same.
     pub(super) fn send_heartbeats(&self, effects: &mut Effects, to: impl Fn(NodeIdx) -> bool) {
         let own_assertions = self.own_assertions(effects.now);
         let heartbeat = self.heartbeat(effects.now);
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -78,16 +78,16 @@
 }
 
 impl Node {
-    /// A sibling that is alive but not heard can't tell which jobs were cancelled, nor can one that
-    /// is gone: the store can. (Found on hunts: controllers reached all but each other for longer than
+    /// Which jobs were cancelled can't be learned from a sibling that is alive but unreachable, nor from
+    /// one that is gone, but from the store. (Found on hunts: controllers reached all but each other for longer than
     /// a cancellation may take, and cancelled tasks ran on.)
     pub(super) fn tick_terminal_states(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let acts = self.shared.lease.valid(now)
             && self.owned.iter().any(Option::is_some)
             && holds(Guard::SilentFinals);
-        // What was cancelled before its horizon may have been said to another owner of our machines,
-        // which did not come to act on it.
+        // Cancellations before the horizon may have been sent to another owner of our machines, which
+        // did not come to act on them.
         let back_ms =
             if holds(Guard::FinalsBack) { OVERLAP_MS + self.shared.config.cancel_ms } else { 0 };
         for shard in self.shared.shards() {
@@ -118,8 +118,8 @@
         self.shared.context(effects).store(operation, call);
     }
 
-    /// The answer to a call of a reading that was made at `asked`. The answer to a call of a reading
-    /// that was given up says nothing of a later one.
+    /// The answer to a reading's call that was made at `asked`. It is ignored if that reading was
+    /// abandoned since.
     pub(super) fn terminal_states_read(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -29,7 +29,7 @@
     now: Timestamp,
     asked: Vec<(u64, crate::io::StoreCall)>,
     /// Requests that users were answered.
-    told: Vec<RequestId>,
+    answered: Vec<RequestId>,
 }
 
 impl World {
@@ -37,7 +37,7 @@
         for o in self.node.step(self.now, self.now, input) {
             match o {
                 Effect::Store { op, call } => self.asked.push((op, call)),
-                Effect::User { req, .. } => self.told.push(req),
+                Effect::User { req, .. } => self.answered.push(req),
                 Effect::Cloud { op, call: CloudCall::Catalog } => {
                     let small = MachineType {
                         name: "small".into(),
@@ -106,16 +106,16 @@
 #[test]
 fn an_epoch_that_was_given_up_is_never_acted_under_again() {
     let node = Node::new(&settings(), 77, 1000);
-    let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
-    w.answer(store);
-    assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
-    let mut effects = Effects::new(w.now);
-    w.node.drop_shard(&mut effects, Shard(0));
-    w.node.shard_list.known = false;
-    w.asked.clear();
-    w.answer(store);
-    assert!(w.node.owned_shards().is_empty(), "listed again, it was given up");
-    let asked: Vec<u64> = w.asked.iter().filter_map(|(_, c)| acquires(c)).collect();
+    let mut world = World { node, now: 1000, asked: Vec::new(), answered: Vec::new() };
+    world.answer(store);
+    assert_eq!(world.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
+    let mut effects = Effects::new(world.now);
+    world.node.drop_shard(&mut effects, Shard(0));
+    world.node.shard_list.known = false;
+    world.asked.clear();
+    world.answer(store);
+    assert!(world.node.owned_shards().is_empty(), "listed again, it was given up");
+    let asked: Vec<u64> = world.asked.iter().filter_map(|(_, c)| acquires(c)).collect();
     assert_eq!(asked.first(), Some(&7), "it is acquired anew, under a new epoch");
 }
 
@@ -134,24 +134,25 @@
 #[test]
 fn a_submission_answered_after_its_job_was_over_brings_nothing_back() {
     let node = Node::new(&settings(), 77, 1000);
-    let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
-    w.step(Input::Tick);
+    let mut world = World { node, now: 1000, asked: Vec::new(), answered: Vec::new() };
+    world.step(Input::Tick);
     let submit = |req, id| Input::Submit { req, id: Some(JobId(id)), job: Ok(Box::new(job(id))) };
-    w.step(submit(1, 5));
-    w.step(submit(2, 6));
-    let txns = w.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Transaction(_)));
+    world.step(submit(1, 5));
+    world.step(submit(2, 6));
+    let txns =
+        world.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Transaction(_)));
     let ops: Vec<u64> = txns.map(|(op, _)| *op).collect();
     assert_eq!(ops.len(), 2, "{ops:?}");
-    w.answer(store);
-    assert_eq!(w.node.owned_shards(), [(Shard(0), Epoch(7))]);
+    world.answer(store);
+    assert_eq!(world.node.owned_shards(), [(Shard(0), Epoch(7))]);
     // The list is of revision 9.
     for (op, revision) in ops.into_iter().zip([8, 10]) {
-        w.step(Input::Store { op, result: StoreResult::Committed(revision) });
+        world.step(Input::Store { op, result: StoreResult::Committed(revision) });
     }
-    w.step(Input::Get { req: 3, id: JobId(5) });
-    w.step(Input::Get { req: 4, id: JobId(6) });
-    assert!(w.told.contains(&4), "created after the list: {:?}", w.told);
-    assert!(!w.told.contains(&3), "of the other one the store is asked");
+    world.step(Input::Get { req: 3, id: JobId(5) });
+    world.step(Input::Get { req: 4, id: JobId(6) });
+    assert!(world.answered.contains(&4), "created after the list: {:?}", world.answered);
+    assert!(!world.answered.contains(&3), "of the other one the store is asked");
 }
 
 /// While the shard is loaded, what is done of a job is not known: cancelled then, it would leave its records
@@ -161,7 +162,7 @@
     use crate::io::StoreCall;
     use crate::keys;
     let node = Node::new(&settings(), 77, 1000);
-    let mut w = World { node, now: 1000, asked: Vec::new(), told: Vec::new() };
+    let mut world = World { node, now: 1000, asked: Vec::new(), answered: Vec::new() };
     let (shard, id) = (Shard(0), JobId(5));
     let jobs = |call: &StoreCall| match call {
         StoreCall::List { prefix, .. } if *prefix == keys::job_prefix(shard) => {
@@ -172,15 +173,15 @@
         StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard) => None,
         call => store(call),
     };
-    w.answer(jobs);
-    w.step(Input::Cancel { req: 1, id });
+    world.answer(jobs);
+    world.step(Input::Cancel { req: 1, id });
     let ask = NodeMessage::QueryJob { call: 2, job: id.0, cancel: true };
-    w.step(Input::Mesh { from: "n-0".into(), msg: Box::new(ask) });
-    w.answer(jobs);
+    world.step(Input::Mesh { from: "n-0".into(), msg: Box::new(ask) });
+    world.answer(jobs);
     let runs = |c: &StoreCall| matches!(c, StoreCall::List { prefix, .. } if *prefix == keys::run_prefix(shard));
-    assert!(w.asked.iter().any(|(_, c)| runs(c)), "it is being loaded: {:?}", w.asked);
-    let written = w.asked.iter().any(|(_, c)| matches!(c, StoreCall::Transaction(_)));
-    assert!(!written, "{:?}", w.asked);
+    assert!(world.asked.iter().any(|(_, c)| runs(c)), "it is being loaded: {:?}", world.asked);
+    let written = world.asked.iter().any(|(_, c)| matches!(c, StoreCall::Transaction(_)));
+    assert!(!written, "{:?}", world.asked);
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -25,7 +25,7 @@
     last_tick: Timestamp,
     next_slow_tick: Timestamp,
     next_catalog_request: Timestamp,
-    /// The home shard is not asked for before this time, or at it.
+    /// The home shard is not reclaimed until after this time.
     home_reclaim_from: Timestamp,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Node {
-    /// Some time has passed; called several times a second.
+    /// Does all that is due; called at short intervals.
     pub(super) fn tick(&mut self, effects: &mut Effects) {
         let now = effects.now;
         self.detect_stall(effects);
@@ -114,7 +114,7 @@
         self.inform_provisioner(effects);
     }
 
-    /// At home again and ready: asks the present owner for the home shard.
+    /// Asks the present owner for the home shard, once this node is ready for it.
     fn reclaim_home_shard(&mut self, effects: &mut Effects) {
         let home = self.shared.home_shard();
         let Some(owner) = self.shared.owner(home) else { return };
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Tells the provisioner which demand is unmet, and which machines there are.
+    /// Sends the provisioner the unmet demand and the inventory of each shard that is owned here.
     fn inform_provisioner(&mut self, effects: &mut Effects) {
         for (shard, slot) in self.shared.shards().zip(&mut self.owned) {
             let Some(active) = slot else { continue };
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Whether this node owns the shard, knows all of it, and may say so.
+    /// Whether this node owns the shard, has loaded it, and may answer for it.
     fn speaks_for(&self, shard: Shard, now: Timestamp) -> bool {
         let valid = self.shared.lease.valid(now) || !holds(Guard::DoubtTells);
         let active = self.owned[shard.0 as usize].as_ref();
@@ -153,7 +153,7 @@
         found
     }
 
-    /// The sibling that owns the shard, if it was heard recently.
+    /// The sibling that owns the shard, if it is reachable.
     fn reachable_owner(&self, shard: Shard, now: Timestamp) -> Option<NodeIdx> {
         let owner = self.shared.owner(shard)?.node;
         let reachable = owner != self.shared.me && self.shared.health.hears(owner, now);
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Tells the job's coordinator, if it is here and its list of jobs is older than this job.
+    /// Informs the job's coordinator, if it is here and its list of jobs is older than this job.
     fn job_created(
         &mut self,
         effects: &mut Effects,
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -14,9 +14,9 @@
     /// moment from which its lease is over in time (`horizon.rs`), and its machine's shard is still
     /// ours by then. If not, it is relinquished, for the node that owns that shard by now.
     ///
-    /// (Found by the simulator: workers stayed with a node that heard nobody for its whole grace; and,
-    /// seed 1498, with one that heard a sibling again which knew as little, while the third had
-    /// cancelled a job and could not be heard. Found by the operators: a store that refused one
+    /// (Found by the simulator: workers stayed with a node that heard no sibling for its whole grace;
+    /// and, seed 1498, with one that heard a sibling again which knew as little, while the third had
+    /// cancelled a job and was unreachable. Found by the operators: a store that refused one
     /// controller and then all, while workers still reported to that one.)
     fn may_answer(&self, report: &WorkerHeartbeat, now: Timestamp) -> bool {
         let shards = self.shared.shard_count();
@@ -42,7 +42,7 @@
         let horizons = &self.shared.horizons;
         let behind: Vec<Shard> =
             self.shared.shards().filter(|&shard| !horizons.permits(shard, now)).collect();
-        // A process that has just begun has to hear of all first.
+        // A process that has just begun has to receive heartbeats of all owners first.
         let acts = self.owned.iter().any(Option::is_some)
             && now >= self.timers.started + FIRST_HEARTBEATS_MS;
         let relinquished = !behind.is_empty() && acts;
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -52,7 +52,7 @@
         self.add_unproven(MAX_UNPROVEN_HEARTBEATS, now);
     }
 
-    /// It did what it was told to do, or answered: it is reachable.
+    /// It executed a command, or answered one: it is reachable.
     pub fn proven(&mut self) {
         self.unproven = 0;
         self.unreachable_since = None;
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,4 +1,4 @@
-//! Lease and shards: who acts for which participant and which jobs.
+//! The controllers' lease, and which node owns each shard of the jobs and machines.
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, NodeIdx, Timestamp};
 
@@ -49,7 +49,7 @@
     pub acquiring: bool,
 }
 
-/// What the state service says of a shard's key.
+/// The state of a shard's key in the state service.
 #[derive(Clone, Copy, Debug)]
 pub enum ShardKeyState<'a> {
     /// It has this value, since that revision.
@@ -67,7 +67,7 @@
 }
 
 impl ShardKeyState<'_> {
-    /// The revision that is known of by this.
+    /// The revision at which the key had this state.
     pub fn revision(&self) -> u64 {
         match *self {
             ShardKeyState::Owned { version, .. } => version,
@@ -87,9 +87,9 @@
         }
     }
 
-    /// A sibling says that this is the owner, whose lease may be in doubt: that is believed unless a
-    /// newer owner is known, or the store has said that the shard was given up since. True: it is
-    /// news.
+    /// A sibling claims that this is the owner, whose lease may be in doubt. The claim is accepted
+    /// unless that owner or a newer one is known, or the store has shown that the shard was given up
+    /// since. Returns whether it is.
     ///
     /// (Found by the simulator: heartbeats of an owner in doubt named none of its shards, and the
     /// owner before, which the store refused, kept workers with cancelled tasks.)
@@ -102,7 +102,7 @@
         news
     }
 
-    /// The store says, or a sibling is believed, that this is the owner.
+    /// This is the owner, as shown by the store or by a claim that was accepted.
     pub fn set_owner(&mut self, new: Owner, now: Timestamp) {
         if self.owner.is_none_or(|owner| owner.epoch != new.epoch) {
             self.owned_since = now;
