--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -39,20 +39,38 @@
     pub(super) relayed_requests: HashMap<RequestId, RelayedRequest>,
 }
 
+/// A decision's record: what it takes beside its placements, and for each of them, in bytes.
+const DECISION_OVERHEAD_BYTES: f64 = 200.0;
+const PLACEMENT_BYTES: f64 = 64.0;
+/// Placements in one decision, however large a record may be.
+const MAX_PLACEMENTS: f64 = 150.0;
+/// A machine is quiet after 2.5 heartbeat intervals, in ms for each second of the interval, and some
+/// more ms.
+const QUIET_MS_PER_INTERVAL_S: f64 = 2500.0;
+const QUIET_EXTRA_MS: u64 = 500;
+/// The next heartbeat of a worker that was answered is due within 1.25 intervals, in ms for each second
+/// of the interval, and some more ms.
+const REPORT_DUE_MS_PER_INTERVAL_S: f64 = 1250.0;
+const REPORT_DUE_EXTRA_MS: u64 = 1500;
+/// Between calls to a cloud that allows one call in a second, in ms: a tenth more than needed.
+const CLOUD_GAP_AT_1_RPS_MS: f64 = 1100.0;
+
 /// What the core needs of the settings of a cluster of `nodes` controllers.
 fn config(params: &Params, nodes: usize) -> Config {
-    let max_picks = ((params.state.value_kb * 1024.0 - 200.0) / 64.0).clamp(1.0, 150.0) as usize;
+    let record_bytes = params.state.value_kb * 1024.0 - DECISION_OVERHEAD_BYTES;
+    let max_picks = (record_bytes / PLACEMENT_BYTES).clamp(1.0, MAX_PLACEMENTS) as usize;
     // Tasks of one job that its shard may place in a second: half of the shard's changes go to
     // decisions, and no job takes more than a third of one.
     let placed_per_s = params.state.write_rps / nodes as f64 * 0.5 * max_picks as f64 / 3.0;
     Config {
         worker_lease_ms: (params.workers.lease_s * 1000.0) as u64,
         cancel_ms: (params.workers.cancel_s * 1000.0) as u64,
-        quiet_ms: (params.workers.report_s * 2500.0) as u64 + 500,
-        report_due_ms: (params.workers.report_s * 1250.0) as u64 + 1500,
+        quiet_ms: (params.workers.report_s * QUIET_MS_PER_INTERVAL_S) as u64 + QUIET_EXTRA_MS,
+        report_due_ms: (params.workers.report_s * REPORT_DUE_MS_PER_INTERVAL_S) as u64
+            + REPORT_DUE_EXTRA_MS,
         max_picks,
         txn_ops: params.state.txn_ops,
-        cloud_gap_ms: (1100.0 / params.cloud.rps) as u64,
+        cloud_gap_ms: (CLOUD_GAP_AT_1_RPS_MS / params.cloud.rps) as u64,
         list_lag_ms: (params.cloud.list_lag_s * 1000.0) as u64,
         teams: params.teams.clone(),
         aims: Objectives::new(&params.objectives, 1000.0 / placed_per_s.max(1.0)),
