--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -12,8 +12,8 @@
 use crate::names::Names;
 use crate::quota;
 use crate::shard::{Owner, ShardView};
-use crate::stored::OperatorMachinesRecord;
-use leaddeal_wire::mesh::{JobAnswer, NodeMessage, ShardMessage};
+use crate::stored::{OperatorMachinesRecord, QuotaUse};
+use leaddeal_wire::mesh::{JobAnswer, NodeMessage, QuotaAmount, ShardMessage};
 use leaddeal_wire::state::{Change, Condition, Transaction};
 use leaddeal_wire::user::{self, JobState, Status};
 use leaddeal_wire::worker::CommandBatch;
@@ -145,10 +145,12 @@
     }
 
     /// A job's team and what a task takes of its limit, if it has one.
-    pub fn team_use(&self, j: &Job) -> Option<(u8, u64, u64)> {
-        let i = self.config.teams.iter().position(|t| t.name == j.wire.team)?;
-        quota::limit(&self.config.teams[i])?;
-        Some((i as u8, j.shape.need.cpu, j.shape.need.gpu))
+    pub fn team_use(&self, job: &Job) -> Option<QuotaUse> {
+        let team = self.config.teams.iter().position(|team| team.name == job.wire.team)?;
+        quota::limit(&self.config.teams[team])?;
+        let need = job.shape.need;
+        let amount = QuotaAmount { cpu: need.cpu, gpu: need.gpu };
+        Some(QuotaUse { team: team as u8, amount })
     }
 
     pub fn send(&mut self, from: Shard, to: Shard, msg: ShardMessage) {
--- a/crates/core/src/coordinator/rounds/tests.rs
+++ b/crates/core/src/coordinator/decision_log/tests.rs
@@ -9,16 +9,16 @@
 fn no_late_deletion_takes_a_live_decision() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut rounds = Rounds::default();
+        let mut log = DecisionLog::default();
         let mut store: BTreeMap<String, u64> = BTreeMap::new();
         let mut late: Vec<Vec<String>> = Vec::new();
         let mut live: BTreeMap<u64, (String, u32)> = BTreeMap::new();
         let (mut created, mut version) = (0, 0);
         for round in 1..400u64 {
-            let r = rounds.record(|| format!("d/0/7-{round}"));
+            let r = log.take_slot(|| format!("d/0/7-{round}"));
             assert_eq!(store.get(&r.key).copied().unwrap_or(0), r.version, "seed {seed}");
             if rng.random_bool(0.1) {
-                rounds.not_written(r);
+                log.not_written(r);
                 continue;
             }
             version += 1;
@@ -27,14 +27,14 @@
             let picks = rng.random_range(0..4);
             // Its outcome was learned without its revision, now and then.
             let known = rng.random_bool(0.8).then_some(version);
-            rounds.open(round, r.key.clone(), known, picks);
+            log.open(round, r.key.clone(), known, picks);
             if picks > 0 {
                 live.insert(round, (r.key, picks));
             }
             while live.len() > 40 || (!live.is_empty() && rng.random_bool(0.6)) {
                 let n = rng.random_range(0..live.len());
                 let (&at, _) = live.iter().nth(n).expect("one of them");
-                rounds.one_less(at);
+                log.placement_over(at);
                 if let Some(l) = live.get_mut(&at) {
                     l.1 -= 1;
                     if l.1 == 0 {
@@ -43,14 +43,14 @@
                 }
             }
             if rng.random_bool(0.3) {
-                let keys = rounds.take_unneeded(5);
+                let keys = log.take_unneeded(5);
                 for k in &keys {
                     store.remove(k);
                 }
                 if rng.random_bool(0.5) {
                     // No answer: a copy of it comes later.
                     late.push(keys.clone());
-                    rounds.delete_again(keys);
+                    log.delete_again(keys);
                 }
             }
             if rng.random_bool(0.2) {
@@ -61,7 +61,7 @@
             let needed: BTreeSet<&String> = live.values().map(|l| &l.0).collect();
             assert_eq!(needed.len(), live.len(), "a record holds one decision");
             assert!(needed.iter().all(|k| store.contains_key(*k)), "seed {seed}: lost");
-            assert_eq!(rounds.count().0, live.len());
+            assert_eq!(log.counts().live, live.len());
         }
         assert!(created < 250, "seed {seed}: {created} records made for 400 decisions");
     }
--- /dev/null
+++ b/crates/core/src/coordinator/figures.rs
@@ -0,0 +1,41 @@
+//! Figures of a coordinator for the operators' log.
+use super::Coordinator;
+use crate::ids::Timestamp;
+
+/// Decisions, and placements in them, since the figures were last asked for.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct DecisionCounts {
+    placements: u64,
+    decisions: u64,
+}
+
+impl DecisionCounts {
+    /// Counts a decision with this many placements.
+    pub fn add(&mut self, placements: usize) {
+        self.placements += placements as u64;
+        self.decisions += 1;
+    }
+}
+
+impl Coordinator {
+    /// What is kept and what waits to be written; the counts of decisions start again at 0.
+    pub fn figures(&mut self, now: Timestamp) -> String {
+        let oldest = self.over.values().min().map_or(0, |at| now.saturating_sub(*at));
+        let uncompacted: usize =
+            self.dirty.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.uncompacted.len()).sum();
+        let records = self.decision_log.counts();
+        let counts = std::mem::take(&mut self.decision_counts);
+        format!(
+            "shard={} jobs={} waiting={} untold={} oldest_untold_ms={oldest} unfolded={uncompacted} \
+             decisions={} spare={} rounds={} picks={}",
+            self.shard.0,
+            self.jobs.len(),
+            self.unplaced_jobs.len(),
+            self.over.len(),
+            records.live,
+            records.spare,
+            counts.decisions,
+            counts.placements,
+        )
+    }
+}
--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -102,7 +102,7 @@
                 // What it had done counts no more; its machines may forget it.
                 let acks = std::mem::take(&mut j.uncompacted);
                 j.placed.stop_all();
-                self.unsettled.insert(id);
+                self.unsettled_jobs.insert(id);
                 let s = j.state();
                 let empty = j.placed.is_empty();
                 for r in std::mem::take(&mut j.cancel_requests) {
@@ -142,7 +142,7 @@
     ) {
         let mut by_shard: BTreeMap<Shard, Vec<AttemptRef>> = BTreeMap::new();
         for (task, attempt, m, round) in acks {
-            self.rounds.one_less(round);
+            self.decision_log.placement_over(round);
             let machine = ctx.names.machine_name(m).to_string();
             let shard = ctx.shard_of_machine(&machine);
             let what =
@@ -171,7 +171,9 @@
             self.fold_finals(ctx, &mut fold, &mut changes);
         }
         let finals = changes.len();
-        if ctx.now >= self.fold_after && !(self.dirty.is_empty() && self.rounds.waiting() == 0) {
+        if ctx.now >= self.fold_after
+            && !(self.dirty.is_empty() && self.decision_log.waiting() == 0)
+        {
             self.fold_chunks(ctx, &mut fold, &mut changes);
             self.fold_after = ctx.now + CHUNKS_MS;
         }
@@ -179,8 +181,8 @@
         let most = ctx.config.txn_ops.saturating_sub(changes.len());
         let most = most.min(ctx.budget.room(WriteClass::Deferrable));
         // Deletions alone can wait for company.
-        if !changes.is_empty() || self.rounds.waiting().min(most) >= DELETE_ALONE {
-            fold.rounds = self.rounds.take_unneeded(most);
+        if !changes.is_empty() || self.decision_log.waiting().min(most) >= DELETE_ALONE {
+            fold.rounds = self.decision_log.take_unneeded(most);
             changes.extend(fold.rounds.iter().map(|key| Change::Delete { key: key.clone() }));
         }
         if changes.is_empty() {
@@ -335,7 +337,7 @@
             WriteOutcome::NotDone => {
                 self.fold_after = ctx.now + 500;
                 self.finals_after = ctx.now + 500;
-                self.rounds.delete_again(f.rounds);
+                self.decision_log.delete_again(f.rounds);
                 for (id, chunks) in f.chunks {
                     if let Some(j) = self.jobs.get_mut(&id) {
                         j.dirty_chunks.extend(chunks);
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -8,6 +8,7 @@
 use crate::preemption::{victims, Candidate};
 use crate::quota::admission::{Admission, AdmissionRequest, Admitted, QuotaStatus};
 use crate::quota::{self, shard_of_team};
+use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::{ByPriority, FirstInQueue, QuotaAmount, ShardMessage, TeamUsage};
 use leaddeal_wire::user::{Kind, Priority};
 use std::cmp::Reverse;
@@ -63,16 +64,16 @@
         if limited(ctx).is_empty() {
             return used;
         }
-        let mut count = |priority: Priority, (team, cpu, gpu): (u8, u64, u64)| {
-            let sum = &mut used.entry(team).or_default()[priority as usize];
-            *sum = sum.plus(QuotaAmount { cpu, gpu });
+        let mut count = |priority: Priority, quota: QuotaUse| {
+            let sum = &mut used.entry(quota.team).or_default()[priority as usize];
+            *sum = sum.plus(quota.amount);
         };
         for j in self.jobs.values() {
-            for take in j.placed.values().filter_map(|p| p.team) {
+            for take in j.placed.values().filter_map(|p| p.quota) {
                 count(j.wire.priority, take);
             }
         }
-        for c in self.writing.iter().flat_map(|w| &w.choices) {
+        for c in self.pending_decision.iter().flat_map(|w| &w.selected) {
             if let Some(j) = self.jobs.get(&c.job) {
                 if let Some(take) = ctx.team_use(j) {
                     count(j.wire.priority, take);
@@ -107,9 +108,9 @@
             return Vec::new();
         }
         let now = ctx.now;
-        let jobs = self.pending.iter().filter_map(|id| self.jobs.get(id));
+        let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
         let open = jobs.filter(|j| !j.cancelled && j.terminating.is_none() && j.pending() > 0);
-        let mut waiting: Vec<(Turn, &Job, (u8, u64, u64))> = open
+        let mut waiting: Vec<(Turn, &Job, QuotaUse)> = open
             .filter(|j| j.may_start())
             .filter_map(|j| Some((turn(j, now), j, ctx.team_use(j)?)))
             .collect();
@@ -118,9 +119,8 @@
         let mut teams: BTreeMap<u8, Admission> = BTreeMap::new();
         let mut kept = BTreeSet::new();
         let mut seen = Vec::new();
-        for (_, j, (team, cpu, gpu)) in waiting {
+        for (_, j, QuotaUse { team, amount: task }) in waiting {
             let whole = j.wire.kind == Kind::Gang;
-            let task = QuotaAmount { cpu, gpu };
             let count = if j.failure_suspicion.is_suspected() { 1 } else { j.pending() };
             let need = task.times(if whole { count } else { 1 });
             if !limits.get(&team).is_some_and(|limit| need.within(*limit)) {
@@ -154,7 +154,7 @@
     /// Tells the teams' shards what is used and wanted.
     pub fn report_teams(&mut self, ctx: &mut Context) {
         // A report gives the grants back for a moment: not while offers are out, if that ends soon.
-        let due = self.team_at + if self.talk.is_some() { TELL_MS } else { 0 };
+        let due = self.team_at + if self.negotiation.is_some() { TELL_MS } else { 0 };
         if !self.ready() || ctx.now < due {
             return;
         }
@@ -240,7 +240,9 @@
         let now = ctx.now;
         self.ways.retain(|_, at| now < *at + 2 * WAY_MS);
         let Some(j) = self.jobs.get(&id).filter(|_| !self.ways.contains_key(&id)) else { return };
-        let Some((team, cpu, gpu)) = ctx.team_use(j) else { return };
+        let Some(QuotaUse { team, amount: QuotaAmount { cpu, gpu } }) = ctx.team_use(j) else {
+            return;
+        };
         let (priority, whole) = (j.wire.priority, j.wire.kind == Kind::Gang);
         let wanted = if whole { tasks } else { tasks.min(WAY_TASKS) };
         let free = standing.free();
@@ -251,7 +253,7 @@
         let theirs = |o: &&Job| {
             o.wire.kind != Kind::Service
                 && o.wire.priority < priority
-                && ctx.team_use(o).is_some_and(|t| t.0 == team)
+                && ctx.team_use(o).is_some_and(|t| t.team == team)
         };
         for o in self.jobs.values().filter(theirs) {
             let mut gang = Candidate {
@@ -261,7 +263,9 @@
                 loss: 0,
             };
             for (task, p) in o.placed.iter() {
-                let Some((_, cpu, gpu)) = p.team else { continue };
+                let Some(QuotaUse { amount: QuotaAmount { cpu, gpu }, .. }) = p.quota else {
+                    continue;
+                };
                 let need = Resources { cpu, gpu, mem: 0 };
                 if p.stop.is_some() || o.cancelled {
                     free.add(need, 1);
@@ -299,7 +303,7 @@
                 None => o.placed.stop_rest(grace),
             }
             self.gave_way += (o.placed.stopping() - before) as u64;
-            self.unsettled.insert(of);
+            self.unsettled_jobs.insert(of);
         }
         self.next_resend = now;
     }
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -1,50 +1,64 @@
-//! Loading a shard: decisions, jobs, done tasks, in this order.
-use super::{Coordinator, Load};
+//! Loading a shard: decisions, jobs and completions, in this order. Afterwards, jobs as they are created.
+use super::Coordinator;
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
+use crate::ids::{Attempt, JobId};
 use crate::io::StoreResult;
 use crate::jobs::{wire_shape, Job};
 use crate::keys;
 use crate::placed::Placement;
 use crate::records::{Record, RecordReader};
-use crate::stored::{CompletionRecord, DecisionRecord, JobRecord};
+use crate::stored::{CompletionRecord, DecisionRecord, JobRecord, PlacementRecord};
 use leaddeal_wire::mesh::TaskPhase;
 use serde_json::Value;
 use std::sync::Arc;
 
-/// So long a watch for new jobs waits.
-const JOBS_WAIT_MS: u64 = 15_000;
+/// How long a watch for new jobs waits at the store.
+const JOB_WATCH_TIMEOUT_MS: u64 = 15_000;
 
-/// A record that does not decode silences only itself.
-fn unreadable(ctx: &mut Context, key: &str) {
+/// What is being loaded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LoadStage {
+    Decisions,
+    Jobs,
+    Completions,
+    /// All is loaded; new jobs are watched for.
+    Ready,
+}
+
+/// A record that does not decode is logged and skipped: it affects only itself.
+fn log_unreadable(ctx: &mut Context, key: &str) {
     ctx.effects.log(0, "record_unreadable", || key.to_string());
 }
 
 impl Coordinator {
-    /// Reads on: the next page, or what comes.
+    /// Reads on: the next page, or what is written.
     pub(super) fn read_on(&mut self, ctx: &mut Context) {
-        if let Some(call) = self.feed.call(ctx.now) {
+        if let Some(call) = self.reader.call(ctx.now) {
             ctx.store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
+    /// Handles the answer to a read of records.
     pub fn records(&mut self, ctx: &mut Context, result: StoreResult) {
-        let heard = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
-        for r in self.feed.take(ctx.now, result) {
-            match self.load {
-                Load::Decisions => self.decisions.push(r),
-                Load::Jobs | Load::Ready => self.job_created(ctx, &r.key, &r.value),
-                Load::Runs => self.run_loaded(ctx, &r),
+        let is_answered = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
+        for record in self.reader.take(ctx.now, result) {
+            match self.load_stage {
+                LoadStage::Decisions => self.loaded_decisions.push(record),
+                LoadStage::Jobs | LoadStage::Ready => {
+                    self.job_created(ctx, &record.key, &record.value);
+                }
+                LoadStage::Completions => self.completion_loaded(ctx, &record),
             }
         }
-        if !heard {
-            if let Some(what) = self.feed.in_vain() {
+        if !is_answered {
+            if let Some(what) = self.reader.in_vain() {
                 ctx.effects.log(1, "records_refused", || what);
             }
             return;
         }
-        if self.feed.caught_up() && !self.ready() {
-            self.next_load(ctx);
+        if self.reader.caught_up() && !self.ready() {
+            self.next_load_stage(ctx);
             if self.ready() {
                 return;
             }
@@ -52,46 +66,52 @@
         self.read_on(ctx);
     }
 
-    fn next_load(&mut self, ctx: &mut Context) {
-        match self.load {
-            Load::Decisions => {
-                self.load = Load::Jobs;
-                self.feed = RecordReader::all(keys::job_prefix(self.shard), JOBS_WAIT_MS);
+    fn next_load_stage(&mut self, ctx: &mut Context) {
+        match self.load_stage {
+            LoadStage::Decisions => {
+                self.load_stage = LoadStage::Jobs;
+                self.reader = RecordReader::all(keys::job_prefix(self.shard), JOB_WATCH_TIMEOUT_MS);
             }
-            Load::Jobs => {
-                self.load = Load::Runs;
-                self.loaded_from = self.feed.revision();
-                let runs = RecordReader::pages(keys::run_prefix(self.shard));
-                self.jobs_feed = Some(std::mem::replace(&mut self.feed, runs));
+            LoadStage::Jobs => {
+                self.load_stage = LoadStage::Completions;
+                self.jobs_loaded_revision = self.reader.revision();
+                let completions = RecordReader::pages(keys::run_prefix(self.shard));
+                self.jobs_reader = Some(std::mem::replace(&mut self.reader, completions));
             }
-            Load::Runs => {
-                self.load = Load::Ready;
-                if let Some(jobs) = self.jobs_feed.take() {
-                    self.feed = jobs;
-                }
-                self.take_decisions(ctx);
-                let done = self.jobs.values().filter(|j| j.complete() && !j.cancelled);
-                let placed = self.jobs.values().filter(|j| !j.placed.is_empty());
-                self.unsettled = placed.map(|j| j.id).collect();
-                self.over = done.map(|j| (j.id, ctx.now)).collect();
-                for j in self.jobs.values_mut().filter(|j| !j.wire.class.is_empty()) {
-                    if !j.placed.is_empty() || !j.done.is_empty() {
-                        j.begun = Some(ctx.now);
-                        self.served.had_begun(j);
-                    }
+            LoadStage::Completions => {
+                self.load_stage = LoadStage::Ready;
+                if let Some(jobs) = self.jobs_reader.take() {
+                    self.reader = jobs;
                 }
-                // Their final states are written already: an owner before may have told nobody else.
-                for j in self.jobs.values().filter(|j| j.wire.class.is_empty()) {
-                    ctx.horizons.cancelled(self.shard, self.epoch, j.id, ctx.now);
-                }
-                ctx.wake = true;
-                let (s, n) = (self.shard.0, self.jobs.len());
-                ctx.effects.log(1, "seat_loaded", || format!("seat={s} jobs={n}"));
+                self.loaded(ctx);
             }
-            Load::Ready => {}
+            LoadStage::Ready => {}
         }
     }
 
+    /// All records are read: puts together what they say of the jobs.
+    fn loaded(&mut self, ctx: &mut Context) {
+        self.take_decisions(ctx);
+        let done = self.jobs.values().filter(|job| job.complete() && !job.cancelled);
+        let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
+        self.unsettled_jobs = placed.map(|job| job.id).collect();
+        self.over = done.map(|job| (job.id, ctx.now)).collect();
+        for job in self.jobs.values_mut().filter(|job| !job.wire.class.is_empty()) {
+            if !job.placed.is_empty() || !job.done.is_empty() {
+                job.begun = Some(ctx.now);
+                self.served.had_begun(job);
+            }
+        }
+        // Their terminal states are written already: an earlier owner may have told nobody else.
+        for job in self.jobs.values().filter(|job| job.wire.class.is_empty()) {
+            ctx.horizons.cancelled(self.shard, self.epoch, job.id, ctx.now);
+        }
+        ctx.wake = true;
+        let (shard, jobs) = (self.shard.0, self.jobs.len());
+        ctx.effects.log(1, "seat_loaded", || format!("seat={shard} jobs={jobs}"));
+    }
+
+    /// A job's record was read or written; one that is known already changes nothing.
     pub fn job_created(&mut self, ctx: &mut Context, key: &str, value: &Value) {
         let Some(id) = keys::job_of_key(key) else {
             return;
@@ -100,43 +120,40 @@
             return;
         }
         let Ok(JobRecord { accepted_at_ms, job: wire }) = JobRecord::decode(value) else {
-            let k = key.to_string();
-            ctx.effects.log(0, "job_unreadable", || k);
+            ctx.effects.log(0, "job_unreadable", || key.to_string());
             return;
         };
-        let age = ctx.time_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.time_ms));
+        let age_ms = ctx.time_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.time_ms));
+        let created = ctx.now.saturating_sub(age_ms);
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
-        let job = Job::new(id, wire, shape, ctx.now.saturating_sub(age), &ctx.config.aims);
+        let job = Job::new(id, wire, shape, created, &ctx.config.aims);
         self.served.asks(&job);
         self.jobs.insert(id, job);
-        self.pending.insert(id);
+        self.unplaced_jobs.insert(id);
         ctx.wake = true;
     }
 
     /// One that can't be read counts as nothing done: its tasks run again, and exit with `done`.
-    pub(super) fn run_loaded(&mut self, ctx: &mut Context, r: &Record) {
-        let found = keys::run_of_key(&r.key).map(|(id, chunk)| (self.jobs.get_mut(&id), chunk));
-        let read = match found {
-            Some((Some(j), chunk)) => {
-                j.stored.insert(chunk, r.version);
-                CompletionRecord::decode(&r.value)
-                    .is_ok_and(|text| j.done.add_chunk(chunk, text.0, j.wire.tasks))
-            }
-            // Of a job that is over.
-            Some((None, _)) => true,
-            None => false,
+    fn completion_loaded(&mut self, ctx: &mut Context, record: &Record) {
+        let Some((id, chunk)) = keys::run_of_key(&record.key) else {
+            log_unreadable(ctx, &record.key);
+            return;
         };
-        if !read {
-            unreadable(ctx, &r.key);
+        // None: the job is over.
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.stored.insert(chunk, record.version);
+        let is_read = CompletionRecord::decode(&record.value)
+            .is_ok_and(|bitmap| job.done.add_chunk(chunk, bitmap.0, job.wire.tasks));
+        if !is_read {
+            log_unreadable(ctx, &record.key);
         }
     }
 
-    /// Decisions of older epochs: their winners may be on machines. Of several attempts of a
-    /// task only the newest counts; it was decided after the older ones were proven gone.
-    pub(super) fn take_decisions(&mut self, ctx: &mut Context) {
-        for Record { key, value, .. } in std::mem::take(&mut self.decisions) {
+    /// Decisions of older epochs: their placements may be on machines.
+    fn take_decisions(&mut self, ctx: &mut Context) {
+        for Record { key, value, .. } in std::mem::take(&mut self.loaded_decisions) {
             let Ok((attempt, placements)) = DecisionRecord::decode(&value) else {
-                unreadable(ctx, &key);
+                log_unreadable(ctx, &key);
                 continue;
             };
             let round = self.next_round_id();
@@ -144,42 +161,72 @@
             let mut replaced = Vec::new();
             for placement in placements {
                 let Ok(placement) = placement else {
-                    unreadable(ctx, &key);
+                    log_unreadable(ctx, &key);
                     continue;
                 };
-                let (id, task) = (placement.job, placement.task);
-                if !self.jobs.contains_key(&id) && !holds(Guard::Leftovers) {
-                    continue;
-                }
-                let participant = ctx.shard_of_machine(placement.machine);
-                let machine = ctx.names.machine(placement.machine);
-                let j = self.jobs.entry(id).or_insert_with(|| Job::leftover(id, ctx.names));
-                let newer = j.placed.get(task).is_some_and(|o| o.attempt > attempt);
-                if j.done.get(task) || newer && holds(Guard::NewestAttempt) {
-                    continue;
+                match self.adopt_placement(ctx, attempt, round, &placement) {
+                    Adoption::Skipped => continue,
+                    Adoption::New => {}
+                    Adoption::Replaced { round } => replaced.push(round),
                 }
-                let new = Placement {
-                    attempt,
-                    machine,
-                    participant,
-                    incarnation: placement.incarnation,
-                    zone: placement.zone,
-                    phase: TaskPhase::Decided,
-                    round,
-                    placed_at: ctx.now,
-                    sent_at: 0,
-                    stop: None,
-                    adopted: true,
-                    team: placement.quota.map(|q| (q.team, q.amount.cpu, q.amount.gpu)),
-                };
                 live += 1;
-                replaced.extend(j.placed.insert(task, new).map(|old| old.round));
             }
             // Of an older epoch: its version is not known here.
-            self.rounds.open(round, key, None, live);
-            for old in replaced {
-                self.rounds.one_less(old);
+            self.decision_log.open(round, key, None, live);
+            for old_round in replaced {
+                self.decision_log.placement_over(old_round);
             }
         }
     }
+
+    /// Takes a placement over. Of several attempts of a task only the newest counts; it was decided
+    /// after the older ones were proven gone.
+    fn adopt_placement(
+        &mut self,
+        ctx: &mut Context,
+        attempt: Attempt,
+        round: u64,
+        record: &PlacementRecord,
+    ) -> Adoption {
+        let id: JobId = record.job;
+        if !self.jobs.contains_key(&id) && !holds(Guard::Leftovers) {
+            return Adoption::Skipped;
+        }
+        let participant = ctx.shard_of_machine(record.machine);
+        let machine = ctx.names.machine(record.machine);
+        let job = self.jobs.entry(id).or_insert_with(|| Job::leftover(id, ctx.names));
+        let known = job.placed.get(record.task);
+        let is_older = known.is_some_and(|known| known.attempt > attempt);
+        if job.done.get(record.task) || is_older && holds(Guard::NewestAttempt) {
+            return Adoption::Skipped;
+        }
+        let placement = Placement {
+            attempt,
+            machine,
+            participant,
+            incarnation: record.incarnation,
+            zone: record.zone,
+            phase: TaskPhase::Decided,
+            round,
+            placed_at: ctx.now,
+            sent_at: 0,
+            stop: None,
+            adopted: true,
+            quota: record.quota,
+        };
+        match job.placed.insert(record.task, placement) {
+            Some(old) => Adoption::Replaced { round: old.round },
+            None => Adoption::New,
+        }
+    }
+}
+
+/// What became of a placement from a decision that was loaded.
+enum Adoption {
+    /// The task is done, or a newer attempt of it is known.
+    Skipped,
+    /// It is the first known attempt of the task.
+    New,
+    /// It took the place of an older attempt, of this round.
+    Replaced { round: u64 },
 }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,447 +1,236 @@
-//! A round: ask all participants for offers, write the choice under the epoch, then say yes and no.
+//! The first half of a round: chooses jobs in their order, requests offers for them from all
+//! participants, and collects the answers. The second half is in `selection` and `decision`.
 use super::limits::turn;
-use super::{
-    Coordinator, GpuWork, NegotiationState, PendingDecision, SelectedOffer, Yes, GPU_KINDS,
-    GPU_WORK_MS, ITEMS, OFFERS_MS,
-};
+use super::negotiation::{NegotiationState, RequestedJob};
+use super::Coordinator;
 use crate::budget::WriteClass;
-use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, JobId, Negotiation, Shard, Timestamp, ZoneIdx};
-use crate::io::StoreResult;
+use crate::context::Context;
+use crate::ids::{JobId, Negotiation, Shard};
 use crate::jobs::Job;
-use crate::keys;
-use crate::placed::Placement;
-use crate::quota::admission::{Admitted, QuotaStatus};
-use crate::quota::shard_of_team;
-use crate::stored::{DecisionRecord, PlacementRecord, QuotaUse};
-use crate::writes::WriteOutcome;
-use leaddeal_wire::mesh::{
-    Assignment, Offer, OfferRequest, QueuePosition, QuotaAmount, ShardMessage, TaskPhase,
-};
-use leaddeal_wire::state::{Change, Condition};
-use leaddeal_wire::user::{self, Kind};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use crate::quota::admission::Admitted;
+use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
+use leaddeal_wire::user::{Kind, Priority};
+use std::collections::{BTreeSet, HashMap};
 
-/// A job that has found room, but not its team's limit, asks again after this time.
-const CAPPED_MS: u64 = 400;
+/// Answers to a request for offers are not waited for any longer than this.
+const OFFER_TIMEOUT_MS: u64 = 2000;
+/// Jobs that one request for offers names.
+const MAX_REQUESTS_PER_ROUND: usize = 14;
+
+/// A job's request, before it is known which participant is to make room for it.
+struct RoundRequest {
+    request: OfferRequest,
+    /// Counts on with each refusal: whose turn it is to make room by preemption. None: nobody's.
+    preemption_turn: Option<u32>,
+}
+
+impl RoundRequest {
+    /// Room is made by one participant at a time: by three at once, thrice as much would be stopped.
+    fn for_participant(&self, participant: Shard, shards: usize) -> OfferRequest {
+        let is_turn = |turn: u32| turn as usize % shards == participant.0 as usize;
+        OfferRequest { preempt: self.preemption_turn.is_some_and(is_turn), ..self.request.clone() }
+    }
+}
 
 /// How many of a job's tasks its team's limit lets in; of a team without one, all.
-fn may_run(ctx: &Context, admitted: &HashMap<JobId, Admitted>, j: &Job) -> Admitted {
-    match ctx.team_use(j) {
-        Some(_) => admitted.get(&j.id).copied().unwrap_or_default(),
-        None => Admitted::all(j.pending()),
+fn admitted_tasks(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> Admitted {
+    match ctx.team_use(job) {
+        Some(_) => admitted.get(&job.id).copied().unwrap_or_default(),
+        None => Admitted::all(job.pending()),
+    }
+}
+
+/// For how many tasks to request offers, when the round has `left` of its `max` tasks left. None: a
+/// gang that does not fit in what is left.
+fn requested_count(job: &Job, admitted: Admitted, max: u32, left: u32) -> Option<u32> {
+    if job.wire.kind == Kind::Gang {
+        return (job.pending() <= left).then(|| job.pending());
+    }
+    // What the grant covers; else what would be let in if lesser work of the team gave way.
+    let may_run = if admitted.now > 0 { admitted.now } else { admitted.in_turn };
+    // No job takes the whole round: others may fit where it does not.
+    let count = may_run.min(left).min(max / 3 + 1);
+    let limit = if job.failure_suspicion.is_suspected() { 1 } else { u32::MAX };
+    Some(count.min(limit))
+}
+
+fn build_request(ctx: &Context, job: &Job, admitted: Admitted, count: u32) -> RoundRequest {
+    let covered = admitted.now > 0;
+    let makes_room =
+        job.wire.priority > Priority::Low && !job.failure_suspicion.is_suspected() && covered;
+    let queue_position = job.line(ctx.now).map(|position| QueuePosition {
+        holds_position: position.holds_position && covered,
+        ..position
+    });
+    RoundRequest {
+        request: OfferRequest {
+            job: job.id.0,
+            shape: job.shape.wire.clone(),
+            count,
+            zone_room: job.zone_room(&ctx.names.zones),
+            preempt: false,
+            urgent: job.urgent(ctx.now),
+            may_use_gpu_machines: job.may_use_gpu_machines(ctx.now),
+            queue_position,
+        },
+        preemption_turn: job.preempt.filter(|_| makes_room),
     }
 }
 
 impl Coordinator {
+    /// Requests offers for the jobs that come first, if no negotiation is open and a decision could
+    /// be written.
+    pub fn start_round(&mut self, ctx: &mut Context) {
+        if !self.may_start_round(ctx) {
+            return;
+        }
+        let admitted = self.admitted(ctx);
+        let jobs = self.jobs_in_order(ctx, &admitted);
+        let requests = self.build_requests(ctx, &admitted, &jobs);
+        if requests.is_empty() {
+            return;
+        }
+        self.request_offers(ctx, &requests);
+        self.check_negotiation(ctx);
+    }
+
+    fn may_start_round(&self, ctx: &mut Context) -> bool {
+        self.ready()
+            && self.negotiation.is_none()
+            && self.pending_decision.is_none()
+            && !self.relinquishing
+            && ctx.valid
+            && !self.unplaced_jobs.is_empty()
+            // What waits for the next change that may be written makes for a larger round.
+            && ctx.budget.room(WriteClass::Decision) > 0
+    }
+
     /// Jobs that may have a task placed now, the most important first.
-    pub(super) fn order(
-        &mut self,
-        ctx: &Context,
-        admitted: &HashMap<JobId, Admitted>,
-    ) -> Vec<JobId> {
+    fn jobs_in_order(&mut self, ctx: &Context, admitted: &HashMap<JobId, Admitted>) -> Vec<JobId> {
         let now = ctx.now;
         let jobs = &self.jobs;
-        self.pending.retain(|id| jobs.get(id).is_some_and(|j| !j.cancelled && j.pending() > 0));
+        let unplaced = |job: &Job| !job.cancelled && job.pending() > 0;
+        self.unplaced_jobs.retain(|id| jobs.get(id).is_some_and(unplaced));
         debug_assert!(
-            jobs.values().all(|j| j.cancelled || j.pending() == 0 || self.pending.contains(&j.id)),
+            jobs.values().all(|job| !unplaced(job) || self.unplaced_jobs.contains(&job.id)),
             "a job that wants tasks placed is not looked at"
         );
-        let mut v: Vec<_> = self
-            .pending
+        let mut turns: Vec<_> = self
+            .unplaced_jobs
             .iter()
             .filter_map(|id| jobs.get(id))
-            .filter(|j| j.terminating.is_none() && j.not_before <= now)
-            .filter(|j| j.may_start())
-            .filter(|j| may_run(ctx, admitted, j).in_turn > 0)
-            .map(|j| turn(j, now))
+            .filter(|job| job.terminating.is_none() && job.not_before <= now)
+            .filter(|job| job.may_start())
+            .filter(|job| admitted_tasks(ctx, admitted, job).in_turn > 0)
+            .map(|job| turn(job, now))
             .collect();
-        if v.len() > ITEMS {
-            v.select_nth_unstable(ITEMS);
-            v.truncate(ITEMS);
+        if turns.len() > MAX_REQUESTS_PER_ROUND {
+            turns.select_nth_unstable(MAX_REQUESTS_PER_ROUND);
+            turns.truncate(MAX_REQUESTS_PER_ROUND);
         }
-        v.sort_unstable();
-        v.into_iter().map(|x| x.4).collect()
+        turns.sort_unstable();
+        turns.into_iter().map(|turn| turn.4).collect()
     }
 
-    pub fn start_round(&mut self, ctx: &mut Context) {
-        if !self.ready()
-            || self.talk.is_some()
-            || self.writing.is_some()
-            || self.leaving
-            || !ctx.valid
-        {
-            return;
-        }
-        // What waits for the next change that may be written makes for a larger round.
-        if self.pending.is_empty() || ctx.budget.room(WriteClass::Decision) == 0 {
-            return;
-        }
-        let admitted = self.admitted(ctx);
-        let ids = self.order(ctx, &admitted);
-        if ids.is_empty() {
-            return;
-        }
-        let mut items = Vec::new();
-        let mut wanted = Vec::new();
-        let mut turns = Vec::new();
-        let most = ctx.config.max_picks as u32;
+    /// Requests for these jobs, in their order, until the round has as many tasks as it may.
+    fn build_requests(
+        &self,
+        ctx: &Context,
+        admitted: &HashMap<JobId, Admitted>,
+        jobs: &[JobId],
+    ) -> Vec<RoundRequest> {
+        let max = ctx.config.max_picks as u32;
         let mut total = 0;
-        for id in ids {
-            let j = &self.jobs[&id];
-            let zone_room = j.zone_room(&ctx.names.zones);
-            // No job takes the whole round: others may fit where it does not.
-            let admitted = may_run(ctx, &admitted, j);
-            // What the grant covers; else what would be let in if lesser work of the team gave way.
-            let covered = admitted.now > 0;
-            let may = if covered { admitted.now } else { admitted.in_turn };
-            let mut count = may.min(most - total).min(most / 3 + 1);
-            if j.failure_suspicion.is_suspected() {
-                count = count.min(1);
-            }
-            if j.wire.kind == Kind::Gang {
-                if j.pending() > most - total {
-                    continue;
-                }
-                count = j.pending();
-            }
+        let mut requests = Vec::new();
+        for id in jobs {
+            let job = &self.jobs[id];
+            let admitted = admitted_tasks(ctx, admitted, job);
+            let Some(count) = requested_count(job, admitted, max, max - total) else {
+                continue;
+            };
             if count == 0 {
                 break;
             }
             total += count;
-            items.push((id, count));
-            let makes_room = j.wire.priority > user::Priority::Low
-                && !j.failure_suspicion.is_suspected()
-                && covered;
-            turns.push(j.preempt.filter(|_| makes_room));
-            wanted.push(OfferRequest {
-                job: id.0,
-                shape: j.shape.wire.clone(),
-                count,
-                zone_room,
-                preempt: false,
-                urgent: j.urgent(ctx.now),
-                may_use_gpu_machines: j.may_use_gpu_machines(ctx.now),
-                queue_position: j
-                    .line(ctx.now)
-                    .map(|l| QueuePosition { holds_position: l.holds_position && covered, ..l }),
-            });
-        }
-        if items.is_empty() {
-            return;
+            requests.push(build_request(ctx, job, admitted, count));
         }
-        self.next_talk += 1;
-        let id = Negotiation((self.epoch.0 << 24) | self.next_talk);
-        let gpu_work = self.gpu_work(ctx.now);
+        requests
+    }
+
+    /// Sends the requests to all participants that are reachable, and opens the negotiation.
+    fn request_offers(&mut self, ctx: &mut Context, requests: &[RoundRequest]) {
+        let id = self.next_negotiation_id();
+        let gpu_work = self.gpu_work.kinds(ctx.now, self.jobs.values());
+        let shards = ctx.shards().count();
         // A shard known to be vacant is not waited for.
-        let asked: Vec<Shard> = ctx.shards().filter(|s| ctx.reachable(*s)).collect();
-        for &s in &asked {
-            // Room is made by one participant at a time, so that three do not stop thrice as much.
-            let mut items = wanted.clone();
-            for (w, turn) in items.iter_mut().zip(&turns) {
-                w.preempt = turn.is_some_and(|t| t as usize % ctx.shards().count() == s.0 as usize);
-            }
+        let asked: Vec<Shard> = ctx.shards().filter(|shard| ctx.reachable(*shard)).collect();
+        for &participant in &asked {
+            let items = requests.iter().map(|r| r.for_participant(participant, shards)).collect();
             let gpu_work = gpu_work.clone();
-            let msg = ShardMessage::RequestOffers { negotiation: id.0, items, gpu_work };
-            ctx.send(self.shard, s, msg);
+            let message = ShardMessage::RequestOffers { negotiation: id.0, items, gpu_work };
+            ctx.send(self.shard, participant, message);
         }
-        self.talk = Some(NegotiationState {
+        let requested = requests
+            .iter()
+            .map(|r| RequestedJob { job: JobId(r.request.job), count: r.request.count });
+        self.negotiation = Some(NegotiationState {
             id,
-            items,
-            waiting: asked.iter().copied().collect(),
+            requested: requested.collect(),
+            unanswered: asked.iter().copied().collect(),
             asked,
             offers: Vec::new(),
             preempting: BTreeSet::new(),
-            started: ctx.now,
-        });
-        self.check_talk(ctx);
-    }
-
-    /// The kinds of GPU work there are, so that participants keep services from spoiling its machines
-    /// before it gets its turn to be asked for.
-    fn gpu_work(&mut self, now: Timestamp) -> Vec<GpuWork> {
-        if now < self.gpu_work.0 {
-            return self.gpu_work.1.clone();
-        }
-        let live = self.jobs.values().filter(|j| !j.cancelled && j.shape.need.gpu > 0);
-        let kinds = live.map(|j| {
-            let n = j.shape.need;
-            (n.cpu, n.gpu, n.mem, j.wire.priority)
+            started_at: ctx.now,
         });
-        let kinds = kinds.collect::<BTreeSet<_>>().into_iter().take(GPU_KINDS).collect();
-        self.gpu_work = (now + GPU_WORK_MS, kinds);
-        self.gpu_work.1.clone()
     }
 
-    pub(super) fn check_talk(&mut self, ctx: &mut Context) {
-        let Some(t) = &mut self.talk else { return };
-        t.waiting.retain(|s| ctx.reachable(*s));
-        if t.waiting.is_empty() || ctx.now >= t.started + OFFERS_MS {
-            self.decide(ctx);
-        }
+    fn next_negotiation_id(&mut self) -> Negotiation {
+        self.next_negotiation += 1;
+        Negotiation((self.epoch.0 << 24) | self.next_negotiation)
     }
 
-    pub(super) fn decide(&mut self, ctx: &mut Context) {
-        let Some(mut talk) = self.talk.take() else { return };
-        // Who answered and offered nothing holds nothing, and needs no word of the end.
-        let offered: BTreeSet<Shard> = talk.offers.iter().map(|o| o.0).collect();
-        talk.asked.retain(|s| talk.waiting.contains(s) || offered.contains(s));
-        let now = ctx.now;
-        let mut choices: Vec<SelectedOffer> = Vec::new();
-        let mut offers = talk.offers;
-        let mut standings = self.standings(ctx);
-        let mut ways = Vec::new();
-        for (i, &(id, count)) in talk.items.iter().enumerate() {
-            let Some(j) = self.jobs.get_mut(&id) else {
-                continue;
-            };
-            if j.cancelled || j.terminating.is_some() {
-                continue;
-            }
-            if talk.preempting.contains(&(i as u16)) {
-                j.preempting_at = Some(now);
-            }
-            let mut room = j.zone_room(&ctx.names.zones);
-            let mut mine: Vec<&mut (Shard, Offer)> =
-                offers.iter_mut().filter(|o| o.1.item as usize == i && o.1.count > 0).collect();
-            mine.sort_by_key(|o| (!o.1.cached, -o.1.score));
-            let mut want = count.min(j.pending());
-            if let Some((team, cpu, gpu)) = ctx.team_use(j) {
-                // What is granted is not known just now: it soon is.
-                let Some(free) = standings.get(&team).map(QuotaStatus::free) else { continue };
-                let fits = free.fits(QuotaAmount { cpu, gpu });
-                let n =
-                    if holds(Guard::GrantKept) { fits.min(u64::from(want)) as u32 } else { want };
-                let offered: u32 = mine.iter().map(|o| o.1.count).sum();
-                let whole = j.wire.kind == Kind::Gang;
-                let most = offered.min(want);
-                if most > 0 && if whole { n < want && most == want } else { n == 0 } {
-                    // It has found room, and waits for its team's limit alone.
-                    j.served();
-                    j.preempt = None;
-                    j.not_before = now + CAPPED_MS;
-                    ways.push((id, team, most));
-                    continue;
-                }
-                want = n;
-            }
-            let mut per = vec![0u32; room.len()];
-            for o in &mine {
-                if let Some(p) = per.get_mut(o.1.zone as usize) {
-                    *p = p.saturating_add(o.1.count);
-                }
-            }
-            let open = room.clone();
-            if j.wire.one_zone {
-                // All in one zone: the one that holds the most of it, if no task is in one yet.
-                let best = (0..per.len()).max_by_key(|&z| per[z].min(room[z]));
-                for (z, r) in room.iter_mut().enumerate() {
-                    if Some(z) != best {
-                        *r = 0;
-                    }
-                }
-            }
-            let mut picks: Vec<(Shard, Offer)> = Vec::new();
-            // Replicas of a service go to different machines where they can.
-            let each = if j.wire.kind == Kind::Service { 1 } else { u32::MAX };
-            let mut progress = true;
-            while progress && (picks.len() as u32) < want {
-                progress = false;
-                for o in &mut mine {
-                    let Some(r) = room.get_mut(o.1.zone as usize) else {
-                        continue;
-                    };
-                    let n = o.1.count.min(*r).min(each).min(want - picks.len() as u32);
-                    for _ in 0..n {
-                        picks.push((o.0, o.1.clone()));
-                    }
-                    o.1.count -= n;
-                    *r -= n;
-                    progress |= n > 0;
-                }
-            }
-            let whole = j.wire.kind != Kind::Gang || picks.len() as u32 == j.pending();
-            if picks.is_empty() || !whole {
-                let tried = j.refused(now);
-                j.aim_at(&per, &open);
-                // Whoever is making room is asked on; else it is the next one's turn.
-                let step = u32::from(tried && !talk.preempting.contains(&(i as u16)));
-                j.preempt = Some(j.preempt.map_or(0, |t| t + step));
-                continue;
-            }
-            if let Some((team, cpu, gpu)) = ctx.team_use(j) {
-                if let Some(s) = standings.get_mut(&team) {
-                    let used = &mut s.used[j.wire.priority as usize];
-                    *used = used.plus(QuotaAmount { cpu, gpu }.times(picks.len() as u32));
-                }
-            }
-            j.served();
-            let short = (picks.len() as u32) < want;
-            let step = u32::from(!talk.preempting.contains(&(i as u16)));
-            j.preempt = short.then(|| j.preempt.map_or(0, |t| t + step));
-            for (shard, offer) in picks {
-                let Some(task) = j.take() else { break };
-                choices.push(SelectedOffer { job: id, task, shard, offer });
-            }
-        }
-        for (id, team, tasks) in ways {
-            if let Some(standing) = standings.get(&team) {
-                self.make_way(ctx, id, tasks, standing);
-            }
-        }
-        if choices.is_empty() {
-            self.close(ctx, talk.id, &talk.asked);
-            return;
-        }
-        let round = self.next_round_id();
-        let of = if holds(Guard::AttemptEpoch) { self.epoch } else { Epoch(0) };
-        let attempt = Attempt::new(of, round);
-        let (shard, epoch) = (self.shard, self.epoch);
-        let slot = self.rounds.record(|| keys::decision_key(shard, epoch, round));
-        self.picked = (self.picked.0 + choices.len() as u64, self.picked.1 + 1);
-        let placements =
-            choices
-                .iter()
-                .map(|choice| PlacementRecord {
-                    job: choice.job,
-                    task: choice.task,
-                    machine: &choice.offer.machine,
-                    incarnation: choice.offer.incarnation,
-                    zone: ZoneIdx(choice.offer.zone),
-                    quota: self.jobs.get(&choice.job).and_then(|j| ctx.team_use(j)).map(
-                        |(team, cpu, gpu)| QuotaUse { team, amount: QuotaAmount { cpu, gpu } },
-                    ),
-                })
-                .collect();
-        let value = DecisionRecord { attempt: attempt.0, placements }.encode();
-        let put = Change::Put { key: slot.key.clone(), value, lease: None };
-        let mut write = self.write(WriteClass::Decision, vec![put]);
-        if holds(Guard::DecisionVersion) {
-            write = write.creating(slot.key.clone(), slot.version);
-        }
-        // A grant of a team's shard ends with the owner that gave it.
-        for (team, g) in &self.grants {
-            let used = choices.iter().any(|c| {
-                let t = self.jobs.get(&c.job).and_then(|j| ctx.team_use(j));
-                t.is_some_and(|t| t.0 == *team)
-            });
-            let cond = Condition {
-                key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
-                version: g.0 .0,
-            };
-            if used && holds(Guard::GrantEpoch) {
-                write = write.also_if(cond);
-            }
-        }
-        self.writing = Some(PendingDecision {
-            slot,
-            round,
-            attempt,
-            choices,
-            asked: talk.asked,
-            negotiation: talk.id,
-            write,
-        });
-        self.write_decision(ctx);
-    }
-
-    pub(super) fn write_decision(&mut self, ctx: &mut Context) {
-        let Some(w) = self.writing.as_mut().filter(|_| ctx.valid) else { return };
-        if let Some(call) = w.write.call(ctx.now, ctx.budget) {
-            ctx.store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
-        }
-    }
-
-    /// WriteOutcome of the decision's transaction. False: the shard is lost.
-    pub fn decided(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
-        let Some(w) = &mut self.writing else {
-            return true;
-        };
-        match w.write.take(ctx.now, result) {
-            WriteOutcome::Done(revision) => self.winners(ctx, revision),
-            WriteOutcome::Fenced => return false,
-            WriteOutcome::NotDone => {
-                let slot = w.slot.clone();
-                let lost = matches!(result, StoreResult::Conflict(f) if f.contains(&slot.key));
-                // Somebody else wrote to it, which nobody does: it is left alone.
-                if !lost {
-                    self.rounds.not_written(slot);
-                }
-                self.losers(ctx);
-            }
-            WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
-            WriteOutcome::Open => self.winners(ctx, 0),
-        }
-        true
-    }
-
-    fn winners(&mut self, ctx: &mut Context, version: u64) {
-        let Some(w) = self.writing.take() else { return };
-        let mut live = 0;
-        let mut yes: BTreeMap<(Shard, JobId), Yes> = BTreeMap::new();
-        for c in w.choices {
-            let Some(j) = self.jobs.get_mut(&c.job) else {
-                continue;
-            };
-            let p = Placement {
-                attempt: w.attempt,
-                machine: ctx.names.machine(&c.offer.machine),
-                participant: c.shard,
-                incarnation: c.offer.incarnation,
-                zone: ZoneIdx(c.offer.zone),
-                phase: TaskPhase::Decided,
-                round: w.round,
-                placed_at: ctx.now,
-                sent_at: ctx.now,
-                stop: None,
-                adopted: false,
-                team: ctx.team_use(j),
-            };
-            // Cancelled while the decision was being written: it was never said.
-            if j.cancelled || j.terminating.is_some() {
-                j.give_back(c.task);
-                self.pending.insert(c.job);
-                continue;
-            }
-            j.placed.insert(c.task, p);
-            self.unsettled.insert(c.job);
-            live += 1;
-            let e = yes.entry((c.shard, c.job)).or_insert((j.shape.wire.clone(), Vec::new()));
-            e.1.push(Assignment {
-                task: c.task,
-                attempt: w.attempt.0,
-                machine: c.offer.machine,
-                incarnation: c.offer.incarnation,
-            });
-        }
-        self.rounds.open(w.round, w.slot.key, Some(version), live);
-        for ((shard, job), (shape, picks)) in yes {
-            ctx.send(
-                self.shard,
-                shard,
-                ShardMessage::Place { job: job.0, shape, picks, adopt: false },
-            );
-        }
-        self.close(ctx, w.negotiation, &w.asked);
-        ctx.wake = true;
+    /// Collects a participant's offers. One that answers too late is told that the negotiation is
+    /// closed, once it is.
+    pub(super) fn receive_offers(
+        &mut self,
+        ctx: &mut Context,
+        participant: Shard,
+        negotiation: u64,
+        offers: Vec<Offer>,
+        preempting: Vec<u16>,
+    ) {
+        let open = self.negotiation.as_mut();
+        let is_awaited = open.is_some_and(|open| open.take_answer(negotiation, participant));
+        match self.negotiation.as_mut().filter(|_| is_awaited) {
+            Some(open) => open.add_offers(participant, offers, preempting),
+            None => self.answer_decision(ctx, participant, negotiation),
+        }
+        self.check_negotiation(ctx);
     }
 
-    fn losers(&mut self, ctx: &mut Context) {
-        let Some(w) = self.writing.take() else { return };
-        for c in &w.choices {
-            if let Some(j) = self.jobs.get_mut(&c.job) {
-                j.give_back(c.task);
-                j.not_before = ctx.now + 500;
-                self.pending.insert(c.job);
-            }
+    /// Tells a participant that a negotiation is closed, unless it is open or its decision is being
+    /// written.
+    pub(super) fn answer_decision(
+        &mut self,
+        ctx: &mut Context,
+        participant: Shard,
+        negotiation: u64,
+    ) {
+        let collecting = self.negotiation.as_ref().map(|open| open.id);
+        let deciding = self.pending_decision.as_ref().map(|decision| decision.negotiation);
+        let is_open = [collecting, deciding].contains(&Some(Negotiation(negotiation)));
+        if !is_open {
+            let message = ShardMessage::CloseNegotiation { negotiation };
+            ctx.send(self.shard, participant, message);
         }
-        self.close(ctx, w.negotiation, &w.asked);
     }
 
-    pub(super) fn close(&mut self, ctx: &mut Context, n: Negotiation, asked: &[Shard]) {
-        for &s in asked {
-            ctx.send(self.shard, s, ShardMessage::CloseNegotiation { negotiation: n.0 });
+    /// Decides once all participants that are reachable have answered, or the time for it is over.
+    pub(super) fn check_negotiation(&mut self, ctx: &mut Context) {
+        let Some(open) = &mut self.negotiation else { return };
+        open.unanswered.retain(|shard| ctx.reachable(*shard));
+        if open.unanswered.is_empty() || ctx.now >= open.started_at + OFFER_TIMEOUT_MS {
+            self.decide(ctx);
         }
     }
 }
--- a/crates/core/src/coordinator/served.rs
+++ b/crates/core/src/coordinator/served.rs
@@ -61,7 +61,7 @@
         });
         let mut words: Vec<String> = groups.collect();
         let waits = |id: &&JobId| self.jobs.get(id).is_some_and(|j| j.begun.is_none());
-        let waiting = self.pending.iter().filter(waits).filter_map(|id| self.jobs.get(id));
+        let waiting = self.unplaced_jobs.iter().filter(waits).filter_map(|id| self.jobs.get(id));
         if let Some(j) = waiting.max_by_key(|j| j.wire.tasks) {
             let (tasks, s) = (j.wire.tasks, now.saturating_sub(j.created) / 1000);
             words.push(format!("largest_waiting={} tasks={tasks} for_s={s}", j.wire.id));
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -92,7 +92,7 @@
         sent_at: 0,
         stop: None,
         adopted: true,
-        team: None,
+        quota: None,
     };
     assert_eq!(j.zone_room(&zones), [9, 9, 9]);
     j.placed.insert(0, placement(1));
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -552,7 +552,7 @@
                 continue;
             };
             let shard = Shard(i as u8);
-            let lacks = o.coordinator.lacks(&c);
+            let lacks = o.coordinator.unmet_demand(&c);
             let machines = o.participant.inventory(&c);
             if o.coordinator.ready() {
                 c.send(shard, PROVISIONER_SHARD, ShardMessage::UnmetDemand { lacks });
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -222,11 +222,11 @@
             let Some(o) = &mut self.owned[i] else {
                 continue;
             };
-            if !o.coordinator.leaving || o.releasing {
+            if !o.coordinator.relinquishing || o.releasing {
                 continue;
             }
             if now > o.leave_until {
-                o.coordinator.leaving = false;
+                o.coordinator.relinquishing = false;
                 continue;
             }
             if o.coordinator.quiet() {
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -160,7 +160,7 @@
             NodeMessage::ReclaimShard { shard } => {
                 if shard as usize == n {
                     if let Some(o) = self.owned.get_mut(shard as usize).and_then(Option::as_mut) {
-                        o.coordinator.leaving = true;
+                        o.coordinator.relinquishing = true;
                         o.leave_until = now + 5000;
                     }
                 }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -158,7 +158,8 @@
                     // While it loads, the list brings it. And if the list is newer than the
                     // creation but lacks the job, then it is over already: this answer is a
                     // late one. (Found by the simulator: a done job went back to running.)
-                    let newer = rev > o.coordinator.loaded_from || !holds(Guard::LoadedFrom);
+                    let newer =
+                        rev > o.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
                     if o.coordinator.ready() && newer {
                         o.coordinator.job_created(&mut c, &keys::job_key(shard, id), value);
                     }
