--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -1,11 +1,12 @@
 //! The second half of a round: the decision is written under the epoch, then the participants whose
 //! offers were selected are told to place the tasks, and all are told that the negotiation is closed.
-use super::negotiation::{JobAssignments, PendingDecision, SelectedOffer};
+use super::negotiation::{PendingDecision, SelectedOffer};
+use super::place_batch::{PlaceBatch, PlaceTarget};
 use super::Coordinator;
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, JobId, Negotiation, Shard, ZoneIdx};
+use crate::ids::{Attempt, Epoch, Negotiation, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::keys;
 use crate::placed::Placement;
@@ -14,7 +15,6 @@
 use crate::writes::{PendingWrite, WriteOutcome};
 use leaddeal_wire::mesh::{Assignment, ShardMessage, TaskPhase};
 use leaddeal_wire::state::{Change, Condition};
-use std::collections::BTreeMap;
 
 /// Tasks of a decision that was not written are requested again after this time.
 const DECISION_RETRY_INTERVAL_MS: u64 = 500;
@@ -98,7 +98,7 @@
     }
 
     /// Handles the result of the decision's transaction. False: the shard is lost.
-    pub fn decided(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
+    pub fn decision_written(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
         let Some(decision) = &mut self.pending_decision else {
             return true;
         };
@@ -126,39 +126,30 @@
         let Some(decision) = self.pending_decision.take() else { return };
         let (attempt, round) = (decision.attempt, decision.round);
         let mut live = 0;
-        let mut by_job: BTreeMap<(Shard, JobId), JobAssignments> = BTreeMap::new();
+        let mut batch = PlaceBatch::default();
         for choice in decision.selected {
-            let target = (choice.participant, choice.job);
-            let Some(assignment) = self.place_task(ctx, attempt, round, choice) else {
-                continue;
-            };
-            live += 1;
-            let Some(job) = self.jobs.get(&target.1) else { continue };
-            let of_job =
-                by_job.entry(target).or_insert_with(|| JobAssignments::new(&job.shape.wire));
-            of_job.assignments.push(assignment);
+            live += u32::from(self.place_task(ctx, attempt, round, choice, &mut batch));
         }
         self.decision_log.open(round, decision.slot.key, Some(version), live);
-        for ((participant, job), JobAssignments { shape, assignments }) in by_job {
-            let message =
-                ShardMessage::Place { job: job.0, shape, picks: assignments, adopt: false };
-            ctx.send(self.shard, participant, message);
+        for request in batch.into_requests() {
+            ctx.send(self.shard, request.target.participant, request.into_message());
         }
         self.close_negotiation(ctx, decision.negotiation, &decision.holders);
         ctx.wake = true;
     }
 
-    /// Places one task; none if its job was cancelled while the decision was being written: nobody was
-    /// told of the placement.
+    /// Places one task and adds it to the batch. False if its job was cancelled while the decision was
+    /// being written: no participant has learned of the placement.
     fn place_task(
         &mut self,
         ctx: &mut Context,
         attempt: Attempt,
         round: u64,
         choice: SelectedOffer,
-    ) -> Option<Assignment> {
+        batch: &mut PlaceBatch,
+    ) -> bool {
         let SelectedOffer { job: id, task, participant, offer } = choice;
-        let job = self.jobs.get_mut(&id)?;
+        let Some(job) = self.jobs.get_mut(&id) else { return false };
         let placement = Placement {
             attempt,
             machine: ctx.names.machine(&offer.machine),
@@ -176,12 +167,15 @@
         if job.cancelled || job.terminating.is_some() {
             job.give_back(task);
             self.unplaced_jobs.insert(id);
-            return None;
+            return false;
         }
         job.placed.insert(task, placement);
         self.unsettled_jobs.insert(id);
         let (machine, incarnation) = (offer.machine, offer.incarnation);
-        Some(Assignment { task, attempt: attempt.0, machine, incarnation })
+        let assignment = Assignment { task, attempt: attempt.0, machine, incarnation };
+        let target = PlaceTarget { participant, job: id, adopt: false };
+        batch.add(target, &job.shape.wire, assignment);
+        true
     }
 
     /// The decision was certainly not written: its tasks are to be placed anew.
--- a/crates/core/src/coordinator/decision_log.rs
+++ b/crates/core/src/coordinator/decision_log.rs
@@ -53,7 +53,7 @@
 }
 
 impl DecisionLog {
-    /// A decision was written, or read with an unknown version, and so many placements depend on it.
+    /// A decision was written, or read with an unknown version; `placements` of it may be on machines.
     pub fn open(&mut self, round: u64, key: String, version: Option<u64>, placements: u32) {
         self.live.insert(round, LiveRecord { key, version, placements });
         if placements == 0 {
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -26,6 +26,16 @@
     Ready,
 }
 
+/// What became of a placement from a decision that was loaded.
+enum Adoption {
+    /// The task is done, or a newer attempt of it is known.
+    Skipped,
+    /// It is the first known attempt of the task.
+    New,
+    /// It took the place of an older attempt, of this round.
+    Replaced { round: u64 },
+}
+
 /// A record that does not decode is logged and skipped: it affects only itself.
 fn log_unreadable(ctx: &mut Context, key: &str) {
     ctx.effects.log(0, "record_unreadable", || key.to_string());
@@ -40,7 +50,7 @@
     }
 
     /// Handles the answer to a read of records.
-    pub fn records(&mut self, ctx: &mut Context, result: StoreResult) {
+    pub fn records_read(&mut self, ctx: &mut Context, result: StoreResult) {
         let is_answered = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
         for record in self.reader.take(ctx.now, result) {
             match self.load_stage {
@@ -220,13 +230,3 @@
         }
     }
 }
-
-/// What became of a placement from a decision that was loaded.
-enum Adoption {
-    /// The task is done, or a newer attempt of it is known.
-    Skipped,
-    /// It is the first known attempt of the task.
-    New,
-    /// It took the place of an older attempt, of this round.
-    Replaced { round: u64 },
-}
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -30,6 +30,7 @@
 mod limits;
 mod load;
 mod negotiation;
+mod place_batch;
 mod resend;
 mod round;
 mod selection;
@@ -63,19 +64,19 @@
 pub struct Coordinator {
     /// The shard whose jobs these are.
     pub shard: Shard,
-    /// The epoch under which all is written.
+    /// The epoch under which all is written: the fencing token of this owner.
     pub epoch: Epoch,
     load_stage: LoadStage,
     /// Reads what is being loaded; afterwards, the jobs as they are created.
     reader: RecordReader,
     /// The reader of the jobs, while completions are loaded.
     jobs_reader: Option<RecordReader>,
-    /// Records of decisions, until the jobs are loaded.
+    /// Records of decisions, until all is loaded.
     loaded_decisions: Vec<Record>,
     /// Jobs that are not over, and those that are while tasks of them may be on machines.
-    pub(crate) jobs: BTreeMap<JobId, Job>,
+    jobs: BTreeMap<JobId, Job>,
     /// Jobs that are over, with their terminal state.
-    pub(crate) closed: HashMap<JobId, TerminalState>,
+    closed: HashMap<JobId, TerminalState>,
     negotiation: Option<NegotiationState>,
     pending_decision: Option<PendingDecision>,
     /// Counts the negotiations of this epoch.
@@ -171,7 +172,7 @@
     }
 
     /// Whether nothing is under way that a handover of the shard would cut off.
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.negotiation.is_none()
             && self.pending_decision.is_none()
             && self.fold.is_none()
--- a/crates/core/src/coordinator/negotiation.rs
+++ b/crates/core/src/coordinator/negotiation.rs
@@ -2,9 +2,8 @@
 use super::decision_log::DecisionSlot;
 use crate::ids::{Attempt, JobId, Negotiation, Shard, Timestamp};
 use crate::writes::PendingWrite;
-use leaddeal_wire::mesh::{Assignment, Offer, Shape};
+use leaddeal_wire::mesh::Offer;
 use std::collections::BTreeSet;
-use std::sync::Arc;
 
 /// One item of a request for offers.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +53,7 @@
     }
 
     /// The participants that still hold, or may hold, capacity for it: those that have made an offer
-    /// or not answered. One that answered without an offer need not be told of the end.
+    /// or not answered. One that answered without an offer holds nothing.
     pub fn holders(&self) -> Vec<Shard> {
         let offered: BTreeSet<Shard> = self.offers.iter().map(|offer| offer.participant).collect();
         let may_hold = |shard: &Shard| self.unanswered.contains(shard) || offered.contains(shard);
@@ -71,7 +70,7 @@
     pub offer: Offer,
 }
 
-/// A decision that is being written: nobody is told of it before it is durable.
+/// A decision that is being written: no participant learns of it before it is durable.
 #[derive(Debug)]
 pub(super) struct PendingDecision {
     /// The record that it is written to.
@@ -85,17 +84,3 @@
     pub negotiation: Negotiation,
     pub write: PendingWrite,
 }
-
-/// Tasks of one job that a participant is told to place.
-#[derive(Debug)]
-pub(super) struct JobAssignments {
-    pub shape: Arc<Shape>,
-    pub assignments: Vec<Assignment>,
-}
-
-impl JobAssignments {
-    /// No tasks yet.
-    pub fn new(shape: &Arc<Shape>) -> JobAssignments {
-        JobAssignments { shape: shape.clone(), assignments: Vec::new() }
-    }
-}
--- a/crates/core/src/coordinator/resend.rs
+++ b/crates/core/src/coordinator/resend.rs
@@ -1,5 +1,5 @@
 //! Resends placements and stops until the participants show that they have received them.
-use super::negotiation::JobAssignments;
+use super::place_batch::{PlaceBatch, PlaceTarget};
 use super::Coordinator;
 use crate::context::Context;
 use crate::guards::{holds, Guard};
@@ -8,7 +8,6 @@
 use crate::names::Names;
 use crate::placed::{PendingStop, Placement};
 use leaddeal_wire::mesh::{Assignment, AttemptRef, Shape, ShardMessage, TaskPhase};
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// A message whose effect is not seen is sent again after this time.
@@ -18,15 +17,6 @@
 /// Tasks that one message tells a participant to place.
 const MAX_ASSIGNMENTS_PER_MESSAGE: usize = 200;
 
-/// Whom to tell, and of which job: messages go out in this order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct PlaceTarget {
-    participant: Shard,
-    job: JobId,
-    /// Whether the placements are from a decision of an older epoch.
-    adopt: bool,
-}
-
 /// A stop to be sent.
 struct StopMessage {
     participant: Shard,
@@ -39,7 +29,7 @@
     now: Timestamp,
     /// By participant: whether it has a new owner, which knows nothing of what was sent before.
     has_new_owner: &'a [bool],
-    places: BTreeMap<PlaceTarget, JobAssignments>,
+    places: PlaceBatch,
     stops: Vec<StopMessage>,
 }
 
@@ -97,23 +87,20 @@
         }
         placement.sent_at = self.now;
         let target = PlaceTarget { participant, job, adopt: placement.adopted };
-        let of_job = self.places.entry(target).or_insert_with(|| JobAssignments::new(shape));
-        of_job.assignments.push(Assignment {
+        let assignment = Assignment {
             task,
             attempt: placement.attempt.0,
             machine: names.machine_name(placement.machine).to_string(),
             incarnation: placement.incarnation,
-        });
+        };
+        self.places.add(target, shape, assignment);
     }
 
     /// Sends the placements, then the stops.
     fn send(self, ctx: &mut Context, from: Shard) {
-        for (target, JobAssignments { shape, assignments }) in self.places {
-            let PlaceTarget { participant, job, adopt } = target;
-            for part in assignments.chunks(MAX_ASSIGNMENTS_PER_MESSAGE) {
-                let (shape, picks) = (shape.clone(), part.to_vec());
-                let message = ShardMessage::Place { job: job.0, shape, picks, adopt };
-                ctx.send(from, participant, message);
+        for request in self.places.into_requests() {
+            for message in request.messages(MAX_ASSIGNMENTS_PER_MESSAGE) {
+                ctx.send(from, request.target.participant, message);
             }
         }
         for StopMessage { participant, what, grace_s } in self.stops {
@@ -139,7 +126,7 @@
         let mut batch = ResendBatch {
             now: ctx.now,
             has_new_owner: &has_new_owner,
-            places: BTreeMap::new(),
+            places: PlaceBatch::default(),
             stops: Vec::new(),
         };
         let jobs = &mut self.jobs;
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -184,7 +184,7 @@
     fn refuse(&self, item: usize, job: &mut Job, offered: &[u32], room: &[u32]) {
         let tried = job.refused(self.now);
         job.aim_at(offered, room);
-        // Whoever is making room is asked on; else it is the next one's turn.
+        // A participant that is making room keeps its turn; else it is the next one's.
         let step = u32::from(tried && !self.is_preempting(item));
         job.preempt = Some(job.preempt.map_or(0, |turn| turn + step));
     }
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! Tasks for which no machine has capacity, as the provisioner is told of them.
+//! Tasks for which no machine has capacity, as reported to the provisioner.
 use super::Coordinator;
 use crate::context::Context;
 use crate::ids::{JobId, Timestamp};
@@ -9,10 +9,10 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Jobs that the provisioner is told of, the most important ones.
+/// Jobs that are reported to the provisioner, the most important ones.
 const MAX_UNMET_DEMANDS: usize = 60;
 
-/// The order in which jobs are told: by priority, then by age.
+/// The order in which jobs are reported: by priority, then by age.
 type DemandOrder = (Reverse<Priority>, Timestamp, JobId);
 
 fn demand_order(job: &Job) -> DemandOrder {
@@ -40,7 +40,7 @@
             .filter(|job| !job.failure_suspicion.is_suspected())
             .filter(|job| worth(ctx, &admitted, job) > 0)
             .collect();
-        // (Found at five times a fleet: the first by their names were told, not the first in turn.)
+        // (Found at five times a fleet: the first by their names were reported, not the first in turn.)
         lacking.sort_unstable_by_key(|job| demand_order(job));
         lacking.truncate(MAX_UNMET_DEMANDS);
         let demand = |job: &Job| UnmetDemand {
--- a/crates/core/src/node/shards.rs
+++ b/crates/core/src/node/shards.rs
@@ -229,7 +229,7 @@
                 o.coordinator.relinquishing = false;
                 continue;
             }
-            if o.coordinator.quiet() {
+            if o.coordinator.is_idle() {
                 o.releasing = true;
                 let key = keys::shard_key(Shard(i as u8));
                 let epoch = o.epoch;
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -123,7 +123,7 @@
                 };
                 let mut c = ctx!(self, effects);
                 if let Some(o) = &mut self.owned[i] {
-                    o.coordinator.records(&mut c, result);
+                    o.coordinator.records_read(&mut c, result);
                 }
                 self.wake |= c.wake;
             }
@@ -137,7 +137,7 @@
                 let Some(o) = &mut self.owned[i] else { return };
                 let k = &mut o.coordinator;
                 let kept = match kind {
-                    Operation::Decide { .. } => k.decided(&mut c, &result),
+                    Operation::Decide { .. } => k.decision_written(&mut c, &result),
                     Operation::Compaction { .. } => k.folded(&mut c, &result),
                     Operation::Finish { job, .. } => k.finished(&mut c, job, &result),
                     _ => true,
--- a/crates/core/src/placed.rs
+++ b/crates/core/src/placed.rs
@@ -38,7 +38,7 @@
     pub phase: TaskPhase,
     /// Number of the decision that holds it.
     pub round: u64,
-    /// When the decision was known to be durable, by this owner of the shard.
+    /// When this owner of the shard learned that the decision is durable.
     pub placed_at: Timestamp,
     /// When `Place` was last sent; 0: not by this owner of the shard.
     pub sent_at: Timestamp,
