--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -115,13 +115,15 @@
                 }
                 self.give_selected_back(ctx);
             }
+            // Whether it was executed is not known: the tick sends it again.
             WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
             WriteOutcome::Open => self.place_selected(ctx, 0),
         }
         true
     }
 
-    /// The decision is durable: its tasks are placed, their participants told.
+    /// The decision is durable, in this version of its record: its tasks are placed, and their
+    /// participants told.
     fn place_selected(&mut self, ctx: &mut Context, version: u64) {
         let Some(decision) = self.pending_decision.take() else { return };
         let (attempt, round) = (decision.attempt, decision.round);
--- a/crates/core/src/coordinator/decision_log/tests.rs
+++ b/crates/core/src/coordinator/decision_log/tests.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 /// Against a store that executes deletions late: no live record is ever lost, and what is
-/// written over has the version that it was said to have.
+/// overwritten has the version that it was said to have.
 #[test]
 fn no_late_deletion_takes_a_live_decision() {
     for seed in 0..200 {
@@ -15,37 +15,37 @@
         let mut live: BTreeMap<u64, (String, u32)> = BTreeMap::new();
         let (mut created, mut version) = (0, 0);
         for round in 1..400u64 {
-            let r = log.take_slot(|| format!("d/0/7-{round}"));
-            assert_eq!(store.get(&r.key).copied().unwrap_or(0), r.version, "seed {seed}");
+            let slot = log.take_slot(|| format!("d/0/7-{round}"));
+            assert_eq!(store.get(&slot.key).copied().unwrap_or(0), slot.version, "seed {seed}");
             if rng.random_bool(0.1) {
-                log.not_written(r);
+                log.not_written(slot);
                 continue;
             }
             version += 1;
-            created += u32::from(r.version == 0);
-            store.insert(r.key.clone(), version);
-            let picks = rng.random_range(0..4);
+            created += u32::from(slot.version == 0);
+            store.insert(slot.key.clone(), version);
+            let placements = rng.random_range(0..4);
             // Its outcome was learned without its revision, now and then.
             let known = rng.random_bool(0.8).then_some(version);
-            log.open(round, r.key.clone(), known, picks);
-            if picks > 0 {
-                live.insert(round, (r.key, picks));
+            log.open(round, slot.key.clone(), known, placements);
+            if placements > 0 {
+                live.insert(round, (slot.key, placements));
             }
             while live.len() > 40 || (!live.is_empty() && rng.random_bool(0.6)) {
                 let n = rng.random_range(0..live.len());
                 let (&at, _) = live.iter().nth(n).expect("one of them");
                 log.placement_over(at);
-                if let Some(l) = live.get_mut(&at) {
-                    l.1 -= 1;
-                    if l.1 == 0 {
+                if let Some((_, left)) = live.get_mut(&at) {
+                    *left -= 1;
+                    if *left == 0 {
                         live.remove(&at);
                     }
                 }
             }
             if rng.random_bool(0.3) {
                 let keys = log.take_unneeded(5);
-                for k in &keys {
-                    store.remove(k);
+                for key in &keys {
+                    store.remove(key);
                 }
                 if rng.random_bool(0.5) {
                     // No answer: a copy of it comes later.
@@ -54,13 +54,13 @@
                 }
             }
             if rng.random_bool(0.2) {
-                for k in late.pop().unwrap_or_default() {
-                    store.remove(&k);
+                for key in late.pop().unwrap_or_default() {
+                    store.remove(&key);
                 }
             }
-            let needed: BTreeSet<&String> = live.values().map(|l| &l.0).collect();
+            let needed: BTreeSet<&String> = live.values().map(|(key, _)| key).collect();
             assert_eq!(needed.len(), live.len(), "a record holds one decision");
-            assert!(needed.iter().all(|k| store.contains_key(*k)), "seed {seed}: lost");
+            assert!(needed.iter().all(|key| store.contains_key(*key)), "seed {seed}: lost");
             assert_eq!(log.counts().live, live.len());
         }
         assert!(created < 250, "seed {seed}: {created} records made for 400 decisions");
--- a/crates/core/src/coordinator/resend.rs
+++ b/crates/core/src/coordinator/resend.rs
@@ -51,6 +51,7 @@
         is_unsettled
     }
 
+    /// Adds a stop that was not sent yet, not lately, or not to this owner of the participant.
     fn add_stop(&mut self, names: &Names, job: JobId, task: u32, placement: &mut Placement) {
         let renew = self.has_new_owner[placement.participant.0 as usize];
         let Some(stop) = &mut placement.stop else { return };
@@ -70,6 +71,8 @@
         self.stops.push(StopMessage { participant, what, grace_s });
     }
 
+    /// Adds a placement that was not seen on its machine for a while, or that a new owner of the
+    /// participant does not know.
     fn add_assignment(
         &mut self,
         names: &Names,
@@ -117,8 +120,8 @@
         }
         self.next_resend = ctx.now + RESEND_CHECK_INTERVAL_MS;
         let has_new_owner = self.see_participant_owners(ctx);
-        // A new owner of a participant knows nothing of what is on its machines. (All placements were
-        // gone through twice a second.)
+        // A new owner of a participant knows nothing of what is on its machines. (Before, all placements
+        // were gone through twice a second.)
         if has_new_owner.contains(&true) {
             let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
             self.unsettled_jobs.extend(placed.map(|job| job.id));
@@ -135,7 +138,7 @@
         batch.send(ctx, self.shard);
     }
 
-    /// By participant: whether it has another owner than when this was last asked.
+    /// By participant: whether it has another owner than when this was called before.
     fn see_participant_owners(&mut self, ctx: &Context) -> Vec<bool> {
         let mut has_new_owner = Vec::new();
         for participant in ctx.shards() {
