--- a/crates/core/src/coordinator/finish.rs
+++ b/crates/core/src/coordinator/finish.rs
@@ -44,7 +44,7 @@
             Change::Delete { key: keys::job_key(self.shard, id) },
         ];
         // Most jobs are over before anything of them was folded: nothing is there to be deleted.
-        if !j.stored.is_empty() {
+        if !j.completion.stored_chunks.is_empty() {
             for c in 0..j.wire.tasks.div_ceil(CHUNK) {
                 v.push(Change::Delete { key: keys::run_key(self.shard, id, c) });
             }
@@ -58,7 +58,7 @@
             return;
         }
         for id in self.cancelling.iter().copied().collect::<Vec<_>>() {
-            let begun = self.jobs.get_mut(&id).and_then(|j| j.terminal_write.take());
+            let begun = self.jobs.get_mut(&id).and_then(|j| j.termination.write.take());
             let mut write = begun.unwrap_or_else(|| {
                 let write =
                     self.write(WriteClass::Cancellation, self.final_changes(id, Status::Cancelled));
@@ -70,7 +70,7 @@
             });
             let call = write.call(ctx.now, ctx.budget);
             match self.jobs.get_mut(&id) {
-                Some(j) => j.terminal_write = Some(write),
+                Some(j) => j.termination.write = Some(write),
                 None => {
                     self.cancelling.remove(&id);
                     continue;
@@ -86,7 +86,7 @@
 
     /// WriteOutcome of writing a cancellation. False: the shard is lost.
     pub fn finished(&mut self, ctx: &mut Context, id: JobId, result: &StoreResult) -> bool {
-        let write = self.jobs.get_mut(&id).and_then(|j| j.terminal_write.as_mut());
+        let write = self.jobs.get_mut(&id).and_then(|j| j.termination.write.as_mut());
         let Some(outcome) = write.map(|w| w.take(ctx.now, result)) else {
             return true;
         };
@@ -96,16 +96,16 @@
                 let Some(j) = self.jobs.get_mut(&id) else {
                     return true;
                 };
-                j.terminating = None;
-                j.terminal_write = None;
+                j.termination.status = None;
+                j.termination.write = None;
                 j.cancelled = true;
                 // What it had done counts no more; its machines may forget it.
-                let acks = std::mem::take(&mut j.uncompacted);
+                let acks = std::mem::take(&mut j.completion.uncompacted);
                 j.placed.stop_all();
                 self.unsettled.insert(id);
                 let s = j.state();
                 let empty = j.placed.is_empty();
-                for r in std::mem::take(&mut j.cancel_requests) {
+                for r in std::mem::take(&mut j.termination.requests) {
                     ctx.reply_state(r, 200, s.clone());
                 }
                 self.acknowledge(ctx, id, acks);
@@ -120,11 +120,11 @@
                 // It may have been executed: until that is known, the job is neither started
                 // further nor called anything. Tried again by the tick.
                 if let Some(j) = self.jobs.get_mut(&id) {
-                    for r in std::mem::take(&mut j.cancel_requests) {
+                    for r in std::mem::take(&mut j.termination.requests) {
                         ctx.reply_later(r, 503, 1);
                     }
                     if let Some(w) =
-                        j.terminal_write.as_mut().filter(|_| outcome == WriteOutcome::NotDone)
+                        j.termination.write.as_mut().filter(|_| outcome == WriteOutcome::NotDone)
                     {
                         w.again(ctx.now + REFUSED_AGAIN_MS);
                     }
@@ -141,7 +141,7 @@
         acks: Vec<CompletedAttempt>,
     ) {
         let mut by_shard: BTreeMap<Shard, Vec<AttemptRef>> = BTreeMap::new();
-        for (task, attempt, m, round) in acks {
+        for CompletedAttempt { task, attempt, machine: m, round } in acks {
             self.rounds.one_less(round);
             let machine = ctx.names.machine_name(m).to_string();
             let shard = ctx.shard_of_machine(&machine);
@@ -199,7 +199,8 @@
         let first = if let Some((id, _)) = fold.finals.first() {
             Some((keys::final_key(self.shard, *id), 0))
         } else if let Some((id, chunk)) = fold.first_chunk() {
-            let version = self.jobs.get(&id).and_then(|j| j.stored.get(&chunk).copied());
+            let version =
+                self.jobs.get(&id).and_then(|j| j.completion.stored_chunks.get(&chunk).copied());
             Some((keys::run_key(self.shard, id, chunk), version.unwrap_or(0)))
         } else {
             None
@@ -240,11 +241,11 @@
             self.dirty.remove(&id);
             // Cancelled meanwhile: that is its end.
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            if j.cancelled || j.terminating == Some(Status::Cancelled) {
+            if j.cancelled || j.termination.status == Some(Status::Cancelled) {
                 continue;
             }
-            j.terminating = Some(Status::Done);
-            fold.acks.push((id, std::mem::take(&mut j.uncompacted)));
+            j.termination.status = Some(Status::Done);
+            fold.acks.push((id, std::mem::take(&mut j.completion.uncompacted)));
             fold.finals.push((id, Status::Done));
             changes.extend(c);
         }
@@ -257,14 +258,18 @@
         let mut ripe: Vec<(Reverse<usize>, JobId)> = Vec::new();
         let jobs = &self.jobs;
         self.dirty.retain(|id| {
-            let Some(j) = jobs.get(id).filter(|j| !j.dirty_chunks.is_empty() && !j.cancelled)
+            let Some(j) =
+                jobs.get(id).filter(|j| !j.completion.dirty_chunks.is_empty() && !j.cancelled)
             else {
                 return false;
             };
             // Soon over, perhaps: its final state makes this write needless.
-            let late = j.uncompacted_since.is_some_and(|t| ctx.now >= t + RIPE_MS);
-            if (late || j.uncompacted.len() >= RIPE) && j.terminating.is_none() && !j.complete() {
-                ripe.push((Reverse(j.uncompacted.len()), *id));
+            let late = j.completion.uncompacted_since.is_some_and(|t| ctx.now >= t + RIPE_MS);
+            if (late || j.completion.uncompacted.len() >= RIPE)
+                && j.termination.status.is_none()
+                && !j.complete()
+            {
+                ripe.push((Reverse(j.completion.uncompacted.len()), *id));
             }
             true
         });
@@ -272,14 +277,15 @@
         let mut bytes = 0;
         for (_, id) in ripe {
             let Some(j) = self.jobs.get_mut(&id) else { continue };
-            if changes.len() + j.dirty_chunks.len() > most || bytes > MOST_BYTES {
+            if changes.len() + j.completion.dirty_chunks.len() > most || bytes > MOST_BYTES {
                 break;
             }
             self.dirty.remove(&id);
-            j.uncompacted_since = None;
-            let chunks: Vec<u32> = std::mem::take(&mut j.dirty_chunks).into_iter().collect();
+            j.completion.uncompacted_since = None;
+            let chunks: Vec<u32> =
+                std::mem::take(&mut j.completion.dirty_chunks).into_iter().collect();
             for &c in &chunks {
-                j.stored.entry(c).or_insert(0);
+                j.completion.stored_chunks.entry(c).or_insert(0);
                 let text = j.done.encode_chunk(c);
                 bytes += text.len();
                 let key = keys::run_key(self.shard, j.id, c);
@@ -290,7 +296,7 @@
                 });
             }
             fold.chunks.push((id, chunks));
-            fold.acks.push((id, std::mem::take(&mut j.uncompacted)));
+            fold.acks.push((id, std::mem::take(&mut j.completion.uncompacted)));
         }
     }
 
@@ -302,7 +308,7 @@
             // Who waits asks again: it may take as long as the service does.
             for id in self.fold.iter().flat_map(|f| &f.finals).map(|f| f.0).collect::<Vec<_>>() {
                 if let Some(j) = self.jobs.get_mut(&id) {
-                    for r in std::mem::take(&mut j.cancel_requests) {
+                    for r in std::mem::take(&mut j.termination.requests) {
                         ctx.reply_later(r, 503, 1);
                     }
                 }
@@ -314,7 +320,9 @@
             WriteOutcome::Done(revision) => {
                 for (id, chunks) in f.chunks {
                     if let Some(j) = self.jobs.get_mut(&id) {
-                        j.stored.extend(chunks.into_iter().map(|c| (c, revision)));
+                        j.completion
+                            .stored_chunks
+                            .extend(chunks.into_iter().map(|c| (c, revision)));
                     }
                 }
                 for (id, acks) in f.acks {
@@ -323,7 +331,7 @@
                 for (id, status) in f.finals {
                     if let Some(j) = self.jobs.remove(&id) {
                         let terminal = TerminalState { status, done: j.done.len() };
-                        for r in j.cancel_requests {
+                        for r in j.termination.requests {
                             ctx.reply_state(r, 200, job_state(id, terminal));
                         }
                         self.closed.insert(id, terminal);
@@ -338,14 +346,14 @@
                 self.rounds.delete_again(f.rounds);
                 for (id, chunks) in f.chunks {
                     if let Some(j) = self.jobs.get_mut(&id) {
-                        j.dirty_chunks.extend(chunks);
-                        j.uncompacted_since.get_or_insert(ctx.now);
+                        j.completion.dirty_chunks.extend(chunks);
+                        j.completion.uncompacted_since.get_or_insert(ctx.now);
                         self.dirty.insert(id);
                     }
                 }
                 for (id, acks) in f.acks {
                     if let Some(j) = self.jobs.get_mut(&id) {
-                        j.uncompacted.extend(acks);
+                        j.completion.uncompacted.extend(acks);
                     }
                 }
                 // The final states stay in the making and are tried again.
@@ -358,7 +366,7 @@
     /// A cancelled job without tasks left: only its final state remains.
     pub(super) fn drop_cancelled(&mut self, id: JobId) {
         if let Some(j) = self.jobs.remove(&id) {
-            if !j.wire.class.is_empty() {
+            if !j.is_tombstone() {
                 let status = Status::Cancelled;
                 self.closed.insert(id, TerminalState { status, done: j.done.len() });
             }
@@ -372,8 +380,8 @@
         let j = self.jobs.get(&id)?;
         // A leftover stands for a job whose final state is in the store. And a final state that
         // is being written may be there already, and may have been told by a node that read it.
-        let told = j.terminating.is_none() || !holds(Guard::Finishing);
-        (!j.wire.class.is_empty() && told).then(|| j.state())
+        let told = j.termination.status.is_none() || !holds(Guard::Finishing);
+        (!j.is_tombstone() && told).then(|| j.state())
     }
 
     /// True if the job is known here; the answer follows once it is durable.
@@ -385,7 +393,7 @@
         let Some(j) = self.jobs.get_mut(&id) else {
             return false;
         };
-        if j.wire.class.is_empty() {
+        if j.is_tombstone() {
             return false;
         }
         if j.cancelled {
@@ -393,19 +401,19 @@
             ctx.reply_state(req, 200, s);
             return true;
         }
-        if j.cancel_requests.len() > 100 {
+        if j.termination.requests.len() > 100 {
             ctx.reply_later(req, 503, 1);
             return true;
         }
-        j.cancel_requests.push(req);
+        j.termination.requests.push(req);
         if !holds(Guard::CancelledDurable) {
             let terminal = TerminalState { status: Status::Cancelled, done: j.done.len() };
-            for r in std::mem::take(&mut j.cancel_requests) {
+            for r in std::mem::take(&mut j.termination.requests) {
                 ctx.reply_state(r, 200, job_state(id, terminal));
             }
         }
-        if j.terminating.is_none() && !j.complete() {
-            j.terminating = Some(Status::Cancelled);
+        if j.termination.status.is_none() && !j.complete() {
+            j.termination.status = Some(Status::Cancelled);
             self.cancelling.insert(id);
             self.write_cancellations(ctx);
         }
--- a/crates/core/src/coordinator/limits.rs
+++ b/crates/core/src/coordinator/limits.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::guards::{holds, Guard};
 use crate::ids::{JobId, Timestamp};
-use crate::jobs::Job;
+use crate::jobs::{Job, Urgency};
 use crate::names::Resources;
 use crate::preemption::{victims, Candidate};
 use crate::quota::admission::{Admission, AdmissionRequest, Admitted, QuotaStatus};
@@ -33,11 +33,11 @@
 const WAY_TASKS: u32 = 16;
 
 /// A job's place among those that wait: the least is served first.
-pub(super) type Turn = (Reverse<Priority>, u8, Timestamp, Timestamp, JobId);
+pub(super) type Turn = (Reverse<Priority>, Urgency, Timestamp, JobId);
 
 pub(super) fn turn(j: &Job, now: Timestamp) -> Turn {
-    let (late, due) = j.turn(now);
-    (Reverse(j.wire.priority), late, due, j.created, j.id)
+    let urgency = j.placement_urgency(now);
+    (Reverse(j.wire.priority), urgency, j.created, j.id)
 }
 
 /// A job of a team with a limit, in its turn, and how many of its tasks may run.
@@ -108,7 +108,8 @@
         }
         let now = ctx.now;
         let jobs = self.pending.iter().filter_map(|id| self.jobs.get(id));
-        let open = jobs.filter(|j| !j.cancelled && j.terminating.is_none() && j.pending() > 0);
+        let open =
+            jobs.filter(|j| !j.cancelled && j.termination.status.is_none() && j.pending() > 0);
         let mut waiting: Vec<(Turn, &Job, (u8, u64, u64))> = open
             .filter(|j| j.may_start())
             .filter_map(|j| Some((turn(j, now), j, ctx.team_use(j)?)))
@@ -128,7 +129,7 @@
             }
             let standing = || standings.get(&team).copied().unwrap_or_default();
             let admission = teams.entry(team).or_insert_with(|| Admission::new(standing()));
-            let vain = j.refused_for(now).filter(|ms| *ms > STUCK_MS);
+            let vain = j.demand_unmet_ms(now).filter(|ms| *ms > STUCK_MS);
             let coming = j.preempting_at.is_some_and(|at| now < at + COMES_MS);
             let spell = if coming { COMING_MS } else { TRIES_MS };
             let mut keeps =
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -74,14 +74,14 @@
                 let placed = self.jobs.values().filter(|j| !j.placed.is_empty());
                 self.unsettled = placed.map(|j| j.id).collect();
                 self.over = done.map(|j| (j.id, ctx.now)).collect();
-                for j in self.jobs.values_mut().filter(|j| !j.wire.class.is_empty()) {
+                for j in self.jobs.values_mut().filter(|j| !j.is_tombstone()) {
                     if !j.placed.is_empty() || !j.done.is_empty() {
-                        j.begun = Some(ctx.now);
+                        j.first_started_at = Some(ctx.now);
                         self.served.had_begun(j);
                     }
                 }
                 // Their final states are written already: an owner before may have told nobody else.
-                for j in self.jobs.values().filter(|j| j.wire.class.is_empty()) {
+                for j in self.jobs.values().filter(|j| j.is_tombstone()) {
                     ctx.horizons.cancelled(self.shard, self.epoch, j.id, ctx.now);
                 }
                 ctx.wake = true;
@@ -118,7 +118,7 @@
         let found = keys::run_of_key(&r.key).map(|(id, chunk)| (self.jobs.get_mut(&id), chunk));
         let read = match found {
             Some((Some(j), chunk)) => {
-                j.stored.insert(chunk, r.version);
+                j.completion.stored_chunks.insert(chunk, r.version);
                 CompletionRecord::decode(&r.value)
                     .is_ok_and(|text| j.done.add_chunk(chunk, text.0, j.wire.tasks))
             }
@@ -153,7 +153,7 @@
                 }
                 let participant = ctx.shard_of_machine(placement.machine);
                 let machine = ctx.names.machine(placement.machine);
-                let j = self.jobs.entry(id).or_insert_with(|| Job::leftover(id, ctx.names));
+                let j = self.jobs.entry(id).or_insert_with(|| Job::tombstone(id, ctx.names));
                 let newer = j.placed.get(task).is_some_and(|o| o.attempt > attempt);
                 if j.done.get(task) || newer && holds(Guard::NewestAttempt) {
                     continue;
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -204,7 +204,7 @@
         self.talk.is_none()
             && self.writing.is_none()
             && self.fold.is_none()
-            && self.jobs.values().all(|j| j.terminating.is_none())
+            && self.jobs.values().all(|j| j.termination.status.is_none())
     }
 
     /// Changes of this shard, conditional on its epoch.
@@ -250,7 +250,7 @@
                 for id in &self.pending {
                     let j = self.jobs.get_mut(id).filter(|j| j.wire.priority >= priority);
                     if let Some(j) = j {
-                        j.room_somewhere(ctx.now);
+                        j.capacity_freed(ctx.now);
                     }
                 }
                 ctx.wake = true;
@@ -295,10 +295,13 @@
         if !known {
             // Already noted as done, but not durably yet: the worker must not forget it.
             let uncompacted = self.jobs.get(&id).is_some_and(|j| {
-                j.uncompacted.iter().any(|u| u.0 == e.task && u.1 .0 == e.attempt)
+                j.completion
+                    .uncompacted
+                    .iter()
+                    .any(|u| u.task == e.task && u.attempt.0 == e.attempt)
             }) || self.fold.as_ref().is_some_and(|f| {
                 f.acks.iter().any(|(j, l)| {
-                    *j == id && l.iter().any(|u| u.0 == e.task && u.1 .0 == e.attempt)
+                    *j == id && l.iter().any(|u| u.task == e.task && u.attempt.0 == e.attempt)
                 })
             });
             if over {
@@ -312,8 +315,8 @@
             e.phase,
             TaskPhase::On(TaskState::Running) | TaskPhase::Exited(ExitReason::Done, _)
         );
-        if ran && j.begun.is_none() && !j.cancelled {
-            j.begun = Some(now);
+        if ran && j.first_started_at.is_none() && !j.cancelled {
+            j.first_started_at = Some(now);
             self.served.begins(j, now);
         }
         if !over {
@@ -338,7 +341,12 @@
                 } else {
                     self.dirty.insert(id);
                 }
-                j.uncompacted.push((e.task, p.attempt, p.machine, p.round));
+                j.completion.uncompacted.push(CompletedAttempt {
+                    task: e.task,
+                    attempt: p.attempt,
+                    machine: p.machine,
+                    round: p.round,
+                });
                 ctx.wake = true;
                 return None;
             }
@@ -483,7 +491,7 @@
         };
         let jobs = self.pending.iter().filter_map(|id| self.jobs.get(id));
         let mut lacking: Vec<(_, &Job)> = jobs
-            .filter(|j| !j.cancelled && j.terminating.is_none() && j.pending() > 0)
+            .filter(|j| !j.cancelled && j.termination.status.is_none() && j.pending() > 0)
             .filter(|j| !j.failure_suspicion.is_suspected() && worth(j) > 0)
             .map(|j| ((Reverse(j.wire.priority), j.created, j.id), j))
             .collect();
@@ -499,7 +507,7 @@
                 count: worth(j),
                 zone_room: j.zone_room(&ctx.names.zones),
                 waited_ms: ctx.now.saturating_sub(j.created),
-                urgent: j.urgent(ctx.now),
+                urgent: j.is_urgent(ctx.now),
             })
             .collect()
     }
@@ -507,8 +515,12 @@
     /// For the operators' log: what is kept and what waits to be written.
     pub fn figures(&mut self, now: Timestamp) -> String {
         let oldest = self.over.values().min().map_or(0, |at| now.saturating_sub(*at));
-        let uncompacted: usize =
-            self.dirty.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.uncompacted.len()).sum();
+        let uncompacted: usize = self
+            .dirty
+            .iter()
+            .filter_map(|id| self.jobs.get(id))
+            .map(|j| j.completion.uncompacted.len())
+            .sum();
         let (live, spare) = self.rounds.count();
         let (picks, rounds) = std::mem::take(&mut self.picked);
         format!(
@@ -524,7 +536,7 @@
     /// The shard is lost: whoever waits for an answer has to ask again.
     pub fn abandon(&mut self, ctx: &mut Context) {
         for j in self.jobs.values_mut() {
-            for r in std::mem::take(&mut j.cancel_requests) {
+            for r in std::mem::take(&mut j.termination.requests) {
                 ctx.reply_later(r, 503, 1);
             }
         }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -52,7 +52,7 @@
             .pending
             .iter()
             .filter_map(|id| jobs.get(id))
-            .filter(|j| j.terminating.is_none() && j.not_before <= now)
+            .filter(|j| j.termination.status.is_none() && j.not_before <= now)
             .filter(|j| j.may_start())
             .filter(|j| may_run(ctx, admitted, j).in_turn > 0)
             .map(|j| turn(j, now))
@@ -62,7 +62,7 @@
             v.truncate(ITEMS);
         }
         v.sort_unstable();
-        v.into_iter().map(|x| x.4).collect()
+        v.into_iter().map(|x| x.3).collect()
     }
 
     pub fn start_round(&mut self, ctx: &mut Context) {
@@ -114,17 +114,17 @@
             let makes_room = j.wire.priority > user::Priority::Low
                 && !j.failure_suspicion.is_suspected()
                 && covered;
-            turns.push(j.preempt.filter(|_| makes_room));
+            turns.push(j.preemption_turn.filter(|_| makes_room));
             wanted.push(OfferRequest {
                 job: id.0,
                 shape: j.shape.wire.clone(),
                 count,
                 zone_room,
                 preempt: false,
-                urgent: j.urgent(ctx.now),
+                urgent: j.is_urgent(ctx.now),
                 may_use_gpu_machines: j.may_use_gpu_machines(ctx.now),
                 queue_position: j
-                    .line(ctx.now)
+                    .queue_position(ctx.now)
                     .map(|l| QueuePosition { holds_position: l.holds_position && covered, ..l }),
             });
         }
@@ -196,7 +196,7 @@
             let Some(j) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if j.cancelled || j.terminating.is_some() {
+            if j.cancelled || j.termination.status.is_some() {
                 continue;
             }
             if talk.preempting.contains(&(i as u16)) {
@@ -218,8 +218,8 @@
                 let most = offered.min(want);
                 if most > 0 && if whole { n < want && most == want } else { n == 0 } {
                     // It has found room, and waits for its team's limit alone.
-                    j.served();
-                    j.preempt = None;
+                    j.reset_backoff();
+                    j.preemption_turn = None;
                     j.not_before = now + CAPPED_MS;
                     ways.push((id, team, most));
                     continue;
@@ -263,11 +263,11 @@
             }
             let whole = j.wire.kind != Kind::Gang || picks.len() as u32 == j.pending();
             if picks.is_empty() || !whole {
-                let tried = j.refused(now);
-                j.aim_at(&per, &open);
+                let tried = j.record_unmet_demand(now);
+                j.choose_target_zone(&per, &open);
                 // Whoever is making room is asked on; else it is the next one's turn.
                 let step = u32::from(tried && !talk.preempting.contains(&(i as u16)));
-                j.preempt = Some(j.preempt.map_or(0, |t| t + step));
+                j.preemption_turn = Some(j.preemption_turn.map_or(0, |t| t + step));
                 continue;
             }
             if let Some((team, cpu, gpu)) = ctx.team_use(j) {
@@ -276,10 +276,10 @@
                     *used = used.plus(QuotaAmount { cpu, gpu }.times(picks.len() as u32));
                 }
             }
-            j.served();
+            j.reset_backoff();
             let short = (picks.len() as u32) < want;
             let step = u32::from(!talk.preempting.contains(&(i as u16)));
-            j.preempt = short.then(|| j.preempt.map_or(0, |t| t + step));
+            j.preemption_turn = short.then(|| j.preemption_turn.map_or(0, |t| t + step));
             for (shard, offer) in picks {
                 let Some(task) = j.take() else { break };
                 choices.push(SelectedOffer { job: id, task, shard, offer });
@@ -399,7 +399,7 @@
                 team: ctx.team_use(j),
             };
             // Cancelled while the decision was being written: it was never said.
-            if j.cancelled || j.terminating.is_some() {
+            if j.cancelled || j.termination.status.is_some() {
                 j.give_back(c.task);
                 self.pending.insert(c.job);
                 continue;
--- a/crates/core/src/coordinator/served.rs
+++ b/crates/core/src/coordinator/served.rs
@@ -60,7 +60,7 @@
             format!("{who}={}/{}/{}", c.begun, c.asked, c.longest_ms.div_ceil(1000))
         });
         let mut words: Vec<String> = groups.collect();
-        let waits = |id: &&JobId| self.jobs.get(id).is_some_and(|j| j.begun.is_none());
+        let waits = |id: &&JobId| self.jobs.get(id).is_some_and(|j| j.first_started_at.is_none());
         let waiting = self.pending.iter().filter(waits).filter_map(|id| self.jobs.get(id));
         if let Some(j) = waiting.max_by_key(|j| j.wire.tasks) {
             let (tasks, s) = (j.wire.tasks, now.saturating_sub(j.created) / 1000);
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -1,12 +1,14 @@
 use super::*;
+use crate::ids::{Attempt, MachineIdx, Timestamp, ZoneIdx};
 use crate::names::Names;
 use crate::placed::Placement;
-use user::Priority;
+use leaddeal_wire::settings::Objective;
+use leaddeal_wire::user::{Kind, Priority};
 
 #[test]
 fn a_gang_waits_for_one_zone_until_that_has_nothing() {
     let mut names = Names::default();
-    let mut j = Job::leftover(JobId(7), &mut names);
+    let mut j = Job::tombstone(JobId(7), &mut names);
     j.wire = user::Job {
         class: "c".into(),
         kind: Kind::Gang,
@@ -15,41 +17,41 @@
         one_zone: true,
         ..j.wire
     };
-    assert!(!j.line(0).expect("a gang's").holds_position, "asks for the first time");
+    assert!(!j.queue_position(0).expect("a gang's").holds_position, "asks for the first time");
     let room = [4, 4, 4];
-    j.failed_tries = 1;
-    j.aim_at(&[0, 2, 1], &room);
+    j.backoff.failed_tries = 1;
+    j.choose_target_zone(&[0, 2, 1], &room);
     assert_eq!(j.target_zone, Some(ZoneIdx(1)));
-    j.aim_at(&[3, 1, 0], &room);
+    j.choose_target_zone(&[3, 1, 0], &room);
     assert_eq!(j.target_zone, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
-    assert!(j.line(0).expect("a gang's").holds_position);
-    j.aim_at(&[3, 0, 0], &room);
+    assert!(j.queue_position(0).expect("a gang's").holds_position);
+    j.choose_target_zone(&[3, 0, 0], &room);
     assert_eq!(j.target_zone, Some(ZoneIdx(0)));
     j.wire.tasks = 1;
-    j.aim_at(&[0, 0, 0], &room);
+    j.choose_target_zone(&[0, 0, 0], &room);
     assert_eq!(j.target_zone, None, "a lone task needs no zone to itself");
-    assert!(!j.line(0).expect("a gang's").holds_position);
+    assert!(!j.queue_position(0).expect("a gang's").holds_position);
 }
 
 /// Found by counting: with a fleet that was booting, asking in vain took most of the time.
 #[test]
 fn a_job_without_room_waits_to_be_told_and_asks_by_itself_less_and_less() {
     let mut names = Names::default();
-    let mut j = Job::leftover(JobId(7), &mut names);
+    let mut j = Job::tombstone(JobId(7), &mut names);
     j.wire.priority = Priority::High;
     let (mut now, mut tries) = (10_000, 0);
     while now < 20_000 {
-        assert!(j.refused(now), "it was its own time to try");
+        assert!(j.record_unmet_demand(now), "it was its own time to try");
         (now, tries) = (j.not_before, tries + 1);
     }
     assert!((12..20).contains(&tries), "{tries} tries in 10 s");
-    assert!(j.refused(now));
-    j.room_somewhere(now + 10);
+    assert!(j.record_unmet_demand(now));
+    j.capacity_freed(now + 10);
     assert_eq!(j.not_before, now + 10, "told of room, it asks at once");
-    assert!(!j.refused(now + 20), "which is no try by itself");
+    assert!(!j.record_unmet_demand(now + 20), "which is no try by itself");
     assert!(j.not_before > now + 20);
     j.not_before = now + 5000;
-    j.room_somewhere(now + 30);
+    j.capacity_freed(now + 30);
     assert_eq!(j.not_before, now + 5000, "after failures it waits all the same");
 }
 
@@ -77,7 +79,7 @@
 fn a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks() {
     use crate::ids::Shard;
     let mut names = Names::default();
-    let mut j = Job::leftover(JobId(7), &mut names);
+    let mut j = Job::tombstone(JobId(7), &mut names);
     (j.wire.one_zone, j.wire.tasks) = (true, 9);
     let zones = ["a", "b", "c"].map(String::from);
     let placement = |zone| Placement {
@@ -108,11 +110,11 @@
 #[test]
 fn gangs_that_missed_all_aims_keep_their_order() {
     let mut names = Names::default();
-    let mut j = Job::leftover(JobId(7), &mut names);
+    let mut j = Job::tombstone(JobId(7), &mut names);
     j.wire.kind = Kind::Gang;
     // When its turn was, as a participant reckons it from what it is told.
     let turn = |j: &Job, now: Timestamp| {
-        let line = j.line(now).expect("a gang's");
+        let line = j.queue_position(now).expect("a gang's");
         (line.late, now.saturating_add_signed(line.time_left_ms))
     };
     let (older, younger) = (1_000_000, 1_005_000);
@@ -128,7 +130,7 @@
 #[test]
 fn urgency_counts_from_the_submission() {
     let mut names = Names::default();
-    let mut j = Job::leftover(JobId(7), &mut names);
+    let mut j = Job::tombstone(JobId(7), &mut names);
     let objective = |within_s| Objective {
         kind: "wait".into(),
         class: "c".into(),
@@ -136,20 +138,23 @@
         share: Some(0.9),
         times: None,
     };
+    let urgency = |missed_objectives, due| Urgency { missed_objectives, due };
     j.wire.class = "c".into();
-    j.starts = Objectives::new(&[objective(80.0), objective(350.0)], 0.0).starts(&j.wire);
+    j.latest_starts_ms =
+        Objectives::new(&[objective(80.0), objective(350.0)], 0.0).latest_starts_ms(&j.wire);
     j.created = 1_000_000;
-    assert_eq!(j.urgency(1_050_000), (0, 1_080_000));
-    assert_eq!(j.urgency(1_100_000), (1, 1_350_000));
+    assert_eq!(j.urgency(1_050_000), urgency(0, 1_080_000));
+    assert_eq!(j.urgency(1_100_000), urgency(1, 1_350_000));
     // One that has not begun comes first in the end, and then only until it has.
-    assert_eq!(j.turn(1_109_000), j.urgency(1_109_000));
-    assert_eq!(j.turn(1_200_000), (0, 1_110_000));
-    j.begun = Some(1_200_000);
-    assert_eq!(j.turn(1_200_000), j.urgency(1_200_000));
+    assert_eq!(j.placement_urgency(1_109_000), j.urgency(1_109_000));
+    assert_eq!(j.placement_urgency(1_200_000), urgency(0, 1_110_000));
+    j.first_started_at = Some(1_200_000);
+    assert_eq!(j.placement_urgency(1_200_000), j.urgency(1_200_000));
     // A large one takes so long to be placed that it is due earlier.
     j.wire.tasks = 25_000;
-    j.starts = Objectives::new(&[objective(80.0), objective(350.0)], 4.0).starts(&j.wire);
-    assert_eq!(j.urgency(1_050_000), (1, 1_250_000));
+    j.latest_starts_ms =
+        Objectives::new(&[objective(80.0), objective(350.0)], 4.0).latest_starts_ms(&j.wire);
+    assert_eq!(j.urgency(1_050_000), urgency(1, 1_250_000));
 }
 
 #[cfg(feature = "guards")]
