--- /dev/null
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -0,0 +1,141 @@
+//! Cancellations: written, tried again until their outcome is known, then answered.
+use super::terminal_state::defer_requests;
+use super::{Coordinator, Ownership};
+use crate::budget::WriteClass;
+use crate::context::{Context, Operation};
+use crate::guards::{holds, Guard};
+use crate::ids::JobId;
+use crate::io::{RequestId, StoreResult};
+use crate::jobs::{job_state, Job};
+use crate::keys;
+use crate::stored::TerminalState;
+use crate::writes::{PendingWrite, WriteOutcome};
+use leaddeal_wire::user::Status;
+
+/// Before a cancellation that the state service refused is tried again.
+const RETRY_DELAY_MS: u64 = 500;
+/// A cancellation of a job for which more wait than this is refused.
+const MAX_WAITING_REQUESTS: usize = 100;
+
+/// What the variant without the guard `CancelledDurable` does: answers before the write.
+fn answer_before_durable(ctx: &mut Context, id: JobId, job: &mut Job) {
+    let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
+    for request in std::mem::take(&mut job.termination.requests) {
+        ctx.reply_state(request, 200, job_state(id, terminal));
+    }
+}
+
+impl Coordinator {
+    /// A user cancels a job. Returns true if the job is known here; it is answered once the
+    /// cancellation is durable.
+    pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: JobId) -> bool {
+        if let Some(terminal) = self.closed.get(&id) {
+            ctx.reply_state(request, 200, job_state(id, *terminal));
+            return true;
+        }
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_tombstone()) else {
+            return false;
+        };
+        if job.cancelled {
+            let state = job.state();
+            ctx.reply_state(request, 200, state);
+            return true;
+        }
+        if job.termination.requests.len() > MAX_WAITING_REQUESTS {
+            ctx.reply_later(request, 503, 1);
+            return true;
+        }
+        job.termination.requests.push(request);
+        if !holds(Guard::CancelledDurable) {
+            answer_before_durable(ctx, id, job);
+        }
+        if job.termination.status.is_none() && !job.complete() {
+            job.termination.status = Some(Status::Cancelled);
+            self.cancelling.insert(id);
+            self.write_cancellations(ctx);
+        }
+        true
+    }
+
+    /// Writes the cancellations that it is time for: a first time, or again.
+    pub(super) fn write_cancellations(&mut self, ctx: &mut Context) {
+        if !ctx.valid {
+            return;
+        }
+        for id in self.cancelling.iter().copied().collect::<Vec<_>>() {
+            self.write_cancellation(ctx, id);
+        }
+    }
+
+    fn write_cancellation(&mut self, ctx: &mut Context, id: JobId) {
+        let in_flight = self.jobs.get_mut(&id).and_then(|job| job.termination.write.take());
+        let mut write = in_flight.unwrap_or_else(|| self.new_cancellation(id));
+        let call = write.call(ctx.now, ctx.budget);
+        let Some(job) = self.jobs.get_mut(&id) else {
+            self.cancelling.remove(&id);
+            return;
+        };
+        job.termination.write = Some(write);
+        if let Some(call) = call {
+            ctx.horizons.cancelled(self.shard, self.epoch, id, ctx.now);
+            let operation = Operation::Finish { shard: self.shard, epoch: self.epoch, job: id };
+            ctx.store(operation, call);
+        }
+    }
+
+    fn new_cancellation(&self, id: JobId) -> PendingWrite {
+        let changes = self.terminal_changes(id, Status::Cancelled);
+        let write = self.write(WriteClass::Cancellation, changes);
+        if holds(Guard::CancelVersion) {
+            write.creating(keys::final_key(self.shard, id), 0)
+        } else {
+            write
+        }
+    }
+
+    /// The result of the transaction that cancels a job.
+    pub fn cancellation_written(
+        &mut self,
+        ctx: &mut Context,
+        id: JobId,
+        result: &StoreResult,
+    ) -> Ownership {
+        let Some(job) = self.jobs.get_mut(&id) else { return Ownership::Kept };
+        let Some(write) = job.termination.write.as_mut() else { return Ownership::Kept };
+        // Without a commit the transaction may have been executed all the same: until that is known,
+        // the job is neither started further nor is its state told. Tried again by the tick.
+        match write.take(ctx.now, result) {
+            WriteOutcome::Done(_) => self.cancellation_committed(ctx, id),
+            WriteOutcome::Fenced => return Ownership::Lost,
+            WriteOutcome::NotDone => {
+                write.again(ctx.now + RETRY_DELAY_MS);
+                defer_requests(ctx, job);
+            }
+            WriteOutcome::Open => defer_requests(ctx, job),
+        }
+        Ownership::Kept
+    }
+
+    fn cancellation_committed(&mut self, ctx: &mut Context, id: JobId) {
+        self.cancelling.remove(&id);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.termination.status = None;
+        job.termination.write = None;
+        job.cancelled = true;
+        // Its completions don't count any more; its machines may forget them.
+        let completed = std::mem::take(&mut job.completion.uncompacted);
+        job.placed.stop_all();
+        self.unsettled.insert(id);
+        let state = job.state();
+        let nothing_placed = job.placed.is_empty();
+        for request in std::mem::take(&mut job.termination.requests) {
+            ctx.reply_state(request, 200, state.clone());
+        }
+        self.acknowledge(ctx, id, completed);
+        if nothing_placed {
+            self.drop_cancelled(id);
+        }
+        self.next_resend = 0;
+        self.resend(ctx);
+    }
+}
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -73,7 +73,7 @@
                 let done = self.jobs.values().filter(|j| j.complete() && !j.cancelled);
                 let placed = self.jobs.values().filter(|j| !j.placed.is_empty());
                 self.unsettled = placed.map(|j| j.id).collect();
-                self.over = done.map(|j| (j.id, ctx.now)).collect();
+                self.compaction.complete_jobs = done.map(|j| (j.id, ctx.now)).collect();
                 for j in self.jobs.values_mut().filter(|j| !j.is_tombstone()) {
                     if !j.placed.is_empty() || !j.done.is_empty() {
                         j.first_started_at = Some(ctx.now);
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -8,12 +8,13 @@
 use crate::records::{Record, RecordReader};
 use crate::stored::TerminalState;
 use crate::writes::PendingWrite;
+use compaction::CompactionState;
 use leaddeal_wire::mesh::{
     Assignment, AttemptRef, Offer, Shape as WireShape, ShardMessage, TaskEvent, TaskPhase,
     TeamGrant, UnmetDemand,
 };
 use leaddeal_wire::state::Change;
-use leaddeal_wire::user::{Kind, Priority, Status};
+use leaddeal_wire::user::{Kind, Priority};
 use leaddeal_wire::worker::{ExitReason, TaskState};
 use rounds::{Record as Slot, Rounds};
 use served::ServiceStatistics;
@@ -21,12 +22,17 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-mod finish;
+mod cancellation;
+mod compaction;
 mod limits;
 mod load;
+mod ownership;
 mod round;
 mod rounds;
 mod served;
+mod terminal_state;
+
+pub use ownership::Ownership;
 
 /// Answers to a request for offers are waited for no longer than this.
 pub const OFFERS_MS: u64 = 2000;
@@ -84,21 +90,6 @@
     write: PendingWrite,
 }
 
-#[derive(Debug, Default)]
-struct Compaction {
-    write: Option<PendingWrite>,
-    chunks: Vec<(JobId, Vec<u32>)>,
-    acks: Vec<(JobId, Vec<CompletedAttempt>)>,
-    finals: Vec<(JobId, Status)>,
-    rounds: Vec<String>,
-}
-
-impl Compaction {
-    fn first_chunk(&self) -> Option<(JobId, u32)> {
-        self.chunks.iter().find_map(|(id, chunks)| Some((*id, *chunks.first()?)))
-    }
-}
-
 #[derive(Debug)]
 pub struct Coordinator {
     pub shard: Shard,
@@ -118,10 +109,7 @@
     rounds: Rounds,
     /// Jobs that may have tasks to be placed; who has none any more is taken out when looked at.
     pending: BTreeSet<JobId>,
-    /// Jobs whose tasks are all done and whose final state is not written, since when.
-    over: BTreeMap<JobId, Timestamp>,
-    /// Jobs of which something is done that is not in the store.
-    dirty: BTreeSet<JobId>,
+    compaction: CompactionState,
     /// Jobs with a task that was not seen on its machine yet, or is to stop; who has none any more
     /// is taken out when looked at.
     unsettled: BTreeSet<JobId>,
@@ -130,9 +118,6 @@
     served: ServiceStatistics,
     /// Cancellations being written.
     cancelling: BTreeSet<JobId>,
-    fold: Option<Compaction>,
-    finals_after: Timestamp,
-    fold_after: Timestamp,
     /// Picks of all decisions, and how many decisions; for the log.
     picked: (u64, u64),
     /// Revision of the list of jobs that was loaded.
@@ -172,15 +157,11 @@
             round: 0,
             rounds: Rounds::default(),
             pending: BTreeSet::new(),
-            over: BTreeMap::new(),
-            dirty: BTreeSet::new(),
+            compaction: CompactionState::default(),
             unsettled: BTreeSet::new(),
             gpu_work: (0, Vec::new()),
             served: ServiceStatistics::default(),
             cancelling: BTreeSet::new(),
-            fold: None,
-            finals_after: 0,
-            fold_after: 0,
             picked: (0, 0),
             loaded_from: 0,
             leaving: false,
@@ -203,7 +184,7 @@
     pub fn quiet(&self) -> bool {
         self.talk.is_none()
             && self.writing.is_none()
-            && self.fold.is_none()
+            && !self.compaction.is_in_flight()
             && self.jobs.values().all(|j| j.termination.status.is_none())
     }
 
@@ -299,11 +280,7 @@
                     .uncompacted
                     .iter()
                     .any(|u| u.task == e.task && u.attempt.0 == e.attempt)
-            }) || self.fold.as_ref().is_some_and(|f| {
-                f.acks.iter().any(|(j, l)| {
-                    *j == id && l.iter().any(|u| u.task == e.task && u.attempt.0 == e.attempt)
-                })
-            });
+            }) || self.compaction.is_compacting(id, e.task, Attempt(e.attempt));
             if over {
                 return (!uncompacted).then_some(what);
             }
@@ -337,9 +314,9 @@
                 j.failure_suspicion.ran_well();
                 j.set_done(e.task, now);
                 if j.complete() {
-                    self.over.insert(id, now);
+                    self.compaction.complete_jobs.insert(id, now);
                 } else {
-                    self.dirty.insert(id);
+                    self.compaction.dirty_jobs.insert(id);
                 }
                 j.completion.uncompacted.push(CompletedAttempt {
                     task: e.task,
@@ -473,7 +450,7 @@
         self.check_talk(ctx);
         self.write_decision(ctx);
         self.resend(ctx);
-        self.start_fold(ctx);
+        self.compact(ctx);
         self.report_teams(ctx);
         self.start_round(ctx);
         self.read_on(ctx);
@@ -514,9 +491,11 @@
 
     /// For the operators' log: what is kept and what waits to be written.
     pub fn figures(&mut self, now: Timestamp) -> String {
-        let oldest = self.over.values().min().map_or(0, |at| now.saturating_sub(*at));
+        let oldest =
+            self.compaction.complete_jobs.values().min().map_or(0, |at| now.saturating_sub(*at));
         let uncompacted: usize = self
-            .dirty
+            .compaction
+            .dirty_jobs
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .map(|j| j.completion.uncompacted.len())
@@ -529,7 +508,7 @@
             self.shard.0,
             self.jobs.len(),
             self.pending.len(),
-            self.over.len(),
+            self.compaction.complete_jobs.len(),
         )
     }
 
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,8 +1,8 @@
 //! A round: ask all participants for offers, write the choice under the epoch, then say yes and no.
 use super::limits::turn;
 use super::{
-    Coordinator, GpuWork, NegotiationState, PendingDecision, SelectedOffer, Yes, GPU_KINDS,
-    GPU_WORK_MS, ITEMS, OFFERS_MS,
+    Coordinator, GpuWork, NegotiationState, Ownership, PendingDecision, SelectedOffer, Yes,
+    GPU_KINDS, GPU_WORK_MS, ITEMS, OFFERS_MS,
 };
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
@@ -353,14 +353,14 @@
         }
     }
 
-    /// WriteOutcome of the decision's transaction. False: the shard is lost.
-    pub fn decided(&mut self, ctx: &mut Context, result: &StoreResult) -> bool {
+    /// The result of the decision's transaction.
+    pub fn decided(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
         let Some(w) = &mut self.writing else {
-            return true;
+            return Ownership::Kept;
         };
         match w.write.take(ctx.now, result) {
             WriteOutcome::Done(revision) => self.winners(ctx, revision),
-            WriteOutcome::Fenced => return false,
+            WriteOutcome::Fenced => return Ownership::Lost,
             WriteOutcome::NotDone => {
                 let slot = w.slot.clone();
                 let lost = matches!(result, StoreResult::Conflict(f) if f.contains(&slot.key));
@@ -373,7 +373,7 @@
             WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
             WriteOutcome::Open => self.winners(ctx, 0),
         }
-        true
+        Ownership::Kept
     }
 
     fn winners(&mut self, ctx: &mut Context, version: u64) {
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -1,6 +1,7 @@
 //! Answers of the state service, to whom they belong.
 use super::Node;
 use crate::context::{queued, Context, LookupPurpose, Operation};
+use crate::coordinator::Ownership;
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, Shard};
 use crate::io::{Effects, StoreCall, StoreResult};
@@ -136,14 +137,14 @@
                 let mut c = ctx!(self, effects);
                 let Some(o) = &mut self.owned[i] else { return };
                 let k = &mut o.coordinator;
-                let kept = match kind {
+                let ownership = match kind {
                     Operation::Decide { .. } => k.decided(&mut c, &result),
-                    Operation::Compaction { .. } => k.folded(&mut c, &result),
-                    Operation::Finish { job, .. } => k.finished(&mut c, job, &result),
-                    _ => true,
+                    Operation::Compaction { .. } => k.compaction_written(&mut c, &result),
+                    Operation::Finish { job, .. } => k.cancellation_written(&mut c, job, &result),
+                    _ => Ownership::Kept,
                 };
                 self.wake |= c.wake;
-                if !kept {
+                if ownership == Ownership::Lost {
                     self.drop_shard(effects, shard);
                     self.view_known = false;
                     self.shards_at = now;
