--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -11,11 +11,12 @@
 use compaction::CompactionState;
 use leaddeal_wire::mesh::{
     Assignment, AttemptRef, Offer, Shape as WireShape, ShardMessage, TaskEvent, TaskPhase,
-    TeamGrant, UnmetDemand,
+    UnmetDemand,
 };
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{Kind, Priority};
 use leaddeal_wire::worker::{ExitReason, TaskState};
+use quota_state::QuotaState;
 use rounds::{Record as Slot, Rounds};
 use served::ServiceStatistics;
 use std::cmp::Reverse;
@@ -24,9 +25,13 @@
 
 mod cancellation;
 mod compaction;
-mod limits;
 mod load;
 mod ownership;
+mod queue_rank;
+mod quota_admission;
+mod quota_preemption;
+mod quota_report;
+mod quota_state;
 mod round;
 mod rounds;
 mod served;
@@ -126,18 +131,7 @@
     pub leaving: bool,
     participant_epochs: Vec<Epoch>,
     next_resend: Timestamp,
-    /// Grants by team, with the epoch of the team's shard.
-    grants: BTreeMap<u8, (Epoch, TeamGrant)>,
-    team_serial: u64,
-    team_at: Timestamp,
-    /// Jobs that waited for their team's limit when it was last told of; for the log.
-    capped: usize,
-    /// The first job of each team with a limit and of each priority that waits, since when.
-    firsts: BTreeMap<(u8, Priority), (JobId, Timestamp)>,
-    /// Jobs for which lesser work of their team was stopped, since when.
-    ways: BTreeMap<JobId, Timestamp>,
-    /// How many tasks were; for the log.
-    gave_way: u64,
+    quota: QuotaState,
 }
 
 impl Coordinator {
@@ -167,13 +161,7 @@
             leaving: false,
             participant_epochs: vec![Epoch(0); shards],
             next_resend: 0,
-            grants: BTreeMap::new(),
-            team_serial: 0,
-            team_at: 0,
-            capped: 0,
-            firsts: BTreeMap::new(),
-            ways: BTreeMap::new(),
-            gave_way: 0,
+            quota: QuotaState::default(),
         }
     }
 
@@ -215,13 +203,8 @@
                 }
                 self.check_talk(ctx);
             }
-            ShardMessage::TeamGrant { serial, granted } if serial == self.team_serial => {
-                if let Some(o) = ctx.owner(from) {
-                    for g in granted {
-                        self.grants.insert(g.team, (o.epoch, g));
-                    }
-                    ctx.wake = true;
-                }
+            ShardMessage::TeamGrant { serial, granted } => {
+                self.receive_grants(ctx, from, serial, granted);
             }
             ShardMessage::AskDecision { negotiation } => {
                 self.answer_decision(ctx, from, negotiation)
@@ -451,7 +434,7 @@
         self.write_decision(ctx);
         self.resend(ctx);
         self.compact(ctx);
-        self.report_teams(ctx);
+        self.report_team_usage(ctx);
         self.start_round(ctx);
         self.read_on(ctx);
     }
--- /dev/null
+++ b/crates/core/src/coordinator/queue_rank.rs
@@ -0,0 +1,27 @@
+//! The order of the jobs that wait to be placed.
+use crate::ids::{JobId, Timestamp};
+use crate::jobs::{Job, Urgency};
+use leaddeal_wire::user::Priority;
+use std::cmp::Reverse;
+
+/// A job's rank among those that wait: the least is served first.
+///
+/// Invariant: the order of the fields is the order of comparison.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct QueueRank {
+    priority: Reverse<Priority>,
+    urgency: Urgency,
+    created: Timestamp,
+    pub(super) job: JobId,
+}
+
+impl QueueRank {
+    pub(super) fn of(job: &Job, now: Timestamp) -> QueueRank {
+        QueueRank {
+            priority: Reverse(job.wire.priority),
+            urgency: job.placement_urgency(now),
+            created: job.created,
+            job: job.id,
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -0,0 +1,138 @@
+//! Preemption within a team: lesser work stops so that the team's limit lets in more important work.
+use super::Coordinator;
+use crate::context::Context;
+use crate::ids::{JobId, Timestamp};
+use crate::jobs::Job;
+use crate::names::Resources;
+use crate::placed::Placement;
+use crate::preemption::{victims, Candidate};
+use crate::quota::admission::QuotaStatus;
+use leaddeal_wire::user::{Kind, Priority};
+
+/// Lesser work is preempted for this many tasks of a job at a time.
+const MAX_TASKS_PREEMPTED_FOR: u32 = 16;
+/// What a GPU counts in the loss of work, in processors.
+const CORES_PER_GPU: u64 = 20;
+/// A task gets this much more than its time to save, in seconds.
+const SAVE_MARGIN_S: f64 = 2.0;
+
+/// What can be stopped.
+#[derive(Clone, Copy, Debug)]
+enum Victim {
+    Task { job: JobId, task: u32 },
+    Gang { job: JobId },
+}
+
+/// What a team's lesser work takes of its limit.
+struct LesserWork {
+    /// Taken by tasks that are stopping already.
+    stopping: Resources,
+    candidates: Vec<Candidate<Victim>>,
+}
+
+/// Work that is lost by stopping a task now, in thousandths of core-seconds: what it did since its
+/// start, or what it takes to save if it saves its progress.
+fn lost_work(job: &Job, placement: &Placement, need: Resources, now: Timestamp) -> u64 {
+    let ran_s = now.saturating_sub(placement.placed_at) / 1000;
+    let saves = job.wire.checkpoint_s > 0.0;
+    let lost_s = if saves { ran_s.min(job.wire.save_s as u64 + 1) } else { ran_s };
+    lost_s * (need.cpu + CORES_PER_GPU * need.gpu)
+}
+
+impl LesserWork {
+    /// Adds the tasks of a job with a limit: one by one, or a gang as a whole.
+    fn add(&mut self, job: &Job, now: Timestamp) {
+        let priority = job.wire.priority;
+        let key = Victim::Gang { job: job.id };
+        let mut gang = Candidate { key, priority, need: Resources::default(), loss: 0 };
+        for (task, placement) in job.placed.iter() {
+            let Some((_, cpu, gpu)) = placement.team else { continue };
+            let need = Resources { cpu, gpu, mem: 0 };
+            if placement.stop.is_some() || job.cancelled {
+                self.stopping.add(need, 1);
+                continue;
+            }
+            let loss = lost_work(job, placement, need, now);
+            if job.wire.kind == Kind::Gang {
+                gang.need.add(need, 1);
+                gang.loss += loss;
+            } else {
+                let key = Victim::Task { job: job.id, task };
+                self.candidates.push(Candidate { key, priority, need, loss });
+            }
+        }
+        if gang.need != Resources::default() {
+            self.candidates.push(gang);
+        }
+    }
+}
+
+impl Coordinator {
+    /// Machines have capacity for `tasks` of the job, its team's limit has not: stops the cheapest
+    /// lesser work of the same team, if that lets it in. What was stopped ranks after the job, so it
+    /// is not started again before the job has begun, or the time for that is over.
+    pub(super) fn preempt_within_team(
+        &mut self,
+        ctx: &Context,
+        id: JobId,
+        tasks: u32,
+        status: &QuotaStatus,
+    ) {
+        self.expire_preempted_quota(ctx.now);
+        if self.quota.preempted_for.contains_key(&id) {
+            return;
+        }
+        let Some(job) = self.jobs.get(&id) else { return };
+        let Some((team, cpu, gpu)) = ctx.team_use(job) else { return };
+        let gang = job.wire.kind == Kind::Gang;
+        let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
+        let fewest = if gang { wanted } else { 1 };
+        let priority = job.wire.priority;
+        let lesser = self.lesser_work(ctx, team, priority);
+        let free = status.free();
+        let mut free = Resources { cpu: free.cpu, gpu: free.gpu, mem: 0 };
+        free.add(lesser.stopping, 1);
+        let need = |count: u32| {
+            let count = u64::from(count);
+            Resources { cpu: cpu * count, gpu: gpu * count, mem: 0 }
+        };
+        let chosen = [wanted, fewest]
+            .into_iter()
+            .find_map(|count| victims(free, need(count), priority, lesser.candidates.clone()));
+        let Some((victims, _)) = chosen else { return };
+        self.quota.preempted_for.insert(id, ctx.now);
+        for victim in victims {
+            self.stop_victim(victim);
+        }
+        self.next_resend = ctx.now;
+    }
+
+    /// Work of a team at lower priority. Replicas of services stay: what they are worth is not lost
+    /// work, and users notice at once. (The seeded runs of recovery did: a fifth of the replicas was
+    /// down for the sake of others.)
+    fn lesser_work(&self, ctx: &Context, team: u8, priority: Priority) -> LesserWork {
+        let mut lesser = LesserWork { stopping: Resources::default(), candidates: Vec::new() };
+        let jobs = self.jobs.values();
+        let of_team = jobs
+            .filter(|job| job.wire.kind != Kind::Service && job.wire.priority < priority)
+            .filter(|job| ctx.team_use(job).is_some_and(|usage| usage.0 == team));
+        for job in of_team {
+            lesser.add(job, ctx.now);
+        }
+        lesser
+    }
+
+    fn stop_victim(&mut self, victim: Victim) {
+        let (Victim::Task { job: id, .. } | Victim::Gang { job: id }) = victim;
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let saves = job.wire.checkpoint_s > 0.0;
+        let grace_s = if saves { job.wire.save_s + SAVE_MARGIN_S } else { 0.0 };
+        let before = job.placed.stopping();
+        match victim {
+            Victim::Task { task, .. } => job.placed.stop(task, grace_s),
+            Victim::Gang { .. } => job.placed.stop_rest(grace_s),
+        }
+        self.quota.preempted_tasks += (job.placed.stopping() - before) as u64;
+        self.unsettled.insert(id);
+    }
+}
--- /dev/null
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -0,0 +1,110 @@
+//! Reports to the teams' shards of what is used and wanted of the limits, and figures for the log.
+use super::quota_admission::WaitingJob;
+use super::quota_state::{limited_teams, QueueHead, TeamQueue};
+use super::Coordinator;
+use crate::context::Context;
+use crate::ids::Timestamp;
+use leaddeal_wire::mesh::{FirstInQueue, ShardMessage, TeamUsage};
+use std::collections::BTreeMap;
+
+/// Between two reports.
+const REPORT_INTERVAL_MS: u64 = 400;
+
+impl Coordinator {
+    /// Reports to the teams' shards what is used and wanted, if it is time to.
+    pub(super) fn report_team_usage(&mut self, ctx: &mut Context) {
+        // A report gives the grants back for a moment: not during a negotiation that ends soon.
+        let delay_ms = if self.talk.is_some() { REPORT_INTERVAL_MS } else { 0 };
+        if !self.ready() || ctx.now < self.quota.next_report_at + delay_ms {
+            return;
+        }
+        if limited_teams(ctx).is_empty() {
+            return;
+        }
+        self.quota.next_report_at = ctx.now + REPORT_INTERVAL_MS;
+        let waiting = self.admit_waiting(ctx);
+        self.quota.queue_heads = self.queue_heads(&waiting, ctx.now);
+        self.quota.waiting_jobs = waiting.iter().filter(|job| job.admitted.in_turn == 0).count();
+        self.quota.report_serial += 1;
+        self.quota.grants.clear();
+        let serial = self.quota.report_serial;
+        let usage = self.usage_report(ctx, &waiting);
+        for shard in ctx.shards() {
+            let message = ShardMessage::TeamUsage { serial, usage: usage.clone() };
+            ctx.send(self.shard, shard, message);
+        }
+    }
+
+    /// The first job of each queue, and since when it is first.
+    fn queue_heads(
+        &self,
+        waiting: &[WaitingJob],
+        now: Timestamp,
+    ) -> BTreeMap<TeamQueue, QueueHead> {
+        let mut heads = BTreeMap::new();
+        for job in waiting {
+            let queue = (job.team, job.request.priority);
+            let known = self.quota.queue_heads.get(&queue).filter(|head| head.job == job.id);
+            let since = known.map_or(now, |head| head.since);
+            heads.entry(queue).or_insert(QueueHead { job: job.id, since });
+        }
+        heads
+    }
+
+    /// What is used and wanted of the limit of each team that has one, in the order of the settings.
+    fn usage_report(&self, ctx: &Context, waiting: &[WaitingJob]) -> Vec<TeamUsage> {
+        let mut report: BTreeMap<u8, TeamUsage> =
+            limited_teams(ctx).into_keys().map(|team| (team, TeamUsage::of(team))).collect();
+        for (team, used) in self.team_usage(ctx) {
+            if let Some(usage) = report.get_mut(&team) {
+                usage.used = used;
+            }
+        }
+        for job in waiting {
+            if let Some(usage) = report.get_mut(&job.team) {
+                self.add_wanted(usage, job, ctx.now);
+            }
+        }
+        report.into_values().collect()
+    }
+
+    fn add_wanted(&self, usage: &mut TeamUsage, waiting: &WaitingJob, now: Timestamp) {
+        let request = waiting.request;
+        let priority = request.priority as usize;
+        let wanted = if request.yields_quota { &mut usage.unplaceable } else { &mut usage.wanted };
+        wanted[priority] = wanted[priority].plus(request.task.times(request.count));
+        if usage.first[priority].is_some() || request.yields_quota {
+            return;
+        }
+        let job = self.jobs.get(&waiting.id);
+        let waited_ms = job.map_or(0, |job| now.saturating_sub(job.created));
+        let need = request.task.times(if request.all_or_nothing { request.count } else { 1 });
+        usage.first[priority] = Some(FirstInQueue { need, waited_ms });
+    }
+
+    /// For the operators' log, if there are teams with limits: how many jobs wait for one, how many
+    /// tasks were preempted for others of their team, and by team what its tasks take here and may
+    /// take, in cores and GPUs.
+    pub fn limit_figures(&mut self, ctx: &Context) -> Option<String> {
+        if limited_teams(ctx).is_empty() {
+            return None;
+        }
+        let preempted = std::mem::take(&mut self.quota.preempted_tasks);
+        let waiting = self.quota.waiting_jobs;
+        let mut words =
+            vec![format!("shard={} capped={waiting} gave_way={preempted}", self.shard.0)];
+        for (team, status) in self.quota_statuses(ctx) {
+            let name = &ctx.config.teams[team as usize].name;
+            let (used, may) = (status.in_use(), status.may);
+            let units = |thousandths: u64| thousandths as f64 / 1000.0;
+            words.push(format!(
+                "team.{name}={:.1}/{:.1} gpus={:.1}/{:.1}",
+                units(used.cpu),
+                units(may.cpu),
+                units(used.gpu),
+                units(may.gpu)
+            ));
+        }
+        Some(words.join(" "))
+    }
+}
--- /dev/null
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -0,0 +1,116 @@
+//! What a coordinator keeps of the limits of teams between its rounds.
+use super::Coordinator;
+use crate::context::Context;
+use crate::guards::{holds, Guard};
+use crate::ids::{Epoch, JobId, Shard, Timestamp};
+use crate::quota::admission::QuotaStatus;
+use crate::quota::{self, shard_of_team};
+use leaddeal_wire::mesh::{ByPriority, QuotaAmount, TeamGrant};
+use leaddeal_wire::user::Priority;
+use std::collections::BTreeMap;
+
+/// The jobs of one team and one priority that wait: the team by its place in the settings.
+pub(super) type TeamQueue = (u8, Priority);
+
+/// The limits of teams as this coordinator knows them.
+#[derive(Debug, Default)]
+pub(super) struct QuotaState {
+    /// Grants by team, received since the last report.
+    pub(super) grants: BTreeMap<u8, ReceivedGrant>,
+    /// Number of the last report; only grants that answer it count.
+    pub(super) report_serial: u64,
+    pub(super) next_report_at: Timestamp,
+    /// Jobs that waited for their team's limit at the last report; for the log.
+    pub(super) waiting_jobs: usize,
+    /// The first job of each queue, at the last report.
+    pub(super) queue_heads: BTreeMap<TeamQueue, QueueHead>,
+    /// Jobs for which lesser work of their team was preempted, since when.
+    pub(super) preempted_for: BTreeMap<JobId, Timestamp>,
+    /// Tasks that were preempted for others of their team since the last line of the log.
+    pub(super) preempted_tasks: u64,
+}
+
+/// A grant, which ends with the owner of the team's shard that gave it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReceivedGrant {
+    /// Epoch of the team's shard.
+    pub(super) epoch: Epoch,
+    pub(super) grant: TeamGrant,
+}
+
+/// The job that is first in a queue, and since when.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct QueueHead {
+    pub(super) job: JobId,
+    pub(super) since: Timestamp,
+}
+
+/// Teams with a limit, by their place in the settings.
+pub(super) fn limited_teams(ctx: &Context) -> BTreeMap<u8, QuotaAmount> {
+    let teams = ctx.config.teams.iter().enumerate();
+    teams.filter_map(|(team, settings)| Some((team as u8, quota::limit(settings)?))).collect()
+}
+
+impl Coordinator {
+    /// A team's shard answers a report. Answers to older reports are ignored.
+    pub(super) fn receive_grants(
+        &mut self,
+        ctx: &mut Context,
+        from: Shard,
+        serial: u64,
+        granted: Vec<TeamGrant>,
+    ) {
+        if serial != self.quota.report_serial {
+            return;
+        }
+        let Some(epoch) = ctx.owner(from).map(|owner| owner.epoch) else { return };
+        for grant in granted {
+            self.quota.grants.insert(grant.team, ReceivedGrant { epoch, grant });
+        }
+        ctx.wake = true;
+    }
+
+    /// What the tasks that are or may be on machines take of the teams' limits, by priority; what is
+    /// being decided counts.
+    pub(super) fn team_usage(&self, ctx: &Context) -> BTreeMap<u8, ByPriority> {
+        let mut used: BTreeMap<u8, ByPriority> = BTreeMap::new();
+        // Each decision asks: without limits, all placements need not be gone through.
+        if limited_teams(ctx).is_empty() {
+            return used;
+        }
+        let mut count = |priority: Priority, (team, cpu, gpu): (u8, u64, u64)| {
+            let sum = &mut used.entry(team).or_default()[priority as usize];
+            *sum = sum.plus(QuotaAmount { cpu, gpu });
+        };
+        for job in self.jobs.values() {
+            for usage in job.placed.values().filter_map(|placement| placement.team) {
+                count(job.wire.priority, usage);
+            }
+        }
+        for choice in self.writing.iter().flat_map(|decision| &decision.choices) {
+            let Some(job) = self.jobs.get(&choice.job) else { continue };
+            if let Some(usage) = ctx.team_use(job) {
+                count(job.wire.priority, usage);
+            }
+        }
+        used
+    }
+
+    /// The quota of each team with a limit whose shard has answered the last report and has the same
+    /// owner still.
+    pub(super) fn quota_statuses(&self, ctx: &Context) -> BTreeMap<u8, QuotaStatus> {
+        let mut used = self.team_usage(ctx);
+        let shards = ctx.shards().count();
+        let mut statuses = BTreeMap::new();
+        for team in limited_teams(ctx).into_keys() {
+            let epoch = ctx.owner(shard_of_team(team, shards)).map(|owner| owner.epoch);
+            let received = self.quota.grants.get(&team);
+            let valid = received
+                .filter(|received| Some(received.epoch) == epoch || !holds(Guard::GrantEpoch));
+            let Some(ReceivedGrant { grant, .. }) = valid else { continue };
+            let used = used.remove(&team).unwrap_or_default();
+            statuses.insert(team, QuotaStatus { may: grant.may, due: grant.due, used });
+        }
+        statuses
+    }
+}
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,5 +1,5 @@
 //! A round: ask all participants for offers, write the choice under the epoch, then say yes and no.
-use super::limits::turn;
+use super::queue_rank::QueueRank;
 use super::{
     Coordinator, GpuWork, NegotiationState, Ownership, PendingDecision, SelectedOffer, Yes,
     GPU_KINDS, GPU_WORK_MS, ITEMS, OFFERS_MS,
@@ -55,14 +55,14 @@
             .filter(|j| j.termination.status.is_none() && j.not_before <= now)
             .filter(|j| j.may_start())
             .filter(|j| may_run(ctx, admitted, j).in_turn > 0)
-            .map(|j| turn(j, now))
+            .map(|j| QueueRank::of(j, now))
             .collect();
         if v.len() > ITEMS {
             v.select_nth_unstable(ITEMS);
             v.truncate(ITEMS);
         }
         v.sort_unstable();
-        v.into_iter().map(|x| x.3).collect()
+        v.into_iter().map(|rank| rank.job).collect()
     }
 
     pub fn start_round(&mut self, ctx: &mut Context) {
@@ -190,7 +190,7 @@
         let now = ctx.now;
         let mut choices: Vec<SelectedOffer> = Vec::new();
         let mut offers = talk.offers;
-        let mut standings = self.standings(ctx);
+        let mut standings = self.quota_statuses(ctx);
         let mut ways = Vec::new();
         for (i, &(id, count)) in talk.items.iter().enumerate() {
             let Some(j) = self.jobs.get_mut(&id) else {
@@ -287,7 +287,7 @@
         }
         for (id, team, tasks) in ways {
             if let Some(standing) = standings.get(&team) {
-                self.make_way(ctx, id, tasks, standing);
+                self.preempt_within_team(ctx, id, tasks, standing);
             }
         }
         if choices.is_empty() {
@@ -321,14 +321,14 @@
             write = write.creating(slot.key.clone(), slot.version);
         }
         // A grant of a team's shard ends with the owner that gave it.
-        for (team, g) in &self.grants {
+        for (team, g) in &self.quota.grants {
             let used = choices.iter().any(|c| {
                 let t = self.jobs.get(&c.job).and_then(|j| ctx.team_use(j));
                 t.is_some_and(|t| t.0 == *team)
             });
             let cond = Condition {
                 key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
-                version: g.0 .0,
+                version: g.epoch.0,
             };
             if used && holds(Guard::GrantEpoch) {
                 write = write.also_if(cond);
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -1,9 +1,9 @@
-//! Which of a coordinator's pending tasks may run, before any room is asked for.
+//! Which of a coordinator's pending tasks may run, before any offer is requested.
 //!
-//! One walk over the pending jobs in their order says of each how many of its tasks the team's limit
-//! lets in: `now`, which the grant covers, and `in_turn`, which it would cover once lesser work of
-//! the team had given way. All that asks for, makes room for, stands in line for, tells as lacking or
-//! decides goes by it; the rest waits without cost.
+//! The pending jobs are admitted in their order; of each is said how many of its tasks the team's
+//! limit lets in: `now`, which the grant covers, and `in_turn`, which it would cover once lesser work
+//! of the team was preempted. All that requests offers, preempts, takes a queue position, counts as
+//! unmet demand or decides goes by it; the rest waits without cost.
 //!
 //! Invariant: what is let in now and counts is never more than the grant less what is used.
 use leaddeal_wire::mesh::{ByPriority, QuotaAmount};
@@ -12,9 +12,9 @@
 /// What a coordinator's tasks may take of a team's limit, and what they take.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaStatus {
-    /// What the grant covers in all; nothing: there is none.
+    /// What the grant covers in all; nothing if there is none.
     pub may: QuotaAmount,
-    /// What it would, in the team's order.
+    /// What it would cover if lesser work of the team was preempted everywhere.
     pub due: QuotaAmount,
     /// By priority, the least first.
     pub used: ByPriority,
@@ -23,35 +23,41 @@
 /// A pending job as the limit sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
+    /// Priority of the job.
     pub priority: Priority,
     /// What a task takes.
     pub task: QuotaAmount,
+    /// How many tasks want to run.
     pub count: u32,
-    /// All of its tasks or none: a gang.
-    pub whole: bool,
-    /// Found no machine lately: what it could take is left to those after it.
-    pub unplaceable: bool,
+    /// All of its tasks run or none: a gang.
+    pub all_or_nothing: bool,
+    /// What it could take is left to those after it, since it has found no machine lately.
+    pub yields_quota: bool,
 }
 
 /// How many tasks of a job may run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Admitted {
+    /// The grant covers them.
     pub now: u32,
-    /// Those and the ones for which lesser work of the team would give way.
+    /// Those and the ones for which lesser work of the team would be preempted.
     pub in_turn: u32,
-    /// Worth a machine: of `now`, or of `in_turn` if it found none, less all that comes before it.
+    /// Worth a machine: of `now`, or of `in_turn` if the job yields its quota, less all that comes
+    /// before it.
     pub worth: u32,
 }
 
 impl Admitted {
+    /// All tasks of a job whose team has no limit.
     pub fn all(count: u32) -> Admitted {
         Admitted { now: count, in_turn: count, worth: count }
     }
 }
 
 impl QuotaStatus {
+    /// What is used at all priorities.
     pub fn in_use(&self) -> QuotaAmount {
-        self.used.iter().fold(QuotaAmount::default(), |sum, u| sum.plus(*u))
+        self.used.iter().fold(QuotaAmount::default(), |sum, used| sum.plus(*used))
     }
 
     /// What the grant still covers.
@@ -60,50 +66,52 @@
     }
 }
 
-/// The walk, for one team.
+/// Admission of the pending jobs of one team, one after the other.
 #[derive(Debug)]
 pub struct Admission {
-    standing: QuotaStatus,
+    status: QuotaStatus,
     /// Let in so far: now, in turn, and worth a machine.
     now: QuotaAmount,
     in_turn: QuotaAmount,
     worth: QuotaAmount,
 }
 
+/// How many tasks of the job this amount covers; of a gang all or none.
+fn covered(amount: QuotaAmount, job: &AdmissionRequest) -> u32 {
+    let count = amount.fits(job.task).min(u64::from(job.count)) as u32;
+    if job.all_or_nothing && count < job.count {
+        0
+    } else {
+        count
+    }
+}
+
 impl Admission {
-    pub fn new(standing: QuotaStatus) -> Admission {
+    /// Admission before the first job.
+    pub fn new(status: QuotaStatus) -> Admission {
         let none = QuotaAmount::default();
-        Admission { standing, now: none, in_turn: none, worth: none }
+        Admission { status, now: none, in_turn: none, worth: none }
     }
 
-    /// What the team's order still leaves to this priority.
+    /// What would be left to this priority, less what is taken, if all lesser work was preempted.
     fn free_in_turn(&self, priority: Priority, taken: QuotaAmount) -> QuotaAmount {
-        let before = &self.standing.used[priority as usize..];
-        let before = before.iter().fold(taken, |sum, u| sum.plus(*u));
-        self.standing.due.minus(before)
+        let not_lesser = &self.status.used[priority as usize..];
+        let before = not_lesser.iter().fold(taken, |sum, used| sum.plus(*used));
+        self.status.due.minus(before)
     }
 
-    /// The next in the coordinator's order.
+    /// Admits the next job in the coordinator's order.
     pub fn admit(&mut self, job: &AdmissionRequest) -> Admitted {
-        let free = self.standing.free().minus(self.now);
-        let fits = |left: QuotaAmount| {
-            let n = left.fits(job.task).min(u64::from(job.count)) as u32;
-            if job.whole && n < job.count {
-                0
-            } else {
-                n
-            }
-        };
-        let now = fits(free);
-        let in_turn = fits(self.free_in_turn(job.priority, self.in_turn)).max(now);
-        let mut worth = fits(self.standing.free().minus(self.worth));
-        if job.unplaceable {
-            worth = worth.max(fits(self.free_in_turn(job.priority, self.worth)));
-        }
-        if !job.unplaceable {
+        let free = self.status.free().minus(self.now);
+        let now = covered(free, job);
+        let in_turn = covered(self.free_in_turn(job.priority, self.in_turn), job).max(now);
+        let mut worth = covered(self.status.free().minus(self.worth), job);
+        if job.yields_quota {
+            worth = worth.max(covered(self.free_in_turn(job.priority, self.worth), job));
+        } else {
             // What the next task or gang lacks is kept for it, or smaller work would take it bit by
             // bit.
-            let kept = if job.whole { job.count } else { now.max(1) };
+            let kept = if job.all_or_nothing { job.count } else { now.max(1) };
             self.now = self.now.plus(job.task.times(kept).least(free));
             self.in_turn = self.in_turn.plus(job.task.times(in_turn));
         }
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -1,104 +1,137 @@
-//! How a team's limit is shared out between its coordinators, by what they have told.
+//! How a team's limit is shared out between its coordinators, by what they have reported.
 //!
 //! By priority first; within one, the job that is first in each coordinator's order is served whole,
-//! whoever has waited longest before the others, and what it lacks is kept for it, so that gangs
-//! don't each hold a part of what they need; the rest is shared evenly. What found no machine
-//! lately comes after all that could start now.
+//! the one that has waited longest before the others, and what it lacks is kept for it, so that
+//! gangs don't each hold a part of what they need; the rest is shared max-min fairly. What found no
+//! machine lately comes after all that could start now.
 //!
 //! Options weighed: evenly by amounts alone (three gangs of half the limit each get a third and none
-//! starts), whoever asks first (a low array keeps all it can get), shares fixed by coordinator (what
-//! one can't use is lost to the others).
+//! starts), first come first served (a low array keeps all it can get), shares fixed by coordinator
+//! (what one can't use is lost to the others).
 use leaddeal_wire::mesh::{QuotaAmount, TeamUsage, PRIORITIES};
 use std::cmp::Reverse;
 
-/// Takes of `pool` what is wanted as far as it goes, all at the same pace.
-fn evenly(pool: u64, wants: &[u64]) -> Vec<u64> {
-    let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_by_key(|&i| wants[i]);
-    let (mut left, mut got) = (pool, vec![0; wants.len()]);
-    for (n, &i) in order.iter().enumerate() {
-        got[i] = wants[i].min(left / (wants.len() - n) as u64);
-        left -= got[i];
+/// Max-min fair shares of `available`: nobody gets more than wanted, and what one doesn't want is
+/// shared by the others.
+fn max_min_fair(available: u64, wanted: &[u64]) -> Vec<u64> {
+    let mut least_first: Vec<usize> = (0..wanted.len()).collect();
+    least_first.sort_by_key(|&i| wanted[i]);
+    let mut left = available;
+    let mut shares = vec![0; wanted.len()];
+    for (served, &i) in least_first.iter().enumerate() {
+        let even_share = left / (wanted.len() - served) as u64;
+        shares[i] = wanted[i].min(even_share);
+        left -= shares[i];
     }
-    got
+    shares
 }
 
-/// What it wants at this priority beyond its first need, which is served apart.
-fn beyond_first(a: &TeamUsage, priority: usize, wants: QuotaAmount) -> QuotaAmount {
-    wants.minus(a.first[priority].map_or(QuotaAmount::default(), |f| f.need))
+/// What a coordinator wants at this priority beyond its first need, which is served apart.
+fn wanted_after_first(usage: &TeamUsage, priority: usize) -> QuotaAmount {
+    let first = usage.first[priority].map_or(QuotaAmount::default(), |first| first.need);
+    usage.wanted[priority].minus(first)
 }
 
-/// What is given out, to whom.
-struct Pool {
+/// What happens to the first job of a coordinator that needs more than what is left.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum FirstThatLacks {
+    /// It gets nothing yet, and what is left is kept for it.
+    Waits,
+    /// It gets what is left.
+    TakesPart,
+}
+
+/// A limit as it is shared out: the shares by the coordinators' places in the list of reports.
+struct Allocation {
     left: QuotaAmount,
-    got: Vec<QuotaAmount>,
+    shares: Vec<QuotaAmount>,
 }
 
-impl Pool {
-    fn give(&mut self, to: usize, what: QuotaAmount) {
-        let what = what.least(self.left);
-        self.left = self.left.minus(what);
-        self.got[to] = self.got[to].plus(what);
+impl Allocation {
+    fn new(available: QuotaAmount, coordinators: usize) -> Allocation {
+        Allocation { left: available, shares: vec![QuotaAmount::default(); coordinators] }
+    }
+
+    /// Gives a coordinator this amount, as far as it goes.
+    fn give(&mut self, coordinator: usize, amount: QuotaAmount) {
+        let amount = amount.least(self.left);
+        self.left = self.left.minus(amount);
+        self.shares[coordinator] = self.shares[coordinator].plus(amount);
     }
 
-    fn share(&mut self, wants: &[QuotaAmount]) {
-        let cpus: Vec<u64> = wants.iter().map(|w| w.cpu).collect();
-        let gpus: Vec<u64> = wants.iter().map(|w| w.gpu).collect();
-        let (cpus, gpus) = (evenly(self.left.cpu, &cpus), evenly(self.left.gpu, &gpus));
-        for (i, (cpu, gpu)) in cpus.into_iter().zip(gpus).enumerate() {
-            self.give(i, QuotaAmount { cpu, gpu });
+    /// Shares out what is left, processors and GPUs apart.
+    fn share_fairly(&mut self, wanted: &[QuotaAmount]) {
+        let cpus: Vec<u64> = wanted.iter().map(|amount| amount.cpu).collect();
+        let gpus: Vec<u64> = wanted.iter().map(|amount| amount.gpu).collect();
+        let cpus = max_min_fair(self.left.cpu, &cpus);
+        let gpus = max_min_fair(self.left.gpu, &gpus);
+        for (coordinator, (cpu, gpu)) in cpus.into_iter().zip(gpus).enumerate() {
+            self.give(coordinator, QuotaAmount { cpu, gpu });
         }
     }
 
-    /// Those that are first in a coordinator's order and of this priority, whole. Who does not fit has
-    /// what is left kept for it, and gets nothing yet: `whole` says so.
-    fn firsts(&mut self, priority: usize, limit: QuotaAmount, asks: &[TeamUsage], whole: bool) {
-        let mut firsts: Vec<_> = asks
+    /// Serves the first job of each coordinator at this priority, the one that has waited longest
+    /// first. Jobs larger than the limit are left out.
+    fn give_to_first(
+        &mut self,
+        priority: usize,
+        limit: QuotaAmount,
+        usages: &[TeamUsage],
+        lacking: FirstThatLacks,
+    ) {
+        let mut firsts: Vec<_> = usages
             .iter()
             .enumerate()
-            .filter_map(|(i, a)| Some((i, a.first[priority]?)))
-            .filter(|(_, f)| f.need.within(limit))
+            .filter_map(|(coordinator, usage)| Some((coordinator, usage.first[priority]?)))
+            .filter(|(_, first)| first.need.within(limit))
             .collect();
-        firsts.sort_by_key(|(i, f)| (Reverse(f.waited_ms), *i));
-        for (i, f) in firsts {
-            if whole && !f.need.within(self.left) {
-                self.left = self.left.minus(f.need);
+        firsts.sort_by_key(|(coordinator, first)| (Reverse(first.waited_ms), *coordinator));
+        for (coordinator, first) in firsts {
+            let lacks = !first.need.within(self.left);
+            if lacks && lacking == FirstThatLacks::Waits {
+                self.left = self.left.minus(first.need);
             } else {
-                self.give(i, f.need);
+                self.give(coordinator, first.need);
             }
         }
     }
 }
 
-/// What each may take beyond what it uses.
-pub(super) fn extras(limit: QuotaAmount, asks: &[TeamUsage]) -> Vec<QuotaAmount> {
-    let used = asks.iter().fold(QuotaAmount::default(), |sum, a| sum.plus(a.in_use()));
-    let mut pool = Pool { left: limit.minus(used), got: vec![QuotaAmount::default(); asks.len()] };
-    for p in (0..PRIORITIES).rev() {
-        pool.firsts(p, limit, asks, true);
-        let wants: Vec<QuotaAmount> =
-            asks.iter().map(|a| beyond_first(a, p, a.wanted[p])).collect();
-        pool.share(&wants);
+/// What each coordinator may take now beyond what it uses.
+pub(super) fn additional_shares(limit: QuotaAmount, usages: &[TeamUsage]) -> Vec<QuotaAmount> {
+    let used = usages.iter().fold(QuotaAmount::default(), |sum, usage| sum.plus(usage.in_use()));
+    let mut allocation = Allocation::new(limit.minus(used), usages.len());
+    for priority in (0..PRIORITIES).rev() {
+        allocation.give_to_first(priority, limit, usages, FirstThatLacks::Waits);
+        let wanted: Vec<QuotaAmount> =
+            usages.iter().map(|usage| wanted_after_first(usage, priority)).collect();
+        allocation.share_fairly(&wanted);
     }
-    for p in (0..PRIORITIES).rev() {
-        let wants: Vec<QuotaAmount> = asks.iter().map(|a| a.unplaceable[p]).collect();
-        pool.share(&wants);
+    for priority in (0..PRIORITIES).rev() {
+        let wanted: Vec<QuotaAmount> =
+            usages.iter().map(|usage| usage.unplaceable[priority]).collect();
+        allocation.share_fairly(&wanted);
     }
-    pool.got
+    allocation.shares
 }
 
-/// What each would take if all lesser work of the team gave way: what is used and wanted at each
-/// priority before anything of the next.
-pub(super) fn dues(limit: QuotaAmount, asks: &[TeamUsage]) -> Vec<QuotaAmount> {
-    let mut pool = Pool { left: limit, got: vec![QuotaAmount::default(); asks.len()] };
-    for p in (0..PRIORITIES).rev() {
-        for (i, a) in asks.iter().enumerate() {
-            pool.give(i, a.used[p]);
+/// What each coordinator would take if all lesser work of the team were preempted: what is used and
+/// wanted at each priority before anything of the next.
+pub(super) fn shares_after_preemption(
+    limit: QuotaAmount,
+    usages: &[TeamUsage],
+) -> Vec<QuotaAmount> {
+    let mut allocation = Allocation::new(limit, usages.len());
+    for priority in (0..PRIORITIES).rev() {
+        for (coordinator, usage) in usages.iter().enumerate() {
+            allocation.give(coordinator, usage.used[priority]);
         }
-        pool.firsts(p, limit, asks, false);
-        let wants = |a: &TeamUsage| beyond_first(a, p, a.wanted[p]).plus(a.unplaceable[p]);
-        let wants: Vec<QuotaAmount> = asks.iter().map(wants).collect();
-        pool.share(&wants);
+        allocation.give_to_first(priority, limit, usages, FirstThatLacks::TakesPart);
+        let wanted = |usage: &TeamUsage| {
+            wanted_after_first(usage, priority).plus(usage.unplaceable[priority])
+        };
+        let wanted: Vec<QuotaAmount> = usages.iter().map(wanted).collect();
+        allocation.share_fairly(&wanted);
     }
-    pool.got
+    allocation.shares
 }
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -22,15 +22,15 @@
 }
 
 /// The quota manager of one team, and its coordinators' reports by turns.
-struct Books {
+struct TeamShard {
     quota: QuotaManager,
     serial: u64,
     now: Timestamp,
 }
 
-impl Books {
-    fn new(t: Team) -> Books {
-        Books { quota: QuotaManager::new(Shard(0), &[t], 3), serial: 0, now: 0 }
+impl TeamShard {
+    fn new(t: Team) -> TeamShard {
+        TeamShard { quota: QuotaManager::new(Shard(0), &[t], 3), serial: 0, now: 0 }
     }
 
     fn report(&mut self, from: u8, u: TeamUsage) -> Option<TeamGrant> {
@@ -68,7 +68,7 @@
 
 #[test]
 fn by_priority_first_then_by_what_can_start_now_then_evenly() {
-    let mut b = Books::new(team(10.0, 0.0));
+    let mut b = TeamShard::new(team(10.0, 0.0));
     let mut low = told(0, 50_000);
     let mut high = told(0, 0);
     high.wanted[2] = cpus(8000);
@@ -99,7 +99,7 @@
         u.first[1] = Some(FirstInQueue { need: cpus(6000), waited_ms });
         u
     };
-    let mut b = Books::new(team(10.0, 0.0));
+    let mut b = TeamShard::new(team(10.0, 0.0));
     for s in 0..3 {
         b.report(s, gang(u64::from(s)));
     }
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_task_as_large_as_the_limit_gets_all_of_it_and_a_larger_one_keeps_nothing() {
-    let mut b = Books::new(team(10.0, 0.0));
+    let mut b = TeamShard::new(team(10.0, 0.0));
     let large = |cpu| {
         let mut u = TeamUsage::of(0);
         u.wanted[3] = cpus(cpu);
@@ -138,7 +138,7 @@
 /// One limit reached does not keep work from the other.
 #[test]
 fn limits_of_gpus_and_of_processors_are_apart() {
-    let mut b = Books::new(team(10.0, 2.0));
+    let mut b = TeamShard::new(team(10.0, 2.0));
     let mut gpus = TeamUsage::of(0);
     let need = QuotaAmount { cpu: 3000, gpu: 2000 };
     gpus.wanted[3] = need;
@@ -155,7 +155,7 @@
 /// Reports of impossible values, or of nobody.
 #[test]
 fn nonsense_changes_nothing() {
-    let mut b = Books::new(team(10.0, 0.0));
+    let mut b = TeamShard::new(team(10.0, 0.0));
     for s in 0..3 {
         b.report(s, told(0, 2000));
     }
@@ -172,7 +172,7 @@
 /// Who is silent wants nothing any more, but what it may take stays counted.
 #[test]
 fn a_silent_coordinator_keeps_its_share_and_asks_for_no_more() {
-    let mut b = Books::new(team(10.0, 0.0));
+    let mut b = TeamShard::new(team(10.0, 0.0));
     b.report(1, told(1000, 9000));
     b.report(0, told(0, 9000));
     b.report(2, TeamUsage::of(0));
@@ -186,7 +186,13 @@
 }
 
 fn asking(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
-    AdmissionRequest { priority, task: cpus(cpu), count, whole: false, unplaceable: false }
+    AdmissionRequest {
+        priority,
+        task: cpus(cpu),
+        count,
+        all_or_nothing: false,
+        yields_quota: false,
+    }
 }
 
 /// An array of 5,000 tasks at low priority fills the limit; a service of the same team comes first.
@@ -206,17 +212,17 @@
 
 #[test]
 fn what_a_gang_lacks_is_kept_for_it_unless_it_finds_no_machine() {
-    let gang = AdmissionRequest { whole: true, ..asking(Priority::Normal, 3000, 2) };
+    let gang = AdmissionRequest { all_or_nothing: true, ..asking(Priority::Normal, 3000, 2) };
     let array = asking(Priority::Low, 1000, 50);
     let free = standing(5000, 5000, [0; 4]);
     let mut a = Admission::new(free);
     assert_eq!((a.admit(&gang).in_turn, a.admit(&array).now), (0, 0));
     let mut a = Admission::new(free);
-    let got = a.admit(&AdmissionRequest { unplaceable: true, ..gang });
+    let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, a.admit(&array).now), (0, 5));
     // It is worth a machine in turn, which nobody after it is then.
     let mut a = Admission::new(standing(6000, 6000, [6000, 0, 0, 0]));
-    let got = a.admit(&AdmissionRequest { unplaceable: true, ..gang });
+    let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, got.in_turn, got.worth), (0, 2, 2));
 }
 
@@ -419,7 +425,7 @@
         for (p, cpu, count, whole) in jobs {
             let priority =
                 [Priority::Low, Priority::Normal, Priority::High, Priority::Production][p];
-            let got = a.admit(&AdmissionRequest { whole, ..asking(priority, cpu, count) });
+            let got = a.admit(&AdmissionRequest { all_or_nothing: whole, ..asking(priority, cpu, count) });
             prop_assert!(got.in_turn <= count && got.now <= got.in_turn);
             prop_assert!(!whole || got.now == 0 || got.now == count);
             taken += cpu * u64::from(got.now);
