--- a/crates/core/src/coordinator/compaction.rs
+++ b/crates/core/src/coordinator/compaction.rs
@@ -3,44 +3,15 @@
 //! A compaction has up to three parts, each paid for from its own class of the write budget:
 //! terminal states of jobs whose tasks are all done, bitmaps of the completed tasks of other jobs,
 //! and deletions of decision records that no task depends on any more. At most one is in flight.
-use super::terminal_state::defer_requests;
-use super::{Coordinator, Ownership};
-use crate::budget::WriteClass;
+use super::Coordinator;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, JobId, Shard, Timestamp};
-use crate::io::StoreResult;
-use crate::jobs::{job_state, CompletedAttempt, Job};
-use crate::keys;
-use crate::stored::{CompletionRecord, TerminalState};
-use crate::writes::{PendingWrite, WriteOutcome};
-use leaddeal_wire::mesh::{AttemptRef, ShardMessage};
-use leaddeal_wire::state::Change;
-use leaddeal_wire::user::Status;
-use std::cmp::Reverse;
+use crate::ids::{Attempt, JobId, Timestamp};
+use crate::jobs::CompletedAttempt;
+use crate::writes::PendingWrite;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Users expect to be told of a completed job within this time; writes of less urgent classes are
-/// held back beyond it.
-const MAX_TERMINAL_STATE_DELAY_MS: u64 = 3000;
-/// Between two compactions with terminal states.
-const TERMINAL_STATES_INTERVAL_MS: u64 = 300;
-/// Between two compactions with completions of jobs that go on.
-const COMPLETIONS_INTERVAL_MS: u64 = 1200;
-/// Completions of a job that goes on are written after this time,
-const MAX_UNCOMPACTED_MS: u64 = 2500;
-/// or when this many attempts wait for it.
-const MAX_UNCOMPACTED_ATTEMPTS: usize = 60;
-/// A job that fits in no transaction is written alone if there is budget for this many changes.
-const MIN_CHANGES_OF_LARGE_JOB: usize = 2;
-/// This many deletions are worth a transaction of their own.
-const MIN_DELETIONS_ALONE: usize = 8;
-/// No further job is added to a compaction with more bytes of bitmaps than this.
-const MAX_COMPLETION_BYTES: usize = 40_000;
-/// Before a compaction that the state service refused is tried again.
-const RETRY_DELAY_MS: u64 = 500;
-/// Attempts that one message acknowledges.
-const MAX_ATTEMPTS_PER_MESSAGE: usize = 200;
+mod draft;
+mod outcome;
 
 /// What is to be compacted, and the compaction in flight.
 #[derive(Debug, Default)]
@@ -74,13 +45,6 @@
     deleted_decisions: Vec<String>,
 }
 
-/// A compaction that is being put together.
-#[derive(Debug, Default)]
-struct Draft {
-    changes: Vec<Change>,
-    contents: CompactionContents,
-}
-
 impl CompactionState {
     pub(super) fn is_in_flight(&self) -> bool {
         self.in_flight.is_some()
@@ -102,37 +66,6 @@
     }
 }
 
-impl Draft {
-    /// A job's terminal state with the changes that write it.
-    fn add_terminal_state(&mut self, job: &mut Job, changes: Vec<Change>) {
-        job.termination.status = Some(Status::Done);
-        let completed = std::mem::take(&mut job.completion.uncompacted);
-        self.contents.completed.push((job.id, completed));
-        self.contents.complete_jobs.push(job.id);
-        self.changes.extend(changes);
-    }
-
-    /// Completions of a job that goes on; returns the bytes of their bitmaps.
-    fn add_completions(&mut self, shard: Shard, job: &mut Job) -> usize {
-        let mut bytes = 0;
-        job.completion.uncompacted_since = None;
-        let chunks: Vec<u32> =
-            std::mem::take(&mut job.completion.dirty_chunks).into_iter().collect();
-        for &chunk in &chunks {
-            job.completion.stored_chunks.entry(chunk).or_insert(0);
-            let bitmap = job.done.encode_chunk(chunk);
-            bytes += bitmap.len();
-            let key = keys::run_key(shard, job.id, chunk);
-            let value = CompletionRecord(&bitmap).encode();
-            self.changes.push(Change::Put { key, value, lease: None });
-        }
-        self.contents.chunks.push((job.id, chunks));
-        let completed = std::mem::take(&mut job.completion.uncompacted);
-        self.contents.completed.push((job.id, completed));
-        bytes
-    }
-}
-
 impl Coordinator {
     /// Starts the next compaction, or sends the one in flight again if it is time to.
     pub(super) fn compact(&mut self, ctx: &mut Context) {
@@ -147,241 +80,4 @@
             ctx.store(Operation::Compaction { shard: self.shard, epoch: self.epoch }, call);
         }
     }
-
-    fn next_compaction(&mut self, ctx: &mut Context) -> Option<Compaction> {
-        let mut draft = Draft::default();
-        self.draft_terminal_states(ctx, &mut draft);
-        let terminal_changes = draft.changes.len();
-        self.draft_completions(ctx, &mut draft);
-        let completion_changes = draft.changes.len() - terminal_changes;
-        self.draft_deletions(ctx, &mut draft);
-        let Draft { changes, contents } = draft;
-        if changes.is_empty() {
-            return None;
-        }
-        if terminal_changes > 0 {
-            self.compaction.next_terminal_states_at = ctx.now + TERMINAL_STATES_INTERVAL_MS;
-        }
-        let write = self
-            .write(WriteClass::TerminalState, changes)
-            .of_which(WriteClass::Completion, completion_changes)
-            .of_which(WriteClass::Deferrable, contents.deleted_decisions.len());
-        Some(Compaction { write: self.once(write, &contents), contents })
-    }
-
-    /// Makes the write conditional on the version of the first record that it writes, so that it is
-    /// executed once at most. A late copy must not write completions over newer ones, nor create a
-    /// record that was deleted. (Found by the simulator's check of each write: compactions without an
-    /// answer were given up for newer ones, and a late copy undid those.)
-    fn once(&self, write: PendingWrite, contents: &CompactionContents) -> PendingWrite {
-        let (key, version) = if let Some(id) = contents.complete_jobs.first() {
-            (keys::final_key(self.shard, *id), 0)
-        } else if let Some((id, chunk)) = contents.first_chunk() {
-            let job = self.jobs.get(&id);
-            let version = job.and_then(|job| job.completion.stored_chunks.get(&chunk).copied());
-            (keys::run_key(self.shard, id, chunk), version.unwrap_or(0))
-        } else {
-            return write;
-        };
-        if holds(Guard::FoldVersion) {
-            write.creating(key, version)
-        } else {
-            write
-        }
-    }
-
-    /// Terminal states, of the jobs first that have been complete for longest.
-    fn draft_terminal_states(&mut self, ctx: &mut Context, draft: &mut Draft) {
-        // The budget counts who asks: it is asked only if there is something to write.
-        let none = self.compaction.complete_jobs.is_empty();
-        if none || ctx.now < self.compaction.next_terminal_states_at {
-            return;
-        }
-        let max_changes = ctx.config.txn_ops.min(ctx.budget.room(WriteClass::TerminalState));
-        let mut complete: Vec<(Timestamp, JobId)> =
-            self.compaction.complete_jobs.iter().map(|(id, since)| (*since, *id)).collect();
-        complete.sort_unstable();
-        let oldest = complete.first();
-        if oldest.is_some_and(|(since, _)| ctx.now >= since + MAX_TERMINAL_STATE_DELAY_MS) {
-            ctx.budget.behind(ctx.now);
-        }
-        for (_, id) in complete {
-            let changes = self.terminal_changes(id, Status::Done);
-            // The largest job has more chunks than the smallest store takes changes at once: alone
-            // it may go beyond what there is budget for.
-            let fits = draft.changes.len() + changes.len() <= max_changes;
-            let alone = draft.changes.is_empty() && max_changes >= MIN_CHANGES_OF_LARGE_JOB;
-            if !fits && !alone {
-                break;
-            }
-            self.compaction.complete_jobs.remove(&id);
-            self.compaction.dirty_jobs.remove(&id);
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
-            // Cancelled meanwhile: that is its terminal state.
-            if job.cancelled || job.termination.status == Some(Status::Cancelled) {
-                continue;
-            }
-            draft.add_terminal_state(job, changes);
-        }
-    }
-
-    /// Completions of jobs that go on, of the jobs first with the most attempts to acknowledge.
-    fn draft_completions(&mut self, ctx: &mut Context, draft: &mut Draft) {
-        if ctx.now < self.compaction.next_completions_at
-            || (self.compaction.dirty_jobs.is_empty() && self.rounds.waiting() == 0)
-        {
-            return;
-        }
-        self.compaction.next_completions_at = ctx.now + COMPLETIONS_INTERVAL_MS;
-        let left = ctx.config.txn_ops.saturating_sub(draft.changes.len());
-        let max_changes = draft.changes.len() + left.min(ctx.budget.room(WriteClass::Completion));
-        let mut bytes = 0;
-        for id in self.jobs_to_compact(ctx.now) {
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let fits = draft.changes.len() + job.completion.dirty_chunks.len() <= max_changes;
-            if !fits || bytes > MAX_COMPLETION_BYTES {
-                break;
-            }
-            self.compaction.dirty_jobs.remove(&id);
-            bytes += draft.add_completions(self.shard, job);
-        }
-    }
-
-    /// Jobs whose completions have waited long enough, or are many enough, to be written; those with
-    /// the most attempts to acknowledge first.
-    fn jobs_to_compact(&mut self, now: Timestamp) -> Vec<JobId> {
-        let mut due: Vec<(Reverse<usize>, JobId)> = Vec::new();
-        let jobs = &self.jobs;
-        self.compaction.dirty_jobs.retain(|id| {
-            let job = jobs
-                .get(id)
-                .filter(|job| !job.completion.dirty_chunks.is_empty() && !job.cancelled);
-            let Some(job) = job else { return false };
-            let waiting = job.completion.uncompacted.len();
-            let since = job.completion.uncompacted_since;
-            let late = since.is_some_and(|since| now >= since + MAX_UNCOMPACTED_MS);
-            // Soon over, perhaps: its terminal state makes this write needless.
-            let goes_on = job.termination.status.is_none() && !job.complete();
-            if (late || waiting >= MAX_UNCOMPACTED_ATTEMPTS) && goes_on {
-                due.push((Reverse(waiting), *id));
-            }
-            true
-        });
-        due.sort_unstable();
-        due.into_iter().map(|(_, id)| id).collect()
-    }
-
-    /// Deletions of decision records that no task depends on. A few of them alone wait for other
-    /// changes.
-    fn draft_deletions(&mut self, ctx: &mut Context, draft: &mut Draft) {
-        let left = ctx.config.txn_ops.saturating_sub(draft.changes.len());
-        let max_deletions = left.min(ctx.budget.room(WriteClass::Deferrable));
-        let alone = draft.changes.is_empty();
-        if alone && self.rounds.waiting().min(max_deletions) < MIN_DELETIONS_ALONE {
-            return;
-        }
-        let keys = self.rounds.take_unneeded(max_deletions);
-        draft.changes.extend(keys.iter().map(|key| Change::Delete { key: key.clone() }));
-        draft.contents.deleted_decisions = keys;
-    }
-
-    /// The result of the compaction's transaction.
-    pub fn compaction_written(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
-        let Some(mut compaction) = self.compaction.in_flight.take() else {
-            return Ownership::Kept;
-        };
-        match compaction.write.take(ctx.now, result) {
-            WriteOutcome::Done(revision) => {
-                self.compaction_committed(ctx, revision, compaction.contents);
-            }
-            WriteOutcome::NotDone => self.compaction_refused(ctx, compaction.contents),
-            WriteOutcome::Open => {
-                self.defer_terminal_answers(ctx, &compaction.contents);
-                self.compaction.in_flight = Some(compaction);
-            }
-            WriteOutcome::Fenced => return Ownership::Lost,
-        }
-        Ownership::Kept
-    }
-
-    /// Users that wait for a terminal state have to ask again: until its outcome is known may take
-    /// as long as the state service does.
-    fn defer_terminal_answers(&mut self, ctx: &mut Context, contents: &CompactionContents) {
-        for id in &contents.complete_jobs {
-            if let Some(job) = self.jobs.get_mut(id) {
-                defer_requests(ctx, job);
-            }
-        }
-    }
-
-    fn compaction_committed(
-        &mut self,
-        ctx: &mut Context,
-        revision: u64,
-        contents: CompactionContents,
-    ) {
-        for (id, chunks) in contents.chunks {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                let versions = chunks.into_iter().map(|chunk| (chunk, revision));
-                job.completion.stored_chunks.extend(versions);
-            }
-        }
-        for (id, completed) in contents.completed {
-            self.acknowledge(ctx, id, completed);
-        }
-        for id in contents.complete_jobs {
-            let Some(job) = self.jobs.remove(&id) else { continue };
-            let terminal = TerminalState { status: Status::Done, done: job.done.len() };
-            for request in job.termination.requests {
-                ctx.reply_state(request, 200, job_state(id, terminal));
-            }
-            self.closed.insert(id, terminal);
-        }
-    }
-
-    /// The compaction was certainly not executed: all of it is to be written anew.
-    fn compaction_refused(&mut self, ctx: &mut Context, contents: CompactionContents) {
-        self.compaction.next_completions_at = ctx.now + RETRY_DELAY_MS;
-        self.compaction.next_terminal_states_at = ctx.now + RETRY_DELAY_MS;
-        self.rounds.delete_again(contents.deleted_decisions);
-        for (id, chunks) in contents.chunks {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                job.completion.dirty_chunks.extend(chunks);
-                job.completion.uncompacted_since.get_or_insert(ctx.now);
-                self.compaction.dirty_jobs.insert(id);
-            }
-        }
-        for (id, completed) in contents.completed {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                job.completion.uncompacted.extend(completed);
-            }
-        }
-        // Their terminal states stay in the making.
-        let complete = contents.complete_jobs.into_iter().map(|id| (id, ctx.now));
-        self.compaction.complete_jobs.extend(complete);
-    }
-
-    /// Completions that are durable, or don't count any more: their machines may forget the attempts,
-    /// and the decisions that placed them may be deleted.
-    pub(super) fn acknowledge(
-        &mut self,
-        ctx: &mut Context,
-        id: JobId,
-        completed: Vec<CompletedAttempt>,
-    ) {
-        let mut by_shard: BTreeMap<Shard, Vec<AttemptRef>> = BTreeMap::new();
-        for CompletedAttempt { task, attempt, machine, round } in completed {
-            self.rounds.one_less(round);
-            let machine = ctx.names.machine_name(machine).to_string();
-            let shard = ctx.shard_of_machine(&machine);
-            let what =
-                AttemptRef { job: id.0, task, attempt: attempt.0, machine, incarnation: None };
-            by_shard.entry(shard).or_default().push(what);
-        }
-        for (shard, attempts) in by_shard {
-            for chunk in attempts.chunks(MAX_ATTEMPTS_PER_MESSAGE) {
-                ctx.send(self.shard, shard, ShardMessage::Forget { what: chunk.to_vec() });
-            }
-        }
-    }
 }
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -77,7 +77,7 @@
                 for j in self.jobs.values_mut().filter(|j| !j.is_tombstone()) {
                     if !j.placed.is_empty() || !j.done.is_empty() {
                         j.first_started_at = Some(ctx.now);
-                        self.served.had_begun(j);
+                        self.service_statistics.record_earlier_start(j);
                     }
                 }
                 // Their final states are written already: an owner before may have told nobody else.
@@ -107,7 +107,7 @@
         let age = ctx.time_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.time_ms));
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
         let job = Job::new(id, wire, shape, ctx.now.saturating_sub(age), &ctx.config.aims);
-        self.served.asks(&job);
+        self.service_statistics.record_submission(&job);
         self.jobs.insert(id, job);
         self.pending.insert(id);
         ctx.wake = true;
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -18,7 +18,7 @@
 use leaddeal_wire::worker::{ExitReason, TaskState};
 use quota_state::QuotaState;
 use rounds::{Record as Slot, Rounds};
-use served::ServiceStatistics;
+use service_statistics::ServiceStatistics;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
 mod quota_state;
 mod round;
 mod rounds;
-mod served;
+mod service_statistics;
 mod terminal_state;
 
 pub use ownership::Ownership;
@@ -114,13 +114,14 @@
     rounds: Rounds,
     /// Jobs that may have tasks to be placed; who has none any more is taken out when looked at.
     pending: BTreeSet<JobId>,
+    /// Completions and terminal states that are to be written.
     compaction: CompactionState,
     /// Jobs with a task that was not seen on its machine yet, or is to stop; who has none any more
     /// is taken out when looked at.
     unsettled: BTreeSet<JobId>,
     /// GPU work there is, and when to look anew.
     gpu_work: (Timestamp, Vec<GpuWork>),
-    served: ServiceStatistics,
+    service_statistics: ServiceStatistics,
     /// Cancellations being written.
     cancelling: BTreeSet<JobId>,
     /// Picks of all decisions, and how many decisions; for the log.
@@ -131,6 +132,7 @@
     pub leaving: bool,
     participant_epochs: Vec<Epoch>,
     next_resend: Timestamp,
+    /// Limits of teams.
     quota: QuotaState,
 }
 
@@ -154,7 +156,7 @@
             compaction: CompactionState::default(),
             unsettled: BTreeSet::new(),
             gpu_work: (0, Vec::new()),
-            served: ServiceStatistics::default(),
+            service_statistics: ServiceStatistics::default(),
             cancelling: BTreeSet::new(),
             picked: (0, 0),
             loaded_from: 0,
@@ -277,7 +279,7 @@
         );
         if ran && j.first_started_at.is_none() && !j.cancelled {
             j.first_started_at = Some(now);
-            self.served.begins(j, now);
+            self.service_statistics.record_start(j, now);
         }
         if !over {
             j.placed.set_phase(e.task, e.phase);
--- a/crates/core/src/jobs/completion.rs
+++ b/crates/core/src/jobs/completion.rs
@@ -9,7 +9,9 @@
 /// An attempt that completed its task, and what has to be released once that is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletedAttempt {
+    /// The task that it completed.
     pub task: u32,
+    /// Number of the attempt.
     pub attempt: Attempt,
     /// The machine that it ran on, which is to be told to forget it.
     pub machine: MachineIdx,
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -17,9 +17,11 @@
 /// [`Job::pending`] counts those being decided as still to be placed.
 #[derive(Debug)]
 pub struct Job {
+    /// Its number, unique in the cluster.
     pub id: JobId,
     /// The job as its user submitted it.
     pub wire: user::Job,
+    /// What a task of it takes.
     pub shape: Shape,
     /// When it was submitted; before this process began, perhaps.
     pub created: Timestamp,
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -8,79 +8,81 @@
 #[test]
 fn a_gang_waits_for_one_zone_until_that_has_nothing() {
     let mut names = Names::default();
-    let mut j = Job::tombstone(JobId(7), &mut names);
-    j.wire = user::Job {
+    let mut job = Job::tombstone(JobId(7), &mut names);
+    job.wire = user::Job {
         class: "c".into(),
         kind: Kind::Gang,
         priority: Priority::Normal,
         tasks: 4,
         one_zone: true,
-        ..j.wire
+        ..job.wire
     };
-    assert!(!j.queue_position(0).expect("a gang's").holds_position, "asks for the first time");
+    assert!(!job.queue_position(0).expect("a gang's").holds_position, "asks for the first time");
     let room = [4, 4, 4];
-    j.backoff.failed_tries = 1;
-    j.choose_target_zone(&[0, 2, 1], &room);
-    assert_eq!(j.target_zone, Some(ZoneIdx(1)));
-    j.choose_target_zone(&[3, 1, 0], &room);
-    assert_eq!(j.target_zone, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
-    assert!(j.queue_position(0).expect("a gang's").holds_position);
-    j.choose_target_zone(&[3, 0, 0], &room);
-    assert_eq!(j.target_zone, Some(ZoneIdx(0)));
-    j.wire.tasks = 1;
-    j.choose_target_zone(&[0, 0, 0], &room);
-    assert_eq!(j.target_zone, None, "a lone task needs no zone to itself");
-    assert!(!j.queue_position(0).expect("a gang's").holds_position);
+    job.backoff.failed_tries = 1;
+    job.choose_target_zone(&[0, 2, 1], &room);
+    assert_eq!(job.target_zone, Some(ZoneIdx(1)));
+    job.choose_target_zone(&[3, 1, 0], &room);
+    assert_eq!(job.target_zone, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
+    assert!(job.queue_position(0).expect("a gang's").holds_position);
+    job.choose_target_zone(&[3, 0, 0], &room);
+    assert_eq!(job.target_zone, Some(ZoneIdx(0)));
+    job.wire.tasks = 1;
+    job.choose_target_zone(&[0, 0, 0], &room);
+    assert_eq!(job.target_zone, None, "a lone task needs no zone to itself");
+    assert!(!job.queue_position(0).expect("a gang's").holds_position);
 }
 
 /// Found by counting: with a fleet that was booting, asking in vain took most of the time.
 #[test]
 fn a_job_without_room_waits_to_be_told_and_asks_by_itself_less_and_less() {
     let mut names = Names::default();
-    let mut j = Job::tombstone(JobId(7), &mut names);
-    j.wire.priority = Priority::High;
+    let mut job = Job::tombstone(JobId(7), &mut names);
+    job.wire.priority = Priority::High;
     let (mut now, mut tries) = (10_000, 0);
     while now < 20_000 {
-        assert!(j.record_unmet_demand(now), "it was its own time to try");
-        (now, tries) = (j.not_before, tries + 1);
+        assert!(job.record_unmet_demand(now), "it was its own time to try");
+        (now, tries) = (job.not_before, tries + 1);
     }
     assert!((12..20).contains(&tries), "{tries} tries in 10 s");
-    assert!(j.record_unmet_demand(now));
-    j.capacity_freed(now + 10);
-    assert_eq!(j.not_before, now + 10, "told of room, it asks at once");
-    assert!(!j.record_unmet_demand(now + 20), "which is no try by itself");
-    assert!(j.not_before > now + 20);
-    j.not_before = now + 5000;
-    j.capacity_freed(now + 30);
-    assert_eq!(j.not_before, now + 5000, "after failures it waits all the same");
+    assert!(job.record_unmet_demand(now));
+    job.capacity_freed(now + 10);
+    assert_eq!(job.not_before, now + 10, "told of room, it asks at once");
+    assert!(!job.record_unmet_demand(now + 20), "which is no try by itself");
+    assert!(job.not_before > now + 20);
+    job.not_before = now + 5000;
+    job.capacity_freed(now + 30);
+    assert_eq!(job.not_before, now + 5000, "after failures it waits all the same");
 }
 
 #[test]
 fn a_job_that_fails_everywhere_is_tried_rarely_and_one_that_met_a_bad_machine_is_not() {
-    let mut d = FailureSuspicion::default();
-    let at = |d: &mut FailureSuspicion, m, now, before| d.failed(MachineIdx(m), now, before);
+    let mut suspicion = FailureSuspicion::default();
+    let at = |suspicion: &mut FailureSuspicion, m, now, before| {
+        suspicion.failed(MachineIdx(m), now, before)
+    };
     for _ in 0..50 {
-        assert_eq!(at(&mut d, 1, 1000, 0), 1200, "all on one machine");
+        assert_eq!(at(&mut suspicion, 1, 1000, 0), 1200, "all on one machine");
     }
-    at(&mut d, 2, 1000, 0);
-    let first = at(&mut d, 3, 1000, 0);
-    assert!(d.is_suspected() && first > 2000);
-    assert_eq!(at(&mut d, 4, 1001, first), first.max(1001 + 2000), "one try, one wait");
+    at(&mut suspicion, 2, 1000, 0);
+    let first = at(&mut suspicion, 3, 1000, 0);
+    assert!(suspicion.is_suspected() && first > 2000);
+    assert_eq!(at(&mut suspicion, 4, 1001, first), first.max(1001 + 2000), "one try, one wait");
     let (mut now, mut tries) = (first, 0);
     while now < 600_000 {
-        (now, tries) = (at(&mut d, 5, now, now), tries + 1);
+        (now, tries) = (at(&mut suspicion, 5, now, now), tries + 1);
     }
     assert!((10..20).contains(&tries), "{tries} tries in ten minutes, and never given up");
-    d.ran_well();
-    assert_eq!(at(&mut d, 1, now, now), now + 200);
+    suspicion.ran_well();
+    assert_eq!(at(&mut suspicion, 1, now, now), now + 200);
 }
 
 #[test]
 fn a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks() {
     use crate::ids::Shard;
     let mut names = Names::default();
-    let mut j = Job::tombstone(JobId(7), &mut names);
-    (j.wire.one_zone, j.wire.tasks) = (true, 9);
+    let mut job = Job::tombstone(JobId(7), &mut names);
+    (job.wire.one_zone, job.wire.tasks) = (true, 9);
     let zones = ["a", "b", "c"].map(String::from);
     let placement = |zone| Placement {
         attempt: Attempt(1),
@@ -96,13 +98,13 @@
         adopted: true,
         team: None,
     };
-    assert_eq!(j.zone_room(&zones), [9, 9, 9]);
-    j.placed.insert(0, placement(1));
-    assert_eq!(j.zone_room(&zones), [0, 9, 0]);
-    j.placed.insert(3, placement(0));
-    assert_eq!(j.zone_room(&zones), [0, 0, 0]);
-    j.placed.remove(3);
-    assert_eq!(j.zone_room(&zones), [0, 9, 0]);
+    assert_eq!(job.zone_room(&zones), [9, 9, 9]);
+    job.placed.insert(0, placement(1));
+    assert_eq!(job.zone_room(&zones), [0, 9, 0]);
+    job.placed.insert(3, placement(0));
+    assert_eq!(job.zone_room(&zones), [0, 0, 0]);
+    job.placed.remove(3);
+    assert_eq!(job.zone_room(&zones), [0, 9, 0]);
 }
 
 /// Found on a day of our own: of gangs that had missed all aims each took itself for later than
@@ -110,19 +112,19 @@
 #[test]
 fn gangs_that_missed_all_aims_keep_their_order() {
     let mut names = Names::default();
-    let mut j = Job::tombstone(JobId(7), &mut names);
-    j.wire.kind = Kind::Gang;
+    let mut job = Job::tombstone(JobId(7), &mut names);
+    job.wire.kind = Kind::Gang;
     // When its turn was, as a participant reckons it from what it is told.
-    let turn = |j: &Job, now: Timestamp| {
-        let line = j.queue_position(now).expect("a gang's");
+    let turn = |job: &Job, now: Timestamp| {
+        let line = job.queue_position(now).expect("a gang's");
         (line.late, now.saturating_add_signed(line.time_left_ms))
     };
     let (older, younger) = (1_000_000, 1_005_000);
     for now in [1_100_000, 1_900_000, 3_000_000] {
-        j.created = older;
-        let first = turn(&j, now);
-        j.created = younger;
-        assert!(first < turn(&j, now - 900), "asked earlier, and younger all the same");
+        job.created = older;
+        let first = turn(&job, now);
+        job.created = younger;
+        assert!(first < turn(&job, now - 900), "asked earlier, and younger all the same");
     }
 }
 
@@ -130,7 +132,7 @@
 #[test]
 fn urgency_counts_from_the_submission() {
     let mut names = Names::default();
-    let mut j = Job::tombstone(JobId(7), &mut names);
+    let mut job = Job::tombstone(JobId(7), &mut names);
     let objective = |within_s| Objective {
         kind: "wait".into(),
         class: "c".into(),
@@ -139,22 +141,22 @@
         times: None,
     };
     let urgency = |missed_objectives, due| Urgency { missed_objectives, due };
-    j.wire.class = "c".into();
-    j.latest_starts_ms =
-        Objectives::new(&[objective(80.0), objective(350.0)], 0.0).latest_starts_ms(&j.wire);
-    j.created = 1_000_000;
-    assert_eq!(j.urgency(1_050_000), urgency(0, 1_080_000));
-    assert_eq!(j.urgency(1_100_000), urgency(1, 1_350_000));
+    job.wire.class = "c".into();
+    job.latest_starts_ms =
+        Objectives::new(&[objective(80.0), objective(350.0)], 0.0).latest_starts_ms(&job.wire);
+    job.created = 1_000_000;
+    assert_eq!(job.urgency(1_050_000), urgency(0, 1_080_000));
+    assert_eq!(job.urgency(1_100_000), urgency(1, 1_350_000));
     // One that has not begun comes first in the end, and then only until it has.
-    assert_eq!(j.placement_urgency(1_109_000), j.urgency(1_109_000));
-    assert_eq!(j.placement_urgency(1_200_000), urgency(0, 1_110_000));
-    j.first_started_at = Some(1_200_000);
-    assert_eq!(j.placement_urgency(1_200_000), j.urgency(1_200_000));
+    assert_eq!(job.placement_urgency(1_109_000), job.urgency(1_109_000));
+    assert_eq!(job.placement_urgency(1_200_000), urgency(0, 1_110_000));
+    job.first_started_at = Some(1_200_000);
+    assert_eq!(job.placement_urgency(1_200_000), job.urgency(1_200_000));
     // A large one takes so long to be placed that it is due earlier.
-    j.wire.tasks = 25_000;
-    j.latest_starts_ms =
-        Objectives::new(&[objective(80.0), objective(350.0)], 4.0).latest_starts_ms(&j.wire);
-    assert_eq!(j.urgency(1_050_000), urgency(1, 1_250_000));
+    job.wire.tasks = 25_000;
+    job.latest_starts_ms =
+        Objectives::new(&[objective(80.0), objective(350.0)], 4.0).latest_starts_ms(&job.wire);
+    assert_eq!(job.urgency(1_050_000), urgency(1, 1_250_000));
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -507,7 +507,7 @@
             let c = ctx!(self, effects);
             let Some(o) = &mut self.owned[i] else { continue };
             let (shard, room) = (o.coordinator.figures(c.now), o.participant.figures(&c));
-            let served = o.coordinator.served(c.now);
+            let served = o.coordinator.service_figures(c.now);
             let limits = o.coordinator.limit_figures(&c);
             effects.log(1, "served", || served);
             effects.log(1, "seat", || shard);
