--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -13,8 +13,8 @@
 use leaddeal_wire::user::Status;
 use std::cmp::Reverse;
 
-/// Users expect to be told of a completed job within this time; writes of less urgent classes are
-/// held back beyond it.
+/// Users expect to be told of a completed job within this time; beyond it, the write budget is told
+/// that terminal states are behind.
 const MAX_TERMINAL_STATE_DELAY_MS: u64 = 3000;
 /// Between two compactions with terminal states.
 const TERMINAL_STATES_INTERVAL_MS: u64 = 300;
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -26,6 +26,8 @@
 const PREEMPTED_QUOTA_KEPT_MS: u64 = 15_000;
 
 /// Something that is active for the first part of each period.
+///
+/// Invariant: `active_ms` is at most `period_ms`, which is above zero.
 #[derive(Clone, Copy, Debug)]
 struct DutyCycle {
     period_ms: u64,
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -47,11 +47,11 @@
 
 #[test]
 fn shares_never_exceed_the_limit_and_wait_for_every_coordinator() {
-    let mut d = QuotaManager::new(Shard(0), &[team(10.0, 0.0)], 3);
+    let mut manager = QuotaManager::new(Shard(0), &[team(10.0, 0.0)], 3);
     let mut now = 0;
     let mut may = |from: u8, epoch: u64, serial: u64, used, wanted| {
         now += 100;
-        let g = d.report(now, Shard(from), Epoch(epoch), serial, &[told(used, wanted)])?;
+        let g = manager.report(now, Shard(from), Epoch(epoch), serial, &[told(used, wanted)])?;
         Some(g.first().map_or(0, |g| g.may.cpu))
     };
     assert_eq!(may(0, 5, 1, 0, 9000), Some(0), "others are unknown yet");
@@ -68,117 +68,117 @@
 
 #[test]
 fn by_priority_first_then_by_what_can_start_now_then_evenly() {
-    let mut b = TeamShard::new(team(10.0, 0.0));
+    let mut shard = TeamShard::new(team(10.0, 0.0));
     let mut low = told(0, 50_000);
     let mut high = told(0, 0);
     high.wanted[2] = cpus(8000);
-    b.report(0, low);
-    b.report(1, high);
-    b.report(2, low);
-    assert_eq!(b.may(1, high), cpus(8000), "the higher priority has all that it can use");
-    assert_eq!(b.may(0, low), cpus(1000));
-    assert_eq!(b.may(2, low), cpus(1000), "the rest is shared evenly");
+    shard.report(0, low);
+    shard.report(1, high);
+    shard.report(2, low);
+    assert_eq!(shard.may(1, high), cpus(8000), "the higher priority has all that it can use");
+    assert_eq!(shard.may(0, low), cpus(1000));
+    assert_eq!(shard.may(2, low), cpus(1000), "the rest is shared evenly");
     // What finds no machine is not kept from those that do.
     high.unplaceable = high.wanted;
     high.wanted = Default::default();
-    b.report(1, high);
+    shard.report(1, high);
     low.wanted[0] = cpus(4000);
-    b.report(0, low);
-    b.report(2, low);
-    assert_eq!(b.may(0, low), cpus(4000));
-    assert_eq!(b.may(2, low), cpus(4000));
-    assert_eq!(b.may(1, high), cpus(2000));
+    shard.report(0, low);
+    shard.report(2, low);
+    assert_eq!(shard.may(0, low), cpus(4000));
+    assert_eq!(shard.may(2, low), cpus(4000));
+    assert_eq!(shard.may(1, high), cpus(2000));
 }
 
 /// Gangs of half the limit, one in each coordinator: never a part each.
 #[test]
-fn what_is_first_is_served_whole() {
+fn the_first_job_of_a_coordinator_is_served_whole() {
     let gang = |waited_ms| {
         let mut u = TeamUsage::of(0);
         u.wanted[1] = cpus(6000);
         u.first[1] = Some(FirstInQueue { need: cpus(6000), waited_ms });
         u
     };
-    let mut b = TeamShard::new(team(10.0, 0.0));
+    let mut shard = TeamShard::new(team(10.0, 0.0));
     for s in 0..3 {
-        b.report(s, gang(u64::from(s)));
+        shard.report(s, gang(u64::from(s)));
     }
-    assert_eq!(b.may(2, gang(2)), cpus(6000), "whoever has waited longest");
-    assert_eq!(b.may(1, gang(1)), NONE, "what is left is kept for the next");
+    assert_eq!(shard.may(2, gang(2)), cpus(6000), "whoever has waited longest");
+    assert_eq!(shard.may(1, gang(1)), NONE, "what is left is kept for the next");
     // Small work of lesser priority does not take it bit by bit.
     let mut small = told(0, 9000);
     small.first[0] = Some(FirstInQueue { need: cpus(100), waited_ms: 9 });
-    assert_eq!(b.may(0, small), NONE);
-    assert_eq!(b.may(2, TeamUsage::of(0)), NONE);
-    assert_eq!(b.may(1, gang(1)), cpus(6000));
-    assert_eq!(b.may(0, small), cpus(4000));
+    assert_eq!(shard.may(0, small), NONE);
+    assert_eq!(shard.may(2, TeamUsage::of(0)), NONE);
+    assert_eq!(shard.may(1, gang(1)), cpus(6000));
+    assert_eq!(shard.may(0, small), cpus(4000));
 }
 
 #[test]
 fn a_task_as_large_as_the_limit_gets_all_of_it_and_a_larger_one_keeps_nothing() {
-    let mut b = TeamShard::new(team(10.0, 0.0));
+    let mut shard = TeamShard::new(team(10.0, 0.0));
     let large = |cpu| {
         let mut u = TeamUsage::of(0);
         u.wanted[3] = cpus(cpu);
         u.first[3] = Some(FirstInQueue { need: cpus(cpu), waited_ms: 1 });
         u
     };
-    b.report(0, large(10_000));
-    b.report(1, told(0, 5000));
-    b.report(2, told(0, 5000));
-    assert_eq!(b.may(1, told(0, 5000)), NONE);
-    assert_eq!(b.may(0, large(10_000)), cpus(10_000));
-    b.report(0, TeamUsage::of(0));
+    shard.report(0, large(10_000));
+    shard.report(1, told(0, 5000));
+    shard.report(2, told(0, 5000));
+    assert_eq!(shard.may(1, told(0, 5000)), NONE);
+    assert_eq!(shard.may(0, large(10_000)), cpus(10_000));
+    shard.report(0, TeamUsage::of(0));
     let mut never = large(10_001);
     never.wanted = Default::default();
-    b.report(0, never);
-    assert_eq!(b.may(1, told(0, 5000)), cpus(5000));
+    shard.report(0, never);
+    assert_eq!(shard.may(1, told(0, 5000)), cpus(5000));
 }
 
 /// One limit reached does not keep work from the other.
 #[test]
 fn limits_of_gpus_and_of_processors_are_apart() {
-    let mut b = TeamShard::new(team(10.0, 2.0));
+    let mut shard = TeamShard::new(team(10.0, 2.0));
     let mut gpus = TeamUsage::of(0);
     let need = QuotaAmount { cpu: 3000, gpu: 2000 };
     gpus.wanted[3] = need;
     gpus.first[3] = Some(FirstInQueue { need, waited_ms: 1 });
     let mut busy = TeamUsage::of(0);
     busy.used[3] = QuotaAmount { cpu: 1000, gpu: 1000 };
-    b.report(0, gpus);
-    b.report(1, busy);
-    b.report(2, told(0, 9000));
-    assert_eq!(b.may(0, gpus), NONE, "there is one GPU left");
-    assert_eq!(b.may(2, told(0, 9000)), cpus(6000), "all but what is kept for the first");
+    shard.report(0, gpus);
+    shard.report(1, busy);
+    shard.report(2, told(0, 9000));
+    assert_eq!(shard.may(0, gpus), NONE, "there is one GPU left");
+    assert_eq!(shard.may(2, told(0, 9000)), cpus(6000), "all but what is kept for the first");
 }
 
 /// Reports of impossible values, or of nobody.
 #[test]
-fn nonsense_changes_nothing() {
-    let mut b = TeamShard::new(team(10.0, 0.0));
+fn invalid_reports_change_nothing() {
+    let mut shard = TeamShard::new(team(10.0, 0.0));
     for s in 0..3 {
-        b.report(s, told(0, 2000));
+        shard.report(s, told(0, 2000));
     }
-    assert!(b.report(7, told(0, 2000)).is_none());
+    assert!(shard.report(7, told(0, 2000)).is_none());
     let mut other = told(0, 2000);
     other.team = 200;
-    assert!(b.report(0, other).is_none());
-    assert_eq!(b.may(1, told(2000, 1000)), cpus(3000), "nobody's report is not missed");
-    assert!(b.may(1, told(u64::MAX, u64::MAX)).within(cpus(10_000)));
-    b.report(0, TeamUsage::of(0));
-    assert_eq!(b.may(2, told(0, 2000)), NONE, "what is told to be in use counts");
+    assert!(shard.report(0, other).is_none());
+    assert_eq!(shard.may(1, told(2000, 1000)), cpus(3000), "nobody's report is not missed");
+    assert!(shard.may(1, told(u64::MAX, u64::MAX)).within(cpus(10_000)));
+    shard.report(0, TeamUsage::of(0));
+    assert_eq!(shard.may(2, told(0, 2000)), NONE, "what is told to be in use counts");
 }
 
 /// Who is silent wants nothing any more, but what it may take stays counted.
 #[test]
 fn a_silent_coordinator_keeps_its_share_and_asks_for_no_more() {
-    let mut b = TeamShard::new(team(10.0, 0.0));
-    b.report(1, told(1000, 9000));
-    b.report(0, told(0, 9000));
-    b.report(2, TeamUsage::of(0));
-    assert_eq!(b.may(0, told(0, 9000)), cpus(4500));
-    b.now += 3000;
-    assert_eq!(b.may(0, told(0, 9000)), cpus(9000));
+    let mut shard = TeamShard::new(team(10.0, 0.0));
+    shard.report(1, told(1000, 9000));
+    shard.report(0, told(0, 9000));
+    shard.report(2, TeamUsage::of(0));
+    assert_eq!(shard.may(0, told(0, 9000)), cpus(4500));
+    shard.now += 3000;
+    assert_eq!(shard.may(0, told(0, 9000)), cpus(9000));
 }
 
 fn standing(may: u64, due: u64, used: [u64; 4]) -> QuotaStatus {
@@ -228,7 +228,7 @@
 
 /// A coordinator of the model: what it takes and, by its own belief, may take.
 #[derive(Clone, Debug, Default)]
-struct Coord {
+struct ModelCoordinator {
     epoch: u64,
     serial: u64,
     used: [u64; 4],
@@ -239,7 +239,7 @@
     sent: Vec<(u64, (u64, u64, TeamUsage))>,
 }
 
-impl Coord {
+impl ModelCoordinator {
     fn sum(&self) -> u64 {
         self.used.iter().sum()
     }
@@ -261,7 +261,7 @@
     /// A report, and whether it and its answer arrive.
     Report(usize, bool, bool),
     /// An older report arrives again.
-    Again(usize, usize),
+    Duplicate(usize, usize),
     /// As much as may be is started, of a priority.
     Start(usize, usize),
     End(usize, usize, u64),
@@ -278,7 +278,7 @@
     prop_oneof![
         6 => (c.clone(), prop::bool::weighted(0.9), prop::bool::weighted(0.8))
             .prop_map(|(c, a, b)| Step::Report(c, a, b)),
-        1 => (c.clone(), 0..20usize).prop_map(|(c, n)| Step::Again(c, n)),
+        1 => (c.clone(), 0..20usize).prop_map(|(c, n)| Step::Duplicate(c, n)),
         6 => (c.clone(), p.clone()).prop_map(|(c, p)| Step::Start(c, p)),
         3 => (c.clone(), p.clone(), 0..900u64).prop_map(|(c, p, n)| Step::End(c, p, n)),
         3 => (c.clone(), p, 0..1500u64).prop_map(|(c, p, n)| Step::Want(c, p, n)),
@@ -293,70 +293,70 @@
     quota: QuotaManager,
     owner: u64,
     now: Timestamp,
-    coords: Vec<Coord>,
+    coordinators: Vec<ModelCoordinator>,
 }
 
 impl Model {
     fn new(limit: u64) -> Model {
         let quota = Model::fresh(limit);
-        Model { limit, quota, owner: 1, now: 0, coords: vec![Coord::default(); 3] }
+        Model { limit, quota, owner: 1, now: 0, coordinators: vec![ModelCoordinator::default(); 3] }
     }
 
     fn fresh(limit: u64) -> QuotaManager {
         QuotaManager::new(Shard(0), &[team(limit as f64 / 1000.0, 0.0)], 3)
     }
 
-    fn hear(&mut self, c: usize, r: (u64, u64, TeamUsage)) -> Option<QuotaAmount> {
+    fn receive(&mut self, c: usize, r: (u64, u64, TeamUsage)) -> Option<QuotaAmount> {
         let g = self.quota.report(self.now, Shard(c as u8), Epoch(r.0), r.1, &[r.2])?;
         g.first().map(|g| g.may)
     }
 
     fn report(&mut self, c: usize, arrives: bool, answered: bool) {
-        let coord = &mut self.coords[c];
-        coord.serial += 1;
-        coord.grant = None;
-        let r = (coord.epoch, coord.serial, coord.told());
-        coord.sent.push((self.owner, r));
+        let coordinator = &mut self.coordinators[c];
+        coordinator.serial += 1;
+        coordinator.grant = None;
+        let r = (coordinator.epoch, coordinator.serial, coordinator.told());
+        coordinator.sent.push((self.owner, r));
         if arrives {
-            let may = self.hear(c, r);
+            let may = self.receive(c, r);
             if answered {
-                self.coords[c].grant = may.map(|m| (self.owner, m));
+                self.coordinators[c].grant = may.map(|m| (self.owner, m));
             }
         }
     }
 
-    fn play(&mut self, s: &Step) {
+    fn apply(&mut self, s: &Step) {
         self.now += 100;
         match *s {
             Step::Report(c, arrives, answered) => self.report(c, arrives, answered),
-            Step::Again(c, n) => {
-                let sent = &self.coords[c].sent;
+            Step::Duplicate(c, n) => {
+                let sent = &self.coordinators[c].sent;
                 let again = sent.get(sent.len().saturating_sub(n + 1)).copied();
                 // Messages name the epochs of both ends: a new owner hears none of before. The
                 // answer is not listened to: the serial is old.
                 if let Some((_, r)) = again.filter(|a| a.0 == self.owner) {
-                    self.hear(c, r);
+                    self.receive(c, r);
                 }
             }
             Step::Start(c, p) => {
                 let owner = self.owner;
-                let coord = &mut self.coords[c];
-                if let Some((_, may)) = coord.grant.filter(|g| g.0 == owner) {
-                    let n = may.cpu.saturating_sub(coord.sum()).min(coord.wants[p]);
-                    coord.used[p] += n;
-                    coord.wants[p] -= n;
+                let coordinator = &mut self.coordinators[c];
+                if let Some((_, may)) = coordinator.grant.filter(|g| g.0 == owner) {
+                    let n = may.cpu.saturating_sub(coordinator.sum()).min(coordinator.wants[p]);
+                    coordinator.used[p] += n;
+                    coordinator.wants[p] -= n;
                 }
             }
             Step::End(c, p, n) => {
-                let used = &mut self.coords[c].used[p];
+                let used = &mut self.coordinators[c].used[p];
                 *used = used.saturating_sub(n);
             }
-            Step::Want(c, p, n) => self.coords[c].wants[p] = n,
+            Step::Want(c, p, n) => self.coordinators[c].wants[p] = n,
             Step::Moves(c) => {
-                let coord = &mut self.coords[c];
-                coord.epoch += 1;
-                coord.serial = 0;
-                coord.grant = None;
+                let coordinator = &mut self.coordinators[c];
+                coordinator.epoch += 1;
+                coordinator.serial = 0;
+                coordinator.grant = None;
             }
             Step::NewOwner => {
                 self.owner += 1;
@@ -366,7 +366,7 @@
     }
 
     fn total(&self) -> u64 {
-        self.coords.iter().map(Coord::sum).sum()
+        self.coordinators.iter().map(ModelCoordinator::sum).sum()
     }
 }
 
@@ -378,10 +378,10 @@
         limit in 500..4000u64,
         steps in prop::collection::vec(step(), 1..150),
     ) {
-        let mut m = Model::new(limit);
-        for s in &steps {
-            m.play(s);
-            prop_assert!(m.total() <= limit, "{} of {limit} after {s:?}", m.total());
+        let mut model = Model::new(limit);
+        for step in &steps {
+            model.apply(step);
+            prop_assert!(model.total() <= limit, "{} of {limit} after {step:?}", model.total());
         }
     }
 
@@ -392,23 +392,23 @@
         limit in 500..4000u64,
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let mut m = Model::new(limit);
-        for s in &steps {
-            m.play(s);
+        let mut model = Model::new(limit);
+        for step in &steps {
+            model.apply(step);
         }
-        let asks: u64 = m.coords.iter().flat_map(|c| c.wants).sum();
+        let asks: u64 = model.coordinators.iter().flat_map(|c| c.wants).sum();
         // A whole first need is waited for; there is always one that is no larger than this.
-        prop_assume!(asks > 0 && limit - m.total() >= 700);
-        let before = m.total();
+        prop_assume!(asks > 0 && limit - model.total() >= 700);
+        let before = model.total();
         for _ in 0..5 {
             for c in 0..3 {
-                m.play(&Step::Report(c, true, true));
+                model.apply(&Step::Report(c, true, true));
                 for p in (0..4).rev() {
-                    m.play(&Step::Start(c, p));
+                    model.apply(&Step::Start(c, p));
                 }
             }
         }
-        prop_assert!(m.total() > before, "nothing of {} is granted: {:?}", limit - before, m.coords);
+        prop_assert!(model.total() > before, "nothing of {} is granted: {:?}", limit - before, model.coordinators);
     }
 
     /// Nothing is let in now beyond the grant, in any order of jobs.
