--- /dev/null
+++ b/crates/core/src/machine/mod.rs
@@ -0,0 +1,190 @@
+//! What a participant knows of a machine: its worker's newest heartbeat, the lease that the worker
+//! was granted, and the task attempts that are, or may come to be, on the machine.
+//!
+//! - [`attempt`]: one task attempt and how far it got;
+//! - [`heartbeat`]: heartbeats taken in, step by step, and the worker's lease;
+//! - [`commands`]: the commands that the worker is to be sent;
+//! - [`load`]: the resources that the attempts take.
+use crate::ids::{ImageIdx, JobId, Timestamp, TypeIdx, ZoneIdx};
+use crate::reachability::Reachability;
+use load::Load;
+use std::collections::{BTreeMap, VecDeque};
+
+mod attempt;
+mod commands;
+mod heartbeat;
+mod load;
+#[cfg(test)]
+mod tests;
+
+pub use attempt::{AttemptKey, StopRequest, TaskOnMachine};
+pub use commands::{BatchEnd, OwnerLease};
+pub use heartbeat::HeartbeatKind;
+pub use load::GpuTasks;
+
+/// An image in a machine's cache.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CachedImage {
+    /// The image.
+    pub image: ImageIdx,
+    /// Its size in GB.
+    pub size_gb: f64,
+}
+
+/// A job of which a task failed on a machine.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct JobFailure {
+    /// The job.
+    pub job: JobId,
+    /// When a task of it first failed there.
+    pub first_at: Timestamp,
+}
+
+/// A machine as its participant knows it.
+///
+/// Invariant: the sums of `load` are those of `tasks`; whoever changes a task's phase, shape or
+/// stop request, or adds or removes a task, calls [`Machine::update_load`] afterwards.
+#[derive(Clone, Debug)]
+pub struct Machine {
+    /// Address at which the worker takes command batches.
+    pub addr: String,
+    /// Type in the catalog; none: not reported yet, or not in the catalog.
+    pub machine_type: Option<TypeIdx>,
+    /// Zone; none: not reported yet, or not known.
+    pub zone: Option<ZoneIdx>,
+    /// A spot instance.
+    pub spot: bool,
+    /// Incarnation of the worker process in the newest heartbeat; 0: none came yet.
+    pub incarnation: u64,
+    /// Sequence number of the newest heartbeat, within the incarnation.
+    pub seq: u64,
+    /// Fencing token in the newest heartbeat.
+    reported_token: u64,
+    /// The worker has shown that it knows our fencing token: it ignores what owners before us grant
+    /// or command.
+    pub token_confirmed: bool,
+    /// When the worker's lease was last granted: when a heartbeat was last answered by us, or may
+    /// have been answered by an owner before us.
+    pub lease_granted_at: Timestamp,
+    /// When the newest heartbeat arrived.
+    pub last_heartbeat_at: Timestamp,
+    /// Incarnation and sequence number of the newest periodic heartbeat, which alone is answered.
+    last_periodic: (u64, u64),
+    /// Whether the worker receives what is sent to it.
+    pub reachability: Reachability,
+    /// When the cloud takes the machine back, if it gave notice.
+    pub interruption_at: Option<Timestamp>,
+    /// The attempts that are, or may come to be, on the machine, and ended ones until both the
+    /// coordinator has acknowledged the end and the worker has forgotten them.
+    pub tasks: BTreeMap<AttemptKey, TaskOnMachine>,
+    /// Images in the worker's cache, the one used longest ago first.
+    pub cached_images: VecDeque<CachedImage>,
+    /// When a task was last on the machine.
+    pub last_busy_at: Timestamp,
+    /// No new tasks; released when idle.
+    pub draining: bool,
+    /// Given back to the cloud.
+    pub released: bool,
+    /// No offers before this time.
+    pub quarantined_until: Timestamp,
+    /// Jobs of which tasks failed here since anything last ran well.
+    pub recent_failures: Vec<JobFailure>,
+    /// The failures are attributed to the machine.
+    pub suspected: bool,
+    /// The command batch that was sent to the worker and has no outcome yet.
+    pub direct_batch: Option<u64>,
+    /// No command batch is sent before this time.
+    pub next_direct_at: Timestamp,
+    /// The worker's lease is over by our count; whatever ran there is gone.
+    pub lease_expired: bool,
+    /// When the participant next checks the lease, though no heartbeat came.
+    pub next_check_at: Timestamp,
+    load: Load,
+}
+
+impl Machine {
+    /// A machine that no heartbeat came from yet. An owner before us may have granted its worker a
+    /// lease until `now`.
+    pub fn new(now: Timestamp) -> Machine {
+        Machine {
+            addr: String::new(),
+            machine_type: None,
+            zone: None,
+            spot: false,
+            incarnation: 0,
+            seq: 0,
+            reported_token: 0,
+            token_confirmed: false,
+            lease_granted_at: now,
+            last_heartbeat_at: now,
+            last_periodic: (0, 0),
+            reachability: Reachability::default(),
+            interruption_at: None,
+            tasks: BTreeMap::new(),
+            cached_images: VecDeque::new(),
+            last_busy_at: now,
+            draining: false,
+            released: false,
+            quarantined_until: 0,
+            recent_failures: Vec::new(),
+            suspected: false,
+            direct_batch: None,
+            next_direct_at: 0,
+            lease_expired: false,
+            next_check_at: now,
+            load: Load::default(),
+        }
+    }
+
+    /// Drops the attempts whose end the coordinator has acknowledged and that the worker has
+    /// forgotten.
+    pub fn drop_forgotten(&mut self) {
+        self.tasks.retain(|_, task| !(task.end_acknowledged && task.is_over() && !task.is_open()));
+    }
+
+    /// Everything on the machine is gone: its lease is over, or it was released.
+    pub fn mark_all_gone(&mut self) {
+        for task in self.tasks.values_mut() {
+            task.end_with_incarnation();
+        }
+        self.direct_batch = None;
+        self.drop_forgotten();
+        self.update_load();
+    }
+
+    /// Something ran well here: the failures before it no longer count against the machine.
+    pub fn clear_failures(&mut self) {
+        self.recent_failures.clear();
+    }
+
+    /// Tasks of these jobs failed here. A failure counts for `remember_ms` milliseconds.
+    pub fn note_failures(&mut self, jobs: &[JobId], now: Timestamp, remember_ms: u64) {
+        if jobs.is_empty() {
+            return;
+        }
+        self.recent_failures.retain(|failure| now < failure.first_at + remember_ms);
+        for &job in jobs {
+            if !self.recent_failures.iter().any(|failure| failure.job == job) {
+                self.recent_failures.push(JobFailure { job, first_at: now });
+            }
+        }
+    }
+
+    /// The worker used this image. Its cache holds `cache_gb`, and evicts the image used longest ago.
+    pub fn note_image(&mut self, used: CachedImage, cache_gb: f64) {
+        self.cached_images.retain(|cached| cached.image != used.image);
+        self.cached_images.push_back(used);
+        while self.cached_images.len() > 1 && self.cached_gb() > cache_gb {
+            self.cached_images.pop_front();
+        }
+    }
+
+    fn cached_gb(&self) -> f64 {
+        self.cached_images.iter().map(|cached| cached.size_gb).sum::<f64>()
+    }
+
+    /// Whether the worker has the image in its cache.
+    pub fn has_image(&self, image: ImageIdx) -> bool {
+        self.cached_images.iter().any(|cached| cached.image == image)
+    }
+}
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::ids::{Attempt, Epoch};
+use leaddeal_wire::mesh::TaskPhase;
+use leaddeal_wire::worker::{CommandKind, ExitReason, TaskState, WorkerHeartbeat};
 
 fn report(incarnation: u64, token: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
@@ -18,9 +21,9 @@
 #[test]
 fn a_new_session_has_a_lease_of_its_own() {
     let mut m = Machine::new(1000);
-    assert!(m.apply(&report(1, 5), Epoch(5), true, 2000));
+    assert!(m.apply_heartbeat(&report(1, 5), Epoch(5), HeartbeatKind::Periodic, 2000));
     let first = m.lease_over_at(8000, 0);
-    assert!(m.apply(&report(2, 5), Epoch(5), false, first - 10));
+    assert!(m.apply_heartbeat(&report(2, 5), Epoch(5), HeartbeatKind::CommandResponse, first - 10));
     assert!(m.lease_over_at(8000, 0) >= first - 10 + 8000, "it may have begun just now");
 }
 
@@ -29,10 +32,10 @@
 #[test]
 fn a_worker_that_forgot_our_token_is_not_sure_to_heed_us_alone() {
     let mut m = Machine::new(0);
-    m.apply(&report(1, 5), Epoch(5), true, 1000);
-    assert!(m.confirmed);
-    m.apply(&report(2, 0), Epoch(5), true, 2000);
-    assert!(!m.confirmed && m.lease_over_at(8000, 40_000) > 48_000);
+    m.apply_heartbeat(&report(1, 5), Epoch(5), HeartbeatKind::Periodic, 1000);
+    assert!(m.token_confirmed);
+    m.apply_heartbeat(&report(2, 0), Epoch(5), HeartbeatKind::Periodic, 2000);
+    assert!(!m.token_confirmed && m.lease_over_at(8000, 40_000) > 48_000);
 }
 
 /// Our token came with a command, which grants nothing; an older owner may have answered the worker until
@@ -41,12 +44,15 @@
 fn a_worker_that_shows_our_token_at_last_may_have_been_answered_until_then() {
     let mut m = Machine::new(0);
     // A copy of a report from before the takeover: answered, but nobody waits for that.
-    assert!(m.waits(&report(1, 4)) && m.apply(&report(1, 4), Epoch(5), true, 1000));
-    m.granted = 1000;
+    assert!(
+        m.awaits_response(&report(1, 4))
+            && m.apply_heartbeat(&report(1, 4), Epoch(5), HeartbeatKind::Periodic, 1000)
+    );
+    m.lease_granted_at = 1000;
     let shown = WorkerHeartbeat { seq: 9, ..report(1, 5) };
-    assert!(m.apply(&shown, Epoch(5), false, 4000));
+    assert!(m.apply_heartbeat(&shown, Epoch(5), HeartbeatKind::CommandResponse, 4000));
     assert!(
-        m.confirmed && m.lease_over_at(8000, 90_000) >= 12_000,
+        m.token_confirmed && m.lease_over_at(8000, 90_000) >= 12_000,
         "it counts from our last answer"
     );
 }
@@ -56,16 +62,16 @@
 fn in_doubt_nothing_is_started_and_stops_go_on() {
     let mut m = Machine::new(0);
     m.incarnation = 1;
-    let key = |task| (JobId(7), task, Attempt(9));
+    let key = |task| AttemptKey { job: JobId(7), task, attempt: Attempt(9) };
     m.tasks.insert(key(0), TaskOnMachine::new(None, TaskPhase::Decided, 1));
     let mut runs = TaskOnMachine::new(None, TaskPhase::On(TaskState::Running), 1);
     runs.stop = Some(StopRequest { grace_s: 0.0, since: 0 });
     m.tasks.insert(key(1), runs);
-    let ops = |m: &mut Machine, starts| -> Vec<(CommandKind, u32)> {
-        m.orders(0, 9, starts).iter().map(|o| (o.op, o.task.task)).collect()
+    let ops = |m: &mut Machine, lease| -> Vec<(CommandKind, u32)> {
+        m.response_commands(0, 9, lease).iter().map(|o| (o.op, o.task.task)).collect()
     };
-    assert_eq!(ops(&mut m, false), [(CommandKind::Stop, 1)]);
-    assert_eq!(ops(&mut m, true), [(CommandKind::Start, 0), (CommandKind::Stop, 1)]);
+    assert_eq!(ops(&mut m, OwnerLease::Uncertain), [(CommandKind::Stop, 1)]);
+    assert_eq!(ops(&mut m, OwnerLease::Valid), [(CommandKind::Start, 0), (CommandKind::Stop, 1)]);
 }
 
 /// What an owner before us decided is kept if it is there, and what was offered in another session of the
@@ -77,8 +83,8 @@
         m.incarnation = 2;
         let task =
             TaskOnMachine { adopted, ..TaskOnMachine::new(None, TaskPhase::Decided, incarnation) };
-        m.tasks.insert((JobId(7), 0, Attempt(9)), task);
-        m.orders(0, 9, true).len() + m.direct_orders(1, 9).len()
+        m.tasks.insert(AttemptKey { job: JobId(7), task: 0, attempt: Attempt(9) }, task);
+        m.response_commands(0, 9, OwnerLease::Valid).len() + m.direct_commands(1, 9).len()
     };
     assert_eq!((starts(true, 2), starts(false, 1)), (0, 0));
     assert_eq!(starts(false, 2), 1, "named in an answer, it is not commanded besides");
@@ -91,9 +97,10 @@
         let mut m = Machine::new(0);
         m.incarnation = 1;
         let ended = TaskOnMachine::new(None, TaskPhase::Exited(ExitReason::Done, false), 1);
-        let task = TaskOnMachine { acked: true, listed: true, direct, ..ended };
-        m.tasks.insert((JobId(7), 0, Attempt(9)), task);
-        m.orders(0, 9, true).len()
+        let task =
+            TaskOnMachine { end_acknowledged: true, reported: true, direct_batch: direct, ..ended };
+        m.tasks.insert(AttemptKey { job: JobId(7), task: 0, attempt: Attempt(9) }, task);
+        m.response_commands(0, 9, OwnerLease::Valid).len()
     };
     assert_eq!((forgets(Some(3)), forgets(None)), (0, 1));
 }
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -16,7 +16,8 @@
             let mut free = ctx.names.room_of_type(g.0);
             let known = m.used().map(|u| free.sub(u, 1)).is_some();
             claimed += u32::from(!self.reservations.on(idx).is_empty());
-            if !m.confirmed || !known || ctx.now >= m.heard + ctx.config.quiet_ms {
+            if !m.token_confirmed || !known || ctx.now >= m.last_heartbeat_at + ctx.config.quiet_ms
+            {
                 away += 1;
             } else if m.has_gpu_work() {
                 busy += 1;
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -5,7 +5,10 @@
 use crate::ids::{
     Attempt, Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD,
 };
-use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
+use crate::machine::{
+    AttemptKey, BatchEnd, CachedImage, HeartbeatKind, Machine, OwnerLease, StopRequest,
+    TaskOnMachine,
+};
 use crate::names::{Names, Resources, Shape};
 use crate::reachability::HeartbeatPath;
 use crate::shard::at_least;
@@ -107,11 +110,11 @@
 
 /// Where requests find a machine: nowhere if no work may come to it any more.
 fn place_of(m: &Machine, names: &Names) -> Option<CapacityEntry> {
-    let alive = !m.lapsed && !m.released;
-    m.kind.zip(m.zone).filter(|_| alive).map(|(kind, zone)| {
+    let alive = !m.lease_expired && !m.released;
+    m.machine_type.zip(m.zone).filter(|_| alive).map(|(kind, zone)| {
         let mut free = names.room_of_type(kind);
         let known = m.used().map(|used| free.sub(used, 1));
-        let images = m.cached.iter().map(|c| c.0).collect();
+        let images = m.cached_images.iter().map(|c| c.image).collect();
         CapacityEntry { group: (kind, zone, m.spot), free: known.map_or(0, |()| free.cpu), images }
     })
 }
@@ -180,7 +183,7 @@
         let (since, due) = (self.since, &mut self.due);
         self.machines.entry(m).or_insert_with(|| {
             let new = Machine::new(since);
-            due.insert((new.due, m));
+            due.insert((new.next_check_at, m));
             new
         })
     }
@@ -194,7 +197,7 @@
         }
         self.older_until = now;
         // Each looks again by itself.
-        let silent = self.machines.iter().filter(|(_, m)| !m.confirmed);
+        let silent = self.machines.iter().filter(|(_, m)| !m.token_confirmed);
         for idx in silent.map(|(&idx, _)| idx).collect::<Vec<_>>() {
             self.look_at(idx, now);
         }
@@ -202,9 +205,9 @@
 
     /// Looks at the machine at that time, if not earlier.
     fn look_at(&mut self, idx: MachineIdx, at: Timestamp) {
-        if let Some(m) = self.machines.get_mut(&idx).filter(|m| at < m.due) {
-            self.due.remove(&(m.due, idx));
-            m.due = at;
+        if let Some(m) = self.machines.get_mut(&idx).filter(|m| at < m.next_check_at) {
+            self.due.remove(&(m.next_check_at, idx));
+            m.next_check_at = at;
             self.due.insert((at, idx));
         }
     }
@@ -239,24 +242,25 @@
         }
         let idx = ctx.names.machine(&r.machine);
         let m = self.machine(idx);
-        if m.released || !m.waits(r) {
+        if m.released || !m.awaits_response(r) {
             return None;
         }
         m.reachability.report(via, ctx.config.report_due_ms, ctx.now);
-        self.take_report(ctx, idx, r, true);
+        self.take_report(ctx, idx, r, HeartbeatKind::Periodic);
         let now = ctx.now;
         let epoch = self.epoch;
         let m = self.machine(idx);
         // A late report of a session that is over by our count must not renew its lease.
-        if m.lapsed {
+        if m.lease_expired {
             return None;
         }
         let stale = (r.incarnation, r.seq) != (m.incarnation, m.seq);
-        m.granted = now;
+        m.lease_granted_at = now;
         // Stops go on while our lease is in doubt: what was to stop is durable, and a stop is never
         // wrong. (Found by the simulator: a cancelled task ran on with an owner that the store's
         // outage had caught between the cancellation and the worker's first report to it.)
-        let orders = if stale { Vec::new() } else { m.orders(now, ORDERS, ctx.valid) };
+        let lease = if ctx.valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
+        let orders = if stale { Vec::new() } else { m.response_commands(now, ORDERS, lease) };
         Some(HeartbeatResponse { token: epoch.0, orders })
     }
 
@@ -265,7 +269,7 @@
         ctx: &mut Context,
         idx: MachineIdx,
         r: &WorkerHeartbeat,
-        checkin: bool,
+        heartbeat_kind: HeartbeatKind,
     ) {
         let now = ctx.now;
         let epoch = self.epoch;
@@ -274,51 +278,54 @@
         let older = self.older_until;
         let m = self.machine(idx);
         let before: Vec<AttemptKey> =
-            m.tasks.iter().filter(|(_, t)| t.over()).map(|(k, _)| *k).collect();
-        let known = m.confirmed;
-        if !m.apply(r, epoch, checkin, now) {
+            m.tasks.iter().filter(|(_, t)| t.is_over()).map(|(k, _)| *k).collect();
+        let known = m.token_confirmed;
+        if !m.apply_heartbeat(r, epoch, heartbeat_kind, now) {
             return;
         }
-        (m.kind, m.zone) = (kind, zone);
+        (m.machine_type, m.zone) = (kind, zone);
         let cache = kind.map_or(0.0, |k| ctx.names.catalog[k.0 as usize].cache_gb);
         let mut images = Vec::new();
-        let mut freed = !known && m.confirmed;
+        let mut freed = !known && m.token_confirmed;
         // Jobs of which tasks failed here, and of which some ran well.
         let (mut failed, mut ran_well) = (Vec::new(), Vec::new());
         for (k, t) in &m.tasks {
             if let (Some(s), TaskPhase::On(TaskState::Running | TaskState::Waiting)) =
                 (&t.shape, t.phase)
             {
-                images.push((s.image, s.wire.image_gb));
-                if s.lasting() && t.on_since.is_some_and(|at| now >= at + RAN_WELL_MS) {
-                    ran_well.push(k.0);
+                images.push(CachedImage { image: s.image, size_gb: s.wire.image_gb });
+                if s.lasting() && t.running_since.is_some_and(|at| now >= at + RAN_WELL_MS) {
+                    ran_well.push(k.job);
                 }
             }
             if before.binary_search(k).is_ok() {
                 continue;
             }
-            freed |= t.over();
+            freed |= t.is_over();
             match t.phase {
-                TaskPhase::Exited(ExitReason::Error | ExitReason::Other, _) => failed.push(k.0),
+                TaskPhase::Exited(ExitReason::Error | ExitReason::Other, _) => failed.push(k.job),
                 TaskPhase::Exited(ExitReason::Done, _) => {
-                    ran_well.push(k.0);
+                    ran_well.push(k.job);
                     if let Some(s) = &t.shape {
-                        images.push((s.image, s.wire.image_gb));
+                        images.push(CachedImage { image: s.image, size_gb: s.wire.image_gb });
                     }
                 }
                 TaskPhase::Exited(ExitReason::Full, _) => {
-                    m.shunned_until = m.shunned_until.max(now + 2000)
+                    m.quarantined_until = m.quarantined_until.max(now + 2000)
                 }
                 _ => {}
             }
         }
-        m.note_failures(&failed, !ran_well.is_empty(), now, SHUN_MS);
-        images.dedup_by_key(|i| i.0);
-        for (image, gb) in images {
-            m.note_image(image, gb, cache);
+        if !ran_well.is_empty() {
+            m.clear_failures();
+        }
+        m.note_failures(&failed, now, SHUN_MS);
+        images.dedup_by_key(|i| i.image);
+        for image in images {
+            m.note_image(image, cache);
         }
         // Notice from the cloud: what can save does so and moves; the rest may still finish.
-        if m.notice.is_some() {
+        if m.interruption_at.is_some() {
             for t in m.tasks.values_mut() {
                 if t.stop.is_none() && matches!(t.phase, TaskPhase::On(TaskState::Running)) {
                     if let Some(s) = t.shape.as_ref().filter(|s| s.wire.checkpoint_s > 0.0) {
@@ -327,7 +334,7 @@
                     }
                 }
             }
-            m.recount();
+            m.update_load();
         }
         let over_at = m.lease_over_at(ctx.config.worker_lease_ms, older);
         self.weigh(ctx, idx, &failed, &ran_well);
@@ -356,10 +363,10 @@
 
     /// Whether what failed there lately speaks against the machine, by all that is known now.
     fn suspected(&self, idx: MachineIdx, now: Timestamp) -> bool {
-        let m = self.machines.get(&idx).filter(|m| !m.failed.is_empty());
+        let m = self.machines.get(&idx).filter(|m| !m.recent_failures.is_empty());
         m.is_some_and(|m| {
-            let lately = m.failed.iter().filter(|f| now < f.1 + SHUN_MS);
-            self.failure_attribution.suspects(lately.map(|f| f.0))
+            let lately = m.recent_failures.iter().filter(|f| now < f.first_at + SHUN_MS);
+            self.failure_attribution.suspects(lately.map(|f| f.job))
         })
     }
 
@@ -383,15 +390,16 @@
                 // What was executed is in this report or a newer one.
                 let newer = (r.incarnation, r.seq) > (m.incarnation, m.seq);
                 if newer {
-                    self.take_report(ctx, idx, r, false);
+                    self.take_report(ctx, idx, r, HeartbeatKind::CommandResponse);
                 }
                 let m = self.machine(idx);
-                m.direct_over(batch, false);
+                m.end_direct_batch(batch, BatchEnd::Known);
                 m.reachability.proven();
             }
             None => {
-                m.direct_over(batch, unknown);
-                m.direct_after = now + 2000;
+                let end = if unknown { BatchEnd::Unknown } else { BatchEnd::Known };
+                m.end_direct_batch(batch, end);
+                m.next_direct_at = now + 2000;
             }
         }
         self.dirty.insert(idx);
@@ -433,16 +441,16 @@
                 let mut swept = BTreeSet::new();
                 for w in what {
                     let idx = ctx.names.machine(&w.machine);
-                    let k = (JobId(w.job), w.task, Attempt(w.attempt));
+                    let k = AttemptKey::of(&w);
                     let t = self.machines.get_mut(&idx).and_then(|m| m.tasks.get_mut(&k));
                     if let Some(t) = t {
-                        t.acked |= t.over();
+                        t.end_acknowledged |= t.is_over();
                         swept.insert(idx);
                     }
                 }
                 for idx in swept {
                     if let Some(m) = self.machines.get_mut(&idx) {
-                        m.sweep();
+                        m.drop_forgotten();
                     }
                 }
             }
@@ -498,20 +506,23 @@
         self.reservations.give_up(job, idx);
         let m = self.machine(idx);
         let earlier = p.incarnation < m.incarnation && holds(Guard::OfferSession);
-        let gone = m.released || earlier || (m.lapsed && p.incarnation <= m.incarnation);
-        let confirmed = m.confirmed || !holds(Guard::TokenShown);
-        let t = m.tasks.entry((job, p.task, Attempt(p.attempt))).or_insert_with(|| {
-            // Not known here: never said yes to, or over and forgotten. What it took of zones
-            // and teams may be in use again, so it must not start now. (Found by the simulator:
-            // a handover started stopped tasks anew, beyond their team's limit.)
-            let over = gone || (adopt && confirmed);
-            let phase = if over { TaskPhase::Gone } else { TaskPhase::Decided };
-            TaskOnMachine { adopted: adopt, ..TaskOnMachine::new(None, phase, p.incarnation) }
-        });
+        let gone = m.released || earlier || (m.lease_expired && p.incarnation <= m.incarnation);
+        let confirmed = m.token_confirmed || !holds(Guard::TokenShown);
+        let t = m
+            .tasks
+            .entry(AttemptKey { job, task: p.task, attempt: Attempt(p.attempt) })
+            .or_insert_with(|| {
+                // Not known here: never said yes to, or over and forgotten. What it took of zones
+                // and teams may be in use again, so it must not start now. (Found by the simulator:
+                // a handover started stopped tasks anew, beyond their team's limit.)
+                let over = gone || (adopt && confirmed);
+                let phase = if over { TaskPhase::Gone } else { TaskPhase::Decided };
+                TaskOnMachine { adopted: adopt, ..TaskOnMachine::new(None, phase, p.incarnation) }
+            });
         t.shape = Some(shape.clone());
         // Tell again whatever there is to tell: the sender does not know it.
-        t.told = None;
-        m.recount();
+        t.notified = None;
+        m.update_load();
         self.dirty.insert(idx);
     }
 
@@ -519,9 +530,9 @@
         let now = ctx.now;
         let idx = ctx.names.machine(&what.machine);
         let m = self.machine(idx);
-        let confirmed = m.confirmed || !holds(Guard::TokenShown);
-        let released = m.released || m.lapsed;
-        let key = (JobId(what.job), what.task, Attempt(what.attempt));
+        let confirmed = m.token_confirmed || !holds(Guard::TokenShown);
+        let released = m.released || m.lease_expired;
+        let key = AttemptKey::of(what);
         let t = match (m.tasks.get_mut(&key), what.incarnation) {
             (Some(t), _) => t,
             // Under the session it was decided for: before the machine's first report to us, a
@@ -541,25 +552,26 @@
             t.stop = Some(StopRequest { grace_s, since: now });
         }
         // Never sent by us, and no older owner's command counts any more.
-        let never = !t.answered && !t.risky && t.direct.is_none() && !t.listed;
+        let never = !t.start_sent() && !t.reported;
         if t.phase == TaskPhase::Decided && never && (confirmed || released) {
             t.phase = TaskPhase::Gone;
         }
-        t.told = None;
-        m.recount();
+        t.notified = None;
+        m.update_load();
         self.dirty.insert(idx);
     }
 
     /// The job's final state is written: whatever of it is here stops, told so by its
     /// coordinator or not.
     pub fn job_over(&mut self, ctx: &mut Context, job: JobId) {
-        let here = (job, 0, Attempt(0))..=(job, u32::MAX, Attempt(u64::MAX));
+        let first = AttemptKey { job, task: 0, attempt: Attempt(0) };
+        let here = first..=AttemptKey { job, task: u32::MAX, attempt: Attempt(u64::MAX) };
         let mut all = Vec::new();
         for (&idx, m) in &self.machines {
-            for (k, t) in m.tasks.range(here.clone()).filter(|(_, t)| !t.over()) {
+            for (k, t) in m.tasks.range(here.clone()).filter(|(_, t)| !t.is_over()) {
                 let machine = ctx.names.machine_name(idx).to_string();
                 let incarnation = Some(t.incarnation);
-                let (task, attempt) = (k.1, k.2 .0);
+                let (task, attempt) = (k.task, k.attempt.0);
                 all.push(AttemptRef { job: job.0, task, attempt, machine, incarnation });
             }
         }
@@ -573,21 +585,21 @@
     fn stop_over(&mut self, idx: MachineIdx, horizons: &Horizons, now: Timestamp) {
         let Some(m) = self.machines.get_mut(&idx) else { return };
         let mut stops = false;
-        for (k, t) in m.tasks.iter_mut().filter(|(_, t)| t.stop.is_none() && !t.over()) {
-            if horizons.is_over(k.0) && holds(Guard::StopOver) {
+        for (k, t) in m.tasks.iter_mut().filter(|(_, t)| t.stop.is_none() && !t.is_over()) {
+            if horizons.is_over(k.job) && holds(Guard::StopOver) {
                 t.stop = Some(StopRequest { grace_s: 0.0, since: now });
                 stops = true;
             }
         }
         if stops {
-            m.recount();
+            m.update_load();
         }
     }
 
     /// The jobs of which something is, or may be, on a machine.
     pub fn jobs_on(&self, idx: MachineIdx) -> impl Iterator<Item = JobId> + '_ {
         let m = self.machines.get(&idx);
-        m.into_iter().flat_map(|m| m.tasks.iter().filter(|(_, t)| !t.over()).map(|(k, _)| k.0))
+        m.into_iter().flat_map(|m| m.tasks.iter().filter(|(_, t)| !t.is_over()).map(|(k, _)| k.job))
     }
 
     /// Tells the coordinators what changed, and commands the workers.
@@ -606,48 +618,48 @@
                 continue;
             };
             for (k, t) in &mut m.tasks {
-                if t.acked {
+                if t.end_acknowledged {
                     continue;
                 }
-                let shard = ctx.shard_of_job(k.0);
+                let shard = ctx.shard_of_job(k.job);
                 let Some(epoch) = ctx.owner(shard).map(|o| o.epoch) else {
                     continue;
                 };
-                let again = t.over() && now >= t.told_at + RETELL_MS;
-                if t.told == Some((epoch, t.phase)) && !again {
+                let again = t.is_over() && now >= t.notified_at + RETELL_MS;
+                if t.notified == Some((epoch, t.phase)) && !again {
                     continue;
                 }
                 if !all && !acted_on(t.phase) {
                     self.lazy.insert(idx);
                     continue;
                 }
-                t.told = Some((epoch, t.phase));
-                t.told_at = now;
-                if t.over() {
+                t.notified = Some((epoch, t.phase));
+                t.notified_at = now;
+                if t.is_over() {
                     self.retell.push_back((now + RETELL_MS, idx));
                 }
                 events.entry(shard.0).or_default().push(TaskEvent {
-                    job: k.0 .0,
-                    task: k.1,
-                    attempt: k.2 .0,
+                    job: k.job.0,
+                    task: k.task,
+                    attempt: k.attempt.0,
                     machine: ctx.names.machine_name(idx).to_string(),
                     phase: t.phase,
                 });
             }
             // Straight to the worker.
             if (ctx.valid || !holds(Guard::DoubtStarts))
-                && m.direct.is_none()
+                && m.direct_batch.is_none()
                 && !m.released
-                && !m.lapsed
+                && !m.lease_expired
                 && m.incarnation > 0
             {
-                let quiet = now >= m.heard + ctx.config.quiet_ms;
-                if now >= m.direct_after && !quiet && !m.addr.is_empty() {
+                let quiet = now >= m.last_heartbeat_at + ctx.config.quiet_ms;
+                if now >= m.next_direct_at && !quiet && !m.addr.is_empty() {
                     self.next_batch += 1;
                     let batch = self.next_batch;
-                    let orders = m.direct_orders(batch, ORDERS);
+                    let orders = m.direct_commands(batch, ORDERS);
                     if !orders.is_empty() {
-                        m.direct = Some(batch);
+                        m.direct_batch = Some(batch);
                         let direct = CommandBatch {
                             token: self.epoch.0,
                             incarnation: m.incarnation,
@@ -718,23 +730,23 @@
         let now = ctx.now;
         let Some(m) = self.machines.get_mut(&idx) else { return };
         let mut next = m.lease_over_at(ctx.config.worker_lease_ms, self.older_until);
-        let lease_over = !m.lapsed && !m.released && now > next;
+        let lease_over = !m.lease_expired && !m.released && now > next;
         // Not while our own lease is in doubt: a newer owner may answer the worker by now, and its
         // lease goes on. (Found by the simulator, seed 186: a task ran twice.)
         if lease_over && !ctx.valid && holds(Guard::DoubtLoses) {
-            m.due = now + 500;
-            self.due.insert((m.due, idx));
+            m.next_check_at = now + 500;
+            self.due.insert((m.next_check_at, idx));
             return;
         }
         if lease_over {
-            m.lapsed = true;
-            m.all_gone();
+            m.lease_expired = true;
+            m.mark_all_gone();
             let n = ctx.names.machine_name(idx).to_string();
             ctx.effects.log(1, "machine_lost", || n);
             self.dirty.insert(idx);
         }
-        if m.released || m.lapsed {
-            let forget_at = m.heard + FORGET_MS;
+        if m.released || m.lease_expired {
+            let forget_at = m.last_heartbeat_at + FORGET_MS;
             if m.tasks.is_empty() && now > forget_at {
                 self.machines.remove(&idx);
                 self.inventory_publisher.gone(idx);
@@ -742,7 +754,7 @@
             }
             next = forget_at.max(now + 10_000);
         }
-        m.due = next;
+        m.next_check_at = next;
         self.due.insert((next, idx));
     }
 
@@ -754,15 +766,16 @@
         let deaf = self.machines.values().filter(|m| !m.released && is_deaf(m)).count();
         let few_deaf = deaf * DEAF_SHARE < self.machines.len();
         for (&idx, m) in &self.machines {
-            let shown = m.kind.filter(|_| !m.released).map(|kind| {
+            let shown = m.machine_type.filter(|_| !m.released).map(|kind| {
                 let idle =
-                    !self.holds.contains_key(&idx) && m.tasks.values().all(TaskOnMachine::over);
+                    !self.holds.contains_key(&idx) && m.tasks.values().all(TaskOnMachine::is_over);
                 MachineSummary {
                     kind,
                     zone: m.zone,
                     spot: m.spot,
-                    idle_since: idle.then_some(m.busy_at),
-                    dead: (m.lapsed && now > m.heard + lease) || (few_deaf && is_deaf(m)),
+                    idle_since: idle.then_some(m.last_busy_at),
+                    dead: (m.lease_expired && now > m.last_heartbeat_at + lease)
+                        || (few_deaf && is_deaf(m)),
                     draining: m.draining,
                 }
             });
@@ -783,7 +796,7 @@
             return false;
         }
         let m = self.machine(idx);
-        if m.tasks.values().any(|t| !t.over()) {
+        if m.tasks.values().any(|t| !t.is_over()) {
             return false;
         }
         m.draining = true;
@@ -794,7 +807,7 @@
         let idx = ctx.names.machine(machine);
         let m = self.machine(idx);
         m.released = true;
-        m.all_gone();
+        m.mark_all_gone();
         self.dirty.insert(idx);
     }
 }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -81,7 +81,7 @@
         job: JobId,
         rank: Option<Rank>,
     ) -> Option<Resources> {
-        let mut free = names.room_of_type(m.kind?);
+        let mut free = names.room_of_type(m.machine_type?);
         free.sub(m.used()?, 1);
         free.add(more, 1);
         for h in self.held(idx) {
@@ -103,18 +103,20 @@
         fits: &EligibilityTable,
     ) -> bool {
         let now = ctx.now;
-        let Some(fit) = m.kind.and_then(|kind| fit(fits, kind, m.spot)) else { return false };
+        let Some(fit) = m.machine_type.and_then(|kind| fit(fits, kind, m.spot)) else {
+            return false;
+        };
         let usable = fit.allowed
             && !m.draining
             && !m.released
-            && !m.lapsed
-            && m.confirmed
-            && m.notice.is_none()
+            && !m.lease_expired
+            && m.token_confirmed
+            && m.interruption_at.is_none()
             && m.reachability.deaf_since().is_none()
-            && m.shunned_until <= now
+            && m.quarantined_until <= now
             && !self.suspected(idx, now)
-            && now < m.heard + ctx.config.quiet_ms
-            && !m.failed.iter().any(|f| f.0 .0 == w.job && f.1 + SHUN_MS > now);
+            && now < m.last_heartbeat_at + ctx.config.quiet_ms
+            && !m.recent_failures.iter().any(|f| f.job.0 == w.job && f.first_at + SHUN_MS > now);
         // Cheap work does not keep a machine that is dear for it, unless that is paid anyway:
         // for the GPU work on it, or because it is never returned.
         let dear = || {
--- a/crates/core/src/participant/offer/tests.rs
+++ b/crates/core/src/participant/offer/tests.rs
@@ -1,7 +1,7 @@
 use super::super::reservations::Reservation;
 use super::*;
 use crate::ids::{Attempt, Epoch, ImageIdx};
-use crate::machine::{StopRequest, TaskOnMachine};
+use crate::machine::{AttemptKey, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::TaskPhase;
@@ -40,9 +40,9 @@
     let mut m = Machine::new(1);
     for (task, s) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
         let t = TaskOnMachine::new(Some(s), TaskPhase::On(TaskState::Running), 1);
-        m.tasks.insert((JobId(9), task, Attempt(1)), t);
+        m.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, t);
     }
-    m.recount();
+    m.update_load();
     let empty = p.lasting_room(MachineIdx(0), &Machine::new(1), WHOLE);
     assert_eq!(p.spare(empty, false, false).fits(service.need), 1, "one beside it");
     let later = p.lasting_room(MachineIdx(0), &m, WHOLE);
@@ -69,13 +69,13 @@
     };
     names.set_catalog(Catalog { types: vec![small] });
     let mut m = Machine::new(1);
-    m.kind = names.type_idx("small");
+    m.machine_type = names.type_idx("small");
     for task in 0..4 {
         let mut t = TaskOnMachine::new(Some(shape(Kind::Array, 1000)), TaskPhase::Decided, 1);
         t.stop = (task == 0).then_some(StopRequest { grace_s: 0.0, since: 1 });
-        m.tasks.insert((JobId(9), task, Attempt(1)), t);
+        m.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, t);
     }
-    m.recount();
+    m.update_load();
     let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let need = shape(Kind::Service, 1000).need;
     let idx = MachineIdx(0);
--- a/crates/core/src/participant/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -5,7 +5,7 @@
 use super::{GangQueue, Participant};
 use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, ZoneIdx};
-use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
+use crate::machine::{AttemptKey, GpuTasks, Machine, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use crate::preemption::{victims, Candidate};
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
@@ -58,8 +58,8 @@
         let machines = &self.machines;
         let line = &self.gang_queue;
         self.reservations.prolong(job, rank, now + 3000, |idx| {
-            let m = machines.get(&idx).filter(|m| !m.lapsed && m.notice.is_none());
-            let group = m.and_then(|m| Some((m.kind?, m.zone?, m.spot)));
+            let m = machines.get(&idx).filter(|m| !m.lease_expired && m.interruption_at.is_none());
+            let group = m.and_then(|m| Some((m.machine_type?, m.zone?, m.spot)));
             let room = group.and_then(|g| zones.get(g.1 .0 as usize));
             // Who is not first any more sets nothing aside for longer.
             room.is_some_and(|&r| r > 0) && !group.is_some_and(|g| seek.behind(line, g))
@@ -100,7 +100,7 @@
                 until = until.max(now + 3000 + (grace_s * 1000.0) as u64);
                 t.stop = Some(StopRequest { grace_s, since: now });
             }
-            m.recount();
+            m.update_load();
             self.reservations.add(idx, Reservation { job, need: shape.need, until, patient, rank });
             self.dirty.insert(idx);
             best.extend(look(self, ctx, g, idx));
@@ -140,7 +140,8 @@
         let soon = self.free_with(m.stopping(), idx, m, ctx.names, JobId(u64::MAX), rank)?;
         // Most machines are judged by their sums alone.
         let mut reach = soon;
-        reach.add(m.yields(shape.wire.priority, shape.need.gpu > 0), 1);
+        let gpu_tasks = if shape.need.gpu > 0 { GpuTasks::Included } else { GpuTasks::Excluded };
+        reach.add(m.preemptible(shape.wire.priority, gpu_tasks), 1);
         let waits = shape.wire.kind == Kind::Gang || w.shape.gpu > 0;
         let enough = reach.fits(shape.need) > 0;
         if (!enough && !waits) || !self.usable(ctx, idx, m, w, fits) {
@@ -152,7 +153,7 @@
             return None;
         }
         let mut cands = Vec::new();
-        let tasks = m.tasks.iter().filter(|(_, t)| enough && !t.over() && t.stop.is_none());
+        let tasks = m.tasks.iter().filter(|(_, t)| enough && !t.is_over() && t.stop.is_none());
         for (k, t) in tasks {
             let Some(s) = &t.shape else { continue };
             // GPU work is not stopped for work without GPUs, nor its room taken.
@@ -160,7 +161,7 @@
             if safe {
                 continue;
             }
-            let ran = t.on_since.map_or(0, |s| now.saturating_sub(s)) / 1000;
+            let ran = t.running_since.map_or(0, |s| now.saturating_sub(s)) / 1000;
             let lost = match s.wire.checkpoint_s {
                 c if c > 0.0 => ran.min(s.wire.save_s as u64 + 1),
                 _ => ran,
@@ -209,7 +210,7 @@
     fn in_the_way(&self, ctx: &Context) -> Option<(MachineIdx, AttemptKey, Shape, ZoneIdx)> {
         let now = ctx.now;
         let replica = |t: &&TaskOnMachine| {
-            !t.over() && t.shape.as_ref().is_some_and(|s| s.wire.kind == Kind::Service)
+            !t.is_over() && t.shape.as_ref().is_some_and(|s| s.wire.kind == Kind::Service)
         };
         let mut best: Option<(usize, MachineIdx, AttemptKey, Shape, ZoneIdx)> = None;
         for (idx, m, g, later) in self.gpu_machines(ctx.names) {
@@ -227,7 +228,7 @@
             let settled = |t: &TaskOnMachine| {
                 t.stop.is_none()
                     && t.phase == TaskPhase::On(TaskState::Running)
-                    && t.on_since.is_some_and(|s| now > s + SETTLED_MS)
+                    && t.running_since.is_some_and(|s| now > s + SETTLED_MS)
             };
             let movable = m.tasks.iter().find(|(_, t)| replica(t) && settled(t));
             if let Some((k, Some(s))) = movable.map(|(k, t)| (k, t.shape.clone())) {
@@ -252,7 +253,7 @@
         let mut zone_room = vec![0; ctx.names.zones.len()];
         zone_room[zone.0 as usize] = 1;
         let w = OfferRequest {
-            job: key.0 .0,
+            job: key.job.0,
             shape: shape.wire.clone(),
             count: 1,
             zone_room,
@@ -261,7 +262,7 @@
             may_use_gpu_machines: false,
             queue_position: None,
         };
-        let before = self.reservations.count(key.0);
+        let before = self.reservations.count(key.job);
         let seek = PreemptionSearch {
             w: &w,
             shape: &shape,
@@ -271,16 +272,16 @@
             gpus: false,
         };
         self.preempt(ctx, &seek, before + 1);
-        if self.reservations.count(key.0) == before {
+        if self.reservations.count(key.job) == before {
             return;
         }
         ctx.effects
-            .log(2, "replica_moved", || format!("{} task {} from {}", key.0 .0, key.1, idx.0));
+            .log(2, "replica_moved", || format!("{} task {} from {}", key.job.0, key.task, idx.0));
         if let Some(m) = self.machines.get_mut(&idx) {
             if let Some(t) = m.tasks.get_mut(&key) {
                 t.stop = Some(StopRequest { grace_s: 0.0, since: now });
             }
-            m.recount();
+            m.update_load();
             self.dirty.insert(idx);
         }
     }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -206,7 +206,8 @@
         p.report(c, &report("n-000001", 7), None).expect("the first session's");
         p.report(c, &new, None).expect("the second's");
     });
-    let granted = |p: &Participant| p.machines.values().next().map(|m| (m.granted, m.incarnation));
+    let granted =
+        |p: &Participant| p.machines.values().next().map(|m| (m.lease_granted_at, m.incarnation));
     let before = granted(&p);
     w.at(9000, |c| assert!(p.report(c, &report("n-000001", 9), None).is_none()));
     assert_eq!(granted(&p), before);
