--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,10 +1,10 @@
 //! What a participant knows of a machine: its worker's newest heartbeat, the lease that the worker
 //! was granted, and the task attempts that are, or may come to be, on the machine.
 //!
-//! - [`attempt`]: one task attempt and how far it got;
-//! - [`heartbeat`]: heartbeats taken in, step by step, and the worker's lease;
-//! - [`commands`]: the commands that the worker is to be sent;
-//! - [`load`]: the resources that the attempts take.
+//! - `attempt`: one task attempt and how far it got;
+//! - `heartbeat`: heartbeats taken in, step by step, and the worker's lease;
+//! - `commands`: the commands that the worker is to be sent;
+//! - `load`: the resources that the attempts take.
 use crate::ids::{ImageIdx, JobId, Timestamp, TypeIdx, ZoneIdx};
 use crate::reachability::Reachability;
 use load::Load;
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -9,8 +9,7 @@
     pub fn figures(&self, ctx: &Context) -> String {
         let (mut busy, mut open, mut short, mut blocked, mut away, mut claimed) =
             (0, 0, 0, 0, 0, 0);
-        let needs: Vec<Resources> =
-            self.gpu_work.keys().map(|&(cpu, gpu, mem)| Resources { cpu, gpu, mem }).collect();
+        let needs: Vec<Resources> = self.gpu_demand.needs().collect();
         for (idx, m, g, later) in self.gpu_machines(ctx.names) {
             let fits = |room: Resources| needs.iter().any(|&n| room.fits(n) > 0);
             let mut free = ctx.names.room_of_type(g.0);
--- /dev/null
+++ b/crates/core/src/participant/heartbeats.rs
@@ -0,0 +1,251 @@
+//! Heartbeats of workers: leases granted, states of tasks taken in, machines suspected.
+use super::{Participant, FAILURE_EVIDENCE_MS, MAX_COMMANDS};
+use crate::context::Context;
+use crate::ids::{JobId, MachineIdx, Timestamp};
+use crate::machine::{
+    AttemptKey, BatchEnd, CachedImage, HeartbeatKind, Machine, OwnerLease, StopRequest,
+};
+use crate::names::Shape;
+use crate::reachability::HeartbeatPath;
+use leaddeal_wire::mesh::TaskPhase;
+use leaddeal_wire::worker::{ExitReason, HeartbeatResponse, TaskState, WorkerHeartbeat};
+
+/// A service or GPU work counts as running well once it has run for this long.
+const RAN_WELL_AFTER_MS: u64 = 30_000;
+/// A machine whose disk was too full for a task is offered to no one for this long.
+const FULL_QUARANTINE_MS: u64 = 2000;
+/// No command batch is sent to a worker for this long after one that it did not answer.
+const BATCH_RETRY_DELAY_MS: u64 = 2000;
+/// Time in seconds that a task on a machine about to be interrupted gets beside the time that it
+/// needs to save its progress.
+const INTERRUPTION_GRACE_S: f64 = 5.0;
+
+/// What a heartbeat shows of the tasks on a machine.
+#[derive(Debug, Default)]
+struct Observations {
+    /// Images of tasks that run, or completed just now.
+    images: Vec<CachedImage>,
+    /// Jobs of which a task failed just now.
+    failed: Vec<JobId>,
+    /// Jobs of which a task ran well.
+    ran_well: Vec<JobId>,
+    /// An attempt ended just now.
+    any_ended: bool,
+    /// A task found the machine's disk too full.
+    disk_full: bool,
+}
+
+impl Observations {
+    /// `ended_before`: the attempts that were over before the heartbeat, in order.
+    fn of(machine: &Machine, ended_before: &[AttemptKey], now: Timestamp) -> Observations {
+        let mut observed = Observations::default();
+        for (key, task) in &machine.tasks {
+            if let (Some(shape), TaskPhase::On(TaskState::Running | TaskState::Waiting)) =
+                (&task.shape, task.phase)
+            {
+                observed.images.push(image_of(shape));
+                let long = task.running_since.is_some_and(|at| now >= at + RAN_WELL_AFTER_MS);
+                if shape.lasting() && long {
+                    observed.ran_well.push(key.job);
+                }
+            }
+            if ended_before.binary_search(key).is_err() {
+                observed.any_ended |= task.is_over();
+                observed.add_end(key.job, task.shape.as_ref(), task.phase);
+            }
+        }
+        observed.images.dedup_by_key(|cached| cached.image);
+        observed
+    }
+
+    fn add_end(&mut self, job: JobId, shape: Option<&Shape>, phase: TaskPhase) {
+        match phase {
+            TaskPhase::Exited(ExitReason::Error | ExitReason::Other, _) => self.failed.push(job),
+            TaskPhase::Exited(ExitReason::Done, _) => {
+                self.ran_well.push(job);
+                self.images.extend(shape.map(image_of));
+            }
+            TaskPhase::Exited(ExitReason::Full, _) => self.disk_full = true,
+            _ => {}
+        }
+    }
+}
+
+fn image_of(shape: &Shape) -> CachedImage {
+    CachedImage { image: shape.image, size_gb: shape.wire.image_gb }
+}
+
+/// The cloud gave notice: a task that can save its progress does so and moves; the rest may still
+/// complete.
+fn save_before_interruption(machine: &mut Machine, now: Timestamp) {
+    for task in machine.tasks.values_mut() {
+        let running = matches!(task.phase, TaskPhase::On(TaskState::Running));
+        let Some(shape) = task.shape.as_ref().filter(|_| running && task.stop.is_none()) else {
+            continue;
+        };
+        if shape.wire.checkpoint_s > 0.0 {
+            let grace_s = shape.wire.save_s + INTERRUPTION_GRACE_S;
+            task.stop = Some(StopRequest { grace_s, since: now });
+        }
+    }
+    machine.update_load();
+}
+
+impl Participant {
+    /// Takes in a periodic heartbeat, and renews the worker's lease by a response. None: the worker
+    /// knows a newer owner, or waits for no response.
+    pub fn report(
+        &mut self,
+        ctx: &mut Context,
+        heartbeat: &WorkerHeartbeat,
+        via: HeartbeatPath,
+    ) -> Option<HeartbeatResponse> {
+        if heartbeat.token > self.epoch.0 {
+            return None;
+        }
+        let idx = ctx.names.machine(&heartbeat.machine);
+        let machine = self.machine(idx);
+        if machine.released || !machine.awaits_response(heartbeat) {
+            return None;
+        }
+        machine.reachability.report(via, ctx.config.report_due_ms, ctx.now);
+        self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::Periodic);
+        let token = self.epoch.0;
+        let machine = self.machine(idx);
+        // A late heartbeat of an incarnation that is over by our count must not renew its lease.
+        if machine.lease_expired {
+            return None;
+        }
+        machine.lease_granted_at = ctx.now;
+        let newest = (heartbeat.incarnation, heartbeat.seq) == (machine.incarnation, machine.seq);
+        if !newest {
+            return Some(HeartbeatResponse { token, orders: Vec::new() });
+        }
+        // Stops go on while our lease is uncertain: what was to stop is durable, and a stop is never
+        // wrong. (Found by the simulator: a cancelled task ran on with an owner that the store's
+        // outage had caught between the cancellation and the worker's first heartbeat to it.)
+        let lease = if ctx.valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
+        let orders = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
+        Some(HeartbeatResponse { token, orders })
+    }
+
+    /// The outcome of a command batch: the worker's answer, or none if it was not sent, or if it is
+    /// `unknown` whether it was executed.
+    pub fn direct_outcome(
+        &mut self,
+        ctx: &mut Context,
+        machine: &str,
+        batch: u64,
+        answer: Option<&WorkerHeartbeat>,
+        unknown: bool,
+    ) {
+        let Some(idx) = ctx.names.find_machine(machine) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(&idx) else {
+            return;
+        };
+        match answer {
+            Some(heartbeat) => {
+                // What was executed is in this heartbeat or a newer one.
+                let known = (machine.incarnation, machine.seq);
+                if (heartbeat.incarnation, heartbeat.seq) > known {
+                    self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::CommandResponse);
+                }
+                let machine = self.machine(idx);
+                machine.end_direct_batch(batch, BatchEnd::Known);
+                machine.reachability.proven();
+            }
+            None => {
+                let end = if unknown { BatchEnd::Unknown } else { BatchEnd::Known };
+                machine.end_direct_batch(batch, end);
+                machine.next_direct_at = ctx.now + BATCH_RETRY_DELAY_MS;
+            }
+        }
+        self.changed_machines.insert(idx);
+    }
+
+    fn apply_heartbeat(
+        &mut self,
+        ctx: &mut Context,
+        idx: MachineIdx,
+        heartbeat: &WorkerHeartbeat,
+        kind: HeartbeatKind,
+    ) {
+        let (now, epoch) = (ctx.now, self.epoch);
+        let machine = self.machine(idx);
+        let ended = machine.tasks.iter().filter(|(_, task)| task.is_over());
+        let ended_before: Vec<AttemptKey> = ended.map(|(key, _)| *key).collect();
+        let was_confirmed = machine.token_confirmed;
+        if !machine.apply_heartbeat(heartbeat, epoch, kind, now) {
+            return;
+        }
+        machine.machine_type = ctx.names.type_idx(&heartbeat.type_name);
+        machine.zone = ctx.names.zone(&heartbeat.zone);
+        let observed = Observations::of(machine, &ended_before, now);
+        if observed.any_ended || (!was_confirmed && machine.token_confirmed) {
+            self.capacity_notices.note_freed();
+        }
+        self.apply_observations(ctx, idx, &observed);
+        self.attribute_failures(ctx, idx, &observed);
+        self.stop_finished_jobs(idx, ctx.horizons, now);
+        self.check_at_lease_end(ctx, idx);
+        self.changed_machines.insert(idx);
+    }
+
+    fn apply_observations(&mut self, ctx: &Context, idx: MachineIdx, observed: &Observations) {
+        let now = ctx.now;
+        let machine = self.machine(idx);
+        if observed.disk_full {
+            let until = now + FULL_QUARANTINE_MS;
+            machine.quarantined_until = machine.quarantined_until.max(until);
+        }
+        if !observed.ran_well.is_empty() {
+            machine.clear_failures();
+        }
+        machine.note_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
+        let machine_type = machine.machine_type;
+        let cache_gb = machine_type.map_or(0.0, |t| ctx.names.catalog[t.0 as usize].cache_gb);
+        for &image in &observed.images {
+            machine.note_image(image, cache_gb);
+        }
+        if machine.interruption_at.is_some() {
+            save_before_interruption(machine, now);
+        }
+    }
+
+    fn check_at_lease_end(&mut self, ctx: &Context, idx: MachineIdx) {
+        let previous_owners_until = self.previous_owners_until;
+        let lease_ms = ctx.config.worker_lease_ms;
+        let over_at = self.machine(idx).lease_over_at(lease_ms, previous_owners_until);
+        self.check_by(idx, over_at);
+    }
+
+    /// Takes what failed and what ran well on a machine as evidence for and against it.
+    fn attribute_failures(&mut self, ctx: &mut Context, idx: MachineIdx, observed: &Observations) {
+        for &job in &observed.failed {
+            self.failure_attribution.failed(job, idx, ctx.now);
+        }
+        for &job in &observed.ran_well {
+            self.failure_attribution.ran_well(job, ctx.now);
+        }
+        let suspected = self.is_suspected(idx, ctx.now);
+        let Some(machine) = self.machines.get_mut(&idx) else { return };
+        if suspected && !machine.suspected {
+            let name = ctx.names.machine_name(idx).to_string();
+            ctx.effects.log(1, "machine_suspected", || name);
+        }
+        machine.suspected = suspected;
+    }
+
+    /// Whether the recent failures on a machine are attributed to it, by all that is known now.
+    pub(super) fn is_suspected(&self, idx: MachineIdx, now: Timestamp) -> bool {
+        let Some(machine) = self.machines.get(&idx) else { return false };
+        if machine.recent_failures.is_empty() {
+            return false;
+        }
+        let failures = machine.recent_failures.iter();
+        let recent = failures.filter(|failure| now < failure.first_at + FAILURE_EVIDENCE_MS);
+        self.failure_attribution.suspects(recent.map(|failure| failure.job))
+    }
+}
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -1,90 +1,117 @@
-//! What the provisioner is told of a participant's machines: all of them once, then what changed.
-//!
-//! Invariant: `told` is what a provisioner knows that has taken every message since the first one. A
-//! provisioner that missed one sees it by the serial number and asks for all anew. (Each list in full
-//! every second took a tenth of the bytes between controllers, and grew with the fleet.)
+//! What the provisioner is sent of a participant's machines: all of them once, then what changed.
+//! (When the full list was sent every second, it took a tenth of the bytes between controllers, and
+//! grew with the fleet.)
+use super::Participant;
+use crate::context::Context;
 use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
+use crate::machine::{Machine, TaskOnMachine};
 use crate::names::Names;
+use crate::shard::at_least;
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A message names at most this many machines: a frame holds several times as many.
-const MOST: usize = 1000;
+const MAX_MACHINES_PER_MESSAGE: usize = 1000;
+/// A machine that has received nothing from us for this long is shown as dead.
+const UNREACHABLE_DEAD_AFTER_MS: u64 = 60_000;
+/// Unreachable machines are shown as dead only if fewer than one machine in this many is
+/// unreachable: where many are, the fault is ours.
+const MIN_MACHINES_PER_UNREACHABLE: usize = 4;
 
+/// What the provisioner knows of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MachineSummary {
-    pub kind: TypeIdx,
+    /// Its type in the catalog.
+    pub machine_type: TypeIdx,
+    /// Its zone, if known.
     pub zone: Option<ZoneIdx>,
+    /// A spot instance.
     pub spot: bool,
+    /// Since when nothing is on it; none: something is, or may come.
     pub idle_since: Option<Timestamp>,
+    /// To be replaced.
     pub dead: bool,
+    /// It gets no new tasks.
     pub draining: bool,
 }
 
+/// Sends the provisioner the changes of the machines.
+///
+/// Invariant: `published` is what a provisioner knows that has received every message since the
+/// first one. A provisioner that missed one sees it by the serial number and asks for all anew.
 #[derive(Debug, Default)]
 pub(super) struct InventoryPublisher {
-    now: BTreeMap<MachineIdx, MachineSummary>,
-    told: BTreeMap<MachineIdx, MachineSummary>,
+    current: BTreeMap<MachineIdx, MachineSummary>,
+    published: BTreeMap<MachineIdx, MachineSummary>,
+    /// Machines that may differ between the two.
     changed: BTreeSet<MachineIdx>,
+    /// Number of the newest message.
     serial: u64,
+    /// The first message, which names all machines, was sent.
     started: bool,
 }
 
 impl InventoryPublisher {
-    pub fn set(&mut self, idx: MachineIdx, shown: Option<MachineSummary>) {
-        let was = match shown {
-            Some(s) => self.now.insert(idx, s),
-            None => self.now.remove(&idx),
+    /// Notes what there is of a machine now; none: it is not shown.
+    pub fn set(&mut self, idx: MachineIdx, summary: Option<MachineSummary>) {
+        let previous = match summary {
+            Some(summary) => self.current.insert(idx, summary),
+            None => self.current.remove(&idx),
         };
-        if was != shown {
+        if previous != summary {
             self.changed.insert(idx);
         }
     }
 
+    /// The machine is not shown any more.
     pub fn gone(&mut self, idx: MachineIdx) {
         self.set(idx, None);
     }
 
+    /// All machines are sent again.
     pub fn start_again(&mut self) {
         self.started = false;
     }
 
-    /// What to tell; at least one message, which says that this participant is alive.
+    /// The messages to send; at least one, which says that this participant is alive.
     pub fn changes(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
-        let mut first = !std::mem::replace(&mut self.started, true);
+        let first = !std::mem::replace(&mut self.started, true);
         if first {
-            self.told.clear();
-            self.changed = self.now.keys().copied().collect();
+            self.published.clear();
+            self.changed = self.current.keys().copied().collect();
         }
         let (mut machines, mut gone) = (Vec::new(), Vec::new());
         for idx in std::mem::take(&mut self.changed) {
-            let machine = || names.machine_name(idx).to_string();
-            match self.now.get(&idx) {
-                Some(s) if self.told.get(&idx) != Some(s) => {
-                    self.told.insert(idx, *s);
-                    machines.push(MachineInfo {
-                        machine: machine(),
-                        type_name: names.catalog[s.kind.0 as usize].name.clone(),
-                        zone: s.zone.map(|z| names.zones[z.0 as usize].clone()).unwrap_or_default(),
-                        spot: s.spot,
-                        idle_ms: s.idle_since.map(|t| now.saturating_sub(t)),
-                        dead: s.dead,
-                        draining: s.draining,
-                    });
+            match self.current.get(&idx) {
+                Some(summary) if self.published.get(&idx) != Some(summary) => {
+                    self.published.insert(idx, *summary);
+                    machines.push(machine_info(idx, summary, now, names));
+                }
+                None if self.published.remove(&idx).is_some() => {
+                    gone.push(names.machine_name(idx).to_string());
                 }
-                None if self.told.remove(&idx).is_some() => gone.push(machine()),
                 Some(_) | None => {}
             }
         }
+        self.messages(machines, gone, first)
+    }
+
+    /// Splits the lists into messages; the last one is that with the last of `machines`.
+    fn messages(
+        &mut self,
+        mut machines: Vec<MachineInfo>,
+        mut gone: Vec<String>,
+        mut first: bool,
+    ) -> Vec<ShardMessage> {
         let mut messages = Vec::new();
         loop {
-            let rest = machines.split_off(machines.len().min(MOST));
-            let participant = std::mem::replace(&mut machines, rest);
-            let left = gone.split_off(gone.len().min(MOST));
-            let gone = std::mem::replace(&mut gone, left);
             self.serial += 1;
-            let serial = self.serial;
-            messages.push(ShardMessage::Inventory { serial, first, machines: participant, gone });
+            messages.push(ShardMessage::Inventory {
+                serial: self.serial,
+                first,
+                machines: take_front(&mut machines),
+                gone: take_front(&mut gone),
+            });
             first = false;
             if machines.is_empty() {
                 return messages;
@@ -92,3 +119,67 @@
         }
     }
 }
+
+/// Removes as many elements from the front as a message may have.
+fn take_front<T>(list: &mut Vec<T>) -> Vec<T> {
+    let rest = list.split_off(list.len().min(MAX_MACHINES_PER_MESSAGE));
+    std::mem::replace(list, rest)
+}
+
+fn machine_info(
+    idx: MachineIdx,
+    summary: &MachineSummary,
+    now: Timestamp,
+    names: &Names,
+) -> MachineInfo {
+    let zone = summary.zone.map(|zone| names.zones[zone.0 as usize].clone());
+    MachineInfo {
+        machine: names.machine_name(idx).to_string(),
+        type_name: names.catalog[summary.machine_type.0 as usize].name.clone(),
+        zone: zone.unwrap_or_default(),
+        spot: summary.spot,
+        idle_ms: summary.idle_since.map(|since| now.saturating_sub(since)),
+        dead: summary.dead,
+        draining: summary.draining,
+    }
+}
+
+fn is_unreachable(machine: &Machine, now: Timestamp) -> bool {
+    let deaf_since = machine.reachability.deaf_since();
+    deaf_since.is_some_and(|since| now >= since + UNREACHABLE_DEAD_AFTER_MS)
+}
+
+impl Participant {
+    /// What changed of the machines, for the provisioner.
+    pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
+        let now = ctx.now;
+        let lease_ms = at_least(ctx.config.worker_lease_ms);
+        let present = self.machines.values().filter(|machine| !machine.released);
+        let unreachable = present.filter(|machine| is_unreachable(machine, now)).count();
+        let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
+        for (&idx, machine) in &self.machines {
+            let lost = machine.lease_expired && now > machine.last_heartbeat_at + lease_ms;
+            let dead = lost || (few_unreachable && is_unreachable(machine, now));
+            self.inventory_publisher.set(idx, self.summary(idx, machine, dead));
+        }
+        self.inventory_publisher.changes(now, ctx.names)
+    }
+
+    /// The provisioner has missed a message: all machines are sent again.
+    pub fn tell_all(&mut self) {
+        self.inventory_publisher.start_again();
+    }
+
+    fn summary(&self, idx: MachineIdx, machine: &Machine, dead: bool) -> Option<MachineSummary> {
+        let machine_type = machine.machine_type.filter(|_| !machine.released)?;
+        let idle = !self.holds.any_on(idx) && machine.tasks.values().all(TaskOnMachine::is_over);
+        Some(MachineSummary {
+            machine_type,
+            zone: machine.zone,
+            spot: machine.spot,
+            idle_since: idle.then_some(machine.last_busy_at),
+            dead,
+            draining: machine.draining,
+        })
+    }
+}
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,6 +1,6 @@
 //! Offers: which machines of the participant a request may have, and which of them it gets.
 use super::capacity_index::Group;
-use super::{Hold, Participant, SHUN_MS};
+use super::{Hold, Participant, FAILURE_EVIDENCE_MS};
 use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, Negotiation, Shard, Timestamp, TypeIdx, ZoneIdx};
 use crate::machine::Machine;
@@ -84,7 +84,7 @@
         let mut free = names.room_of_type(m.machine_type?);
         free.sub(m.used()?, 1);
         free.add(more, 1);
-        for h in self.held(idx) {
+        for h in self.holds.on(idx) {
             free.sub(h.need, h.count);
         }
         for c in self.reservations.on(idx).iter().filter(|c| c.bars(job, rank)) {
@@ -114,9 +114,12 @@
             && m.interruption_at.is_none()
             && m.reachability.deaf_since().is_none()
             && m.quarantined_until <= now
-            && !self.suspected(idx, now)
+            && !self.is_suspected(idx, now)
             && now < m.last_heartbeat_at + ctx.config.quiet_ms
-            && !m.recent_failures.iter().any(|f| f.job.0 == w.job && f.first_at + SHUN_MS > now);
+            && !m
+                .recent_failures
+                .iter()
+                .any(|f| f.job.0 == w.job && f.first_at + FAILURE_EVIDENCE_MS > now);
         // Cheap work does not keep a machine that is dear for it, unless that is paid anyway:
         // for the GPU work on it, or because it is never returned.
         let dear = || {
@@ -135,7 +138,7 @@
     pub(super) fn lasting_room(&self, idx: MachineIdx, m: &Machine, whole: Resources) -> Resources {
         let mut later = whole;
         later.sub(m.lasting(), 1);
-        for h in self.held(idx).iter().filter(|h| h.lasting) {
+        for h in self.holds.on(idx).iter().filter(|h| h.lasting) {
             later.sub(h.need, h.count);
         }
         later
@@ -169,12 +172,11 @@
             return later;
         }
         // Which GPU work there will be may not be known yet.
-        if self.gpu_work.is_empty() && !urgent {
+        if self.gpu_demand.is_empty() && !urgent {
             return Resources::default();
         }
         let mut left = later;
-        for &(cpu, gpu, mem) in self.gpu_work.keys() {
-            let n = Resources { cpu, gpu, mem };
+        for n in self.gpu_demand.needs() {
             let mut l = later;
             l.sub(n, later.fits(n));
             left.cpu = left.cpu.min(l.cpu);
@@ -250,7 +252,7 @@
         let now = ctx.now;
         let mut offers = Vec::new();
         let mut preempting = Vec::new();
-        self.gpu_work.retain(|_, t| t.0 + 300_000 > now);
+        self.gpu_demand.expire(now);
         self.reservations.expire(now);
         self.reindex(ctx.names);
         let judged: Vec<(EligibilityTable, Option<Rank>)> = items
@@ -277,7 +279,7 @@
                 &none
             };
             let mut choices = Vec::new();
-            let lasting = self.gpu_work.values().any(|g| g.1 <= w.shape.priority);
+            let lasting = self.gpu_demand.any_up_to(w.shape.priority);
             for g in self.capacity_index.groups() {
                 let (kind, zone, spot) = g;
                 if !fit(fits, kind, spot).is_some_and(|f| f.allowed)
@@ -354,14 +356,17 @@
                 }
                 *zr -= count;
                 wanted -= count;
-                self.holds.entry(idx).or_default().push(Hold {
-                    shard: from,
-                    negotiation,
-                    job: JobId(w.job),
-                    need: shape.need,
-                    count: u64::from(count),
-                    lasting: shape.lasting(),
-                });
+                self.holds.add(
+                    idx,
+                    Hold {
+                        shard: from,
+                        negotiation,
+                        job: JobId(w.job),
+                        need: shape.need,
+                        count: u64::from(count),
+                        lasting: shape.lasting(),
+                    },
+                );
                 offers.push(Offer {
                     item: i as u16,
                     machine: ctx.names.machine_name(idx).to_string(),
@@ -376,9 +381,7 @@
                 }
             }
             if wanted > 0 {
-                if let Some(s) = self.short.get_mut(from.0 as usize) {
-                    s.wants = s.wants.max(Some(w.shape.priority));
-                }
+                self.capacity_notices.note_shortage(from, w.shape.priority);
             }
             if w.preempt && wanted > 0 {
                 // A gang makes room only in the zone that it waits for.
--- a/crates/core/src/participant/offer/tests.rs
+++ b/crates/core/src/participant/offer/tests.rs
@@ -1,3 +1,4 @@
+use super::super::gpu_demand::GpuNeed;
 use super::super::reservations::Reservation;
 use super::*;
 use crate::ids::{Attempt, Epoch, ImageIdx};
@@ -8,7 +9,7 @@
 use leaddeal_wire::worker::TaskState;
 use std::sync::Arc;
 
-const GPU_TASK: (u64, u64, u64) = (10_000, 2000, 38_000);
+const GPU_TASK: GpuNeed = GpuNeed { cpu: 10_000, gpu: 2000, mem: 38_000 };
 const WHOLE: Resources = Resources { cpu: 12_000, gpu: 2000, mem: 48_000 };
 
 fn shape(kind: Kind, cpu: u64) -> Shape {
@@ -36,7 +37,7 @@
     let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let service = shape(Kind::Service, 2000);
     assert_eq!(p.spare(WHOLE, false, false).fits(service.need), 0, "not known yet");
-    p.gpu_work.insert(GPU_TASK, (1, Priority::Normal));
+    p.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
     let mut m = Machine::new(1);
     for (task, s) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
         let t = TaskOnMachine::new(Some(s), TaskPhase::On(TaskState::Running), 1);
--- a/crates/core/src/participant/room.rs
+++ b/crates/core/src/participant/room.rs
@@ -102,7 +102,7 @@
             }
             m.update_load();
             self.reservations.add(idx, Reservation { job, need: shape.need, until, patient, rank });
-            self.dirty.insert(idx);
+            self.changed_machines.insert(idx);
             best.extend(look(self, ctx, g, idx));
         }
         any
@@ -242,10 +242,10 @@
     /// first. They got there when there was no other room, and would stay for good.
     pub(super) fn move_replicas(&mut self, ctx: &mut Context) {
         let now = ctx.now;
-        if now < self.move_at || !ctx.valid || self.gang_queue.is_empty() {
+        if now < self.next_move_at || !ctx.valid || self.gang_queue.is_empty() {
             return;
         }
-        self.move_at = now + MOVE_MS;
+        self.next_move_at = now + MOVE_MS;
         self.reservations.expire(now);
         self.reindex(ctx.names);
         self.gang_queue.settle(now, self.capacity_index.groups());
@@ -282,7 +282,7 @@
                 t.stop = Some(StopRequest { grace_s: 0.0, since: now });
             }
             m.update_load();
-            self.dirty.insert(idx);
+            self.changed_machines.insert(idx);
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/participant/task_events.rs
@@ -0,0 +1,171 @@
+//! What changed on the machines, sent to the coordinators, and command batches sent to the workers.
+use super::{Participant, MAX_COMMANDS};
+use crate::context::Context;
+use crate::guards::{holds, Guard};
+use crate::ids::{Epoch, MachineIdx, Shard, Timestamp};
+use crate::machine::{AttemptKey, Machine, TaskOnMachine};
+use leaddeal_wire::mesh::{ShardMessage, TaskEvent, TaskPhase};
+use leaddeal_wire::worker::{CommandBatch, ExitReason, TaskState};
+use std::collections::BTreeMap;
+
+/// An end that its coordinator has not acknowledged is sent again after this time.
+const END_RESEND_INTERVAL_MS: u64 = 2000;
+/// Events that no coordinator acts on soon are sent together, this often.
+const DEFERRED_EVENTS_INTERVAL_MS: u64 = 300;
+/// A message has at most this many events.
+const MAX_EVENTS: usize = 200;
+
+/// Events by coordinator's shard.
+type EventsByShard = BTreeMap<u8, Vec<TaskEvent>>;
+
+/// Whether events that no coordinator acts on soon are sent now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum DeferredEvents {
+    Send,
+    Defer,
+}
+
+/// What is to be done about the phase of an attempt.
+enum Notification {
+    /// The coordinator knows it, or has no owner.
+    None,
+    Deferred,
+    /// It is sent to the coordinator of this shard and epoch.
+    Due(Shard, Epoch),
+}
+
+/// Whether a coordinator acts on the phase soon. The other phases it shows to users, and it writes
+/// completions together; a worker goes through several of them within a second.
+fn is_acted_on(phase: TaskPhase) -> bool {
+    match phase {
+        TaskPhase::Exited(ExitReason::Done, _) => false,
+        TaskPhase::Exited(..)
+        | TaskPhase::Gone
+        | TaskPhase::On(TaskState::Saving | TaskState::Exited) => true,
+        TaskPhase::Decided
+        | TaskPhase::On(TaskState::Fetching | TaskState::Waiting | TaskState::Running) => false,
+    }
+}
+
+fn notification(
+    ctx: &Context,
+    key: &AttemptKey,
+    task: &TaskOnMachine,
+    deferred: DeferredEvents,
+) -> Notification {
+    if task.end_acknowledged {
+        return Notification::None;
+    }
+    let shard = ctx.shard_of_job(key.job);
+    let Some(epoch) = ctx.owner(shard).map(|owner| owner.epoch) else {
+        return Notification::None;
+    };
+    let resend = task.is_over() && ctx.now >= task.notified_at + END_RESEND_INTERVAL_MS;
+    if task.notified == Some((epoch, task.phase)) && !resend {
+        return Notification::None;
+    }
+    if deferred == DeferredEvents::Defer && !is_acted_on(task.phase) {
+        return Notification::Deferred;
+    }
+    Notification::Due(shard, epoch)
+}
+
+/// Whether a command batch may be sent to the machine's worker now.
+fn may_command(ctx: &Context, machine: &Machine) -> bool {
+    let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.quiet_ms;
+    (ctx.valid || !holds(Guard::DoubtStarts))
+        && machine.direct_batch.is_none()
+        && !machine.released
+        && !machine.lease_expired
+        && machine.incarnation > 0
+        && ctx.now >= machine.next_direct_at
+        && !silent
+        && !machine.addr.is_empty()
+}
+
+impl Participant {
+    /// Sends the coordinators what changed, and the workers their commands.
+    pub fn flush(&mut self, ctx: &mut Context) {
+        let deferred = self.take_deferred(ctx.now);
+        self.reindex(ctx.names);
+        let mut events = EventsByShard::new();
+        for idx in std::mem::take(&mut self.changed_machines) {
+            self.collect_events(ctx, idx, deferred, &mut events);
+            self.send_commands(ctx, idx);
+        }
+        for (shard, events) in events {
+            for chunk in events.chunks(MAX_EVENTS) {
+                let message = ShardMessage::TaskEvents { events: chunk.to_vec() };
+                ctx.send(self.shard, Shard(shard), message);
+            }
+        }
+        self.send_capacity_notices(ctx);
+    }
+
+    /// Marks the machines whose ended attempts are due to be sent again.
+    pub(super) fn queue_resends(&mut self, now: Timestamp) {
+        while let Some((_, idx)) = self.resend_queue.pop_front_if(|resend| resend.0 <= now) {
+            self.changed_machines.insert(idx);
+        }
+    }
+
+    fn take_deferred(&mut self, now: Timestamp) -> DeferredEvents {
+        if now < self.next_deferred_at {
+            return DeferredEvents::Defer;
+        }
+        if !self.deferred_machines.is_empty() {
+            self.next_deferred_at = now + DEFERRED_EVENTS_INTERVAL_MS;
+            self.changed_machines.append(&mut self.deferred_machines);
+        }
+        DeferredEvents::Send
+    }
+
+    fn collect_events(
+        &mut self,
+        ctx: &Context,
+        idx: MachineIdx,
+        deferred: DeferredEvents,
+        events: &mut EventsByShard,
+    ) {
+        let Some(machine) = self.machines.get_mut(&idx) else { return };
+        for (key, task) in &mut machine.tasks {
+            let (shard, epoch) = match notification(ctx, key, task, deferred) {
+                Notification::None => continue,
+                Notification::Deferred => {
+                    self.deferred_machines.insert(idx);
+                    continue;
+                }
+                Notification::Due(shard, epoch) => (shard, epoch),
+            };
+            task.notified = Some((epoch, task.phase));
+            task.notified_at = ctx.now;
+            if task.is_over() {
+                self.resend_queue.push_back((ctx.now + END_RESEND_INTERVAL_MS, idx));
+            }
+            events.entry(shard.0).or_default().push(TaskEvent {
+                job: key.job.0,
+                task: key.task,
+                attempt: key.attempt.0,
+                machine: ctx.names.machine_name(idx).to_string(),
+                phase: task.phase,
+            });
+        }
+    }
+
+    fn send_commands(&mut self, ctx: &mut Context, idx: MachineIdx) {
+        let Some(machine) = self.machines.get_mut(&idx) else { return };
+        if !may_command(ctx, machine) {
+            return;
+        }
+        self.last_batch += 1;
+        let batch = self.last_batch;
+        let orders = machine.direct_commands(batch, MAX_COMMANDS);
+        if orders.is_empty() {
+            return;
+        }
+        machine.direct_batch = Some(batch);
+        let incarnation = machine.incarnation;
+        let commands = CommandBatch { token: self.epoch.0, incarnation, orders };
+        ctx.direct(idx, machine.addr.clone(), batch, commands);
+    }
+}
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -2,13 +2,17 @@
 use super::*;
 use crate::budget::WriteBudget;
 use crate::context::{Config, PendingOperations};
+use crate::horizon::Horizons;
 use crate::ids::NodeIdx;
 use crate::io::{Effect, Effects};
 use crate::jobs::Objectives;
+use crate::names::Names;
 use crate::shard::{Owner, ShardView};
 use leaddeal_wire::cloud::{Catalog, MachineType};
-use leaddeal_wire::mesh::{OfferRequest, QueuePosition, Shape as WireShape};
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::mesh::{Assignment, OfferRequest, QueuePosition, Shape as WireShape};
+use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::worker::WorkerHeartbeat;
+use std::collections::HashMap;
 use std::sync::Arc;
 
 const LEASE_MS: u64 = 10_000;
