--- a/crates/core/src/participant/capacity_index/tests.rs
+++ b/crates/core/src/participant/capacity_index/tests.rs
@@ -3,9 +3,10 @@
 #[test]
 fn only_machines_with_room_are_looked_at() {
     let mut s = FreeCapacityIndex::default();
-    let group = |spot| (TypeIdx(0), ZoneIdx(0), spot);
+    let group = |spot| MachineGroup { machine_type: TypeIdx(0), zone: ZoneIdx(0), spot };
     let image = ImageIdx(4);
-    let place = |spot, free| Some(CapacityEntry { group: group(spot), free, images: vec![image] });
+    let place =
+        |spot, free_cpu| Some(CapacityEntry { group: group(spot), free_cpu, images: vec![image] });
     for i in 0..100 {
         s.set(MachineIdx(i), place(i % 2 == 0, 0));
     }
--- /dev/null
+++ b/crates/core/src/participant/eligibility.rs
@@ -0,0 +1,118 @@
+//! Which machines a request may have at all.
+use super::capacity_index::MachineGroup;
+use super::{Participant, FAILURE_EVIDENCE_MS};
+use crate::context::Context;
+use crate::ids::{MachineIdx, TypeIdx};
+use crate::machine::Machine;
+use crate::names::{older, Names, Resources};
+use leaddeal_wire::mesh::{OfferRequest, Shape as WireShape};
+use leaddeal_wire::user::Kind;
+
+/// What holds for a job on a type of machine, ordinary or spot.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Eligibility {
+    /// The job allows it, and a whole machine has room for a task.
+    pub allowed: bool,
+    /// A GPU machine that costs too much for work without GPUs.
+    too_expensive: bool,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct TypeEligibility {
+    ordinary: Eligibility,
+    spot: Eligibility,
+}
+
+/// The eligibility of all types for a job: worked out once for a request.
+#[derive(Clone, Debug)]
+pub(super) struct EligibilityTable {
+    by_type: Vec<TypeEligibility>,
+}
+
+impl EligibilityTable {
+    /// Works it out for tasks of this shape. `urgent`: as in the request.
+    pub fn new(names: &Names, shape: &WireShape, urgent: bool) -> EligibilityTable {
+        let need = Resources::of(shape);
+        let eligibility = |machine_type: TypeIdx, spot: bool| {
+            let whole = names.room_of_type(machine_type);
+            let wastes_gpus = shape.gpu == 0 && whole.gpu > 0;
+            Eligibility {
+                allowed: names.allows(shape, machine_type, spot) && whole.fits(need) > 0,
+                too_expensive: wastes_gpus && !names.affordable(shape, machine_type, spot, urgent),
+            }
+        };
+        let types = (0..names.catalog.len() as u8).map(TypeIdx);
+        let by_type = types.map(|machine_type| TypeEligibility {
+            ordinary: eligibility(machine_type, false),
+            spot: eligibility(machine_type, true),
+        });
+        EligibilityTable { by_type: by_type.collect() }
+    }
+
+    /// What holds for a type; none: it was added to the catalog after the request.
+    fn of(&self, machine_type: TypeIdx, spot: bool) -> Option<&Eligibility> {
+        let of_type = self.by_type.get(machine_type.0 as usize)?;
+        Some(if spot { &of_type.spot } else { &of_type.ordinary })
+    }
+
+    /// Whether the job may have machines of the group.
+    pub fn allows(&self, group: MachineGroup) -> bool {
+        self.of(group.machine_type, group.spot).is_some_and(|eligibility| eligibility.allowed)
+    }
+}
+
+impl Participant {
+    /// Whether a machine may get work of the request's job at all, now.
+    pub(super) fn is_eligible(
+        &self,
+        ctx: &Context,
+        idx: MachineIdx,
+        machine: &Machine,
+        request: &OfferRequest,
+        table: &EligibilityTable,
+    ) -> bool {
+        let machine_type = machine.machine_type;
+        let Some(eligibility) = machine_type.and_then(|known| table.of(known, machine.spot)) else {
+            return false;
+        };
+        eligibility.allowed
+            && self.takes_new_work(ctx, idx, machine)
+            && !has_failed_job(machine, request.job, ctx)
+            && (!eligibility.too_expensive || self.is_paid_anyway(ctx, idx, machine, request))
+    }
+
+    fn takes_new_work(&self, ctx: &Context, idx: MachineIdx, machine: &Machine) -> bool {
+        !machine.draining
+            && !machine.released
+            && !machine.lease_expired
+            && machine.token_confirmed
+            && machine.interruption_at.is_none()
+            && machine.reachability.deaf_since().is_none()
+            && machine.quarantined_until <= ctx.now
+            && !self.is_suspected(idx, ctx.now)
+            && ctx.now < machine.last_heartbeat_at + ctx.config.quiet_ms
+    }
+
+    /// Cheap work does not keep a machine that is too expensive for it, unless that is paid for
+    /// anyway: for the GPU work on it, or because it is never released.
+    fn is_paid_anyway(
+        &self,
+        ctx: &Context,
+        idx: MachineIdx,
+        machine: &Machine,
+        request: &OfferRequest,
+    ) -> bool {
+        // Services run for a long time, and would keep it when that work is over.
+        if request.shape.kind != Kind::Service && machine.has_gpu_work() {
+            return true;
+        }
+        let name = ctx.names.machine_name(idx);
+        self.base.as_ref().is_some_and(|newest| older(name, newest))
+    }
+}
+
+/// Whether a task of the job failed on the machine recently.
+fn has_failed_job(machine: &Machine, job: u64, ctx: &Context) -> bool {
+    let mut failures = machine.recent_failures.iter();
+    failures.any(|f| f.job.0 == job && f.first_at + FAILURE_EVIDENCE_MS > ctx.now)
+}
--- a/crates/core/src/participant/failure_attribution/tests.rs
+++ b/crates/core/src/participant/failure_attribution/tests.rs
@@ -18,17 +18,17 @@
         for now in 0..1500u64 {
             let job = JobId(now / 30 + rng.random_range(0..6));
             let m = rng.random_range(0..20usize);
-            if b.suspects(here[m].iter().copied()) || here[m].contains(&job) {
+            if b.suspects_machine(here[m].iter().copied()) || here[m].contains(&job) {
                 continue;
             }
             if m < bad_machines || mistaken(job.0) {
-                b.failed(job, MachineIdx(m as u32), now);
+                b.note_failure(job, MachineIdx(m as u32), now);
                 here[m].push(job);
             } else {
-                b.ran_well(job, now);
+                b.note_success(job, now);
                 here[m].clear();
             }
-            ever.extend((0..20).filter(|&i| b.suspects(here[i].iter().copied())));
+            ever.extend((0..20).filter(|&i| b.suspects_machine(here[i].iter().copied())));
         }
         faulty += bad_machines;
         found += (0..bad_machines).filter(|i| ever.contains(i)).count();
@@ -43,17 +43,17 @@
     let mut b = FailureAttribution::default();
     let m = MachineIdx;
     let here = [JobId(1), JobId(2), JobId(3)];
-    b.failed(JobId(1), m(0), 0);
-    assert!(!b.suspects(here[..1].iter().copied()), "it fits both");
-    b.failed(JobId(2), m(0), 1);
-    b.failed(JobId(3), m(0), 2);
-    assert!(b.suspects(here.iter().copied()), "three strangers");
+    b.note_failure(JobId(1), m(0), 0);
+    assert!(!b.suspects_machine(here[..1].iter().copied()), "it fits both");
+    b.note_failure(JobId(2), m(0), 1);
+    b.note_failure(JobId(3), m(0), 2);
+    assert!(b.suspects_machine(here.iter().copied()), "three strangers");
     for other in [1, 2] {
-        b.failed(JobId(1), m(other), 3);
+        b.note_failure(JobId(1), m(other), 3);
     }
-    assert!(!b.suspects(here.iter().copied()), "one of them fails everywhere");
-    b.ran_well(JobId(2), 4);
-    assert!(b.suspects(here.iter().copied()), "one of them ran well elsewhere");
-    b.expire(REMEMBER_MS + 10);
+    assert!(!b.suspects_machine(here.iter().copied()), "one of them fails everywhere");
+    b.note_success(JobId(2), 4);
+    assert!(b.suspects_machine(here.iter().copied()), "one of them ran well elsewhere");
+    b.expire(EVIDENCE_RETENTION_MS + 10);
     assert!(b.jobs.is_empty());
 }
--- a/crates/core/src/participant/offer/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -1,11 +1,13 @@
 use super::super::gpu_demand::GpuNeed;
 use super::super::reservations::Reservation;
 use super::*;
-use crate::ids::{Attempt, Epoch, ImageIdx};
+use crate::ids::{Attempt, Epoch, ImageIdx, Shard};
 use crate::machine::{AttemptKey, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use leaddeal_wire::cloud::{Catalog, MachineType};
+use leaddeal_wire::mesh::Shape as WireShape;
 use leaddeal_wire::mesh::TaskPhase;
+use leaddeal_wire::user::{Kind, Priority};
 use leaddeal_wire::worker::TaskState;
 use std::sync::Arc;
 
@@ -36,7 +38,7 @@
 fn services_leave_gpu_room_whatever_short_tasks_run_now() {
     let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let service = shape(Kind::Service, 2000);
-    assert_eq!(p.spare(WHOLE, false, false).fits(service.need), 0, "not known yet");
+    assert_eq!(p.spare_for_service(WHOLE, false, false).fits(service.need), 0, "not known yet");
     p.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
     let mut m = Machine::new(1);
     for (task, s) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
@@ -44,11 +46,14 @@
         m.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, t);
     }
     m.update_load();
-    let empty = p.lasting_room(MachineIdx(0), &Machine::new(1), WHOLE);
-    assert_eq!(p.spare(empty, false, false).fits(service.need), 1, "one beside it");
-    let later = p.lasting_room(MachineIdx(0), &m, WHOLE);
-    assert_eq!(p.spare(later, false, false).fits(service.need), 0);
-    assert!(p.spare(later, false, true).fits(service.need) > 0, "asked in vain for long");
+    let empty = p.lasting_free(MachineIdx(0), &Machine::new(1), WHOLE);
+    assert_eq!(p.spare_for_service(empty, false, false).fits(service.need), 1, "one beside it");
+    let later = p.lasting_free(MachineIdx(0), &m, WHOLE);
+    assert_eq!(p.spare_for_service(later, false, false).fits(service.need), 0);
+    assert!(
+        p.spare_for_service(later, false, true).fits(service.need) > 0,
+        "asked in vain for long"
+    );
 }
 
 /// Found by comparing traces: five claims on the room of one task that was being stopped.
@@ -85,7 +90,7 @@
         soon.expect("known tasks").fits(need)
     };
     assert_eq!(room(&p), 1);
-    let claim = Reservation { job: JobId(5), need, until: 9000, patient: false, rank: None };
+    let claim = Reservation { job: JobId(5), need, expires_at: 9000, waiting: false, rank: None };
     p.reservations.add(idx, claim);
     assert_eq!(room(&p), 0);
 }
--- a/crates/core/src/participant/gang_queue.rs
+++ b/crates/core/src/participant/gang_queue.rs
@@ -1,10 +1,12 @@
-//! Gangs of several tasks that wait for room, each in one zone: they are served in order, so that
-//! none holds some of what it needs while another holds the rest.
+//! Gangs of several tasks that wait for capacity, each in one zone: they are served in order, so
+//! that none holds some of what it needs while another holds the rest.
 //!
-//! Invariant: after `settle`, `heads` says of each group who is first in line for its machines
-//! and what those in line need there; what changes the line in between makes it stale.
-use super::capacity_index::Group;
-use super::offer::{fit, EligibilityTable, Rank};
+//! Invariant: after `refresh`, `by_group` says of each group which gang is first in the queue for
+//! its machines and what the queued gangs need there; a change of the queue in between makes it
+//! stale.
+use super::capacity_index::MachineGroup;
+use super::eligibility::EligibilityTable;
+use super::queue_rank::QueueRank;
 use crate::ids::{JobId, Timestamp, ZoneIdx};
 use crate::names::Resources;
 use leaddeal_wire::mesh::Shape as WireShape;
@@ -12,116 +14,144 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A waiting gang that has not asked again for this long has no place in the line any more.
-const STANDS_MS: u64 = 5000;
+/// A waiting gang that has not asked again for this long loses its place in the queue.
+const QUEUE_TIMEOUT_MS: u64 = 5000;
 
+/// A gang that waits.
 #[derive(Clone, Debug)]
-struct Waiting {
-    rank: Rank,
-    zone: ZoneIdx,
-    count: u32,
-    shape: Arc<WireShape>,
-    fits: EligibilityTable,
-    until: Timestamp,
+pub(super) struct WaitingGang {
+    /// Its rank, which names the job too.
+    pub rank: QueueRank,
+    /// The zone that it waits for.
+    pub zone: ZoneIdx,
+    /// How many tasks it waits with.
+    pub tasks: u32,
+    /// What a task of it takes.
+    pub shape: Arc<WireShape>,
+    /// Which machines it may have.
+    pub eligibility: EligibilityTable,
 }
 
-impl Waiting {
-    fn could_use(&self, (kind, zone, spot): Group) -> bool {
-        self.zone == zone && fit(&self.fits, kind, spot).is_some_and(|f| f.allowed)
+impl WaitingGang {
+    fn could_use(&self, group: MachineGroup) -> bool {
+        self.zone == group.zone && self.eligibility.allows(group)
     }
 }
 
-/// The line for the machines of a group.
+#[derive(Clone, Debug)]
+struct QueueEntry {
+    gang: WaitingGang,
+    expires_at: Timestamp,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct GangNeed {
+    /// The highest priority of the gangs that need it.
+    priority: Priority,
+    need: Resources,
+}
+
+/// The queue for the machines of a group.
 #[derive(Debug, Default)]
-struct Head {
-    first: Option<Rank>,
-    /// Each need once, with the highest priority that has it.
-    needs: Vec<(Priority, Resources)>,
+struct GroupQueue {
+    first: Option<QueueRank>,
+    /// Each need once.
+    needs: Vec<GangNeed>,
+}
+
+impl GroupQueue {
+    fn add(&mut self, gang: &WaitingGang) {
+        let first = self.first.map_or(gang.rank, |first| first.min(gang.rank));
+        self.first = Some(first);
+        let (priority, need) = (gang.shape.priority, Resources::of(&gang.shape));
+        match self.needs.iter_mut().find(|known| known.need == need) {
+            Some(known) => known.priority = known.priority.max(priority),
+            None => self.needs.push(GangNeed { priority, need }),
+        }
+    }
 }
 
-/// (Found by a profile at three times a fleet: every look at a machine went through the whole
-/// line, which grows with the fleet as well.)
+/// The queue. (Found by a profile at three times a fleet: every look at a machine went through the
+/// whole queue, which grows with the fleet as well.)
 #[derive(Debug, Default)]
 pub(super) struct GangQueue {
-    waiting: BTreeMap<JobId, Waiting>,
-    heads: BTreeMap<Group, Head>,
+    waiting: BTreeMap<JobId, QueueEntry>,
+    by_group: BTreeMap<MachineGroup, GroupQueue>,
     stale: bool,
 }
 
 impl GangQueue {
+    /// Whether no gang waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
+    /// How many gangs wait.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    pub fn rank(&self, job: JobId) -> Option<Rank> {
-        self.waiting.get(&job).map(|w| w.rank)
+    /// The rank of a gang that waits.
+    pub fn rank(&self, job: JobId) -> Option<QueueRank> {
+        self.waiting.get(&job).map(|entry| entry.gang.rank)
     }
 
-    /// Stands in line from now on, or still.
-    pub fn stand(
-        &mut self,
-        now: Timestamp,
-        rank: Rank,
-        zone: ZoneIdx,
-        count: u32,
-        shape: &Arc<WireShape>,
-        fits: &EligibilityTable,
-    ) {
-        let (shape, fits, until) = (shape.clone(), fits.clone(), now + STANDS_MS);
-        self.waiting.insert(rank.3, Waiting { rank, zone, count, shape, fits, until });
+    /// The gang waits from now on, or still.
+    pub fn enter(&mut self, gang: WaitingGang, now: Timestamp) {
+        let expires_at = now + QUEUE_TIMEOUT_MS;
+        self.waiting.insert(gang.rank.job, QueueEntry { gang, expires_at });
         self.stale = true;
     }
 
-    pub fn leave(&mut self, job: JobId) {
+    /// The gang does not wait any more.
+    pub fn remove(&mut self, job: JobId) {
         self.stale |= self.waiting.remove(&job).is_some();
     }
 
-    /// Drops who has not asked again, and sums the line up by group.
-    pub fn settle(&mut self, now: Timestamp, groups: impl Iterator<Item = Group>) {
+    /// Drops the gangs that have not asked again, and sums the queue up by group.
+    pub fn refresh(&mut self, now: Timestamp, groups: impl Iterator<Item = MachineGroup>) {
         let before = self.waiting.len();
-        self.waiting.retain(|_, w| w.until > now);
+        self.waiting.retain(|_, entry| entry.expires_at > now);
         self.stale |= self.waiting.len() != before;
-        let groups: Vec<Group> = groups.collect();
-        if !self.stale && groups.len() == self.heads.len() {
+        let groups: Vec<MachineGroup> = groups.collect();
+        if !self.stale && groups.len() == self.by_group.len() {
             return;
         }
         self.stale = false;
-        self.heads.clear();
-        for g in groups {
-            let mut head = Head::default();
-            for w in self.waiting.values().filter(|w| w.could_use(g)) {
-                head.first = Some(head.first.map_or(w.rank, |f| f.min(w.rank)));
-                let need = Resources::of(&w.shape);
-                match head.needs.iter_mut().find(|n| n.1 == need) {
-                    Some(n) => n.0 = n.0.max(w.shape.priority),
-                    None => head.needs.push((w.shape.priority, need)),
-                }
+        self.by_group.clear();
+        for group in groups {
+            let mut queue = GroupQueue::default();
+            let gangs = self.waiting.values().map(|entry| &entry.gang);
+            for gang in gangs.filter(|gang| gang.could_use(group)) {
+                queue.add(gang);
             }
-            self.heads.insert(g, head);
+            self.by_group.insert(group, queue);
         }
     }
 
-    /// Whether a gang that is to be served before this one may use such a machine and waits for
-    /// its zone. Gangs that each held some machines, waiting for the rest, all stood still.
-    pub fn behind(&self, rank: Rank, g: Group) -> bool {
-        self.heads.get(&g).and_then(|h| h.first).is_some_and(|first| first < rank)
+    /// Whether a gang that is to be served before this rank may use machines of the group and waits
+    /// for their zone. (When gangs each held some machines, waiting for the rest, all stood still.)
+    pub fn is_behind(&self, rank: QueueRank, group: MachineGroup) -> bool {
+        let first = self.by_group.get(&group).and_then(|queue| queue.first);
+        first.is_some_and(|first| first < rank)
     }
 
     /// What gangs of at least this priority need of a machine of the group.
-    pub fn needs(&self, g: Group, least: Priority) -> impl Iterator<Item = Resources> + '_ {
-        let all = self.heads.get(&g).into_iter().flat_map(|h| &h.needs);
-        all.filter(move |n| n.0 >= least).map(|n| n.1)
+    pub fn needs(
+        &self,
+        group: MachineGroup,
+        min_priority: Priority,
+    ) -> impl Iterator<Item = Resources> + '_ {
+        let needs = self.by_group.get(&group).into_iter().flat_map(|queue| &queue.needs);
+        needs.filter(move |known| known.priority >= min_priority).map(|known| known.need)
     }
 
-    /// Tasks of those gangs, by the zone that they wait for.
-    pub fn tasks(&self, least: Priority) -> BTreeMap<ZoneIdx, u32> {
+    /// Tasks of gangs of at least this priority, by the zone that they wait for.
+    pub fn tasks_by_zone(&self, min_priority: Priority) -> BTreeMap<ZoneIdx, u32> {
         let mut by_zone = BTreeMap::new();
-        for w in self.waiting.values().filter(|w| w.shape.priority >= least) {
-            *by_zone.entry(w.zone).or_default() += w.count;
+        let gangs = self.waiting.values().map(|entry| &entry.gang);
+        for gang in gangs.filter(|gang| gang.shape.priority >= min_priority) {
+            *by_zone.entry(gang.zone).or_default() += gang.tasks;
         }
         by_zone
     }
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -224,10 +224,10 @@
     /// Takes what failed and what ran well on a machine as evidence for and against it.
     fn attribute_failures(&mut self, ctx: &mut Context, idx: MachineIdx, observed: &Observations) {
         for &job in &observed.failed {
-            self.failure_attribution.failed(job, idx, ctx.now);
+            self.failure_attribution.note_failure(job, idx, ctx.now);
         }
         for &job in &observed.ran_well {
-            self.failure_attribution.ran_well(job, ctx.now);
+            self.failure_attribution.note_success(job, ctx.now);
         }
         let suspected = self.is_suspected(idx, ctx.now);
         let Some(machine) = self.machines.get_mut(&idx) else { return };
@@ -246,6 +246,6 @@
         }
         let failures = machine.recent_failures.iter();
         let recent = failures.filter(|failure| now < failure.first_at + FAILURE_EVIDENCE_MS);
-        self.failure_attribution.suspects(recent.map(|failure| failure.job))
+        self.failure_attribution.suspects_machine(recent.map(|failure| failure.job))
     }
 }
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -1,6 +1,6 @@
 //! The machines of a participant: when their workers' leases expire, when a machine is forgotten,
 //! and where requests find it.
-use super::capacity_index::CapacityEntry;
+use super::capacity_index::{CapacityEntry, MachineGroup};
 use super::Participant;
 use crate::context::Context;
 use crate::guards::{holds, Guard};
@@ -23,15 +23,11 @@
     if machine.lease_expired || machine.released {
         return None;
     }
-    let (machine_type, zone) = machine.machine_type.zip(machine.zone)?;
-    let mut free = names.room_of_type(machine_type);
+    let group = MachineGroup::of(machine)?;
+    let mut free = names.room_of_type(group.machine_type);
     let known = machine.used().map(|used| free.sub(used, 1));
     let images = machine.cached_images.iter().map(|cached| cached.image).collect();
-    Some(CapacityEntry {
-        group: (machine_type, zone, machine.spot),
-        free: known.map_or(0, |()| free.cpu),
-        images,
-    })
+    Some(CapacityEntry { group, free_cpu: known.map_or(0, |()| free.cpu), images })
 }
 
 impl Participant {
@@ -133,7 +129,7 @@
     }
 
     fn is_indexed(&self, names: &Names) -> bool {
-        let entry = |idx| self.capacity_index.place(idx);
+        let entry = |idx| self.capacity_index.entry(idx);
         let mut machines = self.machines.iter();
         machines.all(|(&idx, machine)| entry(idx) == capacity_entry(machine, names).as_ref())
     }
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -4,7 +4,9 @@
 //! - `machine_registry`: the machines, their lease expiry and their place in the capacity index;
 //! - `heartbeats`: heartbeats of workers and outcomes of command batches;
 //! - `holds`, `reservations`: capacity that is kept for open negotiations and for jobs;
-//! - `offer`, `room`: which tasks a machine gets;
+//! - `gang_queue`, `gpu_demand`: gangs that wait, and GPU work that was asked for recently;
+//! - `eligibility`, `free_resources`: which machines a job may have, and what is free there for it;
+//! - `offer`, `preemption`, `replica_moves`: which machines a job gets, and what is stopped for it;
 //! - `task_commands`: what coordinators decided for a task;
 //! - `task_events`: events for coordinators, command batches for workers;
 //! - `capacity_notices`: notices of freed capacity for coordinators that are short of it;
@@ -19,8 +21,10 @@
 
 mod capacity_index;
 mod capacity_notices;
+mod eligibility;
 mod failure_attribution;
 mod figures;
+mod free_resources;
 mod gang_queue;
 mod gpu_demand;
 mod heartbeats;
@@ -28,9 +32,11 @@
 mod inventory;
 mod machine_registry;
 mod offer;
+mod preemption;
+mod queue_rank;
 mod release;
+mod replica_moves;
 mod reservations;
-mod room;
 mod task_commands;
 mod task_events;
 #[cfg(test)]
@@ -41,9 +47,8 @@
 use failure_attribution::FailureAttribution;
 use gang_queue::GangQueue;
 use gpu_demand::GpuDemand;
-use holds::{Hold, Holds};
+use holds::Holds;
 use inventory::InventoryPublisher;
-use offer::Rank;
 use reservations::Reservations;
 
 /// A heartbeat response, or a command batch, has at most this many commands.
@@ -155,7 +160,7 @@
             }
             ShardMessage::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
-                self.gang_queue.leave(job);
+                self.gang_queue.remove(job);
                 ctx.horizons.goes_on(job, epoch);
                 let order =
                     task_commands::PlaceOrder { from, job, shape: ctx.names.shape(&shape), adopt };
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,434 +1,496 @@
-//! Offers: which machines of the participant a request may have, and which of them it gets.
-use super::capacity_index::Group;
-use super::{Hold, Participant, FAILURE_EVIDENCE_MS};
+//! Offers: which machines each item of a request gets, and what is preempted for the rest.
+use super::capacity_index::MachineGroup;
+use super::eligibility::EligibilityTable;
+use super::gang_queue::WaitingGang;
+use super::holds::Hold;
+use super::preemption::{PreemptionOutcome, PreemptionSearch};
+use super::queue_rank::QueueRank;
+use super::Participant;
 use crate::context::Context;
-use crate::ids::{JobId, MachineIdx, Negotiation, Shard, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{JobId, MachineIdx, Negotiation, Shard, ZoneIdx};
 use crate::machine::Machine;
-use crate::names::{older, Names, Resources};
-use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, Shape as WireShape, ShardMessage};
+use crate::names::{Resources, Shape};
+use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
 use leaddeal_wire::user::{Kind, Priority};
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks longer than this keep off ordinary GPU machines while there is GPU work.
-const LONG_S: f64 = 45.0;
+/// Tasks without GPUs that are estimated to take longer, in seconds, keep off ordinary GPU machines
+/// while there is GPU work.
+const MAX_TASK_BESIDE_GPU_WORK_S: f64 = 45.0;
+/// Machines without the image are told apart by the time to fetch it in steps of this many seconds.
+const FETCH_STEP_S: f64 = 4.0;
+/// What a step of fetching takes from an offer's score, which is in thousandths of free processors.
+const SCORE_PER_FETCH_STEP: i64 = 10_000;
+/// What a degree of GPU waste takes from an offer's score.
+const SCORE_PER_GPU_WASTE: i64 = 1_000_000;
 
-/// What holds for a job on a type of machine, ordinary or spot: worked out once for all of them.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Eligibility {
-    /// Allowed, and a whole machine has room for a task.
-    pub allowed: bool,
-    /// A GPU machine that is dear for work without GPUs.
-    dear: bool,
+/// A negotiation's request while it is answered.
+struct OfferRound<'a> {
+    from: Shard,
+    negotiation: Negotiation,
+    offers: Vec<Offer>,
+    /// Items that tasks are preempted for.
+    preempting: Vec<u16>,
+    /// Searches for preemption that found nothing.
+    failed_searches: Vec<FailedSearch<'a>>,
+    /// Machines kept for gangs, by the priority of the work that is kept off.
+    kept_for_gangs: BTreeMap<Priority, BTreeSet<MachineIdx>>,
 }
 
-/// By type, for ordinary and spot machines.
-pub(super) type EligibilityTable = Vec<[Eligibility; 2]>;
+/// An item of a request, with what is worked out once for it.
+struct Item<'a> {
+    /// Its number in the request.
+    number: u16,
+    request: &'a OfferRequest,
+    eligibility: EligibilityTable,
+    rank: Option<QueueRank>,
+}
 
-pub(super) fn fits_of(names: &Names, shape: &WireShape, urgent: bool) -> EligibilityTable {
-    let need = Resources::of(shape);
-    let fit = |t: TypeIdx, spot: bool| {
-        let whole = names.room_of_type(t);
-        Eligibility {
-            allowed: names.allows(shape, t, spot) && whole.fits(need) > 0,
-            dear: shape.gpu == 0 && whole.gpu > 0 && !names.affordable(shape, t, spot, urgent),
-        }
-    };
-    (0..names.catalog.len() as u8)
-        .map(|t| [fit(TypeIdx(t), false), fit(TypeIdx(t), true)])
-        .collect()
+/// What the machines for an item are chosen by.
+struct MachineSearch<'a> {
+    request: &'a OfferRequest,
+    shape: &'a Shape,
+    eligibility: &'a EligibilityTable,
+    rank: Option<QueueRank>,
+    /// Machines that it keeps off for the sake of gangs.
+    kept_for_gangs: &'a BTreeSet<MachineIdx>,
+    /// There is GPU work of its priority or a lower one, which may not preempt it.
+    gpu_work_waits: bool,
 }
 
-/// What is known of a type of machine; none: a type that came later than the request.
-pub(super) fn fit(fits: &EligibilityTable, kind: TypeIdx, spot: bool) -> Option<&Eligibility> {
-    Some(&fits.get(kind.0 as usize)?[usize::from(spot)])
+/// How machines of a group suit an item.
+struct GroupScore {
+    group: MachineGroup,
+    /// What a machine of the group has.
+    whole: Resources,
+    /// 0: no waste; 1: a spot machine with GPUs for work without; 2: an ordinary one.
+    gpu_waste: u8,
+    /// Steps of time to fetch the image.
+    fetch_steps: u32,
 }
 
-/// Priority, aims missed, when the next is due, and the job: the lesser is served first.
-pub(super) type Rank = (Reverse<Priority>, u8, Timestamp, JobId);
+/// A machine for an item: the least is taken first.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Choice {
+    gpu_waste: u8,
+    /// Steps of time to fetch the image; 0: the machine has it.
+    fetch_steps: u32,
+    /// The negative of the free processors, in thousandths.
+    negative_free_cpu: i64,
+    machine: MachineIdx,
+    zone: ZoneIdx,
+    /// How many tasks it has capacity for.
+    capacity: u64,
+    incarnation: u64,
+}
 
-/// What decides whether room can be made for a job, beside its zones.
+impl Choice {
+    fn score(&self) -> i64 {
+        -self.negative_free_cpu
+            - SCORE_PER_FETCH_STEP * i64::from(self.fetch_steps)
+            - SCORE_PER_GPU_WASTE * i64::from(self.gpu_waste)
+    }
+}
+
+/// What decides whether tasks can be preempted for a job, beside its zones.
 #[derive(PartialEq)]
-struct Like<'a> {
+struct SearchKind<'a> {
     types: &'a Option<Vec<String>>,
     need: Resources,
     priority: Priority,
     kind: Kind,
-    flags: [bool; 5],
+    allows_spot: bool,
+    urgent: bool,
+    may_use_gpu_machines: bool,
+    waits_for_zone: bool,
+    queued: bool,
+}
+
+/// A search for preemption that found no machine on which anything could be done.
+struct FailedSearch<'a> {
+    kind: SearchKind<'a>,
+    /// By zone: it might have taken tasks.
+    open_zones: Vec<bool>,
+}
+
+impl FailedSearch<'_> {
+    /// Whether this search must fail too.
+    fn covers(&self, kind: &SearchKind, zone_room: &[u32]) -> bool {
+        let mut zones = self.open_zones.iter().zip(zone_room);
+        self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
+    }
 }
 
 impl Participant {
-    pub(super) fn free(
-        &self,
-        idx: MachineIdx,
-        m: &Machine,
-        names: &Names,
-        job: JobId,
-        rank: Option<Rank>,
-    ) -> Option<Resources> {
-        self.free_with(Resources::default(), idx, m, names, job, rank)
+    /// Answers a request for offers: holds capacity for what it offers, and preempts tasks for items
+    /// that ask for it.
+    pub(super) fn offer(
+        &mut self,
+        ctx: &mut Context,
+        from: Shard,
+        negotiation: Negotiation,
+        requests: &[OfferRequest],
+    ) {
+        self.gpu_demand.expire(ctx.now);
+        self.reservations.expire(ctx.now);
+        self.reindex(ctx.names);
+        let numbered = requests.iter().enumerate();
+        let items: Vec<Item> =
+            numbered.map(|(i, request)| self.enter_item(ctx, i as u16, request)).collect();
+        self.gang_queue.refresh(ctx.now, self.capacity_index.groups());
+        let mut round = OfferRound {
+            from,
+            negotiation,
+            offers: Vec::new(),
+            preempting: Vec::new(),
+            failed_searches: Vec::new(),
+            kept_for_gangs: BTreeMap::new(),
+        };
+        for item in &items {
+            self.offer_item(ctx, &mut round, item);
+        }
+        let OfferRound { offers, preempting, .. } = round;
+        let answer = ShardMessage::Offers { negotiation: negotiation.0, offers, preempting };
+        ctx.send(self.shard, from, answer);
     }
 
-    /// The same, once `more` of what is used has become free. Holds and claims count against that
-    /// room as well: (found by comparing traces) taken off before it was added, they stopped at
-    /// nothing, and the room of one stopped task was claimed over and over.
-    pub(super) fn free_with(
-        &self,
-        more: Resources,
-        idx: MachineIdx,
-        m: &Machine,
-        names: &Names,
-        job: JobId,
-        rank: Option<Rank>,
-    ) -> Option<Resources> {
-        let mut free = names.room_of_type(m.machine_type?);
-        free.sub(m.used()?, 1);
-        free.add(more, 1);
-        for h in self.holds.on(idx) {
-            free.sub(h.need, h.count);
+    /// Works out which machines an item may have, and enters a gang that asks for it in the queue.
+    fn enter_item<'a>(
+        &mut self,
+        ctx: &Context,
+        number: u16,
+        request: &'a OfferRequest,
+    ) -> Item<'a> {
+        let eligibility = EligibilityTable::new(ctx.names, &request.shape, request.urgent);
+        let rank = request
+            .queue_position
+            .map(|position| self.enter_queue(ctx, request, position, &eligibility));
+        Item { number, request, eligibility, rank }
+    }
+
+    fn enter_queue(
+        &mut self,
+        ctx: &Context,
+        request: &OfferRequest,
+        position: QueuePosition,
+        eligibility: &EligibilityTable,
+    ) -> QueueRank {
+        let job = JobId(request.job);
+        let rank = QueueRank::new(request.shape.priority, position, job, ctx.now);
+        if let Some(zone) = position.zone.filter(|_| position.holds_position) {
+            let gang = WaitingGang {
+                rank,
+                zone: ZoneIdx(zone),
+                tasks: request.count,
+                shape: request.shape.clone(),
+                eligibility: eligibility.clone(),
+            };
+            self.gang_queue.enter(gang, ctx.now);
+        }
+        rank
+    }
+
+    fn offer_item<'a>(&mut self, ctx: &mut Context, round: &mut OfferRound<'a>, item: &Item<'a>) {
+        let request = item.request;
+        let priority = request.shape.priority;
+        let shape = ctx.names.shape(&request.shape);
+        let choices = self.choose_machines(ctx, round, item, &shape);
+        let mut zone_room = request.zone_room.clone();
+        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut zone_room);
+        if missing == 0 {
+            return;
         }
-        for c in self.reservations.on(idx).iter().filter(|c| c.bars(job, rank)) {
-            free.sub(c.need, 1);
+        self.capacity_notices.note_shortage(round.from, priority);
+        if request.preempt {
+            self.preempt_for_item(ctx, round, item, &shape, zone_room, missing);
         }
-        Some(free)
     }
 
-    /// Whether a machine may get work of this job at all, now.
-    pub(super) fn usable(
+    /// The machines that an item may have, the best first.
+    fn choose_machines(
         &self,
-        ctx: &Context,
-        idx: MachineIdx,
-        m: &Machine,
-        w: &OfferRequest,
-        fits: &EligibilityTable,
-    ) -> bool {
-        let now = ctx.now;
-        let Some(fit) = m.machine_type.and_then(|kind| fit(fits, kind, m.spot)) else {
-            return false;
+        ctx: &mut Context,
+        round: &mut OfferRound,
+        item: &Item,
+        shape: &Shape,
+    ) -> Vec<Choice> {
+        let request = item.request;
+        let priority = request.shape.priority;
+        let none_kept = BTreeSet::new();
+        let kept_for_gangs = if request.shape.kind == Kind::Array && request.shape.gpu == 0 {
+            let kept = round.kept_for_gangs.entry(priority);
+            &*kept.or_insert_with(|| self.machines_kept_for_gangs(ctx, priority))
+        } else {
+            &none_kept
         };
-        let usable = fit.allowed
-            && !m.draining
-            && !m.released
-            && !m.lease_expired
-            && m.token_confirmed
-            && m.interruption_at.is_none()
-            && m.reachability.deaf_since().is_none()
-            && m.quarantined_until <= now
-            && !self.is_suspected(idx, now)
-            && now < m.last_heartbeat_at + ctx.config.quiet_ms
-            && !m
-                .recent_failures
-                .iter()
-                .any(|f| f.job.0 == w.job && f.first_at + FAILURE_EVIDENCE_MS > now);
-        // Cheap work does not keep a machine that is dear for it, unless that is paid anyway:
-        // for the GPU work on it, or because it is never returned.
-        let dear = || {
-            // Services stay for long, and would keep it when that work is over.
-            let gpu_work = || w.shape.kind != Kind::Service && m.has_gpu_work();
-            let own = || {
-                let name = ctx.names.machine_name(idx);
-                self.base.as_ref().is_some_and(|b| older(name, b))
-            };
-            fit.dear && !gpu_work() && !own()
+        let search = MachineSearch {
+            request,
+            shape,
+            eligibility: &item.eligibility,
+            rank: item.rank,
+            kept_for_gangs,
+            gpu_work_waits: self.gpu_demand.any_up_to(priority),
         };
-        usable && !dear()
+        let mut choices = Vec::new();
+        for group in self.capacity_index.groups() {
+            if let Some(group) = self.score_group(ctx, &search, group) {
+                self.add_choices(ctx, &search, &group, &mut choices);
+            }
+        }
+        choices.sort_unstable();
+        choices
     }
 
-    /// A machine's room less what stays there for long: services, and GPU work.
-    pub(super) fn lasting_room(&self, idx: MachineIdx, m: &Machine, whole: Resources) -> Resources {
-        let mut later = whole;
-        later.sub(m.lasting(), 1);
-        for h in self.holds.on(idx).iter().filter(|h| h.lasting) {
-            later.sub(h.need, h.count);
+    /// None: the item gets no machine of the group.
+    fn score_group(
+        &self,
+        ctx: &Context,
+        search: &MachineSearch,
+        group: MachineGroup,
+    ) -> Option<GroupScore> {
+        let request = search.request;
+        let zone_room = request.zone_room.get(group.zone.0 as usize).copied().unwrap_or(0);
+        let behind = |rank| self.gang_queue.is_behind(rank, group);
+        if !search.eligibility.allows(group) || zone_room == 0 || search.rank.is_some_and(behind) {
+            return None;
+        }
+        let whole = ctx.names.room_of_type(group.machine_type);
+        // Machines that GPU work of any kind may use are the last resort.
+        let gpu_waste = match (search.shape.need.gpu == 0 && whole.gpu > 0, group.spot) {
+            (false, _) => 0,
+            (true, true) => 1,
+            (true, false) => 2,
+        };
+        // Long work without GPUs would keep GPU work waiting that may not stop it.
+        let long = request.shape.estimate_s > MAX_TASK_BESIDE_GPU_WORK_S;
+        if gpu_waste == 2 && search.gpu_work_waits && long {
+            return None;
         }
-        later
+        let fetch_s = ctx.names.fetch_s(group.machine_type, request.shape.image_gb);
+        let fetch_steps = ((fetch_s / FETCH_STEP_S) as u32).saturating_add(1);
+        Some(GroupScore { group, whole, gpu_waste, fetch_steps })
     }
 
-    /// The machines with GPUs: group and lasting room.
-    pub(super) fn gpu_machines<'a>(
-        &'a self,
-        names: &'a Names,
-    ) -> impl Iterator<Item = (MachineIdx, &'a Machine, Group, Resources)> {
-        let with_gpus = self.capacity_index.groups().filter(|g| names.room_of_type(g.0).gpu > 0);
-        with_gpus.flat_map(move |g| {
-            let whole = names.room_of_type(g.0);
-            self.capacity_index.with_free(g, 0).filter_map(move |idx| {
-                let m = self.machines.get(&idx)?;
-                Some((idx, m, g, self.lasting_room(idx, m, whole)))
-            })
-        })
+    /// Adds as many machines of the group as could be taken, those with the image first.
+    fn add_choices(
+        &self,
+        ctx: &mut Context,
+        search: &MachineSearch,
+        score: &GroupScore,
+        choices: &mut Vec<Choice>,
+    ) {
+        let (image, min_cpu) = (search.shape.image, search.shape.need.cpu);
+        let with_image = self.capacity_index.with_image(score.group, image, min_cpu);
+        let all = self.capacity_index.with_free(score.group, min_cpu);
+        let with_image = with_image.map(|idx| (0, idx));
+        let without_image = all.map(|idx| (score.fetch_steps, idx));
+        let mut missing = u64::from(search.request.count);
+        for (fetch_steps, idx) in with_image.chain(without_image) {
+            if missing == 0 {
+                break;
+            }
+            let Some(machine) = self.machines.get(&idx) else { continue };
+            ctx.effects.looked += 1;
+            let seen_before = fetch_steps > 0 && machine.has_image(image);
+            if seen_before || search.kept_for_gangs.contains(&idx) {
+                continue;
+            }
+            let Some(free) = self.free_for_search(ctx, search, score, idx, machine) else {
+                continue;
+            };
+            let capacity = free.fits(search.shape.need);
+            if capacity == 0 {
+                continue;
+            }
+            missing = missing.saturating_sub(capacity);
+            choices.push(Choice {
+                gpu_waste: score.gpu_waste,
+                fetch_steps,
+                negative_free_cpu: -(free.cpu as i64),
+                machine: idx,
+                zone: score.group.zone,
+                capacity,
+                incarnation: machine.incarnation,
+            });
+        }
     }
 
-    /// What a service may use of a GPU machine whose lasting room this is: it stays, and leaves
-    /// enough for the GPU work that is known. Seen from the room that is free just now, a machine
-    /// full of short tasks looked lost to GPU work anyway, and services filled it for good.
-    pub(super) fn spare(
+    /// What an item may use of a machine. None: nothing.
+    fn free_for_search(
         &self,
-        later: Resources,
-        urgent: bool,
-        may_use_gpu_machines: bool,
-    ) -> Resources {
-        if may_use_gpu_machines {
-            return later;
+        ctx: &Context,
+        search: &MachineSearch,
+        score: &GroupScore,
+        idx: MachineIdx,
+        machine: &Machine,
+    ) -> Option<Resources> {
+        let request = search.request;
+        if !self.is_eligible(ctx, idx, machine, request, search.eligibility) {
+            return None;
         }
-        // Which GPU work there will be may not be known yet.
-        if self.gpu_demand.is_empty() && !urgent {
-            return Resources::default();
+        let mut free = self.free(idx, machine, ctx.names, JobId(request.job), search.rank)?;
+        if free.fits(search.shape.need) == 0 {
+            return None;
         }
-        let mut left = later;
-        for n in self.gpu_demand.needs() {
-            let mut l = later;
-            l.sub(n, later.fits(n));
-            left.cpu = left.cpu.min(l.cpu);
-            left.mem = left.mem.min(l.mem);
+        if score.gpu_waste > 0 && search.shape.wire.kind == Kind::Service {
+            let lasting_free = self.lasting_free(idx, machine, score.whole);
+            let (urgent, may_use) = (request.urgent, request.may_use_gpu_machines);
+            let spare = self.spare_for_service(lasting_free, urgent, may_use);
+            free.cpu = free.cpu.min(spare.cpu);
+            free.mem = free.mem.min(spare.mem);
         }
-        left
+        Some(free)
     }
 
-    /// Machines that work of this priority keeps off, since gangs of several tasks that it would
-    /// keep waiting wait for their zone and could use them once the tasks on them end: as many as
-    /// this participant's share of those gangs, the least busy first. (Reservations do it for lone tasks.)
-    fn expected(&self, ctx: &mut Context, priority: Priority) -> BTreeSet<MachineIdx> {
+    /// Holds and offers as much of the choices as the item asks for and its zones may take, which
+    /// is taken off `zone_room`. Says how many tasks are still without a machine.
+    fn hold_choices(
+        &mut self,
+        ctx: &Context,
+        round: &mut OfferRound,
+        item: &Item,
+        shape: &Shape,
+        choices: &[Choice],
+        zone_room: &mut [u32],
+    ) -> u32 {
+        let mut missing = item.request.count;
+        for choice in choices {
+            let Some(room) = zone_room.get_mut(choice.zone.0 as usize) else { continue };
+            let capacity = choice.capacity.min(u64::from(u32::MAX)) as u32;
+            let count = capacity.min(missing).min(*room);
+            if count == 0 {
+                continue;
+            }
+            *room -= count;
+            missing -= count;
+            let hold = Hold {
+                shard: round.from,
+                negotiation: round.negotiation,
+                job: JobId(item.request.job),
+                need: shape.need,
+                count: u64::from(count),
+                lasting: shape.lasting(),
+            };
+            self.holds.add(choice.machine, hold);
+            round.offers.push(Offer {
+                item: item.number,
+                machine: ctx.names.machine_name(choice.machine).to_string(),
+                incarnation: choice.incarnation,
+                zone: choice.zone.0,
+                count,
+                cached: choice.fetch_steps == 0,
+                score: choice.score(),
+            });
+            if missing == 0 {
+                break;
+            }
+        }
+        missing
+    }
+
+    /// Preempts tasks for those of an item that got no machine.
+    fn preempt_for_item<'a>(
+        &mut self,
+        ctx: &mut Context,
+        round: &mut OfferRound<'a>,
+        item: &Item<'a>,
+        shape: &Shape,
+        mut zone_room: Vec<u32>,
+        missing: u32,
+    ) {
+        let request = item.request;
+        let job = JobId(request.job);
+        let waited_zone = request.queue_position.and_then(|position| position.zone);
+        // Tasks are preempted for a gang only in the zone that it waits for.
+        if let Some(waited_zone) = waited_zone {
+            let others =
+                zone_room.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
+            others.for_each(|(_, room)| *room = 0);
+        }
+        let search = PreemptionSearch {
+            request,
+            shape,
+            eligibility: &item.eligibility,
+            rank: self.gang_queue.rank(job),
+            zone_room: &zone_room,
+            includes_gpu_machines: true,
+        };
+        // What cannot be done for one job cannot be done for the next of its kind either, which is
+        // served after it. (At three times a fleet most requests asked in vain.)
+        let kind = SearchKind {
+            types: &request.shape.types,
+            need: shape.need,
+            priority: request.shape.priority,
+            kind: request.shape.kind,
+            allows_spot: request.shape.spot,
+            urgent: request.urgent,
+            may_use_gpu_machines: request.may_use_gpu_machines,
+            waits_for_zone: waited_zone.is_some(),
+            queued: search.rank.is_some(),
+        };
+        let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
+        if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
+            let open_zones = zone_room.iter().map(|&room| room > 0).collect();
+            round.failed_searches.push(FailedSearch { kind, open_zones });
+        }
+        if self.reservations.count(job) >= missing {
+            round.preempting.push(item.number);
+        }
+    }
+
+    /// Machines that work of this priority keeps off: gangs of several tasks wait for their zone and
+    /// could use them once the tasks on them end, and the work would keep the gangs waiting. They are
+    /// as many as this participant's share of those gangs' tasks, the least busy first.
+    /// (Reservations do the same for lone tasks.)
+    fn machines_kept_for_gangs(
+        &self,
+        ctx: &mut Context,
+        priority: Priority,
+    ) -> BTreeSet<MachineIdx> {
         let mut kept = BTreeSet::new();
         let shards = ctx.shards().count();
-        for (zone, tasks) in self.gang_queue.tasks(priority) {
+        for (zone, tasks) in self.gang_queue.tasks_by_zone(priority) {
             let share = (tasks as usize).div_ceil(shards);
+            // With the processors in use, in thousandths.
             let mut machines: Vec<(u64, MachineIdx)> = Vec::new();
-            for g in self.capacity_index.groups().filter(|g| g.1 == zone) {
-                let whole = ctx.names.room_of_type(g.0);
-                if whole.gpu == 0 || self.gang_queue.needs(g, priority).next().is_none() {
-                    continue;
-                }
-                // The most free of a group are the least busy.
-                let mut left = share;
-                for idx in self.capacity_index.with_free(g, 0) {
-                    if left == 0 {
-                        break;
-                    }
-                    ctx.effects.looked += 1;
-                    let Some(m) = self.machines.get(&idx) else { continue };
-                    let later = self.lasting_room(idx, m, whole);
-                    let wanted = self.gang_queue.needs(g, priority).any(|n| later.fits(n) > 0);
-                    if let (true, Some(used)) = (wanted, m.used()) {
-                        machines.push((used.cpu, idx));
-                        left -= 1;
-                    }
-                }
+            for group in self.capacity_index.groups().filter(|group| group.zone == zone) {
+                self.add_least_busy(ctx, group, priority, share, &mut machines);
             }
             machines.sort_unstable();
-            kept.extend(machines.into_iter().take(share).map(|m| m.1));
+            kept.extend(machines.into_iter().take(share).map(|(_, idx)| idx));
         }
         kept
     }
 
-    fn take_place(
-        &mut self,
-        now: Timestamp,
-        w: &OfferRequest,
-        queue_position: QueuePosition,
-        fits: &EligibilityTable,
-    ) -> Rank {
-        let rank = (
-            Reverse(w.shape.priority),
-            queue_position.late,
-            now.saturating_add_signed(queue_position.time_left_ms),
-            JobId(w.job),
-        );
-        if let (true, Some(zone)) =
-            (queue_position.holds_position, queue_position.zone.map(ZoneIdx))
-        {
-            self.gang_queue.stand(now, rank, zone, w.count, &w.shape, fits);
-        }
-        rank
-    }
-
-    pub(super) fn offer(
-        &mut self,
+    /// Adds the least busy machines of a group that gangs of at least this priority could use, `max`
+    /// at most, each with the processors in use.
+    fn add_least_busy(
+        &self,
         ctx: &mut Context,
-        from: Shard,
-        negotiation: Negotiation,
-        items: &[OfferRequest],
+        group: MachineGroup,
+        priority: Priority,
+        max: usize,
+        machines: &mut Vec<(u64, MachineIdx)>,
     ) {
-        let now = ctx.now;
-        let mut offers = Vec::new();
-        let mut preempting = Vec::new();
-        self.gpu_demand.expire(now);
-        self.reservations.expire(now);
-        self.reindex(ctx.names);
-        let judged: Vec<(EligibilityTable, Option<Rank>)> = items
-            .iter()
-            .map(|w| {
-                let fits = fits_of(ctx.names, &w.shape, w.urgent);
-                let rank = w.queue_position.map(|l| self.take_place(now, w, l, &fits));
-                (fits, rank)
-            })
-            .collect();
-        self.gang_queue.settle(now, self.capacity_index.groups());
-        // Jobs for which nothing could be done, and the zones that were open to them.
-        let mut vain: Vec<(Like, Vec<bool>)> = Vec::new();
-        let mut expected: BTreeMap<Priority, BTreeSet<MachineIdx>> = BTreeMap::new();
-        for (i, (w, (fits, rank))) in items.iter().zip(&judged).enumerate() {
-            let shape = ctx.names.shape(&w.shape);
-            let rank = *rank;
-            let none = BTreeSet::new();
-            let kept = if w.shape.kind == Kind::Array && w.shape.gpu == 0 {
-                expected
-                    .entry(w.shape.priority)
-                    .or_insert_with(|| self.expected(ctx, w.shape.priority))
-            } else {
-                &none
-            };
-            let mut choices = Vec::new();
-            let lasting = self.gpu_demand.any_up_to(w.shape.priority);
-            for g in self.capacity_index.groups() {
-                let (kind, zone, spot) = g;
-                if !fit(fits, kind, spot).is_some_and(|f| f.allowed)
-                    || w.zone_room.get(zone.0 as usize).is_none_or(|&r| r == 0)
-                    || rank.is_some_and(|r| self.gang_queue.behind(r, g))
-                {
-                    continue;
-                }
-                let whole = ctx.names.room_of_type(kind);
-                let gpu_waste = shape.need.gpu == 0 && whole.gpu > 0;
-                // Machines that GPU work of any kind may use are the last resort.
-                let gpu_waste = u8::from(gpu_waste) + u8::from(gpu_waste && !spot);
-                // Long work without GPUs would keep GPU work waiting that may not stop it.
-                if gpu_waste == 2 && lasting && w.shape.estimate_s > LONG_S {
-                    continue;
-                }
-                // Of machines without the image, those that have it sooner, in steps of 4 s.
-                let fetch_s = ctx.names.fetch_s(kind, w.shape.image_gb);
-                let far = ((fetch_s / 4.0) as u32).saturating_add(1);
-                // Of each group as many as could be taken, those with the image first.
-                let mut enough = u64::from(w.count);
-                let near =
-                    self.capacity_index.with_image(g, shape.image, shape.need.cpu).map(|m| (0, m));
-                let rest = self.capacity_index.with_free(g, shape.need.cpu).map(|m| (far, m));
-                for (fetch, idx) in near.chain(rest) {
-                    if enough == 0 {
-                        break;
-                    }
-                    let Some(m) = self.machines.get(&idx) else { continue };
-                    ctx.effects.looked += 1;
-                    if (fetch > 0 && m.has_image(shape.image))
-                        || kept.contains(&idx)
-                        || !self.usable(ctx, idx, m, w, fits)
-                    {
-                        continue;
-                    }
-                    let job = JobId(w.job);
-                    let Some(mut free) = self.free(idx, m, ctx.names, job, rank) else { continue };
-                    if free.fits(shape.need) == 0 {
-                        continue;
-                    }
-                    if gpu_waste > 0 && shape.wire.kind == Kind::Service {
-                        let later = self.lasting_room(idx, m, whole);
-                        let spare = self.spare(later, w.urgent, w.may_use_gpu_machines);
-                        free.cpu = free.cpu.min(spare.cpu);
-                        free.mem = free.mem.min(spare.mem);
-                    }
-                    let n = free.fits(shape.need);
-                    if n == 0 {
-                        continue;
-                    }
-                    enough = enough.saturating_sub(n);
-                    choices.push((
-                        gpu_waste,
-                        fetch,
-                        -(free.cpu as i64),
-                        idx,
-                        zone,
-                        n,
-                        m.incarnation,
-                    ));
-                }
-            }
-            choices.sort_unstable();
-            let mut zone_room = w.zone_room.clone();
-            let mut wanted = w.count;
-            for (gpu_waste, fetch, neg_free, idx, zone, n, incarnation) in choices {
-                let Some(zr) = zone_room.get_mut(zone.0 as usize) else {
-                    continue;
-                };
-                let count = (n.min(u64::from(u32::MAX)) as u32).min(wanted).min(*zr);
-                if count == 0 {
-                    continue;
-                }
-                *zr -= count;
-                wanted -= count;
-                self.holds.add(
-                    idx,
-                    Hold {
-                        shard: from,
-                        negotiation,
-                        job: JobId(w.job),
-                        need: shape.need,
-                        count: u64::from(count),
-                        lasting: shape.lasting(),
-                    },
-                );
-                offers.push(Offer {
-                    item: i as u16,
-                    machine: ctx.names.machine_name(idx).to_string(),
-                    incarnation,
-                    zone: zone.0,
-                    count,
-                    cached: fetch == 0,
-                    score: -neg_free - 10_000 * i64::from(fetch) - 1_000_000 * i64::from(gpu_waste),
-                });
-                if wanted == 0 {
-                    break;
-                }
-            }
-            if wanted > 0 {
-                self.capacity_notices.note_shortage(from, w.shape.priority);
+        let whole = ctx.names.room_of_type(group.machine_type);
+        if whole.gpu == 0 || self.gang_queue.needs(group, priority).next().is_none() {
+            return;
+        }
+        let mut left = max;
+        // The most free of a group are the least busy.
+        for idx in self.capacity_index.with_free(group, 0) {
+            if left == 0 {
+                break;
             }
-            if w.preempt && wanted > 0 {
-                // A gang makes room only in the zone that it waits for.
-                if let Some(z) = w.queue_position.and_then(|l| l.zone) {
-                    for (i, r) in zone_room.iter_mut().enumerate() {
-                        *r = if i == z as usize { *r } else { 0 };
-                    }
-                }
-                let rank = self.gang_queue.rank(JobId(w.job));
-                let (shape, zones) = (&shape, &zone_room);
-                let seek =
-                    super::room::PreemptionSearch { w, shape, fits, rank, zones, gpus: true };
-                // What cannot be done for one job cannot be for the next of its kind either, which
-                // is served after it. (At three times a fleet most of a request asked in vain.)
-                let several = w.queue_position.is_some_and(|l| l.zone.is_some());
-                let like = Like {
-                    types: &w.shape.types,
-                    need: shape.need,
-                    priority: w.shape.priority,
-                    kind: w.shape.kind,
-                    flags: [
-                        w.shape.spot,
-                        w.urgent,
-                        w.may_use_gpu_machines,
-                        several,
-                        seek.rank.is_some(),
-                    ],
-                };
-                let covers =
-                    |open: &[bool]| open.iter().zip(zones).all(|(had, has)| *had || *has == 0);
-                if !vain.iter().any(|v| v.0 == like && covers(&v.1))
-                    && !self.preempt(ctx, &seek, wanted)
-                {
-                    vain.push((like, zones.iter().map(|&z| z > 0).collect()));
-                }
-                if self.reservations.count(JobId(w.job)) >= wanted {
-                    preempting.push(i as u16);
-                }
+            ctx.effects.looked += 1;
+            let Some(machine) = self.machines.get(&idx) else { continue };
+            let lasting_free = self.lasting_free(idx, machine, whole);
+            let mut needs = self.gang_queue.needs(group, priority);
+            let wanted = needs.any(|need| lasting_free.fits(need) > 0);
+            if let (true, Some(used)) = (wanted, machine.used()) {
+                machines.push((used.cpu, idx));
+                left -= 1;
             }
         }
-        ctx.send(
-            self.shard,
-            from,
-            ShardMessage::Offers { negotiation: negotiation.0, offers, preempting },
-        );
     }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/crates/core/src/participant/preemption.rs
@@ -0,0 +1,343 @@
+//! Preemption: which tasks are stopped for more important work, and which machines are reserved for
+//! work that waits until tasks end by themselves.
+use super::capacity_index::MachineGroup;
+use super::eligibility::EligibilityTable;
+use super::gang_queue::GangQueue;
+use super::queue_rank::QueueRank;
+use super::reservations::Reservation;
+use super::Participant;
+use crate::context::Context;
+use crate::ids::{JobId, MachineIdx, Timestamp};
+use crate::machine::{AttemptKey, GpuTasks, Machine, StopRequest, TaskOnMachine};
+use crate::names::{Resources, Shape};
+use crate::preemption::{victims, Candidate};
+use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
+use leaddeal_wire::user::Kind;
+use leaddeal_wire::worker::TaskState;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// Losses from here on mean that nothing is stopped: the machine is reserved until enough tasks on
+/// it have ended by themselves.
+const MIN_WAITING_LOSS: u64 = 1 << 50;
+/// How long a reservation lasts, beside the time that the stopped tasks need to save their progress.
+const RESERVATION_MS: u64 = 3000;
+/// Reservations made for a job at once, at most.
+const MAX_NEW_RESERVATIONS: u32 = 32;
+/// Time in seconds that a stopped task gets beside the time that it needs to save its progress.
+const SAVE_GRACE_S: f64 = 2.0;
+/// Loss of a thousandth of a GPU, as against a thousandth of a processor.
+const GPU_LOSS_FACTOR: u64 = 20;
+/// Loss of waiting for an image, for each second and thousandth of a processor.
+const FETCH_LOSS_FACTOR: f64 = 3.0;
+/// Names no job: every reservation is another job's.
+const NO_JOB: JobId = JobId(u64::MAX);
+
+/// What tasks are preempted for.
+pub(super) struct PreemptionSearch<'a> {
+    /// What the coordinator asked for.
+    pub request: &'a OfferRequest,
+    /// What a task of the job takes.
+    pub shape: &'a Shape,
+    /// Which machines the job may have.
+    pub eligibility: &'a EligibilityTable,
+    /// The job's rank in the gang queue, if it is queued.
+    pub rank: Option<QueueRank>,
+    /// How many tasks each zone may take.
+    pub zone_room: &'a [u32],
+    /// Machines with GPUs are searched too.
+    pub includes_gpu_machines: bool,
+}
+
+impl PreemptionSearch<'_> {
+    fn job(&self) -> JobId {
+        JobId(self.request.job)
+    }
+
+    /// Whether the job is a gang of several tasks that is not the first in the queue. Of those gangs,
+    /// only the first has machines reserved: when each had some, all stood still.
+    fn is_behind(&self, queue: &GangQueue, group: MachineGroup) -> bool {
+        let waits_for_zone = self.request.queue_position.is_some_and(|p| p.zone.is_some());
+        waits_for_zone && self.rank.is_some_and(|rank| queue.is_behind(rank, group))
+    }
+
+    fn zone_is_open(&self, group: MachineGroup) -> bool {
+        self.zone_room.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
+    }
+
+    /// Whether the job waits for tasks to end by themselves, if none may be stopped for it.
+    fn may_wait(&self) -> bool {
+        self.shape.wire.kind == Kind::Gang || self.request.shape.gpu > 0
+    }
+}
+
+/// Whether anything could be done for a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PreemptionOutcome {
+    /// There was a machine that could be reserved, or none was needed.
+    Possible,
+    /// There was no machine on which anything could be done.
+    NoMachine,
+}
+
+/// What it costs to reserve a machine: the lesser is chosen first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionCost {
+    /// Work lost, in processor-seconds and the like; from `MIN_WAITING_LOSS` on, nothing is stopped.
+    loss: u64,
+    /// The machine does not have the job's image.
+    fetches_image: bool,
+}
+
+/// How a machine could be reserved for a task: the least is chosen first.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionPlan {
+    cost: PreemptionCost,
+    machine: MachineIdx,
+    group: MachineGroup,
+    /// The attempts to stop.
+    victims: Vec<AttemptKey>,
+}
+
+impl Participant {
+    /// Reserves machines so that up to `count` tasks of the job find capacity soon, and stops less
+    /// important tasks there.
+    pub(super) fn preempt(
+        &mut self,
+        ctx: &mut Context,
+        search: &PreemptionSearch,
+        count: u32,
+    ) -> PreemptionOutcome {
+        self.extend_reservations(search, ctx.now);
+        let reserved = self.reservations.count(search.job());
+        let wanted = count.min(reserved + MAX_NEW_RESERVATIONS).saturating_sub(reserved);
+        if wanted == 0 {
+            return PreemptionOutcome::Possible;
+        }
+        // What is done to one machine leaves the others as they are: each is judged once, and
+        // again only after it was chosen.
+        let mut plans = self.preemption_plans(ctx, search);
+        if plans.is_empty() {
+            return PreemptionOutcome::NoMachine;
+        }
+        for _ in 0..wanted {
+            let Some(Reverse(plan)) = plans.pop() else { break };
+            self.carry_out(search, &plan, ctx.now);
+            plans.extend(self.preemption_plan(ctx, search, plan.group, plan.machine).map(Reverse));
+        }
+        PreemptionOutcome::Possible
+    }
+
+    /// Extends the job's waiting reservations, where they are still of use to it.
+    fn extend_reservations(&mut self, search: &PreemptionSearch, now: Timestamp) {
+        let (machines, queue) = (&self.machines, &self.gang_queue);
+        let may_extend = |idx: MachineIdx| {
+            let machine = machines.get(&idx);
+            let machine = machine.filter(|m| !m.lease_expired && m.interruption_at.is_none());
+            let group = machine.and_then(MachineGroup::of);
+            // A gang that is not first any more reserves nothing for longer.
+            group.is_some_and(|group| search.zone_is_open(group) && !search.is_behind(queue, group))
+        };
+        let until = now + RESERVATION_MS;
+        self.reservations.extend_waiting(search.job(), search.rank, until, may_extend);
+    }
+
+    fn preemption_plans(
+        &self,
+        ctx: &mut Context,
+        search: &PreemptionSearch,
+    ) -> BinaryHeap<Reverse<PreemptionPlan>> {
+        let mut plans = BinaryHeap::new();
+        for group in self.capacity_index.groups() {
+            if !self.may_preempt_in(ctx, search, group) {
+                continue;
+            }
+            for idx in self.capacity_index.with_free(group, 0) {
+                ctx.effects.looked += 1;
+                plans.extend(self.preemption_plan(ctx, search, group, idx).map(Reverse));
+            }
+        }
+        plans
+    }
+
+    /// Stops the plan's victims and reserves their capacity.
+    fn carry_out(&mut self, search: &PreemptionSearch, plan: &PreemptionPlan, now: Timestamp) {
+        let Some(machine) = self.machines.get_mut(&plan.machine) else { return };
+        let mut expires_at = now + RESERVATION_MS;
+        for key in &plan.victims {
+            let Some(task) = machine.tasks.get_mut(key) else { continue };
+            let grace_s = grace_s(task);
+            expires_at = expires_at.max(now + RESERVATION_MS + (grace_s * 1000.0) as u64);
+            task.stop = Some(StopRequest { grace_s, since: now });
+        }
+        machine.update_load();
+        let reservation = Reservation {
+            job: search.job(),
+            need: search.shape.need,
+            expires_at,
+            waiting: plan.cost.loss >= MIN_WAITING_LOSS,
+            rank: search.rank,
+        };
+        self.reservations.add(plan.machine, reservation);
+        self.changed_machines.insert(plan.machine);
+    }
+
+    /// Whether tasks may be preempted for the job on machines of this group at all.
+    fn may_preempt_in(
+        &self,
+        ctx: &Context,
+        search: &PreemptionSearch,
+        group: MachineGroup,
+    ) -> bool {
+        let has_gpus = ctx.names.room_of_type(group.machine_type).gpu > 0;
+        search.eligibility.allows(group)
+            && search.zone_is_open(group)
+            && (search.includes_gpu_machines || !has_gpus)
+            && !search.is_behind(&self.gang_queue, group)
+    }
+
+    /// How this machine of that group could be reserved for a task of the job. None: it could not.
+    fn preemption_plan(
+        &self,
+        ctx: &Context,
+        search: &PreemptionSearch,
+        group: MachineGroup,
+        idx: MachineIdx,
+    ) -> Option<PreemptionPlan> {
+        let machine = self.machines.get(&idx)?;
+        let (need, job, rank) = (search.shape.need, search.job(), search.rank);
+        // What is idle and was not offered is kept for others: it is not reserved from under them.
+        // (Found in a run of a whole day: arrays that were kept off machines for the sake of gangs
+        // reserved the same machines over and over, 100 to 300 reservations a zone, which kept the
+        // gangs off.)
+        if self.free(idx, machine, ctx.names, job, rank)?.fits(need) > 0 {
+            return None;
+        }
+        // What is being stopped already will be free soon.
+        let free_soon =
+            self.free_with(machine.stopping(), idx, machine, ctx.names, NO_JOB, rank)?;
+        let suffices = stopping_may_suffice(machine, search, free_soon);
+        if !suffices && !search.may_wait() {
+            return None;
+        }
+        if !self.is_eligible(ctx, idx, machine, search.request, search.eligibility) {
+            return None;
+        }
+        // Reserved for work that waits for it: not taken from under it.
+        let reservations = self.reservations.on(idx);
+        if reservations.iter().any(|other| other.waiting && other.blocks(job, rank)) {
+            return None;
+        }
+        let whole = ctx.names.room_of_type(group.machine_type);
+        if !self.leaves_gpu_capacity(search, idx, machine, whole) {
+            return None;
+        }
+        let candidates = if suffices { candidates(machine, need, ctx.now) } else { Vec::new() };
+        let priority = search.shape.wire.priority;
+        let (victims, loss) = match victims(free_soon, need, priority, candidates) {
+            Some(found) => found,
+            None => (Vec::new(), self.waiting_loss(search, idx, machine, whole, free_soon)?),
+        };
+        let fetches_image = !machine.has_image(search.shape.image);
+        let fetch_loss = if fetches_image { fetch_loss(ctx, search, group) } else { 0 };
+        let cost = PreemptionCost { loss: loss + fetch_loss, fetches_image };
+        Some(PreemptionPlan { cost, machine: idx, group, victims })
+    }
+
+    /// Whether a service leaves enough of a GPU machine for GPU work.
+    fn leaves_gpu_capacity(
+        &self,
+        search: &PreemptionSearch,
+        idx: MachineIdx,
+        machine: &Machine,
+        whole: Resources,
+    ) -> bool {
+        let need = search.shape.need;
+        if need.gpu > 0 || whole.gpu == 0 || search.shape.wire.kind != Kind::Service {
+            return true;
+        }
+        let lasting_free = self.lasting_free(idx, machine, whole);
+        let (urgent, may_use) = (search.request.urgent, search.request.may_use_gpu_machines);
+        self.spare_for_service(lasting_free, urgent, may_use).fits(need) > 0
+    }
+
+    /// No task may be stopped for the job, but those on the machine will end some time: the machine
+    /// is reserved for it, so that the capacity does not go to others in small pieces as it becomes
+    /// free. None: it does not wait, or there would not be enough even then.
+    fn waiting_loss(
+        &self,
+        search: &PreemptionSearch,
+        idx: MachineIdx,
+        machine: &Machine,
+        whole: Resources,
+        free_soon: Resources,
+    ) -> Option<u64> {
+        if !search.may_wait() {
+            return None;
+        }
+        let mut free_later = self.lasting_free(idx, machine, whole);
+        let reservations = self.reservations.on(idx).iter();
+        for other in reservations.filter(|other| other.blocks(NO_JOB, search.rank)) {
+            free_later.sub(other.need, 1);
+        }
+        let busy_cpu = whole.cpu.saturating_sub(free_soon.cpu);
+        (free_later.fits(search.shape.need) > 0).then_some(MIN_WAITING_LOSS + busy_cpu)
+    }
+}
+
+/// Whether stopping all tasks of lower priority would free enough: most machines are judged by these
+/// sums alone.
+fn stopping_may_suffice(
+    machine: &Machine,
+    search: &PreemptionSearch,
+    free_soon: Resources,
+) -> bool {
+    let need = search.shape.need;
+    let gpu_tasks = if need.gpu > 0 { GpuTasks::Included } else { GpuTasks::Excluded };
+    let mut reach = free_soon;
+    reach.add(machine.preemptible(search.shape.wire.priority, gpu_tasks), 1);
+    reach.fits(need) > 0
+}
+
+/// The tasks on a machine that could be stopped for work with this need, whatever their priority.
+fn candidates(machine: &Machine, need: Resources, now: Timestamp) -> Vec<Candidate<AttemptKey>> {
+    let mut candidates = Vec::new();
+    let tasks = machine.tasks.iter();
+    for (key, task) in tasks.filter(|(_, task)| !task.is_over() && task.stop.is_none()) {
+        let Some(shape) = &task.shape else { continue };
+        // GPU work is not stopped for work without GPUs, nor its capacity taken.
+        if need.gpu == 0 && shape.need.gpu > 0 {
+            continue;
+        }
+        candidates.push(Candidate {
+            key: *key,
+            priority: shape.wire.priority,
+            need: shape.need,
+            loss: stop_loss(task, shape, now),
+        });
+    }
+    candidates
+}
+
+/// Work lost by stopping a task.
+fn stop_loss(task: &TaskOnMachine, shape: &Shape, now: Timestamp) -> u64 {
+    let ran_s = task.running_since.map_or(0, |since| now.saturating_sub(since)) / 1000;
+    let lost_s =
+        if shape.wire.checkpoint_s > 0.0 { ran_s.min(shape.wire.save_s as u64 + 1) } else { ran_s };
+    lost_s * (shape.need.cpu + GPU_LOSS_FACTOR * shape.need.gpu)
+}
+
+/// Waiting for the image, too, is lost time.
+fn fetch_loss(ctx: &Context, search: &PreemptionSearch, group: MachineGroup) -> u64 {
+    let fetch_s = ctx.names.fetch_s(group.machine_type, search.request.shape.image_gb);
+    (fetch_s * FETCH_LOSS_FACTOR) as u64 * search.shape.need.cpu
+}
+
+/// Time in seconds that a victim gets to save its progress.
+fn grace_s(task: &TaskOnMachine) -> f64 {
+    let saves = task.shape.as_ref().filter(|shape| shape.wire.checkpoint_s > 0.0);
+    match (saves, task.phase) {
+        (Some(shape), TaskPhase::On(TaskState::Running)) => shape.wire.save_s + SAVE_GRACE_S,
+        _ => 0.0,
+    }
+}
--- a/crates/core/src/participant/reservations.rs
+++ b/crates/core/src/participant/reservations.rs
@@ -1,122 +1,131 @@
-//! Room made for a job by stopping others: nobody else gets it for a while.
+//! Capacity of a machine that is kept for a job: tasks were stopped for it, or are to end by
+//! themselves.
 //!
-//! Invariant: `by_job` names every claim of `by_machine` once, and neither has empty lists.
+//! Invariant: `by_job` names every reservation of `by_machine` once, and neither has empty lists.
+use super::queue_rank::QueueRank;
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use crate::names::Resources;
 use std::collections::BTreeMap;
 
-use super::Rank;
-
+/// Capacity for one task of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
+    /// The job.
     pub job: JobId,
+    /// What the task takes.
     pub need: Resources,
-    pub until: Timestamp,
-    /// Waits for tasks to end by themselves.
-    pub patient: bool,
-    /// Of a gang: whoever is to be served before it may use the room.
-    pub rank: Option<Rank>,
+    /// When it ends, unless it is extended.
+    pub expires_at: Timestamp,
+    /// Nothing was stopped for it: it waits for tasks to end by themselves.
+    pub waiting: bool,
+    /// The rank of a gang: while it is waiting, gangs that are served before it may use the
+    /// capacity.
+    pub rank: Option<QueueRank>,
 }
 
 impl Reservation {
-    /// Whether the room is not for a job of this rank.
-    pub fn bars(&self, job: JobId, rank: Option<Rank>) -> bool {
-        let yields = matches!((self.rank, rank), (Some(c), Some(r)) if self.patient && r < c);
-        self.job != job && !yields
+    /// Whether the capacity may not be used by a job of this rank.
+    pub fn blocks(&self, job: JobId, rank: Option<QueueRank>) -> bool {
+        let served_before = matches!((self.rank, rank), (Some(own), Some(other)) if other < own);
+        self.job != job && !(self.waiting && served_before)
     }
 }
 
-/// Found by machine and by job. (Found by a profile: as one list, searched at every look at a
-/// machine, claims took half of the time of a fleet three times as large.)
+/// A participant's reservations, by machine and by job. (Found by a profile: as one list, searched
+/// at every look at a machine, reservations took half of the time of a fleet three times as large.)
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
     by_machine: BTreeMap<MachineIdx, Vec<Reservation>>,
     by_job: BTreeMap<JobId, Vec<MachineIdx>>,
-    /// No claim ends before this time.
-    soonest: Timestamp,
+    /// No reservation ends before this time.
+    next_expiry: Timestamp,
 }
 
 impl Reservations {
-    pub fn on(&self, m: MachineIdx) -> &[Reservation] {
-        self.by_machine.get(&m).map_or(&[], Vec::as_slice)
+    /// The reservations on a machine.
+    pub fn on(&self, machine: MachineIdx) -> &[Reservation] {
+        self.by_machine.get(&machine).map_or(&[], Vec::as_slice)
     }
 
+    /// How many reservations a job has.
     pub fn count(&self, job: JobId) -> u32 {
-        self.by_job.get(&job).map_or(0, |l| l.len() as u32)
+        self.by_job.get(&job).map_or(0, |machines| machines.len() as u32)
     }
 
-    pub fn add(&mut self, m: MachineIdx, c: Reservation) {
-        self.soonest = self.soonest.min(c.until);
-        self.by_job.entry(c.job).or_default().push(m);
-        self.by_machine.entry(m).or_default().push(c);
+    /// Adds a reservation.
+    pub fn add(&mut self, machine: MachineIdx, reservation: Reservation) {
+        self.next_expiry = self.next_expiry.min(reservation.expires_at);
+        self.by_job.entry(reservation.job).or_default().push(machine);
+        self.by_machine.entry(machine).or_default().push(reservation);
     }
 
-    /// Gives up one claim of the job on that machine, if there is any.
-    pub fn give_up(&mut self, job: JobId, m: MachineIdx) {
-        let Some(list) = self.by_machine.get_mut(&m) else { return };
-        let Some(i) = list.iter().position(|c| c.job == job) else { return };
-        list.swap_remove(i);
-        if list.is_empty() {
-            self.by_machine.remove(&m);
+    /// Ends one reservation of the job on that machine, if there is any.
+    pub fn remove_one(&mut self, job: JobId, machine: MachineIdx) {
+        let Some(reservations) = self.by_machine.get_mut(&machine) else { return };
+        let Some(position) = reservations.iter().position(|r| r.job == job) else { return };
+        reservations.swap_remove(position);
+        if reservations.is_empty() {
+            self.by_machine.remove(&machine);
         }
-        self.unname(job, m);
+        self.remove_from_job(job, machine);
     }
 
-    /// The job has this rank now, and its patient claims last longer where `lasts` says so.
+    /// Gives the job's waiting reservations its present rank, and lets those on machines that
+    /// `may_extend` allows last until `expires_at`.
     ///
-    /// (Found on a day of our own: a gang first in line set machines aside, missed an aim, and was
-    /// behind all others from then on. Its claims went on under the rank of before, so that the
-    /// new first could not use those machines, and it could not either: 285 machines with GPUs
-    /// stood open for minutes while 390 gangs waited.)
-    pub fn prolong(
+    /// (Found in a run of a whole day: a gang first in the queue reserved machines, missed an
+    /// objective, and was behind all others from then on. Its reservations kept their old rank, so
+    /// that the new first could not use those machines, and it could not either: 285 machines with
+    /// GPUs stood open for minutes while 390 gangs waited.)
+    pub fn extend_waiting(
         &mut self,
         job: JobId,
-        rank: Option<Rank>,
-        until: Timestamp,
-        lasts: impl Fn(MachineIdx) -> bool,
+        rank: Option<QueueRank>,
+        expires_at: Timestamp,
+        may_extend: impl Fn(MachineIdx) -> bool,
     ) {
-        for m in self.by_job.get(&job).into_iter().flatten() {
-            let list = self.by_machine.get_mut(m).into_iter().flatten();
-            for c in list.filter(|c| c.job == job && c.patient) {
-                c.rank = rank;
-                if c.until < until && lasts(*m) {
-                    c.until = until;
+        for machine in self.by_job.get(&job).into_iter().flatten() {
+            let reservations = self.by_machine.get_mut(machine).into_iter().flatten();
+            for reservation in reservations.filter(|r| r.job == job && r.waiting) {
+                reservation.rank = rank;
+                if reservation.expires_at < expires_at && may_extend(*machine) {
+                    reservation.expires_at = expires_at;
                 }
             }
         }
     }
 
-    /// Drops those whose time is over.
+    /// Drops the reservations that have ended.
     pub fn expire(&mut self, now: Timestamp) {
-        if now < self.soonest {
+        if now < self.next_expiry {
             return;
         }
-        let mut over = Vec::new();
-        let mut soonest = Timestamp::MAX;
-        self.by_machine.retain(|&m, list| {
-            list.retain(|c| {
-                let lasts = c.until > now;
+        let mut expired = Vec::new();
+        let mut next_expiry = Timestamp::MAX;
+        self.by_machine.retain(|&machine, reservations| {
+            reservations.retain(|reservation| {
+                let lasts = reservation.expires_at > now;
                 if lasts {
-                    soonest = soonest.min(c.until);
+                    next_expiry = next_expiry.min(reservation.expires_at);
                 } else {
-                    over.push((c.job, m));
+                    expired.push((reservation.job, machine));
                 }
                 lasts
             });
-            !list.is_empty()
+            !reservations.is_empty()
         });
-        self.soonest = soonest;
-        for (job, m) in over {
-            self.unname(job, m);
+        self.next_expiry = next_expiry;
+        for (job, machine) in expired {
+            self.remove_from_job(job, machine);
         }
     }
 
-    fn unname(&mut self, job: JobId, m: MachineIdx) {
-        if let Some(l) = self.by_job.get_mut(&job) {
-            if let Some(i) = l.iter().position(|x| *x == m) {
-                l.swap_remove(i);
+    fn remove_from_job(&mut self, job: JobId, machine: MachineIdx) {
+        if let Some(machines) = self.by_job.get_mut(&job) {
+            if let Some(position) = machines.iter().position(|known| *known == machine) {
+                machines.swap_remove(position);
             }
-            if l.is_empty() {
+            if machines.is_empty() {
                 self.by_job.remove(&job);
             }
         }
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -55,7 +55,7 @@
         let incarnation = assignment.incarnation;
         let idx = ctx.names.machine(&assignment.machine);
         self.holds.use_one(idx, order.from, job);
-        self.reservations.give_up(job, idx);
+        self.reservations.remove_one(job, idx);
         let machine = self.machine(idx);
         let outdated = incarnation < machine.incarnation && holds(Guard::OfferSession);
         let expired = machine.lease_expired && incarnation <= machine.incarnation;
