--- a/crates/core/src/machine/attempt.rs
+++ b/crates/core/src/machine/attempt.rs
@@ -7,7 +7,7 @@
 
 /// Names an attempt. Ordered by job, then task, then attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptKey {
+pub(crate) struct AttemptKey {
     /// The job.
     pub job: JobId,
     /// The task's number within the job.
@@ -34,7 +34,7 @@
 
 /// A request to stop an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StopRequest {
+pub(crate) struct StopRequest {
     /// Time in seconds that the task has to save its progress; 0: it is killed at once.
     pub grace_s: f64,
     /// When the stop was requested.
@@ -43,7 +43,7 @@
 
 /// An attempt that is, was, or may come to be on a machine.
 #[derive(Clone, Debug)]
-pub struct TaskOnMachine {
+pub(crate) struct TaskOnMachine {
     /// What the task takes; none: its coordinator has not said yet.
     pub shape: Option<Shape>,
     /// How far the attempt got.
--- a/crates/core/src/machine/commands.rs
+++ b/crates/core/src/machine/commands.rs
@@ -10,7 +10,7 @@
 
 /// Whether the owner's lease, under which it gives commands, is certainly not over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerLease {
+pub(crate) enum OwnerLease {
     /// It is certainly not over.
     Valid,
     /// It may be over: a newer owner may be there.
@@ -19,7 +19,7 @@
 
 /// How a command batch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BatchEnd {
+pub(crate) enum BatchEnd {
     /// Executed, refused, or never sent.
     Known,
     /// There was no answer: its commands may have been executed, or may be executed yet.
@@ -96,6 +96,14 @@
     state != TaskState::Saving || grace_s == 0.0
 }
 
+/// Whether the worker may forget an attempt that has exited. Not while a direct copy of its start is
+/// in flight: that would start it anew. (Found by the simulator.)
+fn may_forget(task: &TaskOnMachine) -> bool {
+    let start_possible = task.start_uncertain || task.start_in_flight();
+    task.end_acknowledged && task.reported && !start_possible
+}
+
+/// Adds the commands for one attempt, for the worker's `incarnation`.
 fn add_response_commands(
     commands: &mut Vec<Command>,
     key: &AttemptKey,
@@ -126,14 +134,7 @@
         (TaskPhase::On(state), Some(stop)) if may_stop(state, stop.grace_s) => {
             commands.push(command(CommandKind::Stop, key, Some(stop.grace_s)));
         }
-        // Not while a direct copy of its start is in flight: that would start it anew.
-        // (Found by the simulator.)
-        (TaskPhase::Exited(..), _)
-            if task.end_acknowledged
-                && task.reported
-                && !task.start_uncertain
-                && !task.start_in_flight() =>
-        {
+        (TaskPhase::Exited(..), _) if may_forget(task) => {
             commands.push(command(CommandKind::Forget, key, None));
         }
         _ => {}
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -8,7 +8,7 @@
 
 /// Why a worker sent a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeartbeatKind {
+pub(crate) enum HeartbeatKind {
     /// Sent by the worker on its own; it waits for a response, which renews its lease.
     Periodic,
     /// The answer to a command batch; it is not responded to.
--- a/crates/core/src/machine/load.rs
+++ b/crates/core/src/machine/load.rs
@@ -8,7 +8,7 @@
 
 /// Whether tasks that take GPUs are counted too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GpuTasks {
+pub(crate) enum GpuTasks {
     /// They are counted.
     Included,
     /// They are not.
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -17,14 +17,14 @@
 #[cfg(test)]
 mod tests;
 
-pub use attempt::{AttemptKey, StopRequest, TaskOnMachine};
-pub use commands::{BatchEnd, OwnerLease};
-pub use heartbeat::HeartbeatKind;
-pub use load::GpuTasks;
+pub(crate) use attempt::{AttemptKey, StopRequest, TaskOnMachine};
+pub(crate) use commands::{BatchEnd, OwnerLease};
+pub(crate) use heartbeat::HeartbeatKind;
+pub(crate) use load::GpuTasks;
 
 /// An image in a machine's cache.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CachedImage {
+pub(crate) struct CachedImage {
     /// The image.
     pub image: ImageIdx,
     /// Its size in GB.
@@ -33,7 +33,7 @@
 
 /// A job of which a task failed on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct JobFailure {
+pub(crate) struct JobFailure {
     /// The job.
     pub job: JobId,
     /// When a task of it first failed there.
@@ -45,7 +45,7 @@
 /// Invariant: the sums of `load` are those of `tasks`; whoever changes a task's phase, shape or
 /// stop request, or adds or removes a task, calls [`Machine::update_load`] afterwards.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub(crate) struct Machine {
     /// Address at which the worker takes command batches.
     pub addr: String,
     /// Type in the catalog; none: not reported yet, or not in the catalog.
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -63,7 +63,7 @@
 /// Invariants: `lease_checks` has one entry for each machine, at its `next_check_at`;
 /// `capacity_index` is up to date for all machines that are not in `changed_machines`.
 #[derive(Debug)]
-pub struct Participant {
+pub(crate) struct Participant {
     /// The shard that the machines belong to.
     pub shard: Shard,
     /// The owner's epoch, which is its fencing token for workers.
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -85,6 +85,18 @@
 }
 
 impl Choice {
+    fn offer(&self, ctx: &Context, item: &Item, count: u32) -> Offer {
+        Offer {
+            item: item.number,
+            machine: ctx.names.machine_name(self.machine).to_string(),
+            incarnation: self.incarnation,
+            zone: self.zone.0,
+            count,
+            cached: self.fetch_steps == 0,
+            score: self.score(),
+        }
+    }
+
     fn score(&self) -> i64 {
         -self.negative_free_cpu
             - SCORE_PER_FETCH_STEP * i64::from(self.fetch_steps)
@@ -106,6 +118,23 @@
     queued: bool,
 }
 
+impl<'a> SearchKind<'a> {
+    fn of(request: &'a OfferRequest, search: &PreemptionSearch) -> SearchKind<'a> {
+        let shape = &request.shape;
+        SearchKind {
+            types: &shape.types,
+            need: search.shape.need,
+            priority: shape.priority,
+            kind: shape.kind,
+            allows_spot: shape.spot,
+            urgent: request.urgent,
+            may_use_gpu_machines: request.may_use_gpu_machines,
+            waits_for_zone: request.queue_position.is_some_and(|position| position.zone.is_some()),
+            queued: search.rank.is_some(),
+        }
+    }
+}
+
 /// A search for preemption that found no machine on which anything could be done.
 struct FailedSearch<'a> {
     kind: SearchKind<'a>,
@@ -282,10 +311,9 @@
         let (image, min_cpu) = (search.shape.image, search.shape.need.cpu);
         let with_image = self.capacity_index.with_image(score.group, image, min_cpu);
         let all = self.capacity_index.with_free(score.group, min_cpu);
-        let with_image = with_image.map(|idx| (0, idx));
-        let without_image = all.map(|idx| (score.fetch_steps, idx));
+        let all = all.map(|idx| (score.fetch_steps, idx));
         let mut missing = u64::from(search.request.count);
-        for (fetch_steps, idx) in with_image.chain(without_image) {
+        for (fetch_steps, idx) in with_image.map(|idx| (0, idx)).chain(all) {
             if missing == 0 {
                 break;
             }
@@ -372,15 +400,7 @@
                 lasting: shape.lasting(),
             };
             self.holds.add(choice.machine, hold);
-            round.offers.push(Offer {
-                item: item.number,
-                machine: ctx.names.machine_name(choice.machine).to_string(),
-                incarnation: choice.incarnation,
-                zone: choice.zone.0,
-                count,
-                cached: choice.fetch_steps == 0,
-                score: choice.score(),
-            });
+            round.offers.push(choice.offer(ctx, item, count));
             if missing == 0 {
                 break;
             }
@@ -417,17 +437,7 @@
         };
         // What cannot be done for one job cannot be done for the next of its kind either, which is
         // served after it. (At three times a fleet most requests asked in vain.)
-        let kind = SearchKind {
-            types: &request.shape.types,
-            need: shape.need,
-            priority: request.shape.priority,
-            kind: request.shape.kind,
-            allows_spot: request.shape.spot,
-            urgent: request.urgent,
-            may_use_gpu_machines: request.may_use_gpu_machines,
-            waits_for_zone: waited_zone.is_some(),
-            queued: search.rank.is_some(),
-        };
+        let kind = SearchKind::of(request, &search);
         let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
         if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
             let open_zones = zone_room.iter().map(|&room| room > 0).collect();
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -217,19 +217,11 @@
         let free_soon =
             self.free_with(machine.stopping(), idx, machine, ctx.names, NO_JOB, rank)?;
         let suffices = stopping_may_suffice(machine, search, free_soon);
-        if !suffices && !search.may_wait() {
-            return None;
-        }
-        if !self.is_eligible(ctx, idx, machine, search.request, search.eligibility) {
-            return None;
-        }
-        // Reserved for work that waits for it: not taken from under it.
-        let reservations = self.reservations.on(idx);
-        if reservations.iter().any(|other| other.waiting && other.blocks(job, rank)) {
-            return None;
-        }
         let whole = ctx.names.room_of_type(group.machine_type);
-        if !self.leaves_gpu_capacity(search, idx, machine, whole) {
+        if (!suffices && !search.may_wait())
+            || !self.may_reserve(ctx, search, idx, machine)
+            || !self.leaves_gpu_capacity(search, idx, machine, whole)
+        {
             return None;
         }
         let candidates = if suffices { candidates(machine, need, ctx.now) } else { Vec::new() };
@@ -244,6 +236,20 @@
         Some(PreemptionPlan { cost, machine: idx, group, victims })
     }
 
+    /// Whether the job may have the machine, and it is not reserved for other work that waits for
+    /// tasks to end: it is not taken from under that.
+    fn may_reserve(
+        &self,
+        ctx: &Context,
+        search: &PreemptionSearch,
+        idx: MachineIdx,
+        machine: &Machine,
+    ) -> bool {
+        let mut reservations = self.reservations.on(idx).iter();
+        self.is_eligible(ctx, idx, machine, search.request, search.eligibility)
+            && !reservations.any(|other| other.waiting && other.blocks(search.job(), search.rank))
+    }
+
     /// Whether a service leaves enough of a GPU machine for GPU work.
     fn leaves_gpu_capacity(
         &self,
