--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -5,7 +5,7 @@
 use crate::ids::{MachineIdx, TypeIdx};
 use crate::machine::Machine;
 use crate::names::{older, Names, Resources};
-use leaddeal_wire::mesh::{OfferRequest, Shape as WireShape};
+use leaddeal_wire::mesh::OfferRequest;
 use leaddeal_wire::user::Kind;
 
 /// What holds for a job on a type of machine, ordinary or spot.
@@ -30,8 +30,9 @@
 }
 
 impl EligibilityTable {
-    /// Works it out for tasks of this shape. `urgent`: as in the request.
-    pub fn new(names: &Names, shape: &WireShape, urgent: bool) -> EligibilityTable {
+    /// Works it out for the tasks that are asked for.
+    pub fn of(names: &Names, request: &OfferRequest) -> EligibilityTable {
+        let (shape, urgent) = (&request.shape, request.urgent);
         let need = Resources::of(shape);
         let eligibility = |machine_type: TypeIdx, spot: bool| {
             let whole = names.room_of_type(machine_type);
@@ -50,14 +51,14 @@
     }
 
     /// What holds for a type; none: it was added to the catalog after the request.
-    fn of(&self, machine_type: TypeIdx, spot: bool) -> Option<&Eligibility> {
+    fn of_type(&self, machine_type: TypeIdx, spot: bool) -> Option<&Eligibility> {
         let of_type = self.by_type.get(machine_type.0 as usize)?;
         Some(if spot { &of_type.spot } else { &of_type.ordinary })
     }
 
     /// Whether the job may have machines of the group.
     pub fn allows(&self, group: MachineGroup) -> bool {
-        self.of(group.machine_type, group.spot).is_some_and(|eligibility| eligibility.allowed)
+        self.of_type(group.machine_type, group.spot).is_some_and(|eligibility| eligibility.allowed)
     }
 }
 
@@ -72,7 +73,8 @@
         table: &EligibilityTable,
     ) -> bool {
         let machine_type = machine.machine_type;
-        let Some(eligibility) = machine_type.and_then(|known| table.of(known, machine.spot)) else {
+        let Some(eligibility) = machine_type.and_then(|known| table.of_type(known, machine.spot))
+        else {
             return false;
         };
         eligibility.allowed
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -5,6 +5,29 @@
 use crate::ids::{JobId, MachineIdx};
 use crate::machine::Machine;
 use crate::names::{Names, Resources};
+use leaddeal_wire::mesh::OfferRequest;
+
+/// What a service may use of machines with GPUs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum GpuMachineAccess {
+    /// Whatever is free.
+    Unlimited,
+    /// What GPU work asked for recently cannot use; all, if there was none.
+    BesideGpuWork,
+    /// The same; nothing, if there was none.
+    BesideKnownGpuWork,
+}
+
+impl GpuMachineAccess {
+    /// What the request says of it.
+    pub fn of(request: &OfferRequest) -> GpuMachineAccess {
+        match (request.may_use_gpu_machines, request.urgent) {
+            (true, _) => GpuMachineAccess::Unlimited,
+            (false, true) => GpuMachineAccess::BesideGpuWork,
+            (false, false) => GpuMachineAccess::BesideKnownGpuWork,
+        }
+    }
+}
 
 /// A machine with GPUs.
 pub(super) struct GpuMachine<'a> {
@@ -95,15 +118,15 @@
     pub(super) fn spare_for_service(
         &self,
         lasting_free: Resources,
-        urgent: bool,
-        may_use_gpu_machines: bool,
+        access: GpuMachineAccess,
     ) -> Resources {
-        if may_use_gpu_machines {
-            return lasting_free;
-        }
-        // Which GPU work there will be may not be known yet.
-        if self.gpu_demand.is_empty() && !urgent {
-            return Resources::default();
+        match access {
+            GpuMachineAccess::Unlimited => return lasting_free,
+            // Which GPU work there will be may not be known yet.
+            GpuMachineAccess::BesideKnownGpuWork if self.gpu_demand.is_empty() => {
+                return Resources::default();
+            }
+            GpuMachineAccess::BesideKnownGpuWork | GpuMachineAccess::BesideGpuWork => {}
         }
         let mut spare = lasting_free;
         for need in self.gpu_demand.needs() {
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -36,27 +36,44 @@
 /// Found on a grown deployment: machines full of short tasks were filled with replicas.
 #[test]
 fn services_leave_gpu_room_whatever_short_tasks_run_now() {
-    let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
+    let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let service = shape(Kind::Service, 2000);
-    assert_eq!(p.spare_for_service(WHOLE, false, false).fits(service.need), 0, "not known yet");
-    p.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
-    let mut m = Machine::new(1);
-    for (task, s) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
-        let t = TaskOnMachine::new(Some(s), TaskPhase::On(TaskState::Running), 1);
-        m.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, t);
+    assert_eq!(
+        participant
+            .spare_for_service(WHOLE, GpuMachineAccess::BesideKnownGpuWork)
+            .fits(service.need),
+        0,
+        "not known yet"
+    );
+    participant.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
+    let mut machine = Machine::new(1);
+    for (task, shape) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
+        let placed = TaskOnMachine::new(Some(shape), TaskPhase::On(TaskState::Running), 1);
+        machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
-    m.update_load();
-    let empty = p.lasting_free(MachineIdx(0), &Machine::new(1), WHOLE);
-    assert_eq!(p.spare_for_service(empty, false, false).fits(service.need), 1, "one beside it");
-    let later = p.lasting_free(MachineIdx(0), &m, WHOLE);
-    assert_eq!(p.spare_for_service(later, false, false).fits(service.need), 0);
+    machine.update_load();
+    let empty = participant.lasting_free(MachineIdx(0), &Machine::new(1), WHOLE);
+    assert_eq!(
+        participant
+            .spare_for_service(empty, GpuMachineAccess::BesideKnownGpuWork)
+            .fits(service.need),
+        1,
+        "one beside it"
+    );
+    let later = participant.lasting_free(MachineIdx(0), &machine, WHOLE);
+    assert_eq!(
+        participant
+            .spare_for_service(later, GpuMachineAccess::BesideKnownGpuWork)
+            .fits(service.need),
+        0
+    );
     assert!(
-        p.spare_for_service(later, false, true).fits(service.need) > 0,
+        participant.spare_for_service(later, GpuMachineAccess::Unlimited).fits(service.need) > 0,
         "asked in vain for long"
     );
 }
 
-/// Found by comparing traces: five claims on the room of one task that was being stopped.
+/// Found by comparing traces: five reservations of the capacity of one task that was being stopped.
 #[test]
 fn the_room_of_a_stopped_task_is_claimed_once() {
     let mut names = Names::default();
@@ -74,23 +91,25 @@
         boot_s: 1.0,
     };
     names.set_catalog(Catalog { types: vec![small] });
-    let mut m = Machine::new(1);
-    m.machine_type = names.type_idx("small");
+    let mut machine = Machine::new(1);
+    machine.machine_type = names.type_idx("small");
     for task in 0..4 {
-        let mut t = TaskOnMachine::new(Some(shape(Kind::Array, 1000)), TaskPhase::Decided, 1);
-        t.stop = (task == 0).then_some(StopRequest { grace_s: 0.0, since: 1 });
-        m.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, t);
+        let mut placed = TaskOnMachine::new(Some(shape(Kind::Array, 1000)), TaskPhase::Decided, 1);
+        placed.stop = (task == 0).then_some(StopRequest { grace_s: 0.0, since: 1 });
+        machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
-    m.update_load();
-    let mut p = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
+    machine.update_load();
+    let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let need = shape(Kind::Service, 1000).need;
     let idx = MachineIdx(0);
-    let room = |p: &Participant| {
-        let soon = p.free_with(m.stopping(), idx, &m, &names, JobId(u64::MAX), None);
+    let room = |participant: &Participant| {
+        let soon =
+            participant.free_with(machine.stopping(), idx, &machine, &names, JobId(u64::MAX), None);
         soon.expect("known tasks").fits(need)
     };
-    assert_eq!(room(&p), 1);
-    let claim = Reservation { job: JobId(5), need, expires_at: 9000, waiting: false, rank: None };
-    p.reservations.add(idx, claim);
-    assert_eq!(room(&p), 0);
+    assert_eq!(room(&participant), 1);
+    let reservation =
+        Reservation { job: JobId(5), need, expires_at: 9000, waiting: false, rank: None };
+    participant.reservations.add(idx, reservation);
+    assert_eq!(room(&participant), 0);
 }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,6 +1,7 @@
 //! Offers: which machines each item of a request gets, and what is preempted for the rest.
 use super::capacity_index::MachineGroup;
 use super::eligibility::EligibilityTable;
+use super::free_resources::GpuMachineAccess;
 use super::gang_queue::WaitingGang;
 use super::holds::Hold;
 use super::preemption::{PreemptionOutcome, PreemptionSearch};
@@ -190,7 +191,7 @@
         number: u16,
         request: &'a OfferRequest,
     ) -> Item<'a> {
-        let eligibility = EligibilityTable::new(ctx.names, &request.shape, request.urgent);
+        let eligibility = EligibilityTable::of(ctx.names, request);
         let rank = request
             .queue_position
             .map(|position| self.enter_queue(ctx, request, position, &eligibility));
@@ -362,8 +363,7 @@
         }
         if score.gpu_waste > 0 && search.shape.wire.kind == Kind::Service {
             let lasting_free = self.lasting_free(idx, machine, score.whole);
-            let (urgent, may_use) = (request.urgent, request.may_use_gpu_machines);
-            let spare = self.spare_for_service(lasting_free, urgent, may_use);
+            let spare = self.spare_for_service(lasting_free, GpuMachineAccess::of(request));
             free.cpu = free.cpu.min(spare.cpu);
             free.mem = free.mem.min(spare.mem);
         }
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -2,6 +2,7 @@
 //! work that waits until tasks end by themselves.
 use super::capacity_index::MachineGroup;
 use super::eligibility::EligibilityTable;
+use super::free_resources::GpuMachineAccess;
 use super::gang_queue::GangQueue;
 use super::queue_rank::QueueRank;
 use super::reservations::Reservation;
@@ -263,8 +264,8 @@
             return true;
         }
         let lasting_free = self.lasting_free(idx, machine, whole);
-        let (urgent, may_use) = (search.request.urgent, search.request.may_use_gpu_machines);
-        self.spare_for_service(lasting_free, urgent, may_use).fits(need) > 0
+        let access = GpuMachineAccess::of(search.request);
+        self.spare_for_service(lasting_free, access).fits(need) > 0
     }
 
     /// No task may be stopped for the job, but those on the machine will end some time: the machine
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -129,7 +129,7 @@
         let search = PreemptionSearch {
             request: &request,
             shape: &replica.shape,
-            eligibility: &EligibilityTable::new(ctx.names, &request.shape, request.urgent),
+            eligibility: &EligibilityTable::of(ctx.names, &request),
             rank: None,
             zone_room: &request.zone_room,
             includes_gpu_machines: false,
--- a/crates/core/src/participant/reservations/tests.rs
+++ b/crates/core/src/participant/reservations/tests.rs
@@ -11,7 +11,7 @@
     rank_of(due_at, 0, due_at)
 }
 
-fn claim(job: u64, expires_at: Timestamp, waiting: bool) -> Reservation {
+fn reservation(job: u64, expires_at: Timestamp, waiting: bool) -> Reservation {
     let need = Resources::default();
     Reservation { job: JobId(job), need, expires_at, waiting, rank: Some(rank(5)) }
 }
@@ -19,32 +19,35 @@
 /// Found on a grown deployment: gangs that each held some machines all stood still.
 #[test]
 fn set_aside_room_yields_to_older_gangs_only() {
-    let claim = |waiting| claim(5, 9, waiting);
-    assert!(!claim(true).blocks(JobId(4), Some(rank(4))), "an older gang takes it");
-    assert!(claim(true).blocks(JobId(6), Some(rank(6))));
-    assert!(claim(true).blocks(JobId(4), None), "other work does not");
-    assert!(!claim(true).blocks(JobId(5), Some(rank(5))));
-    assert!(claim(false).blocks(JobId(4), Some(rank(4))), "tasks were stopped for it");
+    let reservation = |waiting| reservation(5, 9, waiting);
+    assert!(!reservation(true).blocks(JobId(4), Some(rank(4))), "an older gang takes it");
+    assert!(reservation(true).blocks(JobId(6), Some(rank(6))));
+    assert!(reservation(true).blocks(JobId(4), None), "other work does not");
+    assert!(!reservation(true).blocks(JobId(5), Some(rank(5))));
+    assert!(reservation(false).blocks(JobId(4), Some(rank(4))), "tasks were stopped for it");
 }
 
 #[test]
 fn claims_are_found_by_machine_and_by_job_until_they_end() {
-    let mut all = Reservations::default();
+    let mut reservations = Reservations::default();
     let (a, b) = (MachineIdx(1), MachineIdx(2));
     for (m, job, until) in [(a, 1, 10), (a, 2, 20), (b, 1, 30), (b, 1, 10)] {
-        all.add(m, claim(job, until, true));
+        reservations.add(m, reservation(job, until, true));
     }
     let rank = rank_of(1, 1, 900);
-    all.extend_waiting(JobId(1), Some(rank), 25, |m| m == a);
+    reservations.extend_waiting(JobId(1), Some(rank), 25, |m| m == a);
     let first = rank_of(7, 0, 905);
-    let of = |c: &&Reservation| c.job == JobId(1);
-    let late = all.on(a).iter().find(of).expect("a claim");
+    let of_job = |c: &&Reservation| c.job == JobId(1);
+    let late = reservations.on(a).iter().find(of_job).expect("a reservation");
     assert!(!late.blocks(JobId(7), Some(first)), "it missed an aim: who is first now may");
-    all.expire(15);
-    assert_eq!((all.count(JobId(1)), all.on(a).len(), all.on(b).len()), (2, 2, 1));
-    all.remove_one(JobId(1), a);
-    assert_eq!((all.count(JobId(1)), all.on(b).len()), (1, 1));
-    all.expire(30);
-    assert_eq!((all.count(JobId(1)), all.count(JobId(2))), (0, 0));
-    assert!(all.on(a).is_empty() && all.on(b).is_empty());
+    reservations.expire(15);
+    assert_eq!(
+        (reservations.count(JobId(1)), reservations.on(a).len(), reservations.on(b).len()),
+        (2, 2, 1)
+    );
+    reservations.remove_one(JobId(1), a);
+    assert_eq!((reservations.count(JobId(1)), reservations.on(b).len()), (1, 1));
+    reservations.expire(30);
+    assert_eq!((reservations.count(JobId(1)), reservations.count(JobId(2))), (0, 0));
+    assert!(reservations.on(a).is_empty() && reservations.on(b).is_empty());
 }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -1,4 +1,4 @@
-//! A participant by itself: what it offers, claims and calls lost.
+//! A participant by itself: what it offers, reserves and declares lost.
 use super::*;
 use crate::budget::WriteBudget;
 use crate::context::{Config, PendingOperations};
@@ -19,7 +19,7 @@
 const PATIENCE_MS: u64 = 19_000;
 const EPOCH: Epoch = Epoch(5);
 
-/// What a participant stands in: one shard, one zone, one type of machine with GPUs.
+/// What a participant needs around it: one shard, one zone, one type of machine with GPUs.
 struct World {
     names: Names,
     config: Config,
@@ -140,58 +140,70 @@
     }
 }
 
-/// Found on a day of our own: arrays claimed the machines that they were kept off for the sake of
-/// gangs, again and again, and the gangs could not have them either.
+/// Found in a run of a whole day: arrays reserved the machines that they were kept off for the sake
+/// of gangs, again and again, and the gangs could not have them either.
 #[test]
 fn machines_kept_for_gangs_are_not_claimed_by_who_is_kept_off() {
-    let mut w = World::new();
-    let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
-    w.at(100, |c| {
+    let mut world = World::new();
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    world.at(100, |context| {
         for m in ["n-000001", "n-000002"] {
-            p.report(c, &report(m, 1), None).expect("an answer");
+            participant.report(context, &report(m, 1), None).expect("an answer");
         }
     });
-    let mut ask = |p: &mut Participant, now, negotiation, item: OfferRequest| {
+    let mut ask = |participant: &mut Participant, now, negotiation, item: OfferRequest| {
         let items = vec![item];
         let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = w.at(now, |c| p.handle(c, Shard(0), EPOCH, msg));
+        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
         let offered = sent.iter().find_map(|m| match m {
             ShardMessage::Offers { offers, .. } => {
                 Some(offers.iter().map(|o| o.count).sum::<u32>())
             }
             _ => None,
         });
-        w.at(now, |c| {
-            p.handle(c, Shard(0), EPOCH, ShardMessage::CloseNegotiation { negotiation });
+        world.at(now, |context| {
+            participant.handle(
+                context,
+                Shard(0),
+                EPOCH,
+                ShardMessage::CloseNegotiation { negotiation },
+            );
         });
         offered.expect("an answer")
     };
-    // Two of its four tasks would fit: it stands in line for the zone.
+    // Two of its four tasks would fit: it is queued for the zone.
     let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
-    ask(&mut p, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
-    assert_eq!(ask(&mut p, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
-    assert_eq!(p.reservations.count(JobId(8)), 0, "and it claims nothing");
-    assert_eq!(ask(&mut p, 400, 3, wanted(7, Kind::Gang, 4, Some(line))), 2, "the gang may");
+    ask(&mut participant, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
+    assert_eq!(ask(&mut participant, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
+    assert_eq!(participant.reservations.count(JobId(8)), 0, "and it claims nothing");
+    assert_eq!(
+        ask(&mut participant, 400, 3, wanted(7, Kind::Gang, 4, Some(line))),
+        2,
+        "the gang may"
+    );
 }
 
-/// A machine that is gone is not kept for alive by copies of its reports, however late they come.
+/// Copies of its heartbeats, however late they come, do not keep a machine alive that is gone.
 #[test]
 fn late_copies_of_reports_keep_nobody_alive() {
     let lost_at = |copies: bool| {
-        let mut w = World::new();
-        let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut world = World::new();
+        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
         for seq in 1..=3 {
-            w.at(1000 * seq, |c| {
-                p.report(c, &report("n-000001", seq), None).expect("an answer");
+            world.at(1000 * seq, |context| {
+                participant.report(context, &report("n-000001", seq), None).expect("an answer");
             });
         }
         (3100..100_000).step_by(100).find(|&now| {
-            let (_, logged) = w.at(now, |c| {
+            let (_, logged) = world.at(now, |context| {
                 if copies && now % 700 == 0 {
                     let copy = report("n-000001", 1 + now % 3);
-                    assert!(p.report(c, &copy, None).is_none(), "a copy is answered");
+                    assert!(
+                        participant.report(context, &copy, None).is_none(),
+                        "a copy is answered"
+                    );
                 }
-                p.tick(c);
+                participant.tick(context);
             });
             logged.contains(&"machine_lost")
         })
@@ -200,70 +212,84 @@
     assert_eq!(lost_at(true), lost_at(false));
 }
 
-/// The worker of a session that ended sends copies after the new one has begun.
+/// Copies of heartbeats of an incarnation that ended arrive after the new one has begun.
 #[test]
 fn copies_of_an_ended_session_prove_nothing() {
-    let mut w = World::new();
-    let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut world = World::new();
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
     let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
-    w.at(1000, |c| {
-        p.report(c, &report("n-000001", 7), None).expect("the first session's");
-        p.report(c, &new, None).expect("the second's");
+    world.at(1000, |context| {
+        participant.report(context, &report("n-000001", 7), None).expect("the first session's");
+        participant.report(context, &new, None).expect("the second's");
+    });
+    let granted = |participant: &Participant| {
+        participant.machines.values().next().map(|m| (m.lease_granted_at, m.incarnation))
+    };
+    let before = granted(&participant);
+    world.at(9000, |context| {
+        assert!(participant.report(context, &report("n-000001", 9), None).is_none())
     });
-    let granted =
-        |p: &Participant| p.machines.values().next().map(|m| (m.lease_granted_at, m.incarnation));
-    let before = granted(&p);
-    w.at(9000, |c| assert!(p.report(c, &report("n-000001", 9), None).is_none()));
-    assert_eq!(granted(&p), before);
+    assert_eq!(granted(&participant), before);
 }
 
-/// Reports arrive, answers don't: no new work after the second sign, and again once it hears.
+/// Heartbeats arrive, responses don't: no new work after the second sign, and again once the machine
+/// is reached.
 #[test]
 fn a_deaf_machine_gets_no_work_until_it_hears() {
-    let mut w = World::new();
-    let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
-    let offered = |w: &mut World, p: &mut Participant, now: Timestamp, negotiation| {
+    let mut world = World::new();
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let offered = |world: &mut World,
+                   participant: &mut Participant,
+                   now: Timestamp,
+                   negotiation| {
         let items = vec![wanted(8, Kind::Array, 1, None)];
         let ask = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = w.at(now, |c| p.handle(c, Shard(0), EPOCH, ask));
-        w.at(now, |c| p.handle(c, Shard(0), EPOCH, ShardMessage::CloseNegotiation { negotiation }));
+        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, ask));
+        world.at(now, |context| {
+            participant.handle(
+                context,
+                Shard(0),
+                EPOCH,
+                ShardMessage::CloseNegotiation { negotiation },
+            )
+        });
         sent.iter().any(|m| matches!(m, ShardMessage::Offers { offers, .. } if !offers.is_empty()))
     };
-    let hear = |w: &mut World, p: &mut Participant, now, seq, via: Option<u8>| {
+    let hear = |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
         let via = via.map(NodeIdx);
-        w.at(now, |c| {
-            p.report(c, &report("n-000001", seq), via).expect("an answer");
+        world.at(now, |context| {
+            participant.report(context, &report("n-000001", seq), via).expect("an answer");
         });
     };
-    hear(&mut w, &mut p, 1000, 1, None);
-    assert!(offered(&mut w, &mut p, 1100, 1));
-    hear(&mut w, &mut p, 3000, 2, None);
-    // Round it goes: five seconds, and each time another way.
-    hear(&mut w, &mut p, 8000, 3, Some(1));
-    assert!(offered(&mut w, &mut p, 8100, 2), "one sign is no verdict");
-    hear(&mut w, &mut p, 13_000, 4, Some(2));
-    assert!(!offered(&mut w, &mut p, 13_100, 3));
-    hear(&mut w, &mut p, 18_000, 5, None);
-    assert!(!offered(&mut w, &mut p, 18_100, 4));
-    hear(&mut w, &mut p, 20_000, 6, None);
-    assert!(offered(&mut w, &mut p, 20_100, 5), "it stayed, so it was answered");
+    hear(&mut world, &mut participant, 1000, 1, None);
+    assert!(offered(&mut world, &mut participant, 1100, 1));
+    hear(&mut world, &mut participant, 3000, 2, None);
+    // It tries one controller after the other: five seconds, and each time another path.
+    hear(&mut world, &mut participant, 8000, 3, Some(1));
+    assert!(offered(&mut world, &mut participant, 8100, 2), "one sign is no verdict");
+    hear(&mut world, &mut participant, 13_000, 4, Some(2));
+    assert!(!offered(&mut world, &mut participant, 13_100, 3));
+    hear(&mut world, &mut participant, 18_000, 5, None);
+    assert!(!offered(&mut world, &mut participant, 18_100, 4));
+    hear(&mut world, &mut participant, 20_000, 6, None);
+    assert!(offered(&mut world, &mut participant, 20_100, 5), "it stayed, so it was answered");
 }
 
-/// After a takeover a silent machine is waited for until no older owner can have answered it.
+/// After a takeover a silent machine is waited for until no previous owner can have answered it.
 #[test]
 fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
     let lost_at = |let_go: Option<Timestamp>| {
-        let mut w = World::new();
-        let mut p = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
+        let mut world = World::new();
+        let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
-        w.at(1100, |c| p.handle(c, Shard(0), EPOCH, place));
+        world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
             if let_go.is_some_and(|at| now >= at) {
-                p.older_let_go(now);
+                participant.older_let_go(now);
             }
-            let (_, logged) = w.at(now, |c| p.tick(c));
+            let (_, logged) = world.at(now, |context| participant.tick(context));
             logged.contains(&"machine_lost")
         })
     };
@@ -276,27 +302,32 @@
     assert!((3000 + LEASE_MS..3000 + LEASE_MS + 1000).contains(&proven), "at {proven}");
 }
 
-/// A yes that was on its way since before its job was cancelled, which was learned another way: it starts
+/// A placement that was sent before its job was cancelled, which was learned another way: it starts
 /// nothing, unless a newer owner says that the job goes on.
 #[test]
 fn a_yes_after_its_jobs_end_starts_nothing() {
     let starts = |over: bool, epoch: u64| {
-        let mut w = World::new();
-        let mut p = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
-        w.at(1000, |c| {
-            p.report(c, &report("n-000001", 1), None);
+        let mut world = World::new();
+        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+        world.at(1000, |context| {
+            participant.report(context, &report("n-000001", 1), None);
         });
         if over {
-            w.horizons.cancelled(Shard(0), EPOCH, JobId(7), 1050);
+            world.horizons.cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
-        w.at(1100, |c| {
-            p.handle(c, Shard(0), Epoch(epoch), place);
-            p.flush(c);
-            sent = c.effects.list.iter().filter(|o| matches!(o, Effect::Commands { .. })).count();
+        world.at(1100, |context| {
+            participant.handle(context, Shard(0), Epoch(epoch), place);
+            participant.flush(context);
+            sent = context
+                .effects
+                .list
+                .iter()
+                .filter(|o| matches!(o, Effect::Commands { .. }))
+                .count();
         });
         sent
     };
