--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -6,7 +6,7 @@
 //! - `holds`, `reservations`: capacity that is kept for open negotiations and for jobs;
 //! - `gang_queue`, `gpu_demand`: gangs that wait, and GPU work that was asked for recently;
 //! - `eligibility`, `free_resources`: which machines a job may have, and what is free there for it;
-//! - `offer`, `preemption`, `replica_moves`: which machines a job gets, and what is stopped for it;
+//! - `offer`, `machine_choice`, `preemption`, `replica_moves`: which machines a job gets, and what is stopped for it;
 //! - `task_commands`: what coordinators decided for a task;
 //! - `task_events`: events for coordinators, command batches for workers;
 //! - `capacity_notices`: notices of freed capacity for coordinators that are short of it;
@@ -30,6 +30,7 @@
 mod heartbeats;
 mod holds;
 mod inventory;
+mod machine_choice;
 mod machine_registry;
 mod offer;
 mod preemption;
