--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -237,7 +237,7 @@
     }
 
     /// How many changes of this class may be written now. Asked only by callers that have something
-    /// to write: an answer of 0 makes the rate rise.
+    /// to write: after an answer of 0, the next refill may raise the rate.
     pub fn available(&mut self, class: WriteClass) -> usize {
         let reserved = self.reserved[class as usize].max(0.0);
         let common = match class {
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -20,8 +20,8 @@
         let mut budget = WriteBudget::new(limit, 3, 0);
         let refuses = rng.random_bool(0.5);
         let greedy = PACED[rng.random_range(0..PACED.len())];
-        let asks = |c: WriteClass, rng: &mut SmallRng| c == greedy || rng.random_bool(0.7);
-        let (mut came, mut lowest) = (0.0, f64::MAX);
+        let asks = |class: WriteClass, rng: &mut SmallRng| class == greedy || rng.random_bool(0.7);
+        let (mut credited, mut lowest_rate) = (0.0, f64::MAX);
         let (from, to) = (5000, 65_000);
         let mut now = 0;
         let mut before = [0; 7];
@@ -36,8 +36,8 @@
                 + floor(WriteClass::Completion);
             let floors = floor(WriteClass::TerminalState) * budget.rate().max(budget.fair_rate())
                 + others * budget.rate();
-            came += budget.rate().max(floors) * step as f64 / 1000.0;
-            lowest = if now < from { f64::MAX } else { budget.rate().min(lowest) };
+            credited += budget.rate().max(floors) * step as f64 / 1000.0;
+            lowest_rate = if now < from { f64::MAX } else { budget.rate().min(lowest_rate) };
             assert!(
                 budget.rate() >= limit / 3.0 * USED_PART_OF_LIMIT * MIN_PART_OF_FAIR_RATE - 1e-9
                     && budget.rate() <= limit * USED_PART_OF_LIMIT
@@ -49,13 +49,14 @@
             for i in (1..order.len()).rev() {
                 order.swap(i, rng.random_range(0..=i));
             }
-            for c in order {
-                if asks(c, &mut rng) {
+            for class in order {
+                if asks(class, &mut rng) {
                     // Submissions would be unlimited while the service takes them: here they are not.
-                    let free = c == WriteClass::Submission && !budget.is_throttled();
-                    let most = if free { 40 } else { budget.available(c) };
-                    let n = if c == greedy { most } else { most.min(rng.random_range(0..20)) };
-                    budget.spend(c, n);
+                    let is_free = class == WriteClass::Submission && !budget.is_throttled();
+                    let most = if is_free { 40 } else { budget.available(class) };
+                    let changes =
+                        if class == greedy { most } else { most.min(rng.random_range(0..20)) };
+                    budget.spend(class, changes);
                 }
             }
             if now < from {
@@ -63,10 +64,10 @@
             }
         }
         let wrote: u64 = budget.spent.iter().sum();
-        let free = limit / 3.0 * 5.0 + budget.spent(WriteClass::Submission) as f64;
-        assert!(wrote as f64 <= came + free, "seed {seed}: {wrote} of {came}");
+        let ahead = limit / 3.0 * 5.0 + budget.spent(WriteClass::Submission) as f64;
+        assert!(wrote as f64 <= credited + ahead, "seed {seed}: {wrote} of {credited}");
         let got = (budget.spent(greedy) - before[greedy as usize]) as f64;
-        let due = greedy.policy().floor * lowest * (to - from) as f64 / 1000.0;
+        let due = greedy.policy().floor * lowest_rate * (to - from) as f64 / 1000.0;
         assert!(got >= 0.8 * due - 3.0, "seed {seed}: {greedy:?} got {got} of {due}");
     }
 }
@@ -82,9 +83,9 @@
             WriteClass::Decision,
             budget.reserved[WriteClass::Decision as usize].max(4.0) as usize,
         );
-        let n = budget.available(WriteClass::TerminalState);
-        budget.spend(WriteClass::TerminalState, n);
-        terminal_states += n;
+        let available = budget.available(WriteClass::TerminalState);
+        budget.spend(WriteClass::TerminalState, available);
+        terminal_states += available;
     }
     assert!(
         terminal_states >= 35,
--- a/crates/core/src/provisioner/boot_tracker.rs
+++ b/crates/core/src/provisioner/boot_tracker.rs
@@ -20,16 +20,6 @@
 }
 
 impl BootingMachine {
-    /// One of the machines that a request is for.
-    pub(super) fn requested(request: &InstanceRequest, since: Timestamp) -> BootingMachine {
-        BootingMachine {
-            type_name: request.type_name.clone(),
-            zone: request.zone.clone(),
-            spot: request.spot,
-            since,
-        }
-    }
-
     fn location(&self) -> BootLocation {
         BootLocation { type_name: self.type_name.clone(), zone: self.zone.clone() }
     }
@@ -56,7 +46,13 @@
 impl BootTracker {
     /// A machine was launched.
     pub(super) fn on_launch(&mut self, name: String, request: &InstanceRequest, now: Timestamp) {
-        self.booting.insert(name, BootingMachine::requested(request, now));
+        let machine = BootingMachine {
+            type_name: request.type_name.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            since: now,
+        };
+        self.booting.insert(name, machine);
     }
 
     /// An instance is listed as starting, which may have been launched by an earlier provisioner.
--- a/crates/core/src/provisioner/instance_requests.rs
+++ b/crates/core/src/provisioner/instance_requests.rs
@@ -26,7 +26,6 @@
 #[derive(Clone, Debug)]
 struct PendingRequest {
     request: InstanceRequest,
-    requested_at: Timestamp,
     /// Its outcome is unknown: the same name is requested again until there is an answer.
     outcome_unknown: bool,
     retry_at: Timestamp,
@@ -72,7 +71,6 @@
         request.count = request.count.clamp(1, MAX_INSTANCES_PER_REQUEST);
         let pending = PendingRequest {
             request,
-            requested_at: now,
             outcome_unknown: false,
             retry_at: now,
             call_in_flight: false,
@@ -116,9 +114,9 @@
         RequestOutcome::Pending
     }
 
-    /// What is launched if all requests succeed, with when each was made.
-    pub(super) fn pending(&self) -> impl Iterator<Item = (&InstanceRequest, Timestamp)> {
-        self.pending.values().map(|pending| (&pending.request, pending.requested_at))
+    /// What is launched if all requests succeed, in the order of urgency.
+    pub(super) fn pending(&self) -> impl Iterator<Item = &InstanceRequest> {
+        self.pending.values().map(|pending| &pending.request)
     }
 }
 
--- a/crates/core/src/provisioner/scale_in.rs
+++ b/crates/core/src/provisioner/scale_in.rs
@@ -4,7 +4,7 @@
 use crate::context::{Context, Operation, ProvisionerOperation};
 use crate::ids::{Timestamp, PROVISIONER_SHARD};
 use crate::io::{CloudCall, CloudResult};
-use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
+use leaddeal_wire::mesh::ShardMessage;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine that was not reported empty this long after it was told to drain is told again.
@@ -12,7 +12,8 @@
 /// Wait after a release call that failed.
 const RELEASE_RETRY_MS: u64 = 1000;
 const MAX_INSTANCES_PER_RELEASE: usize = 100;
-/// Machines that are drained by one plan: this number, and one for each so many instances.
+/// One plan drains at most this number of machines, and one more for each
+/// [`INSTANCES_PER_FURTHER_DRAIN`] listed instances.
 const MIN_DRAINS_PER_PLAN: usize = 5;
 const INSTANCES_PER_FURTHER_DRAIN: usize = 100;
 /// For how long an idle machine is kept if it costs [`IDLE_KEEP_REFERENCE_PRICE`] an hour. A dearer
@@ -148,7 +149,7 @@
     }
 
     fn may_drain(&self, ctx: &Context, machine: &ReportedMachine) -> bool {
-        let info: &MachineInfo = &machine.info;
+        let info = &machine.info;
         let since_received_ms = ctx.now.saturating_sub(machine.received_at);
         let idle_ms = info.idle_ms.map(|idle_ms| idle_ms.saturating_add(since_received_ms));
         idle_ms.is_some_and(|idle_ms| idle_ms > idle_keep_ms(ctx, &info.type_name))
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -53,16 +53,26 @@
 
 impl PendingInstance {
     /// `None` if its type is not in the catalog.
-    fn new(ctx: &Context, machine: &BootingMachine) -> Option<PendingInstance> {
-        let machine_type = ctx.names.type_idx(&machine.type_name)?;
+    fn new(ctx: &Context, type_name: &str, zone: &str, spot: bool) -> Option<PendingInstance> {
+        let machine_type = ctx.names.type_idx(type_name)?;
         Some(PendingInstance {
             machine_type,
-            zone: ctx.names.zone(&machine.zone),
-            spot: machine.spot,
+            zone: ctx.names.zone(zone),
+            spot,
             free: ctx.names.resources_of_type(machine_type),
         })
     }
 
+    /// A machine that is booting.
+    fn booting(ctx: &Context, machine: &BootingMachine) -> Option<PendingInstance> {
+        PendingInstance::new(ctx, &machine.type_name, &machine.zone, machine.spot)
+    }
+
+    /// One of the instances that a request is for.
+    fn requested(ctx: &Context, request: &InstanceRequest) -> Option<PendingInstance> {
+        PendingInstance::new(ctx, &request.type_name, &request.zone, request.spot)
+    }
+
     /// Takes capacity for as many tasks of the demand as fit.
     fn assign(&mut self, ctx: &Context, open: &mut OpenDemand) {
         let zone = self.zone.and_then(|zone| open.zone_limits.get_mut(usize::from(zone.0)));
@@ -216,8 +226,7 @@
         let mut instances = open.max_instances();
         while open.tasks > 0 && open.demand.waited_ms >= MIN_WAIT_MS && instances > 0 {
             let Some(request) = self.cheapest(ctx, boots, &open) else { break };
-            let machine = BootingMachine::requested(&request, 0);
-            let Some(instance) = PendingInstance::new(ctx, &machine) else { break };
+            let Some(instance) = PendingInstance::requested(ctx, &request) else { break };
             let count = u64::from(request.count).min(instances);
             instances -= count;
             for _ in 0..count {
@@ -319,11 +328,10 @@
     boots: &BootTracker,
     requests: &InstanceRequests,
 ) -> Vec<PendingInstance> {
-    let booting = boots.expected(ctx).filter_map(|machine| PendingInstance::new(ctx, machine));
+    let booting = boots.expected(ctx).filter_map(|machine| PendingInstance::booting(ctx, machine));
     let mut pending: Vec<PendingInstance> = booting.collect();
-    for (request, requested_at) in requests.pending() {
-        let machine = BootingMachine::requested(request, requested_at);
-        if let Some(instance) = PendingInstance::new(ctx, &machine) {
+    for request in requests.pending() {
+        if let Some(instance) = PendingInstance::requested(ctx, request) {
             pending.extend((0..request.count).map(|_| instance.clone()));
         }
     }
