--- /dev/null
+++ b/crates/core/src/horizon/tests/search.rs
@@ -0,0 +1,470 @@
+//! A bounded search: every history of up to a number of faults, at every step, of three controllers, a
+//! store, one machine and one cancelled job, over the real transition functions.
+use super::*;
+use crate::shard::{Lease, LEASE_MS};
+
+const STEP_MS: u64 = 1000;
+
+/// A fault in a history, from a step on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Fault {
+    Outage(u64),
+    /// The store refuses this controller.
+    Refuse(usize),
+    /// This controller ends, and is back after that number of steps.
+    Crash(usize, u64),
+    LinkDown(usize, usize),
+    /// This controller reaches the worker, but neither the store nor another controller.
+    Isolated(usize),
+}
+
+const FAULTS: [Fault; 14] = [
+    Fault::Outage(2),
+    Fault::Outage(20),
+    Fault::Refuse(0),
+    Fault::Refuse(1),
+    Fault::Refuse(2),
+    Fault::Crash(0, 1),
+    Fault::Crash(1, 1),
+    Fault::Crash(1, 99),
+    Fault::Crash(2, 1),
+    Fault::LinkDown(0, 1),
+    Fault::LinkDown(0, 2),
+    Fault::LinkDown(1, 2),
+    Fault::Isolated(0),
+    Fault::Isolated(1),
+];
+
+/// What is made wrong on purpose.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum SeededBug {
+    Nothing,
+    /// A process that has not read the store makes statements about earlier processes of its node.
+    Restarts,
+    /// A controller that is heard_at is taken to know all, as before there were horizons.
+    Silence,
+}
+
+/// How the job is cancelled: at this step, and whether the transaction's answer is lost, so that it is
+/// executed later and acknowledged by any controller that reads the store.
+#[derive(Clone, Copy, Debug)]
+struct Cancel {
+    at: u64,
+    late: bool,
+}
+
+struct Node {
+    up_from_step: u64,
+    boot: u64,
+    horizons: Horizons,
+    view: Vec<ShardView>,
+    lease: Lease,
+    lease_id: u64,
+    owned_epochs: [Option<Epoch>; NODES],
+    heard_at: [Timestamp; NODES],
+}
+
+#[derive(Clone, Copy)]
+struct Key {
+    node: usize,
+    boot: u64,
+    epoch: u64,
+    lease: u64,
+}
+
+struct World {
+    now: Timestamp,
+    faults: Vec<(u64, Fault)>,
+    bug: SeededBug,
+    nodes: Vec<Node>,
+    revision: u64,
+    keys: [Option<Key>; NODES],
+    /// When a key was last there.
+    last_owned_at: [Timestamp; NODES],
+    /// When the leases of the store end, by number.
+    leases: Vec<Timestamp>,
+    is_terminal_in_store: bool,
+    late_write: Option<(u64, u64)>,
+    acknowledged_at: Option<Timestamp>,
+    /// The worker: the controller that it sends heartbeats to, the newest fencing token that it saw, when
+    /// its lease was last granted, and whether the task is on it.
+    worker_at: usize,
+    token: u64,
+    lease_granted_at: Timestamp,
+    task_on_machine: bool,
+}
+
+impl World {
+    fn new(faults: Vec<(u64, Fault)>, bug: SeededBug) -> World {
+        let node = |n: u8| Node {
+            up_from_step: 0,
+            boot: u64::from(n) + 1,
+            horizons: horizons(n),
+            view: views(),
+            lease: Lease::default(),
+            lease_id: 0,
+            owned_epochs: [None; NODES],
+            heard_at: [0; NODES],
+        };
+        World {
+            now: 100_000,
+            faults,
+            bug,
+            nodes: (0..NODES as u8).map(node).collect(),
+            revision: 10,
+            keys: [None; NODES],
+            last_owned_at: [100_000; NODES],
+            leases: Vec::new(),
+            is_terminal_in_store: false,
+            late_write: None,
+            acknowledged_at: None,
+            worker_at: 0,
+            token: 0,
+            lease_granted_at: 100_000,
+            task_on_machine: true,
+        }
+    }
+
+    fn step_no(&self) -> u64 {
+        (self.now - 100_000) / STEP_MS
+    }
+
+    fn is_active(&self, for_steps: u64, at: u64) -> bool {
+        (at..at + for_steps).contains(&self.step_no())
+    }
+
+    fn store_is_down(&self) -> bool {
+        self.faults.iter().any(|t| matches!(t.1, Fault::Outage(n) if self.is_active(n, t.0)))
+    }
+
+    fn reaches_store(&self, n: usize) -> bool {
+        let off = |t: &(u64, Fault)| match t.1 {
+            Fault::Refuse(k) => k == n && self.is_active(9, t.0),
+            Fault::Isolated(k) => k == n && self.is_active(16, t.0),
+            _ => false,
+        };
+        !self.store_is_down() && !self.faults.iter().any(off)
+    }
+
+    fn are_linked(&self, a: usize, b: usize) -> bool {
+        let off = |t: &(u64, Fault)| match t.1 {
+            Fault::LinkDown(x, y) => [(a, b), (b, a)].contains(&(x, y)) && self.is_active(12, t.0),
+            Fault::Isolated(k) => (k == a || k == b) && self.is_active(16, t.0),
+            _ => false,
+        };
+        !self.faults.iter().any(off)
+    }
+
+    fn is_up(&self, n: usize) -> bool {
+        self.step_no() >= self.nodes[n].up_from_step
+    }
+
+    fn apply_crashes(&mut self) {
+        let step = self.step_no();
+        for (at, t) in self.faults.clone() {
+            let Fault::Crash(n, back) = t else { continue };
+            if at != step {
+                continue;
+            }
+            let boot = self.nodes[n].boot + 10;
+            let horizons = Horizons { boot, ..horizons(n as u8) };
+            let (view, lease) = (views(), Lease::default());
+            let (owned_epochs, heard_at) = ([None; NODES], [0; NODES]);
+            self.nodes[n] = Node {
+                up_from_step: step + back,
+                boot,
+                horizons,
+                view,
+                lease,
+                lease_id: 0,
+                owned_epochs,
+                heard_at,
+            };
+            if self.bug == SeededBug::Restarts {
+                for s in 0..NODES as u8 {
+                    self.nodes[n].horizons.on_shard_key_read(Shard(s), 0);
+                }
+            }
+        }
+    }
+
+    /// Renews the lease, reads the keys of the shards, and acquires those that are vacant.
+    fn renew_and_acquire(&mut self, n: usize) {
+        if !self.reaches_store(n) {
+            return;
+        }
+        let now = self.now;
+        let node = &mut self.nodes[n];
+        let live = node.lease.id.is_some() && self.leases[node.lease_id as usize] > now;
+        if !live {
+            node.owned_epochs = [None; NODES];
+            self.leases.push(now + LEASE_MS);
+            node.lease_id = self.leases.len() as u64 - 1;
+            node.lease = Lease { id: Some(node.lease_id), renewed: now, ..Lease::default() };
+        }
+        self.leases[node.lease_id as usize] = now + LEASE_MS;
+        node.lease.renewed = now;
+        for s in 0..NODES {
+            let shard = Shard(s as u8);
+            match self.keys[s] {
+                Some(k) => {
+                    let owner =
+                        Owner { node: NodeIdx(k.node as u8), boot: k.boot, epoch: Epoch(k.epoch) };
+                    node.horizons.on_shard_key_read(shard, k.epoch);
+                    node.view[s].own(owner, now);
+                    if (k.node, k.boot) != (n, node.boot) {
+                        node.owned_epochs[s] = None;
+                    }
+                }
+                None => {
+                    node.horizons.on_shard_key_read(shard, self.revision);
+                    node.view[s].vacate(self.revision, now);
+                    node.owned_epochs[s] = None;
+                }
+            }
+            let before = self.keys[s].is_some_and(|k| k.node == n && k.boot != node.boot);
+            // The third controller acquires a vacant shard at once, before the others have seen that it is.
+            let waited = now > self.last_owned_at[s] + if n == 2 { 0 } else { STEP_MS };
+            let home = s == n && now == 100_000;
+            if (self.keys[s].is_none() && (home || (waited && now > 100_000))) || before {
+                self.revision += 1;
+                let epoch = self.revision;
+                let key = Key { node: n, boot: node.boot, epoch, lease: node.lease_id };
+                self.keys[s] = Some(key);
+                node.owned_epochs[s] = Some(Epoch(epoch));
+                node.horizons.on_shard_acquired(shard);
+                let owner = Owner { node: NodeIdx(n as u8), boot: node.boot, epoch: Epoch(epoch) };
+                node.view[s].own(owner, now);
+                if shard == JOBS && self.is_terminal_in_store {
+                    node.horizons.on_cancelled(shard, Epoch(epoch), JOB, now);
+                }
+            }
+        }
+    }
+
+    fn owned_shards(&self, n: usize) -> Vec<Option<OwnedShard>> {
+        let node = &self.nodes[n];
+        let lease_uncertain_ms = node.lease.in_doubt_ms(self.now);
+        node.owned_epochs
+            .iter()
+            .map(|e| e.map(|epoch| OwnedShard { epoch, lease_uncertain_ms }))
+            .collect()
+    }
+
+    fn exchange_heartbeats(&mut self) {
+        for a in 0..NODES {
+            for b in 0..NODES {
+                if a == b || !self.is_up(a) || !self.is_up(b) || !self.are_linked(a, b) {
+                    continue;
+                }
+                let (now, mine) = (self.now, self.owned_shards(a));
+                let from = &self.nodes[a];
+                let mut heartbeat = NodeHeartbeat::default();
+                from.horizons.add_to_heartbeat(
+                    NodeIdx(b as u8),
+                    &mine,
+                    &from.view,
+                    now,
+                    &mut heartbeat,
+                );
+                let last = from.view.iter().enumerate();
+                let known: Vec<(usize, Owner)> =
+                    last.filter_map(|(s, v)| Some((s, v.last?))).collect();
+                let to = &mut self.nodes[b];
+                to.heard_at[a] = now;
+                for (s, o) in known {
+                    if o.node.0 as usize != b && to.view[s].claimed(Owner { boot: 0, ..o }, now) {
+                        to.owned_epochs[s] = None;
+                    }
+                }
+                to.horizons.on_heartbeat(NodeIdx(a as u8), &heartbeat, &to.view, now);
+            }
+        }
+    }
+
+    fn cancel_job(&mut self, c: Cancel) {
+        let step = self.step_no();
+        if let Some((_, epoch)) = self.late_write.filter(|p| step >= p.0) {
+            let fenced = self.keys[JOBS.0 as usize].is_none_or(|k| k.epoch != epoch);
+            if !self.store_is_down() {
+                self.is_terminal_in_store |= !fenced;
+                self.late_write = None;
+            }
+        }
+        let reads = (0..NODES).any(|n| self.is_up(n) && self.reaches_store(n));
+        if self.is_terminal_in_store && self.acknowledged_at.is_none() && reads {
+            self.acknowledged_at = Some(self.now);
+        }
+        if step != c.at {
+            return;
+        }
+        let Some(key) = self.keys[JOBS.0 as usize] else { return };
+        let n = key.node;
+        let node = &mut self.nodes[n];
+        let acts = node.owned_epochs[JOBS.0 as usize] == Some(Epoch(key.epoch));
+        if !acts || !node.lease.valid(self.now) {
+            return;
+        }
+        node.horizons.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
+        if c.late {
+            self.late_write = Some((step + 3, key.epoch));
+        } else if self.reaches_store(n) && self.is_up(n) {
+            self.is_terminal_in_store = true;
+            self.acknowledged_at = Some(self.now);
+        }
+    }
+
+    fn worker_heartbeat(&mut self) {
+        let (now, n) = (self.now, self.worker_at);
+        let up = self.is_up(n);
+        let node = &self.nodes[n];
+        let all = (0..NODES).all(|k| k == n || now < node.heard_at[k] + 3000);
+        let may = match self.bug {
+            SeededBug::Silence => all && now < node.lease.renewed + 45_000,
+            _ => {
+                node.horizons.permits_answer(MACHINES, now)
+                    && node.horizons.permits_answer(JOBS, now)
+            }
+        };
+        let epoch = node.owned_epochs[MACHINES.0 as usize].filter(|e| e.0 >= self.token);
+        match epoch.filter(|_| up && may) {
+            Some(e) => {
+                (self.token, self.lease_granted_at) = (e.0, now);
+                self.task_on_machine &= !node.horizons.is_terminal(JOB);
+            }
+            None => self.worker_at = (n + 1) % NODES,
+        }
+    }
+
+    /// Runs the history; false: the task was on its machine for too long.
+    fn holds_the_rule(&mut self, cancel: Cancel) -> bool {
+        for _ in 0..38 {
+            let now = self.now;
+            if !self.store_is_down() {
+                // Leases ran out at their time, and none while the store was down.
+                for k in &mut self.keys {
+                    if k.is_some_and(|k| self.leases[k.lease as usize] <= now) {
+                        *k = None;
+                        self.revision += 1;
+                    }
+                }
+                for s in 0..NODES {
+                    if self.keys[s].is_some() {
+                        self.last_owned_at[s] = now;
+                    }
+                }
+            } else {
+                for l in &mut self.leases {
+                    *l = (*l).max(now + LEASE_MS + STEP_MS).min(now + LEASE_MS + STEP_MS);
+                }
+            }
+            for n in 0..NODES {
+                if self.is_up(n) {
+                    self.renew_and_acquire(n);
+                    let mine = self.owned_shards(n);
+                    let (stored, is_terminal_in_store) =
+                        (self.reaches_store(n), self.is_terminal_in_store);
+                    let node = &mut self.nodes[n];
+                    node.horizons.advance(&mine, &node.view, now);
+                    for s in (0..NODES as u8).map(Shard) {
+                        if stored && node.horizons.read_store_from(s, 0, now).is_some() {
+                            node.horizons.on_stored_terminal(
+                                (s == JOBS && is_terminal_in_store).then_some(JOB),
+                                now,
+                            );
+                            node.horizons.on_store_read(s, now);
+                        }
+                    }
+                }
+            }
+            self.cancel_job(cancel);
+            // A crash may come right after the acknowledgement.
+            self.apply_crashes();
+            self.exchange_heartbeats();
+            for n in 0..NODES {
+                let mine = self.owned_shards(n);
+                let node = &mut self.nodes[n];
+                node.horizons.advance(&mine, &node.view, now);
+            }
+            self.worker_heartbeat();
+            let lives = now <= self.lease_granted_at + WORKER_LEASE_MS;
+            if self
+                .acknowledged_at
+                .is_some_and(|t| self.task_on_machine && lives && now > t + CANCEL_MS)
+            {
+                return false;
+            }
+            self.now += STEP_MS;
+        }
+        true
+    }
+}
+
+/// All histories of up to `depth` faults at these steps. Returns their number, and one that broke the
+/// rule.
+fn search(depth: usize, steps: &[u64], bug: SeededBug) -> (u64, Option<String>) {
+    let all: Vec<(u64, Fault)> = steps.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
+    let mut histories = 0;
+    let mut open: Vec<(usize, Vec<(u64, Fault)>)> = vec![(0, Vec::new())];
+    while let Some((from, faults)) = open.pop() {
+        for late in [false, true] {
+            let cancel = Cancel { at: 6, late };
+            histories += 1;
+            if !World::new(faults.clone(), bug).holds_the_rule(cancel) {
+                return (histories, Some(format!("{cancel:?} {faults:?}")));
+            }
+        }
+        if faults.len() < depth {
+            for (i, t) in all.iter().enumerate().skip(from) {
+                let more = faults.iter().copied().chain([*t]).collect();
+                open.push((i + 1, more));
+            }
+        }
+    }
+    (histories, None)
+}
+
+#[test]
+fn no_history_of_faults_keeps_a_cancelled_task_for_too_long() {
+    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::Nothing);
+    assert_eq!(broken, None);
+    let depth = std::env::var("LEADDEAL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
+    let (more, broken) = search(depth, &[3, 6, 7], SeededBug::Nothing);
+    assert_eq!(broken, None);
+    assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} histories");
+}
+
+#[test]
+fn the_search_finds_seeded_bugs() {
+    for bug in [SeededBug::Silence, SeededBug::Restarts] {
+        let found = search(3, &[3, 6, 7], bug).1;
+        assert!(found.is_some(), "{bug:?} went unnoticed");
+    }
+}
+
+/// The search would prove nothing if tasks ended that may run on.
+#[test]
+fn a_task_that_is_not_cancelled_outlives_an_outage() {
+    let mut world = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
+    assert!(world.holds_the_rule(Cancel { at: 999, late: false }));
+    assert!(
+        world.task_on_machine && world.lease_granted_at + 2 * STEP_MS > world.now,
+        "its worker got no answers"
+    );
+}
+
+#[cfg(feature = "guards")]
+#[test]
+fn the_search_finds_a_guard_that_is_out() {
+    use crate::guards::{without, Guard};
+    for guard in [
+        Guard::HorizonStops,
+        Guard::HorizonDoubt,
+        Guard::HorizonVouched,
+        Guard::HorizonFloor,
+        Guard::BeatsName,
+    ] {
+        let found = without(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
+        assert!(found.is_some(), "{guard:?} is not missed");
+    }
+}
