--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,214 +1,186 @@
 //! The platform's settings file.
 use serde::Deserialize;
-use std::collections::BTreeSet;
-use thiserror::Error;
 
-/// Teams go by their number in messages between controllers.
-const MOST_TEAMS: usize = 255;
-/// Processors or GPUs of a team.
-const MOST_AMOUNT: f64 = 1e9;
+mod checks;
+mod error;
 
-#[derive(Debug, Error)]
-pub enum SettingsError {
-    #[error("settings: {0}")]
-    Parse(#[from] serde_json::Error),
-    #[error("settings: {field}: {why}")]
-    Field { field: &'static str, why: String },
-}
+pub use error::{FieldError, SettingsError};
 
+/// The settings of one controller. Those under `params` are the same for all of them.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
+    /// This node's name.
     #[serde(rename = "node_name")]
     pub node: String,
+    /// The zone that it runs in.
     pub zone: String,
+    /// `ADDRESS:PORT` for users, workers and the load balancer.
     #[serde(rename = "serve_on")]
     pub listen: String,
+    /// `ADDRESS:PORT` for the other controllers.
     #[serde(rename = "mesh_addr")]
     pub peer_listen: String,
+    /// The other controllers.
     #[serde(rename = "siblings")]
     pub peers: Vec<Peer>,
+    /// The services that the controllers use.
     #[serde(rename = "external")]
     pub services: Services,
+    /// The parameters of the cluster.
     #[serde(rename = "cluster")]
     pub params: Params,
 }
 
+/// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
+    /// Its name.
     #[serde(rename = "node_name")]
     pub node: String,
+    /// The zone that it runs in.
     pub zone: String,
+    /// `ADDRESS:PORT` where it listens for this one.
     #[serde(rename = "address")]
     pub addr: String,
 }
 
+/// The services that the controllers use.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
+    /// `ADDRESS:PORT` of the cloud.
     pub cloud: String,
+    /// `ADDRESS:PORT` of the key-value store.
     pub state: String,
 }
 
+/// The parameters of the cluster.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
+    /// Names of the zones, between 1 and 64. Messages between controllers refer to them by their place here.
     pub zones: Vec<String>,
+    /// The teams, between 1 and 255. Messages between controllers refer to them by their place here.
     pub teams: Vec<Team>,
+    /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// Times that the workers are set to.
     pub workers: Workers,
+    /// Limits of the key-value store.
     pub state: StateLimits,
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
+    /// What a controller may take of its machine.
     #[serde(rename = "resources")]
     pub limits: Limits,
+    /// How far the controllers' wall clocks may be apart, in milliseconds. Not used.
     #[serde(default)]
     pub clock_off_ms: f64,
 }
 
+/// A team and its limits.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
+    /// Its name, as jobs give it.
     pub name: String,
+    /// Processors that are its own.
     #[serde(default)]
     pub cpus: f64,
+    /// Processors that its tasks may take at the most; 0: no limit.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs that are its own.
     #[serde(default)]
     pub gpus: f64,
+    /// GPUs that its tasks may take at the most; 0: no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
+/// A service-level objective of a class of jobs. One that lacks what its kind needs is ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
+    /// `wait` (to the start), `finished` (to the end) or `deadline`; others are ignored.
     pub kind: String,
+    /// The class of jobs that it is for.
     pub class: String,
+    /// With `wait` and `finished`: seconds from the submission.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// The share of the jobs that it should hold for, between 0 and 1.
     #[serde(default)]
     pub share: Option<f64>,
+    /// With `deadline`: the multiple of a job's own deadline that counts; 1 if not given.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
+/// Times that the workers are set to, all in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
+    /// Interval of heartbeats.
     pub report_s: f64,
+    /// A worker ends its tasks this long after it sent the last heartbeat that was answered.
     pub lease_s: f64,
+    /// A ready task of a gang waits this long for the others.
     pub gang_wait_s: f64,
+    /// A running task of a gang ends this long after it lost another one.
     pub gang_peer_s: f64,
+    /// All tasks of a job must be gone this long after its user was told that it is cancelled.
     pub cancel_s: f64,
 }
 
+/// Limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
+    /// Requests per second, of all controllers together.
     pub rps: f64,
+    /// Changes per second, of all controllers together.
     pub write_rps: f64,
+    /// Size of a value, in KiB.
     pub value_kb: f64,
+    /// Operations of a transaction, at least 4.
     pub txn_ops: usize,
 }
 
+/// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// A list may be this many seconds old.
     pub list_lag_s: f64,
 }
 
+/// What a controller may take of its machine; 0: not limited.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
+    /// Processors.
     #[serde(rename = "core_share", default)]
     pub cpu_share: f64,
+    /// Memory, in MB.
     #[serde(rename = "mem_mb", default)]
     pub memory_mb: f64,
+    /// File descriptors, and so connections.
     #[serde(rename = "fd_limit", default)]
     pub max_connections: usize,
 }
 
 impl Settings {
     /// Reads and checks the settings. Unknown fields are ignored.
+    ///
+    /// # Errors
+    /// If the text is not the JSON of settings, or a value can't be meant; then its key is named.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let s: Settings = serde_json::from_str(text)?;
-        let bad = |field, why: String| Err(SettingsError::Field { field, why });
-        for (field, addr) in [
-            ("serve_on", &s.listen),
-            ("mesh_addr", &s.peer_listen),
-            ("external.cloud", &s.services.cloud),
-            ("external.state", &s.services.state),
-        ] {
-            if addr.parse::<std::net::SocketAddr>().is_err() {
-                return bad(field, format!("{addr:?} is not ADDRESS:PORT"));
-            }
-        }
-        for p in &s.peers {
-            if p.addr.parse::<std::net::SocketAddr>().is_err() {
-                return bad("siblings.address", format!("{:?} is not ADDRESS:PORT", p.addr));
-            }
-        }
-        let names = s.nodes();
-        if names.windows(2).any(|w| w[0] == w[1]) {
-            return bad("siblings", "two nodes have the same name".into());
-        }
-        if s.params.zones.is_empty() || s.params.zones.len() > 64 {
-            return bad("cluster.zones", "between 1 and 64 zones are needed".into());
-        }
-        if s.params.teams.is_empty() {
-            return bad("cluster.teams", "there must be a team".into());
-        }
-        if s.params.teams.len() > MOST_TEAMS {
-            return bad("cluster.teams", format!("there are more than {MOST_TEAMS}"));
-        }
-        let mut names = BTreeSet::new();
-        for t in &s.params.teams {
-            if t.name.is_empty() {
-                return bad("cluster.teams.name", "a team has no name".into());
-            }
-            if !names.insert(&t.name) {
-                return bad("cluster.teams.name", format!("{:?} is there twice", t.name));
-            }
-            for (field, v) in [
-                ("cluster.teams.cpus", t.cpus),
-                ("cluster.teams.cpus_max", t.cpus_max),
-                ("cluster.teams.gpus", t.gpus),
-                ("cluster.teams.gpus_max", t.gpus_max),
-            ] {
-                // Beyond, thousandths are not counted exactly.
-                if !(0.0..=MOST_AMOUNT).contains(&v) {
-                    return bad(field, format!("{v} of team {:?} is no amount", t.name));
-                }
-            }
-            // Processors and GPUs are counted in thousandths: with less than one, no task could run.
-            for (field, v) in
-                [("cluster.teams.cpus_max", t.cpus_max), ("cluster.teams.gpus_max", t.gpus_max)]
-            {
-                if v > 0.0 && v < 0.001 {
-                    return bad(field, format!("{v} of team {:?} is less than any task", t.name));
-                }
-            }
-        }
-        let w = &s.params.workers;
-        for (field, v) in [
-            ("cluster.workers.report_s", w.report_s),
-            ("cluster.workers.lease_s", w.lease_s),
-            ("cluster.workers.gang_wait_s", w.gang_wait_s),
-            ("cluster.workers.gang_peer_s", w.gang_peer_s),
-            ("cluster.workers.cancel_s", w.cancel_s),
-            ("cluster.state.rps", s.params.state.rps),
-            ("cluster.state.write_rps", s.params.state.write_rps),
-            ("cluster.state.value_kb", s.params.state.value_kb),
-            ("cluster.cloud.rps", s.params.cloud.rps),
-        ] {
-            if !(v.is_finite() && v > 0.0) {
-                return bad(field, format!("{v} must be a positive number"));
-            }
-        }
-        if s.params.state.txn_ops < 4 {
-            return bad("cluster.state.txn_ops", "at least 4 are needed".into());
-        }
-        Ok(s)
+        let settings: Settings = serde_json::from_str(text)?;
+        settings.check()?;
+        Ok(settings)
     }
 
     /// All nodes' names, in the order that numbers them and the shards.
     pub fn nodes(&self) -> Vec<String> {
-        let mut v: Vec<String> = self.peers.iter().map(|p| p.node.clone()).collect();
-        v.push(self.node.clone());
-        v.sort();
-        v
+        let mut names: Vec<String> = self.peers.iter().map(|peer| peer.node.clone()).collect();
+        names.push(self.node.clone());
+        names.sort();
+        names
     }
 }
--- /dev/null
+++ b/crates/wire/src/settings/checks.rs
@@ -0,0 +1,134 @@
+//! Checks of the settings. The first value that is wrong is named.
+use super::{FieldError, Settings, SettingsError, Team};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// Teams go by their number in messages between controllers, which is one byte.
+pub(super) const MAX_TEAMS: usize = 255;
+/// Zones go by their number in messages between controllers.
+pub(super) const MAX_ZONES: usize = 64;
+/// Operations of a transaction that the controllers need.
+pub(super) const MIN_TXN_OPS: usize = 4;
+/// Processors or GPUs of a team; beyond, thousandths are not counted exactly.
+const MAX_AMOUNT: f64 = 1e9;
+/// Processors and GPUs are counted in thousandths: with less than one, no task could run.
+const MIN_LIMIT: f64 = 0.001;
+
+type Checked = Result<(), SettingsError>;
+
+fn wrong(field: &'static str, why: FieldError) -> Checked {
+    Err(SettingsError::Field { field, why })
+}
+
+impl Settings {
+    pub(super) fn check(&self) -> Checked {
+        self.check_addresses()?;
+        self.check_node_names()?;
+        self.check_zones()?;
+        self.check_teams()?;
+        self.check_rates_and_times()?;
+        if self.params.state.txn_ops < MIN_TXN_OPS {
+            return wrong("cluster.state.txn_ops", FieldError::TooFewTxnOps);
+        }
+        Ok(())
+    }
+
+    fn check_addresses(&self) -> Checked {
+        let own = [
+            ("serve_on", &self.listen),
+            ("mesh_addr", &self.peer_listen),
+            ("external.cloud", &self.services.cloud),
+            ("external.state", &self.services.state),
+        ];
+        let of_peers = self.peers.iter().map(|peer| ("siblings.address", &peer.addr));
+        for (field, addr) in own.into_iter().chain(of_peers) {
+            if addr.parse::<SocketAddr>().is_err() {
+                return wrong(field, FieldError::NotAnAddress(addr.clone()));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_node_names(&self) -> Checked {
+        let names = self.nodes();
+        if names.windows(2).any(|pair| pair[0] == pair[1]) {
+            return wrong("siblings", FieldError::SameNodeNames);
+        }
+        Ok(())
+    }
+
+    fn check_zones(&self) -> Checked {
+        if !(1..=MAX_ZONES).contains(&self.params.zones.len()) {
+            return wrong("cluster.zones", FieldError::ZoneCount);
+        }
+        Ok(())
+    }
+
+    fn check_teams(&self) -> Checked {
+        let teams = &self.params.teams;
+        if teams.is_empty() {
+            return wrong("cluster.teams", FieldError::NoTeam);
+        }
+        if teams.len() > MAX_TEAMS {
+            return wrong("cluster.teams", FieldError::TooManyTeams);
+        }
+        let mut names = BTreeSet::new();
+        for team in teams {
+            if team.name.is_empty() {
+                return wrong("cluster.teams.name", FieldError::UnnamedTeam);
+            }
+            if !names.insert(&team.name) {
+                let why = FieldError::SameTeamNames(team.name.clone());
+                return wrong("cluster.teams.name", why);
+            }
+            team.check_amounts()?;
+        }
+        Ok(())
+    }
+
+    fn check_rates_and_times(&self) -> Checked {
+        let (workers, state, cloud) =
+            (&self.params.workers, &self.params.state, &self.params.cloud);
+        for (field, number) in [
+            ("cluster.workers.report_s", workers.report_s),
+            ("cluster.workers.lease_s", workers.lease_s),
+            ("cluster.workers.gang_wait_s", workers.gang_wait_s),
+            ("cluster.workers.gang_peer_s", workers.gang_peer_s),
+            ("cluster.workers.cancel_s", workers.cancel_s),
+            ("cluster.state.rps", state.rps),
+            ("cluster.state.write_rps", state.write_rps),
+            ("cluster.state.value_kb", state.value_kb),
+            ("cluster.cloud.rps", cloud.rps),
+        ] {
+            if !(number.is_finite() && number > 0.0) {
+                return wrong(field, FieldError::NotPositive(number));
+            }
+        }
+        Ok(())
+    }
+}
+
+impl Team {
+    fn check_amounts(&self) -> Checked {
+        let limits =
+            [("cluster.teams.cpus_max", self.cpus_max), ("cluster.teams.gpus_max", self.gpus_max)];
+        for (field, amount) in [
+            ("cluster.teams.cpus", self.cpus),
+            limits[0],
+            ("cluster.teams.gpus", self.gpus),
+            limits[1],
+        ] {
+            if !(0.0..=MAX_AMOUNT).contains(&amount) {
+                let team = self.name.clone();
+                return wrong(field, FieldError::NotAnAmount { amount, team });
+            }
+        }
+        for (field, amount) in limits {
+            if amount > 0.0 && amount < MIN_LIMIT {
+                let team = self.name.clone();
+                return wrong(field, FieldError::LessThanAnyTask { amount, team });
+            }
+        }
+        Ok(())
+    }
+}
