--- a/crates/leaddeal/src/driver/limits.rs
+++ b/crates/leaddeal/src/driver/limits.rs
@@ -50,3 +50,6 @@
         DEFAULT_BODY_MEMORY_KIB
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/leaddeal/src/driver/mod.rs
+++ b/crates/leaddeal/src/driver/mod.rs
@@ -39,6 +39,10 @@
     #[error("the event loop ended: {0}")]
     EventLoop(#[from] JoinError),
     /// A task that is never meant to end did; without a source it returned.
-    #[error("the task {task:?} ended: {}", source.as_ref().map_or_else(|| "it returned".to_string(), ToString::to_string))]
+    #[error("the task {task:?} ended: {}", end_of_task(source.as_ref()))]
     TaskEnded { task: String, source: Option<JoinError> },
 }
+
+fn end_of_task(error: Option<&JoinError>) -> String {
+    error.map_or_else(|| "it returned".to_string(), ToString::to_string)
+}
--- a/crates/leaddeal/src/driver/tasks.rs
+++ b/crates/leaddeal/src/driver/tasks.rs
@@ -32,3 +32,6 @@
         DriverError::TaskEnded { task, source }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/leaddeal/src/link/dialer.rs
+++ b/crates/leaddeal/src/link/dialer.rs
@@ -21,7 +21,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(300);
 /// A connection whose other end has not signalled for this long that it reads is opened again. (It signals
-/// every [`super::READ_SIGNAL_INTERVAL`].)
+/// every [`super::listener::READ_SIGNAL_INTERVAL`].)
 pub(crate) const READ_SIGNAL_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Sends to one peer, reconnecting as needed.
