--- a/crates/leaddeal/tests/common/mod.rs
+++ b/crates/leaddeal/tests/common/mod.rs
@@ -18,52 +18,66 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-type Store = Arc<(Mutex<State>, Instant)>;
+/// The stand-in for the state service, and when its clock started.
+struct StoreStandIn {
+    state: Mutex<State>,
+    started: Instant,
+}
+
+impl StoreStandIn {
+    fn now_ms(&self) -> u64 {
+        self.started.elapsed().as_millis() as u64
+    }
+}
+
+type Store = Arc<StoreStandIn>;
 
-fn answer(r: StoreResult) -> Response {
-    match r {
-        StoreResult::Lease(id) => Json(json!({ "permit": id })).into_response(),
+fn answer(result: StoreResult) -> Response {
+    match result {
+        StoreResult::Lease(lease) => Json(json!({ "permit": lease })).into_response(),
         StoreResult::LeaseRenewed => Json(json!({})).into_response(),
         StoreResult::NoLease => (StatusCode::NOT_FOUND, "{}").into_response(),
-        StoreResult::Committed(v) => Json(json!({ "logbook": v })).into_response(),
-        StoreResult::Conflict(f) => {
-            (StatusCode::CONFLICT, Json(json!({"failed": f, "logbook": 0}))).into_response()
+        StoreResult::Committed(revision) => Json(json!({ "logbook": revision })).into_response(),
+        StoreResult::Conflict(failed) => {
+            (StatusCode::CONFLICT, Json(json!({"failed": failed, "logbook": 0}))).into_response()
         }
-        StoreResult::Item(Some(i)) => Json(i).into_response(),
+        StoreResult::Item(Some(item)) => Json(item).into_response(),
         StoreResult::Item(None) => (StatusCode::NOT_FOUND, "{}").into_response(),
-        StoreResult::Page(p) => Json(p).into_response(),
+        StoreResult::Page(page) => Json(page).into_response(),
         _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
 }
 
-fn call(s: &Store, c: &StoreCall) -> Response {
-    let now = s.1.elapsed().as_millis() as u64;
-    answer(s.0.lock().expect("the store").call(now, c))
+fn execute(store: &Store, call: &StoreCall) -> Response {
+    let now = store.now_ms();
+    answer(store.state.lock().expect("the store").call(now, call))
 }
 
-async fn list(Ext(s): Ext<Store>, Query(q): Query<HashMap<String, String>>) -> Response {
-    let prefix = q.get("under").cloned().unwrap_or_default();
-    call(&s, &StoreCall::List { prefix, after: q.get("after").cloned() })
+async fn list(Ext(store): Ext<Store>, Query(query): Query<HashMap<String, String>>) -> Response {
+    let prefix = query.get("under").cloned().unwrap_or_default();
+    execute(&store, &StoreCall::List { prefix, after: query.get("after").cloned() })
 }
 
-async fn changes(Ext(s): Ext<Store>, Query(q): Query<HashMap<String, String>>) -> Response {
-    let number = |k: &str| q.get(k).and_then(|v| v.parse().ok()).unwrap_or(0);
-    let until = Instant::now() + Duration::from_millis(number("waitMs"));
+async fn changes(Ext(store): Ext<Store>, Query(query): Query<HashMap<String, String>>) -> Response {
+    let number = |name: &str| query.get(name).and_then(|text| text.parse().ok()).unwrap_or(0);
+    let wait_until = Instant::now() + Duration::from_millis(number("waitMs"));
     loop {
-        let e = {
-            let mut state = s.0.lock().expect("the store");
-            state.expire(s.1.elapsed().as_millis() as u64);
-            state.events(&q["under"], number("after"))
+        let found = {
+            let mut state = store.state.lock().expect("the store");
+            state.expire(store.now_ms());
+            state.events(&query["under"], number("after"))
         };
-        if !e.events.is_empty() || Instant::now() >= until {
-            return Json(e).into_response();
+        if !found.events.is_empty() || Instant::now() >= wait_until {
+            return Json(found).into_response();
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-fn services(l: TcpListener) {
-    let store: Store = Arc::new((Mutex::new(State::new(Broken::Nothing)), Instant::now()));
+/// Serves the state service and the cloud, which has no capacity, on one port until the process ends.
+fn serve_stand_ins(listener: TcpListener) {
+    let state = Mutex::new(State::new(Broken::Nothing));
+    let store: Store = Arc::new(StoreStandIn { state, started: Instant::now() });
     let catalog = json!({"hulls": [{"label": "small", "cores": 4, "gpus": 0, "memoryGb": 16,
         "localGb": 50, "pullGbPerS": 1.0, "price": 1.0, "marketPrice": 0.4, "startupS": 5,
         "harbors": ["a"]}]});
@@ -76,37 +90,37 @@
         .route("/store", get(list))
         .route(
             "/store/{*key}",
-            get(|Ext(s): Ext<Store>, Path(key): Path<String>| async move {
-                call(&s, &StoreCall::Get { key })
+            get(|Ext(store): Ext<Store>, Path(key): Path<String>| async move {
+                execute(&store, &StoreCall::Get { key })
             }),
         )
         .route(
             "/multi",
-            post(|Ext(s): Ext<Store>, Json(t): Json<Transaction>| async move {
-                call(&s, &StoreCall::Transaction(t))
+            post(|Ext(store): Ext<Store>, Json(transaction): Json<Transaction>| async move {
+                execute(&store, &StoreCall::Transaction(transaction))
             }),
         )
         .route(
             "/holds",
-            post(|Ext(s): Ext<Store>, Json(v): Json<Value>| async move {
-                let ttl_ms = v["lifeMs"].as_u64().unwrap_or(0);
-                call(&s, &StoreCall::NewLease { ttl_ms })
+            post(|Ext(store): Ext<Store>, Json(request): Json<Value>| async move {
+                let ttl_ms = request["lifeMs"].as_u64().unwrap_or(0);
+                execute(&store, &StoreCall::NewLease { ttl_ms })
             }),
         )
         .route(
             "/holds/{id}/touch",
-            post(|Ext(s): Ext<Store>, Path(lease): Path<u64>, _: Bytes| async move {
-                call(&s, &StoreCall::RenewLease { lease })
+            post(|Ext(store): Ext<Store>, Path(lease): Path<u64>, _: Bytes| async move {
+                execute(&store, &StoreCall::RenewLease { lease })
             }),
         )
         .route("/changes", get(changes))
         .with_state(store);
     std::thread::spawn(move || {
-        let rt = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        rt.expect("a runtime").block_on(async move {
-            l.set_nonblocking(true).expect("a socket");
-            let l = tokio::net::TcpListener::from_std(l).expect("a socket");
-            axum::serve(l, app).await.expect("a server");
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        runtime.expect("a runtime").block_on(async move {
+            listener.set_nonblocking(true).expect("a socket");
+            let listener = tokio::net::TcpListener::from_std(listener).expect("a socket");
+            axum::serve(listener, app).await.expect("a server");
         });
     });
 }
@@ -114,16 +128,16 @@
 /// One request on a connection of its own; status 0 if there is no answer.
 pub fn http(addr: &str, method: &str, path: &str, body: &str) -> (u16, String) {
     let go = || -> std::io::Result<String> {
-        let mut s = TcpStream::connect(addr)?;
-        s.set_read_timeout(Some(Duration::from_secs(5)))?;
+        let mut stream = TcpStream::connect(addr)?;
+        stream.set_read_timeout(Some(Duration::from_secs(5)))?;
         write!(
-            s,
+            stream,
             "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
              Content-Length: {}\r\n\r\n{body}",
             body.len()
         )?;
         let mut text = String::new();
-        s.read_to_string(&mut text)?;
+        stream.read_to_string(&mut text)?;
         Ok(text)
     };
     let Ok(text) = go() else { return (0, String::new()) };
@@ -132,9 +146,20 @@
     (status, body)
 }
 
+/// One controller.
+pub struct Node {
+    /// As in the settings.
+    #[allow(dead_code)]
+    pub name: String,
+    /// `ADDRESS:PORT` for users and workers.
+    pub addr: String,
+    /// None: it was killed.
+    pub process: Option<Child>,
+}
+
+/// Three controllers, which are killed when this is dropped.
 pub struct Cluster {
-    /// Name, address and process of each node.
-    pub nodes: Vec<(String, String, Option<Child>)>,
+    pub nodes: Vec<Node>,
     /// Their settings, in the same order.
     files: Vec<PathBuf>,
 }
@@ -145,24 +170,29 @@
 }
 
 impl Cluster {
-    /// Kills a node's process and starts the next one so much later.
+    /// The addresses for users and workers, by node.
+    pub fn addresses(&self) -> Vec<String> {
+        self.nodes.iter().map(|node| node.addr.clone()).collect()
+    }
+
+    /// Kills a node's process and starts the next one after this time.
     #[allow(dead_code)]
     pub fn restart(&mut self, n: usize, after: Duration) {
-        if let Some(mut c) = self.nodes[n].2.take() {
-            c.kill().expect("killed");
-            c.wait().expect("ended");
+        if let Some(mut process) = self.nodes[n].process.take() {
+            process.kill().expect("killed");
+            process.wait().expect("ended");
         }
         std::thread::sleep(after);
-        self.nodes[n].2 = Some(run(&self.files[n]));
+        self.nodes[n].process = Some(run(&self.files[n]));
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for (_, _, c) in &mut self.nodes {
-            if let Some(mut c) = c.take() {
-                let _ = c.kill();
-                let _ = c.wait();
+        for node in &mut self.nodes {
+            if let Some(mut process) = node.process.take() {
+                let _ = process.kill();
+                let _ = process.wait();
             }
         }
     }
@@ -172,15 +202,15 @@
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-pub fn addr(l: &TcpListener) -> String {
-    l.local_addr().expect("an address").to_string()
+pub fn addr(listener: &TcpListener) -> String {
+    listener.local_addr().expect("an address").to_string()
 }
 
 /// Three nodes with these resources.
 pub fn start(resources: &Value) -> Cluster {
-    let l = free();
-    let outside = addr(&l);
-    services(l);
+    let listener = free();
+    let outside = addr(&listener);
+    serve_stand_ins(listener);
     let ports: Vec<(TcpListener, TcpListener)> = (0..3).map(|_| (free(), free())).collect();
     let addrs: Vec<(String, String)> = ports.iter().map(|(a, b)| (addr(a), addr(b))).collect();
     drop(ports);
@@ -209,7 +239,7 @@
             std::fs::write(&file, s.to_string()).expect("a settings file");
             let child = run(&file);
             files.push(file);
-            (format!("n-{n}"), addrs[n].0.clone(), Some(child))
+            Node { name: format!("n-{n}"), addr: addrs[n].0.clone(), process: Some(child) }
         })
         .collect();
     Cluster { nodes, files }
--- a/crates/leaddeal/tests/overload.rs
+++ b/crates/leaddeal/tests/overload.rs
@@ -14,7 +14,7 @@
 
 /// Resident memory of a node in MB, as the system tells it.
 fn memory_mb(c: &Cluster, node: usize) -> u64 {
-    let pid = c.nodes[node].2.as_ref().expect("a process").id();
+    let pid = c.nodes[node].process.as_ref().expect("a process").id();
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmRSS:"));
     let kib = line.and_then(|l| l.split_whitespace().nth(1)?.parse::<u64>().ok());
@@ -44,7 +44,7 @@
 #[test]
 fn too_much_is_refused_at_once_and_the_node_stays_up() {
     let mut c = start(&json!({"core_share": 1.0, "mem_mb": 64, "fd_limit": SOCKETS}));
-    let at: Vec<String> = c.nodes.iter().map(|n| n.1.clone()).collect();
+    let at: Vec<String> = c.addresses();
     for a in &at {
         until("a node is up", || http(a, "GET", "/up", "").0 == 200);
     }
@@ -124,7 +124,7 @@
         let now = memory_mb(&c, n);
         println!("node {n}: {now} MB ({before} MB at first)");
         assert!(now < 64, "node {n} holds {now} MB, {before} MB at first");
-        let child = c.nodes[n].2.as_mut().expect("a process");
+        let child = c.nodes[n].process.as_mut().expect("a process");
         assert!(child.try_wait().expect("its state").is_none(), "node {n} ended");
     }
 }
--- a/crates/leaddeal/tests/polls.rs
+++ b/crates/leaddeal/tests/polls.rs
@@ -38,7 +38,7 @@
 #[test]
 fn every_job_is_answered_about_in_a_storm_of_questions() {
     let mut c = start(&json!({"core_share": 1.0, "mem_mb": 64, "fd_limit": 600}));
-    let at: Vec<String> = c.nodes.iter().map(|n| n.1.clone()).collect();
+    let at: Vec<String> = c.addresses();
     for a in &at {
         until("a node is up", || http(a, "GET", "/up", "").0 == 200);
     }
--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -43,7 +43,7 @@
 #[test]
 fn three_processes_serve_users_and_survive_a_kill() {
     let mut c = start(&json!({}));
-    let at: Vec<String> = c.nodes.iter().map(|n| n.1.clone()).collect();
+    let at: Vec<String> = c.addresses();
     for a in &at {
         until("a node is up", || http(a, "GET", "/up", "").0 == 200);
     }
@@ -100,7 +100,7 @@
     assert_eq!(http(&at[1], "POST", "/submissions", &service.to_string()).0, 201);
 
     let parse = |v: &Value| Job::parse(v.to_string().as_bytes()).expect("a job");
-    let names = c.nodes.iter().map(|n| (n.0.clone(), n.1.clone())).collect();
+    let names = c.nodes.iter().map(|n| (n.name.clone(), n.addr.clone())).collect();
     let later = job("wk-000003", 2, "sweep");
     worker(names, vec![parse(&good), parse(&service), parse(&later)]);
     let is = |a: &str, id: &str, status: &str| {
@@ -111,7 +111,7 @@
     until("the service runs", || is(&at[1], "wk-000002", "running"));
 
     // One node is killed; the others take its work over.
-    let mut dead = c.nodes[0].2.take().expect("a process");
+    let mut dead = c.nodes[0].process.take().expect("a process");
     dead.kill().expect("killed");
     dead.wait().expect("ended");
     assert!(is(&at[1], "wk-000001", "done") || is(&at[2], "wk-000001", "done"));
--- a/crates/leaddeal/tests/restarts.rs
+++ b/crates/leaddeal/tests/restarts.rs
@@ -11,7 +11,7 @@
 
 fn alive(c: &mut Cluster) -> bool {
     c.nodes.iter_mut().all(|n| {
-        let ended = n.2.as_mut().map(std::process::Child::try_wait);
+        let ended = n.process.as_mut().map(std::process::Child::try_wait);
         matches!(ended, Some(Ok(None)))
     })
 }
@@ -19,7 +19,7 @@
 #[test]
 fn killed_twenty_times_and_started_within_50_ms_all_serve_on() {
     let mut c = start(&json!({}));
-    let at: Vec<String> = c.nodes.iter().map(|n| n.1.clone()).collect();
+    let at: Vec<String> = c.addresses();
     for a in &at {
         until("a node is up", || http(a, "GET", "/up", "").0 == 200);
     }
