--- a/crates/testkit/src/coscheduling.rs
+++ b/crates/testkit/src/coscheduling.rs
@@ -1,5 +1,6 @@
 //! The rules of gangs of several tasks: all of an attempt's tasks start at the same time or none does, and
 //! no gang completes that did not run for as long as it has to.
+use crate::broken_rule::{BrokenRule, Rule};
 use crate::worker::{job_of_task, CompletedTasks, Worker};
 use leaddeal_wire::user::{Job, Kind};
 use leaddeal_wire::worker::TaskState;
@@ -32,7 +33,7 @@
         jobs: &BTreeMap<String, Job>,
         workers: &BTreeMap<String, Worker>,
         done: &CompletedTasks,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         for job in &self.whole {
             *self.ran_ms.entry(job.clone()).or_default() += now - self.last_check;
         }
@@ -50,12 +51,13 @@
         &mut self,
         gangs: &BTreeMap<(&str, u64), usize>,
         jobs: &BTreeMap<String, Job>,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         for (&(id, attempt), &running) in gangs {
             let Some(job) = jobs.get(id).filter(|job| job.kind == Kind::Gang) else { continue };
             let is_whole = running == job.tasks as usize;
             if self.started.insert((id.into(), attempt)) && !is_whole {
-                return Err(format!("half_gang: {running} of {} tasks of {id} start", job.tasks));
+                return Err(Rule::HalfGang
+                    .broken(format!("{running} of {} tasks of {id} start", job.tasks)));
             }
             if is_whole {
                 self.whole.insert(id.into());
@@ -70,7 +72,7 @@
         before: &BTreeSet<String>,
         jobs: &BTreeMap<String, Job>,
         done: &CompletedTasks,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         for id in before.difference(&self.whole).filter(|id| !self.complete.contains(*id)) {
             let Some(job) = jobs.get(id) else { continue };
             let completed = done.count_of(job);
@@ -80,7 +82,8 @@
             let ran_ms = self.ran_ms.get(id).copied().unwrap_or(0);
             let is_too_early = ran_ms + RUN_TIME_ERROR_MS < (job.estimate_s * 1000.0) as u64;
             if completed < job.tasks as usize || is_too_early {
-                return Err(format!("half_gang: {completed} tasks of {id} done after {ran_ms} ms"));
+                return Err(Rule::HalfGang
+                    .broken(format!("{completed} tasks of {id} done after {ran_ms} ms")));
             }
         }
         Ok(())
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
 //! Stand-ins for workers, cloud, state service and users, written from the protocol; a seeded
 //! simulator that drives real cores against them; and a checker of every rule.
 
+pub mod broken_rule;
 pub mod coscheduling;
 pub mod fingerprint;
 pub mod gangs;
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -1,4 +1,5 @@
 //! The rules of the protocol, checked after each step.
+use crate::broken_rule::{BrokenRule, Rule};
 use crate::coscheduling::CoschedulingCheck;
 use crate::served::Served;
 use crate::starvation::{Cluster, StarvationCheck};
@@ -121,7 +122,11 @@
     ///
     /// # Errors
     /// The rule that is broken, and by which task.
-    pub fn check(&mut self, now: u64, workers: &BTreeMap<String, Worker>) -> Result<(), String> {
+    pub fn check(
+        &mut self,
+        now: u64,
+        workers: &BTreeMap<String, Worker>,
+    ) -> Result<(), BrokenRule> {
         self.check_cancelled(now, workers)?;
         let placements = Placements::new(now, workers, &self.jobs);
         check_quotas(&self.teams, &mut self.peak_usage, &self.jobs, &placements)?;
@@ -148,11 +153,15 @@
     }
 
     /// No task runs for longer than it may after the cancellation of its job was confirmed.
-    fn check_cancelled(&self, now: u64, workers: &BTreeMap<String, Worker>) -> Result<(), String> {
+    fn check_cancelled(
+        &self,
+        now: u64,
+        workers: &BTreeMap<String, Worker>,
+    ) -> Result<(), BrokenRule> {
         for (worker, (task, _)) in started_tasks(now, workers) {
             let since_ms = self.ms_since_confirmed_cancel(now, task);
             if since_ms.is_some_and(|ms| ms > self.cancel_ms) {
-                return Err(format!("ran_cancelled: {task} on {}", worker.name));
+                return Err(Rule::RanCancelled.broken(format!("{task} on {}", worker.name)));
             }
         }
         Ok(())
@@ -164,25 +173,27 @@
         started: &Placement,
         placements: &Placements,
         workers: &BTreeMap<String, Worker>,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         let task = &started.task;
         let id = job_of_task(task);
         let (Some(job), Some(worker)) = (self.jobs.get(id), workers.get(&started.machine)) else {
-            return Err(format!("wrong_place: unknown {task}"));
+            return Err(Rule::WrongPlace.broken(format!("unknown {task}")));
         };
         let (type_name, zone) = (&worker.type_name, &worker.zone);
         let type_ok = job.types.as_ref().is_none_or(|types| types.contains(type_name));
         let zone_ok = job.zone.as_ref().is_none_or(|wanted| wanted == zone);
         if !type_ok || !zone_ok || (worker.spot && !job.spot) {
-            return Err(format!("wrong_place: {task} on {type_name} in {zone}"));
+            return Err(Rule::WrongPlace.broken(format!("{task} on {type_name} in {zone}")));
         }
         let of_job = &placements.by_job[id];
         if job.one_zone && of_job.iter().any(|other| other.zone != *zone) {
-            return Err(format!("wrong_place: {task} is not with the others"));
+            return Err(Rule::WrongPlace.broken(format!("{task} is not with the others")));
         }
         let here = of_job.iter().filter(|other| other.zone == *zone).count();
         if job.spread && here > (job.tasks as usize).div_ceil(2) {
-            return Err(format!("wrong_place: {here} of {} of {id} in {zone}", job.tasks));
+            return Err(
+                Rule::WrongPlace.broken(format!("{here} of {} of {id} in {zone}", job.tasks))
+            );
         }
         Ok(())
     }
@@ -192,12 +203,12 @@
     ///
     /// # Errors
     /// The job that was forgotten.
-    pub fn check_answered(&self, now: u64) -> Result<(), String> {
+    pub fn check_answered(&self, now: u64) -> Result<(), BrokenRule> {
         let Some(calm) = self.calm_since else { return Ok(()) };
         for id in self.wanted() {
             let last = self.answered.get(id).copied().unwrap_or(0).max(calm);
             if now > last + FORGOTTEN_AFTER_MS {
-                return Err(format!("forgotten: nothing is said of {id} since {last}"));
+                return Err(Rule::Forgotten.broken(format!("nothing is said of {id} since {last}")));
             }
         }
         Ok(())
@@ -238,7 +249,7 @@
         now: u64,
         workers: &BTreeMap<String, Worker>,
         done: &CompletedTasks,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         if self.calm_since.is_none() {
             return Ok(());
         }
@@ -249,7 +260,7 @@
         let cluster = Cluster { jobs: &self.jobs, workers, teams: &self.teams, done };
         self.starvation.check(now, open, &cluster);
         match self.starvation.starved.iter().find(|(_, starved)| !starved.crowded) {
-            Some((id, starved)) => Err(format!("neglected: {id} of {}", starved.team)),
+            Some((id, starved)) => Err(Rule::Neglected.broken(format!("{id} of {}", starved.team))),
             None => Ok(()),
         }
     }
@@ -265,7 +276,7 @@
         http_status: u16,
         state: Option<&JobState>,
         done: &CompletedTasks,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         let id = request.job.as_str();
         if let Some(rule) = request.broken_by(http_status, state.map(|s| s.status)) {
             return Err(rule);
@@ -289,14 +300,21 @@
     }
 
     /// A job is done only once all its tasks are, and cancelled only if its user asked for it.
-    fn check_status(&self, id: &str, status: Status, done: &CompletedTasks) -> Result<(), String> {
-        let Some(job) = self.jobs.get(id) else { return Err(format!("invented: {id}")) };
+    fn check_status(
+        &self,
+        id: &str,
+        status: Status,
+        done: &CompletedTasks,
+    ) -> Result<(), BrokenRule> {
+        let Some(job) = self.jobs.get(id) else {
+            return Err(Rule::Invented.broken(id));
+        };
         match status {
             Status::Done if !done.all_of(job) || job.kind == Kind::Service => {
-                Err(format!("not_done: {id}"))
+                Err(Rule::NotDone.broken(id))
             }
             Status::Cancelled if !self.cancel_asked.contains(id) => {
-                Err(format!("went_back: {id} cancelled by nobody"))
+                Err(Rule::WentBack.broken(format!("{id} cancelled by nobody")))
             }
             Status::Done | Status::Cancelled | Status::Queued | Status::Running => Ok(()),
         }
@@ -304,13 +322,13 @@
 
     /// A user is told a terminal state. Of two answers that were asked for before either came, both can't
     /// be true.
-    fn acknowledge(&mut self, now: u64, id: &str, status: Status) -> Result<(), String> {
+    fn acknowledge(&mut self, now: u64, id: &str, status: Status) -> Result<(), BrokenRule> {
         let is_first = !self.acknowledged.contains_key(id);
         let had_ended = status == Status::Cancelled && self.ended_before_cancel.contains(id);
         self.ended_but_cancelled += usize::from(is_first && had_ended);
         let (was, _) = *self.acknowledged.entry(id.into()).or_insert((status, now));
         if was != status {
-            return Err(format!("went_back: {id} from {was:?} to {status:?}"));
+            return Err(Rule::WentBack.broken(format!("{id} from {was:?} to {status:?}")));
         }
         Ok(())
     }
@@ -322,7 +340,7 @@
     peak_usage: &mut BTreeMap<String, (f64, f64)>,
     jobs: &BTreeMap<String, Job>,
     placements: &Placements,
-) -> Result<(), String> {
+) -> Result<(), BrokenRule> {
     for team in teams {
         let name = &team.name;
         let (cpus, gpus) = placements.usage.get(name.as_str()).copied().unwrap_or_default();
@@ -336,19 +354,21 @@
             let of_team = placements.all.iter().filter(is_of_team);
             let who: Vec<_> = of_team.map(|p| (&p.task, &p.machine, p.attempt)).collect();
             let max = (team.cpus_max, team.gpus_max);
-            return Err(format!("quota: {name} uses {cpus}, {gpus} of {max:?}: {who:?}"));
+            return Err(
+                Rule::Quota.broken(format!("{name} uses {cpus}, {gpus} of {max:?}: {who:?}"))
+            );
         }
     }
     Ok(())
 }
 
 /// A task does not start while it is on another machine.
-fn check_runs_once(started: &Placement, placements: &Placements) -> Result<(), String> {
+fn check_runs_once(started: &Placement, placements: &Placements) -> Result<(), BrokenRule> {
     let Placement { task, machine, .. } = started;
     match placements.all.iter().find(|p| p.task == *task && p.machine != *machine) {
         Some(other) => {
             let other = &other.machine;
-            Err(format!("ran_twice: {task} starts on {machine} while on {other}"))
+            Err(Rule::RanTwice.broken(format!("{task} starts on {machine} while on {other}")))
         }
         None => Ok(()),
     }
@@ -361,14 +381,17 @@
     http_status: u16,
     due: u16,
     what: &str,
-) -> Result<bool, String> {
+) -> Result<bool, BrokenRule> {
     let is_submission = request.kind == RequestKind::Submit;
     let due = if is_submission { due } else { 404 };
     let id = &request.job;
     match http_status {
         429 | 503 | 504 => Ok(false),
         status if status == due => Ok(is_submission),
-        200 | 201 => Err(format!("accepted_wrong: {id} with {what}")),
-        status => Err(format!("refused_wrong: {id} with {what} is answered {status}, not {due}")),
+        200 | 201 => Err(Rule::AcceptedWrong.broken(format!("{id} with {what}"))),
+        status => {
+            Err(Rule::RefusedWrong
+                .broken(format!("{id} with {what} is answered {status}, not {due}")))
+        }
     }
 }
--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -2,6 +2,7 @@
 use super::event::Event;
 use super::setup::machine_types;
 use super::{Sabotage, Sim};
+use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_core::io::{CloudCall, CloudResult};
 use leaddeal_wire::cloud::{Catalog, Instance, InstanceList, InstanceRequest, InstanceStatus};
 use rand::Rng;
@@ -29,7 +30,7 @@
 
 impl Sim {
     /// Carries out a call of the cloud.
-    pub(super) fn cloud(&mut self, call: CloudCall) -> Result<CloudResult, String> {
+    pub(super) fn cloud(&mut self, call: CloudCall) -> Result<CloudResult, BrokenRule> {
         match call {
             CloudCall::Catalog => {
                 let types = machine_types(self.plan.has_gpus());
@@ -44,7 +45,7 @@
         }
     }
 
-    fn launch(&mut self, mut request: InstanceRequest) -> Result<CloudResult, String> {
+    fn launch(&mut self, mut request: InstanceRequest) -> Result<CloudResult, BrokenRule> {
         if self.plan.sabotage == Sabotage::ReusedRequestNames {
             request.request = request.request.rsplit('-').next().unwrap_or_default().to_string();
         }
@@ -54,7 +55,9 @@
             let first = &launch.request;
             if *first != request {
                 let name = &request.request;
-                return Err(format!("name_reused: {name} for {first:?} and {request:?}"));
+                return Err(
+                    Rule::NameReused.broken(format!("{name} for {first:?} and {request:?}"))
+                );
             }
             return Ok(CloudResult::Launched(launch.names.clone()));
         }
--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -2,6 +2,7 @@
 use super::event::Event;
 use super::setup::settings;
 use super::{Sabotage, Sim};
+use crate::broken_rule::BrokenRule;
 use leaddeal_core::io::Input;
 use leaddeal_core::Node;
 use rand::Rng;
@@ -132,7 +133,7 @@
     }
 
     /// Gives an input to a controller, if it is up, and carries out what its core puts out.
-    pub(super) fn step(&mut self, node: usize, input: Input) -> Result<(), String> {
+    pub(super) fn step(&mut self, node: usize, input: Input) -> Result<(), BrokenRule> {
         let now = self.steady_clock_ms(node);
         let wall_ms = self.wall_clock_ms();
         let Some(core) = self.controllers[node].core.as_mut() else { return Ok(()) };
@@ -149,7 +150,7 @@
         Ok(())
     }
 
-    pub(super) fn tick(&mut self, process: Process) -> Result<(), String> {
+    pub(super) fn tick(&mut self, process: Process) -> Result<(), BrokenRule> {
         if self.is_alive(process) {
             self.step(process.node, Input::Tick)?;
             self.schedule(TICK_INTERVAL_MS, Event::Tick(process));
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    pub(super) fn node_input(&mut self, process: Process, input: Input) -> Result<(), String> {
+    pub(super) fn node_input(&mut self, process: Process, input: Input) -> Result<(), BrokenRule> {
         if self.is_alive(process) {
             self.step(process.node, input)?;
         }
--- a/crates/testkit/src/sim/dispatch.rs
+++ b/crates/testkit/src/sim/dispatch.rs
@@ -1,13 +1,14 @@
 //! The dispatcher: each event goes to the function that handles it.
 use super::event::Event;
 use super::{Sim, GANG_STEP_MS, LIVENESS_CHECK_MS};
+use crate::broken_rule::BrokenRule;
 
 impl Sim {
     /// Handles an event.
     ///
     /// # Errors
     /// The rule that was broken.
-    pub(super) fn handle(&mut self, event: Event) -> Result<(), String> {
+    pub(super) fn handle(&mut self, event: Event) -> Result<(), BrokenRule> {
         match event {
             Event::Tick(process) => self.tick(process)?,
             Event::NodeInput { process, input } => self.node_input(process, input)?,
@@ -38,14 +39,14 @@
     }
 
     /// Once all faults are over: every user is answered, and no job starves.
-    fn check_liveness(&mut self) -> Result<(), String> {
+    fn check_liveness(&mut self) -> Result<(), BrokenRule> {
         self.schedule(LIVENESS_CHECK_MS, Event::CheckLiveness);
         self.rules.check_answered(self.now)?;
         self.rules.check_starvation(self.now, &self.workers, &self.done)
     }
 
     /// Gangs advance, and their tasks are checked to run together.
-    fn gang_step(&mut self) -> Result<(), String> {
+    fn gang_step(&mut self) -> Result<(), BrokenRule> {
         self.schedule(GANG_STEP_MS, Event::GangStep);
         self.gangs.advance(self.now, &mut self.workers, &self.rules.jobs, &mut self.done);
         let (jobs, workers) = (&self.rules.jobs, &self.workers);
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -3,6 +3,7 @@
 use super::event::{Event, PendingRequest, RequestId, SentCommands};
 use super::workers::COMMAND_TIMEOUT_MS;
 use super::{Sabotage, Sim};
+use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_core::io::{CloudResult, Effect, Input, StoreCall, UserReply};
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 use rand::Rng;
@@ -39,7 +40,7 @@
     }
 
     /// Carries out what a controller's core puts out.
-    pub(super) fn carry_out(&mut self, node: usize, effect: Effect) -> Result<(), String> {
+    pub(super) fn carry_out(&mut self, node: usize, effect: Effect) -> Result<(), BrokenRule> {
         let latency_ms = self.latency_ms();
         match effect {
             Effect::User { req, reply } => self.reply_to_user(node, req, &reply)?,
@@ -69,7 +70,12 @@
         Ok(())
     }
 
-    fn reply_to_user(&mut self, node: usize, req: u64, reply: &UserReply) -> Result<(), String> {
+    fn reply_to_user(
+        &mut self,
+        node: usize,
+        req: u64,
+        reply: &UserReply,
+    ) -> Result<(), BrokenRule> {
         let id = RequestId { process: self.process(node), number: req };
         match self.pending.remove(&id) {
             Some(PendingRequest::User(request)) => self.answer(&request, reply),
@@ -83,8 +89,8 @@
         to_name: &str,
         msg: NodeMessage,
         latency_ms: u64,
-    ) -> Result<(), String> {
-        let to: usize = to_name[2..].parse().map_err(|_| "bad node name".to_string())?;
+    ) -> Result<(), BrokenRule> {
+        let to: usize = to_name[2..].parse().map_err(|_| Rule::UnknownNode.broken(to_name))?;
         let not_sent = self.plan.sabotage == Sabotage::NoGrants && is_grant(&msg);
         if not_sent || self.are_partitioned(from, to) || self.controllers[to].core.is_none() {
             return Ok(());
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -3,6 +3,7 @@
 use super::event::Event;
 use super::fault_windows::draw_percent;
 use super::{Sabotage, Sim, NODES};
+use crate::broken_rule::BrokenRule;
 use crate::invalid_submissions::{self, InvalidSubmission};
 use crate::user_knowledge::RequestKind;
 use leaddeal_core::ids::JobId;
@@ -118,7 +119,7 @@
 
     /// A submission that is repeated at one or all controllers, or must not be accepted, or a
     /// cancellation of what is done.
-    pub(super) fn invalid_request(&mut self, until: u64) -> Result<(), String> {
+    pub(super) fn invalid_request(&mut self, until: u64) -> Result<(), BrokenRule> {
         if self.now < until {
             self.schedule(INVALID_REQUEST_INTERVAL_MS, Event::InvalidRequest { until });
         }
@@ -137,7 +138,7 @@
     }
 
     /// A submission lacks a field, has an impossible value, or can never run; and its user queries it.
-    fn invalid_submission(&mut self) -> Result<(), String> {
+    fn invalid_submission(&mut self) -> Result<(), BrokenRule> {
         let Some(node) = self.random_reachable_node() else { return Ok(()) };
         self.query_bursts.invalid_submissions += 1;
         let number = FIRST_INVALID_JOB + self.query_bursts.invalid_submissions;
@@ -174,7 +175,7 @@
     }
 
     /// A job of one task, of which every fourth is cancelled soon.
-    pub(super) fn single_task_job(&mut self, until: u64) -> Result<(), String> {
+    pub(super) fn single_task_job(&mut self, until: u64) -> Result<(), BrokenRule> {
         if self.now < until {
             self.schedule(SINGLE_TASK_JOB_INTERVAL_MS, Event::SingleTaskJob { until });
         }
--- a/crates/testkit/src/sim/run.rs
+++ b/crates/testkit/src/sim/run.rs
@@ -1,6 +1,7 @@
 //! The run loop: takes events in order of time, and checks the rules after each that concerns a machine.
 use super::event::Event;
 use super::{Sim, BEGIN};
+use crate::broken_rule::BrokenRule;
 
 impl Sim {
     /// Runs to the end of the plan.
@@ -49,7 +50,7 @@
     }
 
     /// Handles an event and checks the rules.
-    fn run_event(&mut self, event: Event) -> Result<(), String> {
+    fn run_event(&mut self, event: Event) -> Result<(), BrokenRule> {
         let is_checked = self.is_check_due(&event);
         let handled = self.handle(event);
         self.query_completed_jobs();
--- a/crates/testkit/src/sim/store.rs
+++ b/crates/testkit/src/sim/store.rs
@@ -1,6 +1,7 @@
 //! Calls of the state service on their way, and what becomes of their answers.
 use super::event::{Event, OpenWatch, SentStoreCall};
 use super::Sim;
+use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_core::io::{Input, StoreCall, StoreResult};
 use rand::Rng;
 
@@ -53,7 +54,7 @@
     }
 
     /// Carries out a call at the state service.
-    pub(super) fn store_call(&mut self, sent: SentStoreCall) -> Result<(), String> {
+    pub(super) fn store_call(&mut self, sent: SentStoreCall) -> Result<(), BrokenRule> {
         let SentStoreCall { process, op, call } = sent;
         let mut result = self.store_result(process.node, &call);
         if let (StoreCall::Transaction(transaction), StoreResult::Committed(_)) = (&call, &result) {
@@ -66,7 +67,9 @@
             result = StoreResult::Unknown;
         }
         if let Some(transaction) = &self.state.repeatable {
-            return Err(format!("written_again: a late copy would do it again: {transaction}"));
+            return Err(
+                Rule::WrittenAgain.broken(format!("a late copy would do it again: {transaction}"))
+            );
         }
         self.observations.store_calls += 1;
         self.observations.pages += u64::from(matches!(result, StoreResult::Page(_)));
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -1,6 +1,7 @@
 //! Users: what they submit, query and cancel, and the answers that they get.
 use super::event::{Event, PendingRequest};
 use super::{Sabotage, Sim, NODES};
+use crate::broken_rule::BrokenRule;
 use crate::user_knowledge::{RequestKind, UserRequest};
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::{Input, UserReply};
@@ -66,7 +67,7 @@
     }
 
     /// Sends a request to any controller that is up.
-    pub(super) fn request(&mut self, kind: RequestKind, id: &str) -> Result<(), String> {
+    pub(super) fn request(&mut self, kind: RequestKind, id: &str) -> Result<(), BrokenRule> {
         match self.random_reachable_node() {
             Some(node) => self.request_at(node, kind, id),
             None => Ok(()),
@@ -79,7 +80,7 @@
         node: usize,
         kind: RequestKind,
         id: &str,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         let Some(job) = self.rules.jobs.get(id) else { return Ok(()) };
         if !self.controllers[node].reaches_users() {
             return Ok(());
@@ -103,7 +104,7 @@
         kind: RequestKind,
         id: &str,
         make: impl FnOnce(u64) -> Input,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         let request = UserRequest { kind, job: id.into(), knew: self.rules.knowledge(id) };
         let number = self.add_pending(node, PendingRequest::User(request));
         let input = make(number);
@@ -115,7 +116,7 @@
     }
 
     /// A user submits a job, and another user will.
-    pub(super) fn next_submission(&mut self) -> Result<(), String> {
+    pub(super) fn next_submission(&mut self) -> Result<(), BrokenRule> {
         let job = self.random_job();
         self.add_job(&job);
         let is_service = job.kind == Kind::Service;
@@ -132,7 +133,7 @@
     }
 
     /// A user queries its job, or repeats the submission, and will do so again.
-    pub(super) fn poll(&mut self, id: String) -> Result<(), String> {
+    pub(super) fn poll(&mut self, id: String) -> Result<(), BrokenRule> {
         let is_frequent = self.now < self.frequent_polls_until;
         let wait_ms = if is_frequent { FREQUENT_POLL_INTERVAL_MS } else { POLL_INTERVAL_MS };
         self.schedule(wait_ms, Event::Poll { job: id.clone() });
@@ -144,7 +145,7 @@
     }
 
     /// A user cancels its job. What it was told is done stays so, whatever it asks for.
-    pub(super) fn cancel(&mut self, id: String) -> Result<(), String> {
+    pub(super) fn cancel(&mut self, id: String) -> Result<(), BrokenRule> {
         if !self.rules.accepted.contains(&id) {
             self.schedule(CANCEL_WHEN_ACCEPTED_MS, Event::Cancel { job: id });
             return Ok(());
@@ -169,7 +170,7 @@
     }
 
     /// A user repeats a cancellation that was not answered.
-    pub(super) fn repeat_cancel(&mut self, id: String) -> Result<(), String> {
+    pub(super) fn repeat_cancel(&mut self, id: String) -> Result<(), BrokenRule> {
         if !self.rules.unanswered_cancels.contains_key(&id) {
             return Ok(());
         }
@@ -182,7 +183,7 @@
         &mut self,
         request: &UserRequest,
         reply: &UserReply,
-    ) -> Result<(), String> {
+    ) -> Result<(), BrokenRule> {
         let id = request.job.as_str();
         let shard = shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
         let is_sabotaged = self.plan.sabotage == Sabotage::UnansweredShard && shard == Shard(0);
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -6,6 +6,7 @@
 };
 use super::setup::machine_types;
 use super::{Sabotage, Sim, NODES};
+use crate::broken_rule::BrokenRule;
 use crate::worker::Worker;
 use leaddeal_core::io::{CommandOutcome, Input, WorkerReply};
 use leaddeal_wire::worker::HeartbeatResponse;
@@ -116,7 +117,7 @@
     }
 
     /// A heartbeat reaches a controller.
-    pub(super) fn deliver_heartbeat(&mut self, sent: SentHeartbeat) -> Result<(), String> {
+    pub(super) fn deliver_heartbeat(&mut self, sent: SentHeartbeat) -> Result<(), BrokenRule> {
         let node = sent.node;
         let held_ms = self.held_back_ms(&sent.heartbeat.machine, node);
         if held_ms > 0 {
--- a/crates/testkit/src/user_knowledge.rs
+++ b/crates/testkit/src/user_knowledge.rs
@@ -1,4 +1,5 @@
 //! What a user knows of its job, and which answers are older than that.
+use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_wire::user::Status;
 
 /// The newest thing that any controller told a user of its job.
@@ -38,21 +39,22 @@
 
 impl UserRequest {
     /// The rule that an answer with this HTTP status and this state of the job breaks, if any.
-    pub fn broken_by(&self, http_status: u16, reported: Option<Status>) -> Option<String> {
+    pub fn broken_by(&self, http_status: u16, reported: Option<Status>) -> Option<BrokenRule> {
         let (id, kind) = (&self.job, self.kind);
         match (self.knew, reported) {
             (UserKnowledge::Nothing, None) => None,
-            (knew, None) => matches!(http_status, 400 | 404 | 422)
-                .then(|| format!("forgotten: {id} is answered {http_status} after {knew:?}")),
+            (knew, None) => matches!(http_status, 400 | 404 | 422).then(|| {
+                Rule::Forgotten.broken(format!("{id} is answered {http_status} after {knew:?}"))
+            }),
             (UserKnowledge::Over(was), Some(status)) if was != status => {
-                Some(format!("went_back: {id} from {was:?} to {status:?}"))
+                Some(Rule::WentBack.broken(format!("{id} from {was:?} to {status:?}")))
             }
             (knew, Some(_)) if http_status == 201 && knew != UserKnowledge::Nothing => {
-                Some(format!("accepted_twice: {id} after {knew:?}"))
+                Some(Rule::AcceptedTwice.broken(format!("{id} after {knew:?}")))
             }
             (_, Some(status)) if kind == RequestKind::Cancel => {
                 (!matches!(status, Status::Done | Status::Cancelled))
-                    .then(|| format!("not_cancelled: {id} is answered {status:?}"))
+                    .then(|| Rule::NotCancelled.broken(format!("{id} is answered {status:?}")))
             }
             _ => None,
         }
