--- a/crates/testkit/src/script.rs
+++ b/crates/testkit/src/script.rs
@@ -2,8 +2,10 @@
 
 use std::collections::BTreeMap;
 
-/// What fails. Durations are in simulated milliseconds; `percent` is a share in hundredths, and values above
-/// 100 count as 100. Where `machines` is a count, the machines are taken in the order of their names.
+/// What fails, and until when: `ms` is the duration, in simulated milliseconds like all that ends in `_ms`.
+///
+/// `node` and `nodes` are indices of controllers, `machines` counts machines in the order of their names, and
+/// `percent` is a share in hundredths, of which values above 100 count as 100.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// These controllers end, and start again `back_ms` later.
--- a/crates/testkit/src/sim/event.rs
+++ b/crates/testkit/src/sim/event.rs
@@ -35,7 +35,7 @@
     ScriptedFault(Fault),
     /// All faults are over.
     CalmBegins,
-    /// The checks of jobs that nobody is told of and of jobs that starve.
+    /// The checks that users are answered and that no job starves.
     CheckLiveness,
     /// Gangs advance.
     GangStep,
