--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -208,7 +208,7 @@
 
 /// The newest epoch under which the shard of this index is known to have been owned; 0 if none is.
 fn newest_epoch(view: &[ShardView], index: usize) -> Epoch {
-    view.get(index).and_then(|shard| shard.last).map_or(Epoch(0), |owner| owner.epoch)
+    view.get(index).and_then(|shard| shard.newest_owner).map_or(Epoch(0), |owner| owner.epoch)
 }
 
 #[cfg(test)]
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -114,7 +114,7 @@
     /// this process has not read all keys of shards yet.
     fn newest_epochs(&self, view: &[ShardView]) -> Option<Vec<u64>> {
         let newest = |(state, shard): (&ShardHorizon, &ShardView)| {
-            let last = shard.last.map_or(0, |owner| owner.epoch.0);
+            let last = shard.newest_owner.map_or(0, |owner| owner.epoch.0);
             let limit = if holds(Guard::HorizonFloor) {
                 state.predecessor_epoch_limit
             } else {
--- a/crates/core/src/provisioner/boot_tracker.rs
+++ b/crates/core/src/provisioner/boot_tracker.rs
@@ -3,6 +3,7 @@
 use super::inventory::InventoryView;
 use crate::context::Context;
 use crate::ids::Timestamp;
+use crate::io::LogLevel;
 use leaddeal_wire::cloud::{Instance, InstanceRequest};
 use std::collections::BTreeMap;
 
@@ -20,16 +21,6 @@
 }
 
 impl BootingMachine {
-    /// One of the machines that a request is for.
-    pub(super) fn requested(request: &InstanceRequest, since: Timestamp) -> BootingMachine {
-        BootingMachine {
-            type_name: request.type_name.clone(),
-            zone: request.zone.clone(),
-            spot: request.spot,
-            since,
-        }
-    }
-
     fn location(&self) -> BootLocation {
         BootLocation { type_name: self.type_name.clone(), zone: self.zone.clone() }
     }
@@ -56,7 +47,13 @@
 impl BootTracker {
     /// A machine was launched.
     pub(super) fn on_launch(&mut self, name: String, request: &InstanceRequest, now: Timestamp) {
-        self.booting.insert(name, BootingMachine::requested(request, now));
+        let machine = BootingMachine {
+            type_name: request.type_name.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            since: now,
+        };
+        self.booting.insert(name, machine);
     }
 
     /// An instance is listed as starting, which may have been launched by an earlier provisioner.
@@ -85,7 +82,7 @@
         let price = type_idx.map_or(0.0, |idx| ctx.names.price(idx, instance.spot));
         self.spent_on_failed_boots += price * instance.age_s / 3600.0;
         let spent = self.spent_on_failed_boots;
-        ctx.effects.log(1, "never_up", || {
+        ctx.effects.log(LogLevel::Info, "instance_never_up", || {
             format!(
                 "{} {} {} after {:.0} s, spent on such {spent:.2}",
                 instance.id, instance.type_name, instance.zone, instance.age_s
--- a/crates/core/src/provisioner/instance_list.rs
+++ b/crates/core/src/provisioner/instance_list.rs
@@ -204,7 +204,7 @@
     /// Stores, or reads, the name of the newest machine that was there before the service.
     fn find_operator_machines(&mut self, ctx: &mut Context) {
         if self.operator_machines.begin_read() {
-            ctx.find_base(self.listed.newest().cloned().unwrap_or_default());
+            ctx.find_operator_machines(self.listed.newest().cloned().unwrap_or_default());
         }
     }
 }
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -20,6 +20,7 @@
 //! nothing is planned while a participant is silent, since its free capacity is not known.
 use crate::context::{Context, Operation, ProvisionerOperation};
 use crate::ids::{Epoch, Shard, Timestamp, PROVISIONER_SHARD};
+use crate::io::LogLevel;
 use crate::io::{CloudCall, CloudResult};
 use leaddeal_wire::mesh::ShardMessage;
 
@@ -132,7 +133,7 @@
                 if (instances.len() as u32) < request.count {
                     self.demand.on_no_capacity(now, &request);
                 }
-                ctx.effects.log(1, "rented", || {
+                ctx.effects.log(LogLevel::Info, "instances_launched", || {
                     format!(
                         "{} {} {} spot={} {instances:?}",
                         request.request, request.type_name, request.zone, request.spot
@@ -160,7 +161,7 @@
     /// is uncertain.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now;
-        if !ctx.valid {
+        if !ctx.lease_valid {
             return;
         }
         self.request_list(ctx);
--- a/crates/leaddeal/src/driver/effects.rs
+++ b/crates/leaddeal/src/driver/effects.rs
@@ -3,6 +3,7 @@
 use super::store_client::StoreClient;
 use super::worker_client::WorkerClients;
 use crate::event::{Event, Reply};
+use leaddeal_core::io::LogLevel;
 use leaddeal_core::io::RequestId;
 use leaddeal_core::{Effect, Input};
 use leaddeal_wire::mesh::NodeMessage;
@@ -64,10 +65,10 @@
                     Input::CommandOutcome { machine, batch, outcome }
                 });
             }
-            Effect::Log(level, event, what) => match level {
-                0 => tracing::error!(event, "{what}"),
-                1 => tracing::info!(event, "{what}"),
-                _ => tracing::debug!(event, "{what}"),
+            Effect::Log { level, event, details } => match level {
+                LogLevel::Error => tracing::error!(event, "{details}"),
+                LogLevel::Info => tracing::info!(event, "{details}"),
+                LogLevel::Debug => tracing::debug!(event, "{details}"),
             },
         }
     }
--- a/crates/testkit/src/sim/delayed_heartbeats.rs
+++ b/crates/testkit/src/sim/delayed_heartbeats.rs
@@ -70,11 +70,11 @@
 impl Sim {
     /// A controller logs that it has acquired or loaded a shard.
     pub(super) fn note_owner_change(&mut self, node: usize, event: &str, fields: &str) {
-        let shard = fields.split_whitespace().find_map(|w| w.strip_prefix("seat=")?.parse().ok());
+        let shard = fields.split_whitespace().find_map(|w| w.strip_prefix("shard=")?.parse().ok());
         let Some(shard) = shard.map(Shard) else { return };
         match event {
-            "seat_acquired" => self.deliver_delayed(node, OwnerChange::Acquired, shard),
-            "seat_loaded" => {
+            "shard_acquired" => self.deliver_delayed(node, OwnerChange::Acquired, shard),
+            "shard_loaded" => {
                 self.delayed_heartbeats.new_owners.insert(shard, node);
                 self.deliver_delayed(node, OwnerChange::Loaded, shard);
             }
--- a/crates/testkit/src/sim/run.rs
+++ b/crates/testkit/src/sim/run.rs
@@ -1,6 +1,7 @@
 //! The run loop: takes events in order of time, and checks the rules after each that concerns a machine.
 use super::event::Event;
 use super::{Sim, BEGIN};
+use crate::broken_rule::BrokenRule;
 
 /// The rules are checked at least once in this many events of workers, however large the fleet is.
 const MAX_CHECK_INTERVAL: u64 = 20_000;
@@ -52,7 +53,7 @@
     }
 
     /// Handles an event and checks the rules.
-    fn run_event(&mut self, event: Event) -> Result<(), String> {
+    fn run_event(&mut self, event: Event) -> Result<(), BrokenRule> {
         let is_checked = self.is_check_due(&event);
         let handled = self.handle(event);
         self.query_completed_jobs();
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -52,10 +52,10 @@
 fn what_may_not_run_costs_nothing() {
     for seed in 1..=3 {
         let sim = played(Plan { count_traffic: true, ..tight(seed, Vec::new()) });
-        let (looked, starts) = (sim.looked(), sim.rules.starts as u64);
+        let (machines_evaluated, starts) = (sim.machines_evaluated(), sim.rules.starts as u64);
         assert!(
-            looked < starts * 40,
-            "seed {seed}: {looked} looks at machines for {starts} starts"
+            machines_evaluated < starts * 40,
+            "seed {seed}: {machines_evaluated} looks at machines for {starts} starts"
         );
         let tally = sim.tally.as_ref().map(|t| t.by_kind.clone()).unwrap_or_default();
         let calls = tally.get("cloud request").map_or(0, |c| c.times);
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -67,8 +67,11 @@
     let (times, bytes) = mesh.fold((0, 0), |n, (_, c)| (n.0 + c.times, n.1 + c.bytes));
     assert!(times < starts * 9, "{times} messages between controllers for {starts} starts");
     assert!(bytes < starts * 1000, "{bytes} bytes between controllers for {starts} starts");
-    let looked = sim.looked();
-    assert!(looked < starts * 130, "{looked} looks at machines for {starts} starts");
+    let machines_evaluated = sim.machines_evaluated();
+    assert!(
+        machines_evaluated < starts * 130,
+        "{machines_evaluated} looks at machines for {starts} starts"
+    );
 }
 
 /// Found at three times a fleet: every look at a machine went through all claims, and every
@@ -78,7 +81,7 @@
     let run = |times| {
         let mut sim = Sim::new(Plan::fleet(5, times));
         sim.run().unwrap_or_else(|e| panic!("{e}"));
-        (sim.rules.starts as u64, sim.looked())
+        (sim.rules.starts as u64, sim.machines_evaluated())
     };
     let (one, two, five) = (run(2), run(4), run(10));
 
