--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -96,7 +96,7 @@
         self.messages(machines, gone, first)
     }
 
-    /// Splits the lists into messages; the last one is that with the last of `machines`.
+    /// Splits the lists into messages.
     fn messages(
         &mut self,
         mut machines: Vec<MachineInfo>,
@@ -113,7 +113,7 @@
                 gone: take_front(&mut gone),
             });
             first = false;
-            if machines.is_empty() {
+            if machines.is_empty() && gone.is_empty() {
                 return messages;
             }
         }
@@ -183,3 +183,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
