--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -1,5 +1,5 @@
 //! Calls to siblings that wait for an answer: queries about jobs, and relayed heartbeats.
-use super::{Node, MAX_OPEN_REQUESTS};
+use super::{Node, MAX_OPEN_QUERIES, MAX_OPEN_RELAYS};
 use crate::context::{JobLookup, LookupPurpose, RelayedRequest};
 use crate::guards::{holds, Guard};
 use crate::ids::{shard_of_job, JobId, NodeIdx, Timestamp};
@@ -58,11 +58,11 @@
     }
 
     pub(super) fn too_many_queries(&self) -> bool {
-        self.job_queries.len() > MAX_OPEN_REQUESTS
+        self.job_queries.len() > MAX_OPEN_QUERIES
     }
 
     pub(super) fn may_relay(&self) -> bool {
-        self.relays.len() < MAX_OPEN_REQUESTS
+        self.relays.len() < MAX_OPEN_RELAYS
     }
 }
 
@@ -130,7 +130,7 @@
         let Some(active) = slot.filter(|active| valid && active.coordinator.ready()) else {
             return effects.push(refusal(JobAnswer::NotMine));
         };
-        if self.shared.relayed_requests.len() > MAX_OPEN_REQUESTS {
+        if self.shared.relayed_requests.len() > MAX_OPEN_QUERIES {
             return effects.push(refusal(JobAnswer::Later));
         }
         let req = SIBLING_REQUEST_BIT | self.calls.next_number();
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -9,9 +9,16 @@
 use crate::quota::QuotaManager;
 use leaddeal_wire::settings::Settings;
 
-/// Requests in flight (calls to the state service, calls to siblings, requests of siblings) beyond
-/// which further ones are refused at once.
-const MAX_OPEN_REQUESTS: usize = 300;
+/// Calls to the state service in flight beyond which requests of users are refused at once. They grow
+/// with submissions and not with machines, and each may take a socket: at 500 requests a second, 300 are
+/// what the service answers in 0.6 s.
+const MAX_OPEN_STORE_CALLS: usize = 300;
+/// Queries of jobs to siblings, and of siblings, in flight beyond which further ones are refused at once.
+/// With 4,500 machines some 3,000 jobs are polled every 5 s: 280 are in flight while a sibling is silent.
+const MAX_OPEN_QUERIES: usize = 2000;
+/// Heartbeats being relayed beyond which workers are redirected instead: more than all workers of a
+/// sibling's shard in a fleet of 4,500 machines.
+const MAX_OPEN_RELAYS: usize = 5000;
 /// The state service has refused or not answered anything for this long: a sibling may do better.
 const STORE_UNAVAILABLE_AFTER_MS: u64 = 5000;
 /// A new process listens to its siblings for this long before it takes itself for the best there is.
--- a/crates/core/src/participant/failure_attribution.rs
+++ b/crates/core/src/participant/failure_attribution.rs
@@ -23,7 +23,7 @@
 /// How long evidence is kept after the newest of a job.
 const EVIDENCE_RETENTION_MS: u64 = 180_000;
 /// Jobs of which evidence is kept, at most: the one without news for longest is dropped first.
-const MAX_JOBS: usize = 4000;
+const MAX_JOBS: usize = 20_000;
 
 #[derive(Clone, Debug, Default)]
 struct JobEvidence {
--- a/crates/leaddeal/src/driver/cloud_client.rs
+++ b/crates/leaddeal/src/driver/cloud_client.rs
@@ -11,7 +11,7 @@
 
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(8);
 /// Instances of one page of a list.
-const MAX_PAGE_INSTANCES: usize = 200;
+const MAX_PAGE_INSTANCES: usize = 500;
 /// In the body of a 503 to a launch: there are no such instances now. Without it, it is an outage.
 const NO_CAPACITY_TEXT: &str = "no capacity";
 
--- a/crates/leaddeal/src/driver/limits/tests.rs
+++ b/crates/leaddeal/src/driver/limits/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn without_limits_in_the_settings_there_are_defaults() {
     let none = limits(0, 0.0);
-    assert_eq!(none.max_connections, 1000);
-    assert_eq!(none.max_worker_clients, 250);
+    assert_eq!(none.max_connections, 5000);
+    assert_eq!(none.max_worker_clients, 1250);
     assert_eq!(none.body_memory_kib, 8192);
 }
 
@@ -24,3 +24,9 @@
     assert_eq!(limits(0, 256.0).body_memory_kib, 32 * 1024);
     assert_eq!(limits(0, 1.0).body_memory_kib, 1024);
 }
+
+#[test]
+fn each_connection_finds_a_place_for_an_event() {
+    assert_eq!(limits(4700, 0.0).max_queued_events, 4600);
+    assert_eq!(limits(500, 0.0).max_queued_events, 1000);
+}
--- a/crates/leaddeal/src/link/dialer.rs
+++ b/crates/leaddeal/src/link/dialer.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Messages that wait for a peer. When the queue is full, more are dropped, as on a lossy line.
-const MAX_QUEUED_MESSAGES: usize = 2000;
+const MAX_QUEUED_MESSAGES: usize = 5000;
 /// Messages are written together until there are this many bytes.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
