--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -74,7 +74,7 @@
 fn an_assertion_with_a_gap_states_only_what_it_names() {
     let (mut a, mut b, view) = (horizons(0), horizons(1), views());
     let owned_by_b = owned_shards(JOBS, 5, 0);
-    for n in 0..MAX_CANCELLATIONS_NAMED as u64 + 1 {
+    for n in 0..=(MAX_CANCELLATIONS_NAMED as u64) {
         b.on_cancelled(JOBS, Epoch(5), JobId(n), 1000);
     }
     exchange(&mut a, &mut b, 10_000, &owned_by_b, &view);
--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -41,7 +41,7 @@
     Nothing,
     /// A process that has not read the store makes statements about earlier processes of its node.
     Restarts,
-    /// A controller that is heard_at is taken to know all, as before there were horizons.
+    /// A controller that is `heard_at` is taken to know all, as before there were horizons.
     Silence,
 }
 
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// A hash (the finalizer of MurmurHash3) that is the same on every node and in every version.
+/// A hash (the finalizer of `MurmurHash3`) that is the same on every node and in every version.
 fn mix(mut value: u64) -> u64 {
     value ^= value >> 33;
     value = value.wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/core/src/jobs/objectives.rs
+++ b/crates/core/src/jobs/objectives.rs
@@ -63,7 +63,9 @@
         // operators' sites: an array of 25,000 tasks was due as late as one of ten, and when its
         // turn came there was not time enough to place them.)
         let placement_ms = self.placement_ms_per_task * f64::from(job.tasks);
-        starts.iter_mut().for_each(|start| *start -= placement_ms);
+        for start in &mut starts {
+            *start -= placement_ms;
+        }
         starts.sort_by(f64::total_cmp);
         starts
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -28,6 +28,8 @@
 //! | [`provisioner`] | scales the fleet, on the owner of one shard |
 //! | [`node`] | one controller: routes inputs to the parts, acquires and relinquishes shards |
 
+#![warn(missing_docs)]
+
 pub mod budget;
 pub mod context;
 pub mod coordinator;
--- a/crates/core/src/participant/capacity_index/tests.rs
+++ b/crates/core/src/participant/capacity_index/tests.rs
@@ -12,7 +12,7 @@
     }
     index.set(
         MachineIdx(7),
-        Some(CapacityEntry { images: Vec::new(), ..entry(false, 2000).unwrap() }),
+        Some(CapacityEntry { images: Vec::new(), ..entry(false, 2000).expect("an entry") }),
     );
     index.set(MachineIdx(9), entry(false, 4000));
     index.set(MachineIdx(9), entry(false, 3000));
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -38,10 +38,8 @@
 /// completions together; a worker goes through several of them within a second.
 fn is_acted_on(phase: TaskPhase) -> bool {
     match phase {
-        TaskPhase::Exited(ExitReason::Done, _) => false,
-        TaskPhase::Exited(..)
-        | TaskPhase::Gone
-        | TaskPhase::On(TaskState::Saving | TaskState::Exited) => true,
+        TaskPhase::Exited(reason, _) => reason != ExitReason::Done,
+        TaskPhase::Gone | TaskPhase::On(TaskState::Saving | TaskState::Exited) => true,
         TaskPhase::Decided
         | TaskPhase::On(TaskState::Fetching | TaskState::Waiting | TaskState::Running) => false,
     }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -227,7 +227,7 @@
     };
     let before = granted(&participant);
     world.at(9000, |context| {
-        assert!(participant.report(context, &report("n-000001", 9), None).is_none())
+        assert!(participant.report(context, &report("n-000001", 9), None).is_none());
     });
     assert_eq!(granted(&participant), before);
 }
@@ -251,7 +251,7 @@
                 Shard(0),
                 EPOCH,
                 ShardMessage::CloseNegotiation { negotiation },
-            )
+            );
         });
         sent.iter().any(|m| matches!(m, ShardMessage::Offers { offers, .. } if !offers.is_empty()))
     };
--- a/crates/leaddeal/src/gateway/body.rs
+++ b/crates/leaddeal/src/gateway/body.rs
@@ -65,6 +65,10 @@
     request.headers().get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
+#[allow(
+    clippy::redundant_closure_for_method_calls,
+    reason = "the path to the method is hard to read"
+)]
 fn is_too_large(error: &axum::Error) -> bool {
     error.source().is_some_and(|source| source.is::<LengthLimitError>())
 }
--- a/crates/leaddeal/src/main.rs
+++ b/crates/leaddeal/src/main.rs
@@ -1,4 +1,6 @@
 //! The leaddeal cluster scheduler: one controller.
+#![warn(missing_docs)]
+
 use clap::{Parser, Subcommand};
 use driver::DriverError;
 use leaddeal_wire::settings::{Settings, SettingsError};
--- a/crates/leaddeal/tests/common/mod.rs
+++ b/crates/leaddeal/tests/common/mod.rs
@@ -36,13 +36,14 @@
     match result {
         StoreResult::Lease(lease) => Json(json!({ "permit": lease })).into_response(),
         StoreResult::LeaseRenewed => Json(json!({})).into_response(),
-        StoreResult::NoLease => (StatusCode::NOT_FOUND, "{}").into_response(),
+        StoreResult::NoLease | StoreResult::Item(None) => {
+            (StatusCode::NOT_FOUND, "{}").into_response()
+        }
         StoreResult::Committed(revision) => Json(json!({ "logbook": revision })).into_response(),
         StoreResult::Conflict(failed) => {
             (StatusCode::CONFLICT, Json(json!({"failed": failed, "logbook": 0}))).into_response()
         }
         StoreResult::Item(Some(item)) => Json(item).into_response(),
-        StoreResult::Item(None) => (StatusCode::NOT_FOUND, "{}").into_response(),
         StoreResult::Page(page) => Json(page).into_response(),
         _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
     }
--- a/crates/leaddeal/tests/restarts.rs
+++ b/crates/leaddeal/tests/restarts.rs
@@ -57,7 +57,9 @@
         assert!(alive(&mut c), "a process ended by itself at restart {i}");
     }
     stop.store(true, Ordering::Relaxed);
-    load.into_iter().for_each(|l| l.join().expect("the load"));
+    for thread in load {
+        thread.join().expect("the load");
+    }
     assert!(answered.load(Ordering::Relaxed) > 200, "there was no load to speak of");
     for (i, a) in at.iter().enumerate() {
         until("a restarted node is up again", || http(a, "GET", "/up", "").0 == 200);
--- a/crates/testkit/examples/days.rs
+++ b/crates/testkit/examples/days.rs
@@ -373,11 +373,11 @@
 /// Names the site after what is changed of it, and sets how long ended controllers stay away.
 fn rename(site: &mut Table, cli: &Cli) -> Result<String, Box<dyn Error>> {
     let mut name = site.get("name").and_then(Value::as_str).ok_or("no name")?.to_string();
-    if cli.times != 1.0 {
-        name += &format!("-x{}", cli.times);
+    if (cli.times - 1.0).abs() > f64::EPSILON {
+        name = format!("{name}-x{}", cli.times);
     }
     if let Some(back) = cli.back {
-        name += &format!("-back{back}");
+        name = format!("{name}-back{back}");
         let nodes = site.get_mut("nodes").and_then(Value::as_table_mut).ok_or("no [nodes]")?;
         nodes.insert("restart_delay_s".into(), back.into());
     }
--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -38,7 +38,9 @@
             }
             CloudCall::Launch(request) => self.launch(request),
             CloudCall::Release(names) => {
-                names.iter().for_each(|name| self.release(name));
+                for name in names {
+                    self.release(&name);
+                }
                 Ok(CloudResult::Released)
             }
             CloudCall::List { .. } => Ok(CloudResult::InstanceList(self.instance_list())),
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -59,7 +59,7 @@
                 .first_machines(machines)
                 .for_each(|w| extend(&mut w.outbound_partition_until, now + ms)),
             Fault::FailTasks { machines, ms } => {
-                self.first_machines(machines).for_each(|w| extend(&mut w.failing_until, now + ms))
+                self.first_machines(machines).for_each(|w| extend(&mut w.failing_until, now + ms));
             }
             Fault::RestartWorkers { machines } => {
                 self.first_machines(machines).for_each(|w| w.restart(now, Memory::Lost));
@@ -94,7 +94,9 @@
     }
 
     fn crash_all(&mut self, nodes: Vec<usize>, back_ms: u64) {
-        nodes.into_iter().for_each(|node| self.crash(node, back_ms));
+        for node in nodes {
+            self.crash(node, back_ms);
+        }
     }
 
     /// A controller gets no processor time: whatever is due or comes is late, its lease over.
@@ -138,7 +140,7 @@
     pub(super) fn begin_calm(&mut self) {
         self.plan.faults = false;
         for controller in &mut self.controllers {
-            controller.partitions = Default::default();
+            controller.partitions = super::controllers::Partitions::default();
         }
         (self.peer_partition_until, self.frequent_polls_until) = (0, 0);
         self.windows = ActiveWindows::default();
--- a/crates/testkit/src/sim/jobs.rs
+++ b/crates/testkit/src/sim/jobs.rs
@@ -8,7 +8,7 @@
 
 impl Sim {
     /// A job of a machine type that is not in the catalog: it stays queued.
-    pub(super) fn waiting_job(&self) -> Job {
+    pub(super) fn waiting_job() -> Job {
         Job {
             id: String::new(),
             class: "x".into(),
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -125,7 +125,7 @@
         }
         let accepted: Vec<&String> = self.rules.accepted.iter().collect();
         let index = self.rng.random_range(0..accepted.len().max(1));
-        let any = accepted.get(index).map(|id| id.to_string());
+        let any = accepted.get(index).map(|id| (*id).clone());
         match (self.rng.random_range(0..4), any) {
             (0, Some(id)) => self.query_all_nodes(&id, BURST_MS),
             (1, Some(id)) => self.request(RequestKind::Submit, &id)?,
@@ -143,7 +143,7 @@
         self.query_bursts.invalid_submissions += 1;
         let number = FIRST_INVALID_JOB + self.query_bursts.invalid_submissions;
         let id = job_id(number);
-        let job = Job { id: id.clone(), types: None, team: "tight".into(), ..self.waiting_job() };
+        let job = Job { id: id.clone(), types: None, team: "tight".into(), ..Self::waiting_job() };
         let all = invalid_submissions::all(&job, self.plan.team_cpu_limit);
         let invalid = all[self.rng.random_range(0..all.len())].clone();
         self.rules.invalid.insert(id.clone(), (invalid.what.clone(), invalid.status));
