--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! One controller: the shards it owns, and what each input means for them.
 //!
 //! The node itself only routes. Each module below has one job; what they share is in
-//! [`shared::SharedState`], so that a part of an owned shard can be borrowed beside it.
+//! `shared::SharedState`, so that a part of an owned shard can be borrowed beside it.
 use crate::coordinator::Coordinator;
 use crate::ids::{Epoch, Shard, Timestamp};
 use crate::io::{Effects, RequestId};
