--- a/crates/leaddeal/src/driver/limits.rs
+++ b/crates/leaddeal/src/driver/limits.rs
@@ -8,8 +8,6 @@
 /// One connection in this many of those allowed may be an idle one to a worker.
 const WORKER_CONNECTIONS_DIVISOR: usize = 4;
 
-/// Events may wait for the core at least up to this number.
-const MIN_QUEUED_EVENTS: usize = 1000;
 /// Without a limit in the settings.
 const DEFAULT_BODY_MEMORY_KIB: usize = 8 * 1024;
 const MIN_BODY_MEMORY_KIB: usize = 1024;
@@ -22,10 +20,6 @@
     pub max_connections: usize,
     /// Idle clients of workers.
     pub max_worker_clients: usize,
-    /// Events that wait for the core: a heartbeat or request of each connection finds a place. When the
-    /// queue is full, requests of users and workers are refused at once; results of calls and messages
-    /// of peers wait, and with them the peers' connections.
-    pub max_queued_events: usize,
     /// KiB for the bodies of requests that are coming in; more are refused.
     pub body_memory_kib: usize,
 }
@@ -37,7 +31,6 @@
         ResourceLimits {
             max_connections,
             max_worker_clients: max_connections / WORKER_CONNECTIONS_DIVISOR,
-            max_queued_events: max_connections.max(MIN_QUEUED_EVENTS),
             body_memory_kib: body_memory_kib(limits.memory_mb),
         }
     }
--- a/crates/leaddeal/src/driver/startup.rs
+++ b/crates/leaddeal/src/driver/startup.rs
@@ -23,6 +23,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
+/// Events that wait for the core. When the queue is full, requests of users and workers are refused at
+/// once; results of calls and messages of peers wait, and with them the peers' connections.
+///
+/// It does not follow the size of the fleet: a refused worker turns to the next controller a second
+/// later, long before its lease expires. (Tried with up to 4,182 machines and a place for each
+/// connection: workers stayed with the busiest controller until it had no sockets left.)
+const MAX_QUEUED_EVENTS: usize = 1000;
 /// A port that is in use is asked for again this often, ...
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// ... and for no longer than this.
@@ -41,7 +48,7 @@
     let user_listener = bind(&settings.listen, "users and workers").await?;
     let peer_listener = bind(&settings.peer_listen, "peers").await?;
     let limits = ResourceLimits::from_settings(&settings.params.limits);
-    let (events, event_queue) = mpsc::channel(limits.max_queued_events);
+    let (events, event_queue) = mpsc::channel(MAX_QUEUED_EVENTS);
     let healthy = Arc::new(AtomicBool::new(false));
     let mut tasks = ServiceTasks::default();
 
