--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -1,23 +1,5 @@
 use super::*;
-use leaddeal_wire::cloud::{Catalog, MachineType};
-
-fn names() -> Names {
-    let small = MachineType {
-        name: "small".into(),
-        cpus: 4.0,
-        gpus: 0.0,
-        memory_gb: 16.0,
-        cache_gb: 50.0,
-        fetch_gb_per_s: 0.5,
-        price: 1.0,
-        spot_price: 0.4,
-        boot_s: 5.0,
-        zones: vec!["a".into()],
-    };
-    let mut names = Names::default();
-    names.set_catalog(Catalog { types: vec![small] });
-    names
-}
+use crate::participant::tests::World;
 
 fn summary() -> MachineSummary {
     MachineSummary {
@@ -44,7 +26,7 @@
 #[test]
 fn every_machine_that_is_gone_is_named_however_many_there_are() {
     const MACHINES: u32 = 1500;
-    let mut names = names();
+    let mut names = World::new().names;
     let mut publisher = InventoryPublisher::default();
     for number in 0..MACHINES {
         let idx = names.machine(&format!("n-{number:06}"));
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -20,8 +20,8 @@
 const EPOCH: Epoch = Epoch(5);
 
 /// What a participant needs around it: one shard, one zone, one type of machine with GPUs.
-struct World {
-    names: Names,
+pub(super) struct World {
+    pub(super) names: Names,
     config: Config,
     budget: WriteBudget,
     horizons: Horizons,
@@ -29,7 +29,7 @@
 }
 
 impl World {
-    fn new() -> World {
+    pub(super) fn new() -> World {
         let mut names = Names::default();
         names.zones = vec!["a".into()];
         let big = MachineType {
