--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -3,7 +3,7 @@
 use super::{Coordinator, Ownership};
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::JobId;
 use crate::io::{RequestId, StoreResult};
 use crate::jobs::{job_state, Job};
@@ -46,7 +46,7 @@
             return true;
         }
         job.termination.requests.push(request);
-        if !holds(Guard::CancelledDurable) {
+        if !is_enforced(Guard::CancellationDurableBeforeAck) {
             answer_before_durable(ctx, id, job);
         }
         if job.termination.status.is_none() && !job.complete() {
@@ -86,7 +86,7 @@
     fn new_cancellation(&self, id: JobId) -> PendingWrite {
         let changes = self.terminal_changes(id, Status::Cancelled);
         let write = self.write(WriteClass::Cancellation, changes);
-        if holds(Guard::CancelVersion) {
+        if is_enforced(Guard::CancellationWrittenOnce) {
             write.with_idempotency_key(keys::terminal_state_key(self.shard, id), 0)
         } else {
             write
--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -3,7 +3,7 @@
 use crate::budget::WriteClass;
 use crate::context::Context;
 use crate::coordinator::Coordinator;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Shard, Timestamp};
 use crate::jobs::Job;
 use crate::keys;
@@ -106,7 +106,7 @@
         } else {
             return write;
         };
-        if holds(Guard::FoldVersion) {
+        if is_enforced(Guard::CompactionWrittenOnce) {
             write.with_idempotency_key(key, version)
         } else {
             write
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -6,7 +6,7 @@
 use super::Ownership;
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, Negotiation, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::RequestOutcome;
@@ -31,7 +31,7 @@
         selected: Vec<SelectedOffer>,
     ) {
         let round = self.next_round_id();
-        let epoch_of_attempt = if holds(Guard::AttemptEpoch) { self.epoch } else { Epoch(0) };
+        let epoch_of_attempt = if is_enforced(Guard::AttemptNumberIncludesEpoch) { self.epoch } else { Epoch(0) };
         let attempt = Attempt::new(epoch_of_attempt, round);
         let (shard, epoch) = (self.shard, self.epoch);
         let slot = self.decision_log.take_slot(|| keys::decision_key(shard, epoch, round));
@@ -39,7 +39,7 @@
         let value = self.decision_record(ctx, attempt, &selected);
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
         let mut write = self.write(WriteClass::Decision, vec![put]);
-        if holds(Guard::DecisionVersion) {
+        if is_enforced(Guard::DecisionWrittenOnce) {
             write = write.with_idempotency_key(slot.key.clone(), slot.version);
         }
         let write = self.conditional_on_grants(ctx, write, &selected);
@@ -79,7 +79,7 @@
                 let quota = self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job));
                 quota.is_some_and(|quota| quota.team == *team)
             });
-            if is_used && holds(Guard::GrantEpoch) {
+            if is_used && is_enforced(Guard::GrantBoundToEpoch) {
                 write = write.with_condition(Condition {
                     key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
                     version: grant.epoch.0,
@@ -118,7 +118,7 @@
                 self.give_selected_back(ctx);
             }
             // Whether it was executed is not known: the tick sends it again.
-            WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
+            WriteOutcome::Open if is_enforced(Guard::DecisionDurableBeforeStart) => {}
             WriteOutcome::Open => self.place_selected(ctx, 0),
         }
         Ownership::Kept
--- a/crates/core/src/coordinator/decision_log.rs
+++ b/crates/core/src/coordinator/decision_log.rs
@@ -2,7 +2,7 @@
 //!
 //! A record whose placements are all over is not deleted but overwritten by a later decision, in a
 //! transaction conditional on the version it is known to have: one change a round instead of two.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use std::collections::BTreeMap;
 
 /// Free records beyond this are deleted, if there is nothing better to be written.
@@ -65,7 +65,7 @@
     pub fn placement_over(&mut self, round: u64) {
         let Some(record) = self.live.get_mut(&round) else { return };
         record.placements = record.placements.saturating_sub(1);
-        if record.placements == 0 || !holds(Guard::RecordLive) {
+        if record.placements == 0 || !is_enforced(Guard::DecisionRecordKeptWhileLive) {
             self.close(round);
         }
     }
--- a/crates/core/src/coordinator/decision_log/tests.rs
+++ b/crates/core/src/coordinator/decision_log/tests.rs
@@ -69,7 +69,7 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::RecordLive, no_late_deletion_takes_a_live_decision);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::DecisionRecordKeptWhileLive, no_late_deletion_takes_a_live_decision);
 }
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -1,7 +1,7 @@
 //! Loading a shard: decisions, jobs and completions, in this order. Afterwards, jobs as they are created.
 use super::Coordinator;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, JobId};
 use crate::io::LogLevel;
 use crate::io::StoreResult;
@@ -203,7 +203,7 @@
         record: &PlacementRecord,
     ) -> Adoption {
         let id: JobId = record.job;
-        if !self.jobs.contains_key(&id) && !holds(Guard::Leftovers) {
+        if !self.jobs.contains_key(&id) && !is_enforced(Guard::TerminatedJobTasksAdopted) {
             return Adoption::Skipped;
         }
         let participant = ctx.shard_of_machine(record.machine);
@@ -211,7 +211,7 @@
         let job = self.jobs.entry(id).or_insert_with(|| Job::tombstone(id, ctx.names));
         let known = job.placed.get(record.task);
         let is_older = known.is_some_and(|known| known.attempt > attempt);
-        if job.done.contains(record.task) || is_older && holds(Guard::NewestAttempt) {
+        if job.done.contains(record.task) || is_older && is_enforced(Guard::NewestAttemptAdopted) {
             return Adoption::Skipped;
         }
         let placement = Placement {
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -2,7 +2,7 @@
 use super::quota_admission::WaitingJob;
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, Shard, Timestamp};
 use crate::quota::admission::QuotaStatus;
 use crate::quota::{self, shard_of_team};
@@ -99,7 +99,7 @@
             let epoch = ctx.owner(shard_of_team(team, shards)).map(|owner| owner.epoch);
             let received = self.quota.grants.get(&team);
             let valid = received
-                .filter(|received| Some(received.epoch) == epoch || !holds(Guard::GrantEpoch));
+                .filter(|received| Some(received.epoch) == epoch || !is_enforced(Guard::GrantBoundToEpoch));
             let Some(ReceivedGrant { grant, .. }) = valid else { continue };
             let used = used.remove(&team).unwrap_or_default();
             statuses.insert(team, QuotaStatus { may: grant.may, due: grant.due, used });
--- a/crates/core/src/coordinator/resend.rs
+++ b/crates/core/src/coordinator/resend.rs
@@ -2,7 +2,7 @@
 use super::place_batch::{PlaceBatch, PlaceTarget};
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, Shard, Timestamp};
 use crate::jobs::Job;
 use crate::names::Names;
@@ -56,7 +56,7 @@
         let renew = self.has_new_owner[placement.participant.0 as usize];
         let Some(stop) = &mut placement.stop else { return };
         let is_due = renew || self.now >= stop.sent_at + RESEND_INTERVAL_MS;
-        if !is_due || (stop.sent_at != 0 && !holds(Guard::StopAgain)) {
+        if !is_due || (stop.sent_at != 0 && !is_enforced(Guard::StopResent)) {
             return;
         }
         stop.sent_at = self.now;
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -3,7 +3,7 @@
 use super::negotiation::{NegotiationState, ReceivedOffer, SelectedOffer};
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::{Job, RequestOutcome};
 use crate::quota::admission::QuotaStatus;
@@ -163,7 +163,7 @@
         // What is granted is not known just now: it soon is.
         let free = self.quotas.get(&quota.team)?.free();
         let fits = free.fits(quota.amount).min(u64::from(wanted)) as u32;
-        let covered = if holds(Guard::GrantKept) { fits } else { wanted };
+        let covered = if is_enforced(Guard::DecisionWithinGrant) { fits } else { wanted };
         let found_room = offers.count().min(wanted);
         let is_limited = match job.wire.kind {
             Kind::Gang => covered < wanted && found_room == wanted,
--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -1,7 +1,7 @@
 //! Terminal states: what is written of a job that is over, and what users see of it.
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::JobId;
 use crate::jobs::{job_state, Job};
 use crate::keys;
@@ -57,7 +57,7 @@
         let job = self.jobs.get(&id)?;
         // A tombstone stands for a job whose terminal state is in the store. And a terminal state that
         // is being written may be there already, and a controller that read it may have told it.
-        let may_tell = job.termination.status.is_none() || !holds(Guard::Finishing);
+        let may_tell = job.termination.status.is_none() || !is_enforced(Guard::StateWithheldDuringTermination);
         (!job.is_tombstone() && may_tell).then(|| job.state())
     }
 }
--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -1,15 +1,18 @@
-//! The core's guards by name, so that the test kit can disable one and see which test fails.
+//! The core's safety conditions by name, so that the test kit can disable one and see which test
+//! fails.
 //!
-//! A guard is a condition without which some history of faults breaks an invariant. Each is checked
-//! at its place by `holds`, which is always true in the program: only the test kit builds the core
-//! with the feature `guards`, and disables some for the thread that runs a simulation.
+//! A guard is a condition without which some sequence of faults violates an invariant. The code
+//! asks `is_enforced` where the condition is checked. It is always true in the program: only the
+//! test kit builds the core with the feature `guards`, and disables guards for the thread that runs
+//! a simulation.
 
 macro_rules! guards {
-    ($($(#[doc = $prevents:literal])+ $name:ident,)+) => {
-        /// The guards. The description of each says what it prevents.
+    ($($(#[doc = $doc:literal])+ $name:ident,)+) => {
+        /// The guards. Each name says what is required or done; the description says which failure
+        /// that prevents.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Guard {
-            $($(#[doc = $prevents])+ $name,)+
+            $($(#[doc = $doc])+ $name,)+
         }
 
         impl Guard {
@@ -20,132 +23,143 @@
 }
 
 guards! {
-    /// A write by an owner whose shard has a newer owner.
-    Epoch,
-    /// An owner that acts again under an epoch that it relinquished.
-    GivenUp,
-    /// Tasks that are started on workers while this node's lease is uncertain.
-    DoubtStarts,
-    /// Answers to users from memory while this node's lease is uncertain.
-    DoubtTells,
-    /// A machine that is declared lost while this node's lease is uncertain.
-    DoubtLoses,
-    /// A shard that is owned on a response which came when this node's lease was uncertain.
-    DoubtOwns,
-    /// A lease that is counted from the response to its renewal, not from when that was sent.
-    LeaseFromSent,
-    /// Leases that are judged without allowing for the drift of clocks.
-    Drift,
-    /// A refusal that is taken as the outcome of a write of which an earlier try had no answer.
-    OutcomeKnown,
-    /// A late copy of a decision.
-    DecisionVersion,
-    /// A late copy of a compaction, or of terminal states.
-    FoldVersion,
-    /// A late copy of a cancellation, or one that meets another terminal state.
-    CancelVersion,
-    /// A job that is created again after its terminal state.
-    SubmittedOnce,
-    /// A job that is acknowledged as accepted before it is stored.
-    AcceptedDurable,
-    /// A job that is acknowledged as cancelled before that is stored.
-    CancelledDurable,
-    /// A task that is started before its decision is stored.
-    DecidedDurable,
-    /// Answers from memory about a job that is being ended.
-    Finishing,
-    /// A terminated job that is created again by a late response to its submission.
-    LoadedFrom,
-    /// A job that ends between the two reads before a 404, and is missed by both.
-    KeyBeforeFinal,
-    /// Workers that are answered for longer than all cancellations are known.
-    HorizonStops,
-    /// An assertion that is taken as new though it was long in transit.
-    HorizonEchoed,
-    /// An owner with an uncertain lease that is believed for as long as it sends heartbeats.
-    HorizonDoubt,
-    /// An owner with an uncertain lease that is believed though another node may know a newer
+    /// Prevents writes by an owner whose shard has a newer owner.
+    WritesFencedByEpoch,
+    /// Prevents an owner from acting again under an epoch that it relinquished.
+    RelinquishedEpochRejected,
+    /// Prevents tasks from being started on workers while this node's lease is uncertain.
+    StartNeedsValidLease,
+    /// Prevents answers to users from memory while this node's lease is uncertain.
+    UserAnswerNeedsValidLease,
+    /// Prevents a machine from being declared lost while this node's lease is uncertain.
+    MachineLossNeedsValidLease,
+    /// Prevents this node from owning a shard because of a response that arrived while its lease was
+    /// uncertain.
+    AcquisitionNeedsValidLease,
+    /// Prevents a lease from being counted from the response to its renewal rather than from the
+    /// time at which the renewal was sent.
+    LeaseCountedFromSend,
+    /// Prevents leases from being judged without an allowance for clock drift.
+    ClockDriftAllowance,
+    /// Prevents a refusal from being taken as the outcome of a write of which an earlier try had no
+    /// answer.
+    RefusalInconclusiveAfterUnknownTry,
+    /// Prevents a late copy of a decision from being executed.
+    DecisionWrittenOnce,
+    /// Prevents a late copy of a compaction, or of a write of terminal states, from being executed.
+    CompactionWrittenOnce,
+    /// Prevents a cancellation from being executed as a late copy, or when the job already has
+    /// another terminal state.
+    CancellationWrittenOnce,
+    /// Prevents a job from being created again after its terminal state.
+    NoSubmissionAfterTermination,
+    /// Prevents a job from being acknowledged as accepted before it is stored.
+    SubmissionDurableBeforeAck,
+    /// Prevents a job from being acknowledged as cancelled before its cancellation is stored.
+    CancellationDurableBeforeAck,
+    /// Prevents a task from being started before its decision is stored.
+    DecisionDurableBeforeStart,
+    /// Prevents answers from memory about a job whose terminal state is being written.
+    StateWithheldDuringTermination,
+    /// Prevents a late response to a submission from creating a terminated job again.
+    LateSubmissionResponseIgnored,
+    /// Prevents a 404 for a job that reaches its terminal state between the two reads of the store,
+    /// so that both reads miss it.
+    JobReadBeforeTerminalState,
+    /// Prevents workers from being answered for longer than all cancellations are known.
+    AnswersStopAfterGracePeriod,
+    /// Prevents an assertion that was long in transit from being taken as new.
+    AssertionDatedByEcho,
+    /// Prevents an owner with an uncertain lease from being believed for as long as it sends
+    /// heartbeats.
+    HorizonExcludesUncertainLease,
+    /// Prevents an owner with an uncertain lease from being believed while another node may know a
+    /// newer owner.
+    HorizonNeedsPeerStatements,
+    /// Prevents an owner with an uncertain lease from being believed while an earlier process of this
+    /// node may have been a newer owner.
+    HorizonNeedsPredecessorLimit,
+    /// Prevents cancellations by a reachable owner from staying unknown here.
+    HeartbeatsNameCancellations,
+    /// Prevents cancellations by a silent owner from staying unknown here.
+    SilentOwnerReadFromStore,
+    /// Prevents terminal states from just before an owner fell silent from staying unknown here.
+    TerminalStatesReadWithMargin,
+    /// Prevents late copies of heartbeats from keeping a machine that is gone alive.
+    LateHeartbeatGrantsNoLease,
+    /// Prevents a worker's status that is older than the known one from being applied.
+    OlderStatusIgnored,
+    /// Prevents the absence of a task from being believed of a worker that may still obey an older
     /// owner.
-    HorizonVouched,
-    /// An owner with an uncertain lease that is believed though an earlier process of this node may
-    /// have been a newer owner.
-    HorizonFloor,
-    /// Cancellations by a reachable owner that stay unknown here.
-    BeatsName,
-    /// Cancellations by a silent owner that stay unknown here.
-    SilentFinals,
-    /// Terminal states from just before an owner fell silent that stay unknown here.
-    FinalsBack,
-    /// A machine that is gone but counts as alive because of late copies of its heartbeats.
-    Waits,
-    /// A worker's status that is older than what is known, but taken in.
-    NewestReport,
-    /// The absence of a task that is believed of a worker which may still obey an older owner.
-    TokenShown,
-    /// A worker's lease that is counted from this owner's answer though an older owner answered the
-    /// worker until it saw the new fencing token.
-    FirstSight,
-    /// A start in another incarnation of the worker than that of the offer.
-    OfferSession,
-    /// A new incarnation that is judged by the lease of the one before.
-    SessionLease,
-    /// A silent machine that is declared lost while an older owner may still answer it.
-    Patience,
-    /// The same, though not all other nodes have stated that they know this owner's epoch.
-    AllKnow,
-    /// An owner that learns of a newer one from a heartbeat and acts on.
-    BeatEnds,
-    /// A shard that is owned under an older epoch than one that is known.
-    OlderEpoch,
-    /// Messages of earlier owners.
-    OldSender,
-    /// Numbers of attempts that are used again under a new epoch.
-    AttemptEpoch,
-    /// A stop command that was lost and not sent again.
-    StopAgain,
-    /// A task that is started by an assignment which comes after its job's end.
-    LatePlace,
-    /// Tasks of a terminated job that run on where its coordinator is not heard.
-    StopOver,
-    /// A stop command that waits for this node's lease.
-    DoubtStops,
-    /// A start without an answer that is forgotten, though a late copy of it may start the task
+    AbsenceNeedsConfirmedToken,
+    /// Prevents a worker's lease from being counted from this owner's answer although an older owner
+    /// answered the worker until the worker saw the new fencing token.
+    LeaseCountedFromTokenConfirmation,
+    /// Prevents a task from being started in another incarnation of the worker than that of the
+    /// offer.
+    StartBoundToIncarnation,
+    /// Prevents a new incarnation from being judged by the lease of the one before.
+    LeasePerIncarnation,
+    /// Prevents a silent machine from being declared lost while an older owner may still answer it.
+    PreviousOwnersTimedOut,
+    /// Prevents a silent machine from being declared lost without that wait before all other nodes
+    /// have stated that they know this owner's epoch.
+    AllSiblingsKnowEpoch,
+    /// Prevents an owner that learns of a newer one from a heartbeat from acting on.
+    HeartbeatEndsOwnership,
+    /// Prevents a shard from being owned under an older epoch than one that is known.
+    OlderEpochNotOwned,
+    /// Prevents messages of earlier owners from being handled.
+    OutdatedSenderRejected,
+    /// Prevents attempt numbers from being used again under a new epoch.
+    AttemptNumberIncludesEpoch,
+    /// Prevents a stop command that was lost from never being sent again.
+    StopResent,
+    /// Prevents an assignment that arrives after its job's end from starting a task.
+    LateAssignmentStopped,
+    /// Prevents tasks of a terminated job from running on where messages of its coordinator do not
+    /// arrive.
+    TerminalJobStoppedByParticipant,
+    /// Prevents a stop command from waiting for this node's lease to be valid.
+    StopIgnoresLease,
+    /// Prevents an unanswered start from being forgotten, since a late copy of it may start the task
     /// again.
-    Risky,
-    /// The same while the start command is in flight.
-    ForgetLater,
-    /// A task that was placed under an older epoch and is started again.
-    Adopted,
-    /// A job that is called done before its last task is.
-    AllDone,
-    /// A decision that is overwritten while a task that it placed may be on its machine.
-    RecordLive,
-    /// An older attempt that is taken for the newest one after a failover.
-    NewestAttempt,
-    /// Tasks of a terminated job that are overlooked after a failover.
-    Leftovers,
-    /// A shard that is acted for though it may have been released.
-    ReleaseUnsure,
-    /// Quota grants before all coordinators have stated what they use.
-    GrantsComplete,
-    /// Quota grants beyond what the other coordinators leave.
-    GrantsShared,
-    /// A quota grant of an older owner of the team's shard.
-    GrantEpoch,
-    /// A decision that places more than its quota grant.
-    GrantKept,
-    /// More tasks in a zone than its job allows, if those not known to be gone are counted.
-    ZoneCounted,
-    /// More tasks of a single-zone job while it may already be in two zones.
-    OneZone,
-    /// The name of an instance request that is used by two owners.
-    RentalEpoch,
+    UnansweredStartRemembered,
+    /// Prevents a start from being forgotten while its command is in flight.
+    StartInFlightRemembered,
+    /// Prevents a task that was placed under an older epoch from being started again.
+    AdoptedTaskNotStarted,
+    /// Prevents a job from being called done before its last task is.
+    CompletionNeedsAllTasks,
+    /// Prevents a decision from being overwritten while a task that it placed may be on its machine.
+    DecisionRecordKeptWhileLive,
+    /// Prevents an older attempt from being taken for the newest one after a failover.
+    NewestAttemptAdopted,
+    /// Prevents tasks of a terminated job from being overlooked after a failover.
+    TerminatedJobTasksAdopted,
+    /// Prevents this node from acting for a shard that may have been released.
+    UncertainReleaseEndsOwnership,
+    /// Prevents quota grants before all coordinators have stated what they use.
+    GrantsAwaitAllReports,
+    /// Prevents quota grants beyond what the shares of the other coordinators leave.
+    GrantsCountOtherShares,
+    /// Prevents the use of a quota grant of an older owner of the team's shard.
+    GrantBoundToEpoch,
+    /// Prevents a decision from placing more than its quota grant covers.
+    DecisionWithinGrant,
+    /// Prevents more tasks in a zone than the job allows, counting those that are not known to be
+    /// gone.
+    PossibleTasksCountedInZone,
+    /// Prevents more tasks of a single-zone job while it may already be in two zones.
+    NoTasksWhileInTwoZones,
+    /// Prevents two owners from using the same name for an instance request.
+    InstanceRequestNamedByEpoch,
 }
 
-/// Whether the guard is in force.
+/// Whether the condition is checked.
 #[cfg(not(feature = "guards"))]
 #[inline(always)]
-pub(crate) const fn holds(_: Guard) -> bool {
+pub(crate) const fn is_enforced(_: Guard) -> bool {
     true
 }
 
@@ -155,7 +169,7 @@
     use std::cell::Cell;
 
     thread_local! {
-        /// A bit for each guard that is disabled.
+        /// One bit for each guard, by its position in the declaration; set if it is disabled.
         static DISABLED: Cell<u128> = const { Cell::new(0) };
     }
 
@@ -163,12 +177,12 @@
         1 << guard as u32
     }
 
-    pub(crate) fn holds(guard: Guard) -> bool {
+    pub(crate) fn is_enforced(guard: Guard) -> bool {
         DISABLED.get() & bit(guard) == 0
     }
 
-    /// Runs a function with these guards disabled, in this thread alone.
-    pub fn without<T>(guards: &[Guard], run: impl FnOnce() -> T) -> T {
+    /// Runs a function with these guards disabled on the current thread.
+    pub fn with_guards_disabled<T>(guards: &[Guard], run: impl FnOnce() -> T) -> T {
         struct RestoreOnDrop(u128);
         impl Drop for RestoreOnDrop {
             fn drop(&mut self) {
@@ -181,14 +195,14 @@
     }
 }
 
-/// Asserts that the test fails without the guard.
+/// Asserts that the test fails while the guard is disabled.
 #[cfg(all(test, feature = "guards"))]
-pub(crate) fn missed_by(guard: Guard, test: fn()) {
-    let run = std::panic::catch_unwind(|| without(&[guard], test));
-    assert!(run.is_err(), "{guard:?} is not missed");
+pub(crate) fn assert_fails_without(guard: Guard, test: fn()) {
+    let run = std::panic::catch_unwind(|| with_guards_disabled(&[guard], test));
+    assert!(run.is_err(), "the test passes with {guard:?} disabled");
 }
 
 #[cfg(feature = "guards")]
-pub(crate) use switch::holds;
+pub(crate) use switch::is_enforced;
 #[cfg(feature = "guards")]
-pub use switch::without;
+pub use switch::with_guards_disabled;
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -5,7 +5,7 @@
 //! - what a statement proves, it proves for good: an epoch that a sibling knows it will not forget, so
 //!   that it acts for that shard under no older one again;
 //! - silence proves nothing: a sibling that is not heard may go on acting for its whole grace.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, NodeIdx, Shard, Timestamp};
 use leaddeal_wire::mesh::NodeHeartbeat;
 
@@ -94,7 +94,7 @@
             let known_epochs = &self.statements[node.0 as usize].known_epochs;
             known_epochs.get(shard.0 as usize).is_some_and(|known| *known >= epoch)
         };
-        self.siblings().all(acknowledges) || !holds(Guard::AllKnow)
+        self.siblings().all(acknowledges) || !is_enforced(Guard::AllSiblingsKnowEpoch)
     }
 }
 
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -33,7 +33,7 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::AllKnow, only_the_word_of_every_sibling_proves_that_older_owners_let_go);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::AllSiblingsKnowEpoch, only_the_word_of_every_sibling_proves_that_older_owners_let_go);
 }
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -31,7 +31,7 @@
 mod heartbeats;
 mod shard_horizon;
 
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, NodeIdx, Shard, Timestamp};
 use crate::shard::{at_least, at_most, ShardView};
 use cancellations::{KnownCancellations, STORED};
@@ -100,7 +100,7 @@
     /// too long.
     pub fn permits_answer(&self, shard: Shard, now: Timestamp) -> bool {
         self.horizon(shard).is_some_and(|horizon| {
-            now < horizon + self.grace_period_ms || !holds(Guard::HorizonStops)
+            now < horizon + self.grace_period_ms || !is_enforced(Guard::AnswersStopAfterGracePeriod)
         })
     }
 
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -2,7 +2,7 @@
 //! theirs.
 use super::shard_horizon::{EpochStatement, LogPosition, ShardHorizon};
 use super::{newest_epoch, Horizons, OwnedShard};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, NodeIdx, Timestamp};
 use crate::shard::{at_least, ShardView};
 use leaddeal_wire::mesh::{NodeHeartbeat, ShardAssertion, Stamp};
@@ -65,7 +65,7 @@
     /// `None`: it echoes none of this process, or one of the future.
     fn made_after(&self, heartbeat: &NodeHeartbeat, now: Timestamp) -> Option<Timestamp> {
         let echo = heartbeat.echo.filter(|echo| echo.boot == self.boot && echo.at <= now)?;
-        Some(if holds(Guard::HorizonEchoed) { echo.at } else { now })
+        Some(if is_enforced(Guard::AssertionDatedByEcho) { echo.at } else { now })
     }
 
     /// What an owner states of its shard.
@@ -80,7 +80,7 @@
         let newest = newest_epoch(view, index);
         let Some(state) = self.shards.get_mut(index).filter(|_| epoch >= newest) else { return };
         state.on_assertion(assertion, epoch, made_after);
-        if holds(Guard::BeatsName) {
+        if is_enforced(Guard::HeartbeatsNameCancellations) {
             for &job in &assertion.cancelled {
                 self.cancellations.learn(JobId(job), epoch, now);
             }
@@ -115,7 +115,7 @@
     fn newest_epochs(&self, view: &[ShardView]) -> Option<Vec<u64>> {
         let newest = |(state, shard): (&ShardHorizon, &ShardView)| {
             let last = shard.newest_owner.map_or(0, |owner| owner.epoch.0);
-            let limit = if holds(Guard::HorizonFloor) {
+            let limit = if is_enforced(Guard::HorizonNeedsPredecessorLimit) {
                 state.predecessor_epoch_limit
             } else {
                 state.predecessor_epoch_limit.or(Some(Epoch(0)))
@@ -150,7 +150,7 @@
         let Some(made_after) = made_after.filter(|_| assertion.complete) else { return };
         self.owner_statement = Some(EpochStatement { epoch, made_after });
         // Until when its lease was certain, by a clock that may be slow.
-        let lease_uncertain = assertion.doubt_ms > 0 && holds(Guard::HorizonDoubt);
+        let lease_uncertain = assertion.doubt_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
         let uncertain_ms = if lease_uncertain { at_least(assertion.doubt_ms) } else { 0 };
         let certain_until = made_after.checked_sub(uncertain_ms);
         self.horizon = self.horizon.max(certain_until);
--- a/crates/core/src/horizon/shard_horizon.rs
+++ b/crates/core/src/horizon/shard_horizon.rs
@@ -1,7 +1,7 @@
 //! One shard's horizon, and what advances it.
 use super::cancellations::CancellationLog;
 use super::OwnedShard;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Timestamp};
 
 /// A statement about a shard's epoch, and after which time of this node's clock it was made.
@@ -53,7 +53,7 @@
     /// uncertain.
     pub(super) fn advance_as_owner(&mut self, owned: OwnedShard, now: Timestamp) {
         self.owner_statement = Some(EpochStatement { epoch: owned.epoch, made_after: now });
-        let uncertain_ms = if holds(Guard::HorizonDoubt) { owned.lease_uncertain_ms } else { 0 };
+        let uncertain_ms = if is_enforced(Guard::HorizonExcludesUncertainLease) { owned.lease_uncertain_ms } else { 0 };
         self.horizon = self.horizon.max(now.checked_sub(uncertain_ms));
         if owned.lease_uncertain_ms == 0 {
             self.confirmed_at = Some(now);
@@ -72,7 +72,7 @@
         let Some(owner) = self.owner_statement else { return };
         let predecessor_may_be_newer =
             self.predecessor_epoch_limit.is_none_or(|limit| limit > owner.epoch);
-        if newest_epoch > owner.epoch || predecessor_may_be_newer && holds(Guard::HorizonFloor) {
+        if newest_epoch > owner.epoch || predecessor_may_be_newer && is_enforced(Guard::HorizonNeedsPredecessorLimit) {
             return;
         }
         // A node without a statement, or one that knows a newer epoch, leaves the horizon in place.
@@ -81,7 +81,7 @@
             Some(earliest.min(statement.made_after))
         });
         let proved_until =
-            if holds(Guard::HorizonVouched) { proved_until } else { Some(owner.made_after) };
+            if is_enforced(Guard::HorizonNeedsPeerStatements) { proved_until } else { Some(owner.made_after) };
         self.horizon = self.horizon.max(proved_until);
     }
 }
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -148,10 +148,10 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::HorizonEchoed, only_an_assertion_that_echoes_this_process_advances_a_horizon);
-    missed_by(Guard::HorizonDoubt, only_an_assertion_that_echoes_this_process_advances_a_horizon);
-    missed_by(Guard::HorizonStops, only_an_assertion_that_echoes_this_process_advances_a_horizon);
-    missed_by(Guard::BeatsName, an_assertion_with_a_gap_states_only_what_it_names);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::AssertionDatedByEcho, only_an_assertion_that_echoes_this_process_advances_a_horizon);
+    assert_fails_without(Guard::HorizonExcludesUncertainLease, only_an_assertion_that_echoes_this_process_advances_a_horizon);
+    assert_fails_without(Guard::AnswersStopAfterGracePeriod, only_an_assertion_that_echoes_this_process_advances_a_horizon);
+    assert_fails_without(Guard::HeartbeatsNameCancellations, an_assertion_with_a_gap_states_only_what_it_names);
 }
--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -458,15 +458,15 @@
 #[cfg(feature = "guards")]
 #[test]
 fn the_search_finds_a_guard_that_is_out() {
-    use crate::guards::{without, Guard};
+    use crate::guards::{with_guards_disabled, Guard};
     for guard in [
-        Guard::HorizonStops,
-        Guard::HorizonDoubt,
-        Guard::HorizonVouched,
-        Guard::HorizonFloor,
-        Guard::BeatsName,
+        Guard::AnswersStopAfterGracePeriod,
+        Guard::HorizonExcludesUncertainLease,
+        Guard::HorizonNeedsPeerStatements,
+        Guard::HorizonNeedsPredecessorLimit,
+        Guard::HeartbeatsNameCancellations,
     ] {
-        let found = without(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
+        let found = with_guards_disabled(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
         assert!(found.is_some(), "{guard:?} is not missed");
     }
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -2,7 +2,7 @@
 use super::backoff::{PlacementBackoff, RequestOutcome};
 use super::wire_shape;
 use super::{CompletionProgress, FailureSuspicion, Objectives, Termination};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Timestamp, ZoneIdx};
 use crate::names::{Names, Shape};
 use crate::placed::Placed;
@@ -181,7 +181,7 @@
     /// All tasks are done. A service never is.
     pub fn complete(&self) -> bool {
         let all = self.done.len() == self.wire.tasks;
-        self.wire.kind != Kind::Service && (all || !self.done.is_empty() && !holds(Guard::AllDone))
+        self.wire.kind != Kind::Service && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
     }
 
     /// What users see of it.
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -161,8 +161,8 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::OneZone, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
-    missed_by(Guard::ZoneCounted, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::NoTasksWhileInTwoZones, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
+    assert_fails_without(Guard::PossibleTasksCountedInZone, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
 }
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -1,6 +1,6 @@
 //! Zones of a job: how many tasks each may take, and the one that a gang waits for.
 use super::Job;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::ZoneIdx;
 
 /// A gang for which no zone has anything waits for another zone after this many failed tries.
@@ -60,14 +60,14 @@
     }
 
     fn room_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
-        let used = if holds(Guard::ZoneCounted) { self.placed.in_zone(zone) } else { 0 };
+        let used = if is_enforced(Guard::PossibleTasksCountedInZone) { self.placed.in_zone(zone) } else { 0 };
         if self.wire.zone.as_ref().is_some_and(|wanted| wanted != name) {
             return 0;
         }
         // After a failover a task may be counted where an older attempt of it was, in another zone
         // than the rest; until that one is proven gone, no zone is the job's. (Found by the
         // simulator: both zones were given more tasks.)
-        let in_several = zones_used > 1 && holds(Guard::OneZone);
+        let in_several = zones_used > 1 && is_enforced(Guard::NoTasksWhileInTwoZones);
         let in_another = zones_used == 1 && used == 0;
         if self.wire.one_zone && (in_several || in_another) {
             return 0;
--- a/crates/core/src/machine/attempt.rs
+++ b/crates/core/src/machine/attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt of a task on a machine.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
 use crate::names::Shape;
 use leaddeal_wire::mesh::{AttemptRef, TaskPhase};
@@ -95,17 +95,17 @@
 
     /// Whether it was decided for this incarnation of its machine's worker.
     pub(super) fn belongs_to(&self, incarnation: u64) -> bool {
-        self.incarnation == incarnation || !holds(Guard::OfferSession)
+        self.incarnation == incarnation || !is_enforced(Guard::StartBoundToIncarnation)
     }
 
     /// Whether a direct copy of its start command may still be executed.
     pub(super) fn start_in_flight(&self) -> bool {
-        self.direct_batch.is_some() && holds(Guard::ForgetLater)
+        self.direct_batch.is_some() && is_enforced(Guard::StartInFlightRemembered)
     }
 
     /// Whether a start command may be sent for it at all.
     pub(super) fn may_start(&self) -> bool {
-        !self.adopted || !holds(Guard::Adopted)
+        !self.adopted || !is_enforced(Guard::AdoptedTaskNotStarted)
     }
 
     /// Whether a start command of ours may be on its way, or may have been executed.
--- a/crates/core/src/machine/commands.rs
+++ b/crates/core/src/machine/commands.rs
@@ -1,6 +1,6 @@
 //! Commands to a machine's worker: in the response to a heartbeat, or sent directly as a batch.
 use super::{AttemptKey, Machine, TaskOnMachine};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::Timestamp;
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{Command, CommandKind, TaskState};
@@ -82,7 +82,7 @@
         let in_batch = |task: &&mut TaskOnMachine| task.direct_batch == Some(batch);
         for task in self.tasks.values_mut().filter(in_batch) {
             task.direct_batch = None;
-            task.start_uncertain |= end == BatchEnd::Unknown && holds(Guard::Risky);
+            task.start_uncertain |= end == BatchEnd::Unknown && is_enforced(Guard::UnansweredStartRemembered);
         }
     }
 }
@@ -114,8 +114,8 @@
 ) {
     let uncertain = lease == OwnerLease::Uncertain;
     match (task.phase, task.stop) {
-        (TaskPhase::Decided, _) if uncertain && holds(Guard::DoubtStarts) => {}
-        (TaskPhase::On(_), Some(_)) if uncertain && !holds(Guard::DoubtStops) => {}
+        (TaskPhase::Decided, _) if uncertain && is_enforced(Guard::StartNeedsValidLease) => {}
+        (TaskPhase::On(_), Some(_)) if uncertain && !is_enforced(Guard::StopIgnoresLease) => {}
         (TaskPhase::Decided, None) if task.belongs_to(incarnation) && task.may_start() => {
             task.in_last_response = true;
             commands.push(command(CommandKind::Start, key, None));
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of a machine's worker, and its lease.
 use super::{AttemptKey, Machine, TaskOnMachine};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
 use crate::shard::at_least;
 use leaddeal_wire::mesh::TaskPhase;
@@ -24,7 +24,7 @@
         let number = (heartbeat.incarnation, heartbeat.seq);
         let newest = number > self.last_periodic && heartbeat.incarnation >= self.incarnation;
         self.last_periodic = self.last_periodic.max(number);
-        newest || !holds(Guard::Waits)
+        newest || !is_enforced(Guard::LateHeartbeatGrantsNoLease)
     }
 
     /// The moment from which the worker's lease of `lease_ms` is surely over, unless it is renewed.
@@ -67,7 +67,7 @@
 
     fn is_news(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let known = (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.seq);
-        if (known && holds(Guard::NewestReport)) || self.released {
+        if (known && is_enforced(Guard::OlderStatusIgnored)) || self.released {
             return false;
         }
         // The lease is over, so the incarnation must be: a heartbeat of it can only be a late one.
@@ -86,7 +86,7 @@
         // was granted to the one before. (Found by the simulator, with a node that got no processor
         // time: an answer to commands showed the new incarnation, a task was started in it, and
         // the expiry of the old incarnation's lease then declared the task gone.)
-        if holds(Guard::SessionLease) {
+        if is_enforced(Guard::LeasePerIncarnation) {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
     }
@@ -111,7 +111,7 @@
         // When a worker shows our token for the first time, they counted until now, whatever we
         // granted. (Found by the simulator, seed 173: a late copy of a heartbeat brought the new
         // owner to command a worker that an older one, cut off with it, still answered.)
-        if confirmed && !self.token_confirmed && holds(Guard::FirstSight) {
+        if confirmed && !self.token_confirmed && is_enforced(Guard::LeaseCountedFromTokenConfirmation) {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
         self.token_confirmed = confirmed;
@@ -148,7 +148,7 @@
 
     /// What it means that the heartbeat does not name an attempt.
     fn apply_missing_tasks(&mut self, incarnation: u64, kind: HeartbeatKind) {
-        let confirmed = self.token_confirmed || !holds(Guard::TokenShown);
+        let confirmed = self.token_confirmed || !is_enforced(Guard::AbsenceNeedsConfirmedToken);
         for task in self.tasks.values_mut().filter(|task| !task.reported) {
             match task.phase {
                 TaskPhase::Decided => {
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -116,16 +116,16 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(
-        Guard::FirstSight,
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(
+        Guard::LeaseCountedFromTokenConfirmation,
         a_worker_that_shows_our_token_at_last_may_have_been_answered_until_then,
     );
-    missed_by(Guard::SessionLease, a_new_session_has_a_lease_of_its_own);
-    missed_by(Guard::DoubtStarts, in_doubt_nothing_is_started_and_stops_go_on);
-    missed_by(Guard::DoubtStops, in_doubt_nothing_is_started_and_stops_go_on);
-    missed_by(Guard::Adopted, only_what_was_decided_here_for_this_session_is_started);
-    missed_by(Guard::OfferSession, only_what_was_decided_here_for_this_session_is_started);
-    missed_by(Guard::ForgetLater, nothing_is_forgotten_while_its_start_is_under_way);
+    assert_fails_without(Guard::LeasePerIncarnation, a_new_session_has_a_lease_of_its_own);
+    assert_fails_without(Guard::StartNeedsValidLease, in_doubt_nothing_is_started_and_stops_go_on);
+    assert_fails_without(Guard::StopIgnoresLease, in_doubt_nothing_is_started_and_stops_go_on);
+    assert_fails_without(Guard::AdoptedTaskNotStarted, only_what_was_decided_here_for_this_session_is_started);
+    assert_fails_without(Guard::StartBoundToIncarnation, only_what_was_decided_here_for_this_session_is_started);
+    assert_fails_without(Guard::StartInFlightRemembered, nothing_is_forgotten_while_its_start_is_under_way);
 }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to siblings that wait for an answer: queries about jobs, and relayed heartbeats.
 use super::{Node, MAX_OPEN_QUERIES, MAX_OPEN_RELAYS};
 use crate::context::{JobLookup, LookupPurpose, RelayedRequest};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{shard_of_job, JobId, NodeIdx, Timestamp};
 use crate::io::{Effect, Effects, RequestId, WorkerReply};
 use leaddeal_wire::mesh::{JobAnswer, NodeMessage};
@@ -121,7 +121,7 @@
     ) {
         let JobQuery { id, cancel } = query;
         let shard = shard_of_job(id, self.shared.shard_count());
-        let valid = self.shared.lease.valid(effects.now) || !holds(Guard::DoubtTells);
+        let valid = self.shared.lease.valid(effects.now) || !is_enforced(Guard::UserAnswerNeedsValidLease);
         let slot = self.owned[shard.0 as usize].as_mut();
         let refusal = |answer| {
             let msg = NodeMessage::JobAnswer { call, answer };
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery of messages between shards, on this node and on siblings.
 use super::{ActiveShard, Node};
 use crate::context::{Context, OutgoingMessage};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, PROVISIONER_SHARD};
 use crate::io::{Effect, Effects};
 use crate::quota::phase::LimitPhase;
@@ -50,7 +50,7 @@
     /// Stops everywhere here the tasks of jobs that were learned to be over.
     fn stop_terminal_jobs(&mut self, effects: &mut Effects) {
         for job in self.shared.horizons.take_newly_terminal() {
-            for active in self.owned.iter_mut().flatten().filter(|_| holds(Guard::StopOver)) {
+            for active in self.owned.iter_mut().flatten().filter(|_| is_enforced(Guard::TerminalJobStoppedByParticipant)) {
                 active.participant.stop_job(&mut self.shared.context(effects), job);
             }
         }
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -1,7 +1,7 @@
 //! Keeping this node's lease at the state service.
 use super::Node;
 use crate::context::Operation;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
 use crate::shard::{Lease, LEASE_MS, RENEW_MS};
@@ -65,7 +65,7 @@
         lease.sent = None;
         match result {
             StoreResult::LeaseRenewed => {
-                let from = if holds(Guard::LeaseFromSent) { sent } else { now };
+                let from = if is_enforced(Guard::LeaseCountedFromSend) { sent } else { now };
                 lease.renewed = lease.renewed.max(from);
             }
             StoreResult::NoLease => {
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -4,7 +4,7 @@
 use crate::budget::WriteClass;
 use crate::context::Operation;
 use crate::coordinator::Coordinator;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::horizon::OwnedShard;
 use crate::ids::{Epoch, NodeIdx, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
@@ -58,8 +58,8 @@
         let relinquished = self.acquisitions[index].relinquished;
         // The second condition: the store's answer came late, and a newer owner is known.
         if self.active_epoch(shard).is_some_and(|active| active >= epoch)
-            || (holds(Guard::OlderEpoch) && owner.is_some_and(|owner| owner.epoch > epoch))
-            || (holds(Guard::GivenUp) && epoch <= relinquished)
+            || (is_enforced(Guard::OlderEpochNotOwned) && owner.is_some_and(|owner| owner.epoch > epoch))
+            || (is_enforced(Guard::RelinquishedEpochRejected) && epoch <= relinquished)
         {
             return;
         }
@@ -220,7 +220,7 @@
         self.shared.shard_views[shard.0 as usize].acquiring = false;
         match result {
             StoreResult::Committed(revision)
-                if self.shared.lease.valid(effects.now) || !holds(Guard::DoubtOwns) =>
+                if self.shared.lease.valid(effects.now) || !is_enforced(Guard::AcquisitionNeedsValidLease) =>
             {
                 self.begin_ownership(effects, shard, Epoch(*revision));
             }
@@ -282,7 +282,7 @@
             }
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
             // It may be released already: stop acting, and wait for the lease or the watch to show.
-            StoreResult::Unknown if holds(Guard::ReleaseUnsure) => self.drop_shard(effects, shard),
+            StoreResult::Unknown if is_enforced(Guard::UncertainReleaseEndsOwnership) => self.drop_shard(effects, shard),
             _ => {
                 if let Some(active) = &mut self.owned[index] {
                     active.releasing = false;
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -2,7 +2,7 @@
 use super::calls::JobQuery;
 use super::delivery::IncomingMessage;
 use super::Node;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, NodeIdx, Shard, Timestamp};
 use crate::io::{Effect, Effects, WorkerReply};
 use crate::shard::Owner;
@@ -91,7 +91,7 @@
         if claimed.node == self.shared.me || !view.accept_claim(claimed, effects.now) {
             return;
         }
-        if self.active_epoch(shard).is_some() && holds(Guard::BeatEnds) {
+        if self.active_epoch(shard).is_some() && is_enforced(Guard::HeartbeatEndsOwnership) {
             self.drop_shard(effects, shard);
         }
         self.propagate_owners();
@@ -137,7 +137,7 @@
         let sender = self.shared.owner(incoming.from);
         let outdated = sender.is_some_and(|owner| owner.epoch > incoming.from_epoch);
         if self.active_epoch(incoming.to) == Some(to_epoch)
-            && (!outdated || !holds(Guard::OldSender))
+            && (!outdated || !is_enforced(Guard::OutdatedSenderRejected))
         {
             self.deliver(effects, incoming);
         }
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -1,7 +1,7 @@
 //! Terminal states of a shard whose owner does not speak for it, read from the store.
 use super::Node;
 use crate::context::Operation;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Shard, Timestamp};
 use crate::io::{Effects, StoreCall, StoreResult};
 use crate::keys;
@@ -85,11 +85,11 @@
         let now = effects.now;
         let acts = self.shared.lease.valid(now)
             && self.owned.iter().any(Option::is_some)
-            && holds(Guard::SilentFinals);
+            && is_enforced(Guard::SilentOwnerReadFromStore);
         // Cancellations before the horizon may have been sent to another owner of our machines, which
         // did not come to act on them.
         let back_ms =
-            if holds(Guard::FinalsBack) { OVERLAP_MS + self.shared.config.cancel_ms } else { 0 };
+            if is_enforced(Guard::TerminalStatesReadWithMargin) { OVERLAP_MS + self.shared.config.cancel_ms } else { 0 };
         for shard in self.shared.shards() {
             let read_from = self.shared.horizons.read_store_from(shard, back_ms, now);
             match read_from.filter(|_| acts) {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -4,7 +4,7 @@
 use crate::context::{
     queued, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
 };
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{shard_of_job, JobId, NodeIdx, Shard, Timestamp, TypeIdx};
 use crate::io::{Effects, LogLevel, RequestId, StoreCall, StoreResult, UserReply};
 use crate::jobs::{job_state, wire_shape};
@@ -73,7 +73,7 @@
         let value = JobRecord { accepted_at_ms: Some(self.shared.wall_clock_ms), job }.encode();
         let key = keys::job_key(shard, id);
         let mut conditions = vec![Condition { key: key.clone(), version: 0 }];
-        if holds(Guard::SubmittedOnce) {
+        if is_enforced(Guard::NoSubmissionAfterTermination) {
             conditions.push(Condition { key: keys::terminal_state_key(shard, id), version: 0 });
         }
         let changes = vec![Change::Put { key, value: value.clone(), lease: None }];
@@ -133,7 +133,7 @@
 
     /// Whether this node owns the shard, has loaded it, and may answer for it.
     fn speaks_for(&self, shard: Shard, now: Timestamp) -> bool {
-        let valid = self.shared.lease.valid(now) || !holds(Guard::DoubtTells);
+        let valid = self.shared.lease.valid(now) || !is_enforced(Guard::UserAnswerNeedsValidLease);
         let active = self.owned[shard.0 as usize].as_ref();
         active.is_some_and(|active| valid && active.coordinator.ready())
     }
@@ -167,7 +167,7 @@
             return self.reply_later(effects, lookup.req, OVERLOADED_RETRY_S);
         }
         let mut context = self.shared.context(effects);
-        if holds(Guard::KeyBeforeFinal) {
+        if is_enforced(Guard::JobReadBeforeTerminalState) {
             context.read_job(lookup);
         } else {
             context.read_terminal_state(lookup);
@@ -188,7 +188,7 @@
                 context.reply_later(lookup.req, 503, UNKNOWN_RETRY_S);
             }
             StoreResult::Item(Some(_)) => context.reply_state(lookup.req, 200, queued(lookup.id)),
-            StoreResult::Item(None) if holds(Guard::KeyBeforeFinal) => {
+            StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.read_terminal_state(lookup);
             }
             StoreResult::Item(None) => context.reply_unknown(lookup),
@@ -214,7 +214,7 @@
                     context.reply_later(lookup.req, 503, UNREADABLE_RETRY_S);
                 }
             },
-            StoreResult::Item(None) if holds(Guard::KeyBeforeFinal) => {
+            StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.reply_unknown(lookup);
             }
             StoreResult::Item(None) => context.read_job(lookup),
@@ -239,7 +239,7 @@
             StoreResult::Conflict(_) => {
                 self.lookup(effects, req, id, LookupPurpose::Resubmission);
             }
-            StoreResult::Unknown if !holds(Guard::AcceptedDurable) => {
+            StoreResult::Unknown if !is_enforced(Guard::SubmissionDurableBeforeAck) => {
                 self.shared.context(effects).reply(req, UserReply::created(queued(id)));
             }
             _ => self.reply_later(effects, req, UNKNOWN_RETRY_S),
@@ -259,7 +259,7 @@
         // While it loads, the list brings it. And if the list is newer than the creation but lacks
         // the job, then it is over already: this answer is a late one. (Found by the simulator: a
         // done job went back to running.)
-        let newer = revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
+        let newer = revision > active.coordinator.jobs_loaded_revision || !is_enforced(Guard::LateSubmissionResponseIgnored);
         if active.coordinator.ready() && newer {
             let mut context = self.shared.context(effects);
             active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -3,7 +3,7 @@
 use super::capacity_index::{CapacityEntry, MachineGroup};
 use super::Participant;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use crate::io::LogLevel;
 use crate::machine::Machine;
@@ -94,7 +94,7 @@
         let lease_over = !machine.lease_expired && !machine.released && now > over_at;
         // Not while our own lease is uncertain: a newer owner may answer the worker by now, and its
         // lease goes on. (Found by the simulator, seed 186: a task ran twice.)
-        if lease_over && !ctx.lease_valid && holds(Guard::DoubtLoses) {
+        if lease_over && !ctx.lease_valid && is_enforced(Guard::MachineLossNeedsValidLease) {
             return Some(now + UNCERTAIN_CHECK_INTERVAL_MS);
         }
         if lease_over {
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -12,7 +12,7 @@
 //! - `capacity_notices`: notices of freed capacity for coordinators that are short of it;
 //! - `inventory`, `release`: what the provisioner is told, and what it asks for.
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::machine::Machine;
 use crate::shard::at_least;
@@ -120,7 +120,7 @@
         shards: usize,
         patience_ms: u64,
     ) -> Participant {
-        let patience_ends = if holds(Guard::Patience) { now + at_least(patience_ms) } else { now };
+        let patience_ends = if is_enforced(Guard::PreviousOwnersTimedOut) { now + at_least(patience_ms) } else { now };
         Participant {
             shard,
             epoch,
@@ -186,7 +186,7 @@
         let Some(known) = self.coordinator_epochs.get_mut(shard.0 as usize) else {
             return false;
         };
-        if epoch < *known && holds(Guard::OldSender) {
+        if epoch < *known && is_enforced(Guard::OutdatedSenderRejected) {
             return false;
         }
         if epoch > *known {
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -1,7 +1,7 @@
 //! What coordinators decided for tasks: started, stopped, acknowledged.
 use super::Participant;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::horizon::Horizons;
 use crate::ids::{Attempt, JobId, MachineIdx, Shard, Timestamp};
 use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
@@ -24,7 +24,7 @@
 
 /// Whether no older owner's command can reach the machine's worker any more.
 fn is_fenced(machine: &Machine) -> bool {
-    machine.token_confirmed || !holds(Guard::TokenShown)
+    machine.token_confirmed || !is_enforced(Guard::AbsenceNeedsConfirmedToken)
 }
 
 impl Participant {
@@ -36,7 +36,7 @@
         assignment: &Assignment,
     ) {
         self.place(ctx, order, assignment);
-        if ctx.horizons.is_terminal(order.job) && holds(Guard::LatePlace) {
+        if ctx.horizons.is_terminal(order.job) && is_enforced(Guard::LateAssignmentStopped) {
             // It was sent before the cancellation, which came another way.
             let placed = AttemptRef {
                 job: order.job.0,
@@ -57,7 +57,7 @@
         self.holds.use_one(idx, order.from, job);
         self.reservations.remove_one(job, idx);
         let machine = self.machine(idx);
-        let outdated = incarnation < machine.incarnation && holds(Guard::OfferSession);
+        let outdated = incarnation < machine.incarnation && is_enforced(Guard::StartBoundToIncarnation);
         let expired = machine.lease_expired && incarnation <= machine.incarnation;
         let gone = machine.released || outdated || expired;
         let fenced = is_fenced(machine);
@@ -167,7 +167,7 @@
         let mut any_stopped = false;
         let tasks = machine.tasks.iter_mut();
         for (key, task) in tasks.filter(|(_, task)| task.stop.is_none() && !task.is_over()) {
-            if horizons.is_terminal(key.job) && holds(Guard::StopOver) {
+            if horizons.is_terminal(key.job) && is_enforced(Guard::TerminalJobStoppedByParticipant) {
                 task.stop = Some(StopRequest { grace_s: 0.0, since: now });
                 any_stopped = true;
             }
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -1,7 +1,7 @@
 //! What changed on the machines, sent to the coordinators, and command batches sent to the workers.
 use super::{Participant, MAX_COMMANDS};
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, MachineIdx, Shard, Timestamp};
 use crate::machine::{AttemptKey, Machine, TaskOnMachine};
 use leaddeal_wire::mesh::{ShardMessage, TaskEvent, TaskPhase};
@@ -71,7 +71,7 @@
 /// Whether a command batch may be sent to the machine's worker now.
 fn may_command(ctx: &Context, machine: &Machine) -> bool {
     let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.quiet_ms;
-    (ctx.lease_valid || !holds(Guard::DoubtStarts))
+    (ctx.lease_valid || !is_enforced(Guard::StartNeedsValidLease))
         && machine.direct_batch.is_none()
         && !machine.released
         && !machine.lease_expired
--- a/crates/core/src/provisioner/instance_requests.rs
+++ b/crates/core/src/provisioner/instance_requests.rs
@@ -10,7 +10,7 @@
 //!
 //! (There was one at a time: from an empty fleet, waits grew in step with the fleet, whatever the
 //! cloud allowed.)
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Timestamp};
 use crate::io::CloudResult;
 use leaddeal_wire::cloud::InstanceRequest;
@@ -66,7 +66,7 @@
     pub(super) fn add(&mut self, epoch: Epoch, mut request: InstanceRequest, now: Timestamp) {
         self.last_number += 1;
         // The epoch makes the name one that no other owner ever uses.
-        let epoch = if holds(Guard::RentalEpoch) { epoch } else { Epoch(0) };
+        let epoch = if is_enforced(Guard::InstanceRequestNamedByEpoch) { epoch } else { Epoch(0) };
         request.request = format!("r-{}-{}", epoch.0, self.last_number);
         request.count = request.count.clamp(1, MAX_INSTANCES_PER_REQUEST);
         let pending = PendingRequest {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -8,7 +8,7 @@
 //!
 //! Invariant: a coordinator's share is at least what its tasks take, or were granted to take, and
 //! what is granted beyond what is in use never makes the shares more than the limit.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, Timestamp};
 use crate::names::thousandths;
 use leaddeal_wire::mesh::{QuotaAmount, TeamGrant, TeamUsage};
@@ -104,7 +104,7 @@
         let teams: Vec<u8> = shares.keys().copied().collect();
         let report = UsageReport { epoch, serial, received_at: now, teams: shares };
         self.reports.insert(from, report);
-        if self.reports.len() != self.shards && holds(Guard::GrantsComplete) {
+        if self.reports.len() != self.shards && is_enforced(Guard::GrantsAwaitAllReports) {
             return Some(Vec::new());
         }
         Some(teams.into_iter().filter_map(|team| self.grant(now, from, team)).collect())
@@ -148,7 +148,7 @@
         let others = self.reports.iter().filter(|(shard, _)| **shard != from);
         others
             .filter_map(|(_, report)| report.teams.get(&team))
-            .filter(|_| holds(Guard::GrantsShared))
+            .filter(|_| is_enforced(Guard::GrantsCountOtherShares))
             .fold(QuotaAmount::default(), |sum, team_share| sum.plus(team_share.share))
     }
 
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -471,8 +471,8 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::GrantsComplete, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
-    missed_by(Guard::GrantsShared, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::GrantsAwaitAllReports, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
+    assert_fails_without(Guard::GrantsCountOtherShares, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
 }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,5 +1,5 @@
 //! The controllers' lease, and which node owns each shard of the jobs and machines.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, NodeIdx, Timestamp};
 
 /// A controller's lease at the state service is over this long after its last renewal.
@@ -10,12 +10,12 @@
 /// An interval of our clock, in ms, within which `ms` are certainly not over by another clock. Clocks
 /// may differ by 0.05%; this is a safe factor, and the rounding of timers besides.
 pub fn at_most(ms: u64) -> u64 {
-    ms.saturating_sub(if holds(Guard::Drift) { ms / 1000 + 50 } else { 0 })
+    ms.saturating_sub(if is_enforced(Guard::ClockDriftAllowance) { ms / 1000 + 50 } else { 0 })
 }
 
 /// An interval of our clock, in ms, after which `ms` are certainly over by another clock.
 pub fn at_least(ms: u64) -> u64 {
-    ms + if holds(Guard::Drift) { ms / 1000 + 250 } else { 0 }
+    ms + if is_enforced(Guard::ClockDriftAllowance) { ms / 1000 + 250 } else { 0 }
 }
 
 /// A node that owns a shard, or owned it.
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -36,7 +36,7 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Drift, a_lease_is_judged_with_the_drift_of_both_clocks);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::ClockDriftAllowance, a_lease_is_judged_with_the_drift_of_both_clocks);
 }
--- a/crates/core/src/writes.rs
+++ b/crates/core/src/writes.rs
@@ -7,7 +7,7 @@
 //! - A copy that is executed late does nothing: each transaction names a key that it writes and the
 //!   version that this key has before, so it is executed at most once, however often it is sent.
 use crate::budget::{WriteBudget, WriteClass};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, Timestamp};
 use crate::io::{StoreCall, StoreResult};
 use crate::keys;
@@ -66,7 +66,7 @@
         changes: Vec<Change>,
     ) -> PendingWrite {
         let fence = Condition { key: keys::shard_key(shard), version: epoch.0 };
-        let conditions = if holds(Guard::Epoch) { vec![fence] } else { Vec::new() };
+        let conditions = if is_enforced(Guard::WritesFencedByEpoch) { vec![fence] } else { Vec::new() };
         PendingWrite {
             costs: vec![WriteCost { class, changes: changes.len() }],
             shard,
@@ -136,7 +136,7 @@
             StoreResult::Item(None) if self.executed => WriteOutcome::Fenced,
             StoreResult::Conflict(failed_keys) => self.on_conflict(now, failed_keys),
             StoreResult::Refused | StoreResult::RateLimited
-                if !self.earlier_try_uncertain || !holds(Guard::OutcomeKnown) =>
+                if !self.earlier_try_uncertain || !is_enforced(Guard::RefusalInconclusiveAfterUnknownTry) =>
             {
                 WriteOutcome::NotDone
             }
--- a/crates/testkit/examples/guards.rs
+++ b/crates/testkit/examples/guards.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p leaddeal-testkit --example guards -- [NAME...] [--seeds N]`, one by one or,
 //! as `NAME+NAME`, several at once.
 use clap::Parser;
-use leaddeal_core::guards::{without, Guard};
+use leaddeal_core::guards::{with_guards_disabled, Guard};
 use leaddeal_testkit::histories::History;
 use leaddeal_testkit::sim::Sim;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -35,7 +35,7 @@
 /// The first seed that breaks a rule without these guards, and the rule.
 fn first_broken(guards: &[Guard], history: History, seeds: u64) -> Option<(u64, String)> {
     (1..=seeds).find_map(|seed| {
-        let run = without(guards, || Sim::new(history.plan(seed)).run());
+        let run = with_guards_disabled(guards, || Sim::new(history.plan(seed)).run());
         Some((seed, run.err()?))
     })
 }
--- a/crates/testkit/tests/guards.rs
+++ b/crates/testkit/tests/guards.rs
@@ -1,6 +1,6 @@
 //! Every guard of the core is missed when it is taken out: a history breaks a rule then, and holds with it.
 //! (`docs/meetings.md` has the table; guards with a unit test beside their code are named in `BY_UNIT`.)
-use leaddeal_core::guards::{without, Guard};
+use leaddeal_core::guards::{with_guards_disabled, Guard};
 use leaddeal_testkit::histories::History::{self, *};
 use leaddeal_testkit::sim::Sim;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,74 +11,74 @@
 type Missed = (&'static [Guard], History, &'static str);
 
 const MISSED: &[Missed] = &[
-    (&[Guard::Epoch], LateFinals, "went_back"),
-    (&[Guard::DoubtTells], SlowThenAlone, "went_back"),
-    (&[Guard::DoubtStops], DeafThenOutage, "ran_cancelled"),
-    (&[Guard::LeaseFromSent], SlowThenAlone, "went_back"),
-    (&[Guard::DecisionVersion], LateWrites, "written_again"),
-    (&[Guard::FoldVersion], LateWrites, "written_again"),
-    (&[Guard::CancelVersion], LateWrites, "written_again"),
-    (&[Guard::SubmittedOnce], Gap, "went_back"),
-    (&[Guard::AcceptedDurable], LateWrites, "forgotten"),
-    (&[Guard::CancelledDurable], Gap, "went_back"),
-    (&[Guard::DecidedDurable], LateWrites, "ran_twice"),
-    (&[Guard::Finishing], ApartLate, "went_back"),
-    (&[Guard::KeyBeforeFinal], ApartLate, "forgotten"),
-    (&[Guard::HorizonStops], GapForgotten, "ran_cancelled"),
+    (&[Guard::WritesFencedByEpoch], LateFinals, "went_back"),
+    (&[Guard::UserAnswerNeedsValidLease], SlowThenAlone, "went_back"),
+    (&[Guard::StopIgnoresLease], DeafThenOutage, "ran_cancelled"),
+    (&[Guard::LeaseCountedFromSend], SlowThenAlone, "went_back"),
+    (&[Guard::DecisionWrittenOnce], LateWrites, "written_again"),
+    (&[Guard::CompactionWrittenOnce], LateWrites, "written_again"),
+    (&[Guard::CancellationWrittenOnce], LateWrites, "written_again"),
+    (&[Guard::NoSubmissionAfterTermination], Gap, "went_back"),
+    (&[Guard::SubmissionDurableBeforeAck], LateWrites, "forgotten"),
+    (&[Guard::CancellationDurableBeforeAck], Gap, "went_back"),
+    (&[Guard::DecisionDurableBeforeStart], LateWrites, "ran_twice"),
+    (&[Guard::StateWithheldDuringTermination], ApartLate, "went_back"),
+    (&[Guard::JobReadBeforeTerminalState], ApartLate, "forgotten"),
+    (&[Guard::AnswersStopAfterGracePeriod], GapForgotten, "ran_cancelled"),
     // Where the store is not read for a silent owner, horizons stand still and workers are let go.
-    (&[Guard::SilentFinals, Guard::HorizonStops], Apart, "ran_cancelled"),
-    (&[Guard::NewestReport], OldReports, "ran_twice"),
-    (&[Guard::TokenShown], OldReports, "ran_twice"),
-    (&[Guard::Patience], AloneThenCut, "ran_twice"),
-    (&[Guard::AllKnow], AloneThenCut, "ran_twice"),
-    (&[Guard::BeatEnds], Refused, "ran_twice"),
-    (&[Guard::OldSender], FrozenDeciding, "ran_twice"),
-    (&[Guard::AttemptEpoch], OverAndBack, "ran_twice"),
+    (&[Guard::SilentOwnerReadFromStore, Guard::AnswersStopAfterGracePeriod], Apart, "ran_cancelled"),
+    (&[Guard::OlderStatusIgnored], OldReports, "ran_twice"),
+    (&[Guard::AbsenceNeedsConfirmedToken], OldReports, "ran_twice"),
+    (&[Guard::PreviousOwnersTimedOut], AloneThenCut, "ran_twice"),
+    (&[Guard::AllSiblingsKnowEpoch], AloneThenCut, "ran_twice"),
+    (&[Guard::HeartbeatEndsOwnership], Refused, "ran_twice"),
+    (&[Guard::OutdatedSenderRejected], FrozenDeciding, "ran_twice"),
+    (&[Guard::AttemptNumberIncludesEpoch], OverAndBack, "ran_twice"),
     // Each stops what the other one does not reach.
-    (&[Guard::StopAgain, Guard::BeatsName], LateFinals, "ran_cancelled"),
-    (&[Guard::StopOver], Apart, "ran_cancelled"),
-    (&[Guard::Risky], Ordinary, "ran_twice"),
-    (&[Guard::AllDone], Gap, "not_done"),
-    (&[Guard::RecordLive], OldReports, "ran_twice"),
-    (&[Guard::NewestAttempt], OldReports, "ran_twice"),
-    (&[Guard::Leftovers], ConfirmedThenEnded, "quota"),
-    (&[Guard::GrantsComplete], OverAndBack, "quota"),
-    (&[Guard::GrantsShared], Gap, "quota"),
-    (&[Guard::GrantKept], Gap, "quota"),
-    (&[Guard::ZoneCounted], Gap, "wrong_place"),
-    (&[Guard::RentalEpoch], OldReports, "name_reused"),
+    (&[Guard::StopResent, Guard::HeartbeatsNameCancellations], LateFinals, "ran_cancelled"),
+    (&[Guard::TerminalJobStoppedByParticipant], Apart, "ran_cancelled"),
+    (&[Guard::UnansweredStartRemembered], Ordinary, "ran_twice"),
+    (&[Guard::CompletionNeedsAllTasks], Gap, "not_done"),
+    (&[Guard::DecisionRecordKeptWhileLive], OldReports, "ran_twice"),
+    (&[Guard::NewestAttemptAdopted], OldReports, "ran_twice"),
+    (&[Guard::TerminatedJobTasksAdopted], ConfirmedThenEnded, "quota"),
+    (&[Guard::GrantsAwaitAllReports], OverAndBack, "quota"),
+    (&[Guard::GrantsCountOtherShares], Gap, "quota"),
+    (&[Guard::DecisionWithinGrant], Gap, "quota"),
+    (&[Guard::PossibleTasksCountedInZone], Gap, "wrong_place"),
+    (&[Guard::InstanceRequestNamedByEpoch], OldReports, "name_reused"),
 ];
 
-/// Missed by unit tests beside their code (`its_guards_are_missed`), which CI runs with the switches on.
+/// Missed by unit tests beside their code (`tests_fail_without_their_guards`), which CI runs with the switches on.
 const BY_UNIT: &[Guard] = &[
-    Guard::GivenUp,
-    Guard::DoubtStarts,
-    Guard::Drift,
-    Guard::OutcomeKnown,
-    Guard::LoadedFrom,
-    Guard::HorizonEchoed,
-    Guard::HorizonDoubt,
-    Guard::HorizonVouched,
-    Guard::HorizonFloor,
-    Guard::BeatsName,
-    Guard::Waits,
-    Guard::FirstSight,
-    Guard::SessionLease,
-    Guard::OfferSession,
-    Guard::Adopted,
-    Guard::ForgetLater,
-    Guard::OneZone,
-    Guard::LatePlace,
+    Guard::RelinquishedEpochRejected,
+    Guard::StartNeedsValidLease,
+    Guard::ClockDriftAllowance,
+    Guard::RefusalInconclusiveAfterUnknownTry,
+    Guard::LateSubmissionResponseIgnored,
+    Guard::AssertionDatedByEcho,
+    Guard::HorizonExcludesUncertainLease,
+    Guard::HorizonNeedsPeerStatements,
+    Guard::HorizonNeedsPredecessorLimit,
+    Guard::HeartbeatsNameCancellations,
+    Guard::LateHeartbeatGrantsNoLease,
+    Guard::LeaseCountedFromTokenConfirmation,
+    Guard::LeasePerIncarnation,
+    Guard::StartBoundToIncarnation,
+    Guard::AdoptedTaskNotStarted,
+    Guard::StartInFlightRemembered,
+    Guard::NoTasksWhileInTwoZones,
+    Guard::LateAssignmentStopped,
 ];
 
 /// Nothing misses them yet: holes in the tests, or implied by others (`docs/meetings.md`).
 const NOT_MISSED: &[Guard] = &[
-    Guard::DoubtLoses,
-    Guard::DoubtOwns,
-    Guard::OlderEpoch,
-    Guard::FinalsBack,
-    Guard::ReleaseUnsure,
-    Guard::GrantEpoch,
+    Guard::MachineLossNeedsValidLease,
+    Guard::AcquisitionNeedsValidLease,
+    Guard::OlderEpochNotOwned,
+    Guard::TerminalStatesReadWithMargin,
+    Guard::UncertainReleaseEndsOwnership,
+    Guard::GrantBoundToEpoch,
 ];
 
 /// Which seed breaks the rule changes with what the simulator draws: so many are tried.
@@ -88,10 +88,10 @@
 /// When the rule breaks without the guards, in milliseconds of simulated time, and in which seed.
 fn missed(&(guards, history, rule): &Missed) -> Option<(u64, u64)> {
     (1..=SEEDS).find_map(|seed| {
-        let broken = without(guards, || Sim::new(history.plan(seed)).run()).err()?;
+        let broken = with_guards_disabled(guards, || Sim::new(history.plan(seed)).run()).err()?;
         let (at, what) = broken.strip_prefix("at ")?.split_once(" ms: ")?;
         let at = at.parse().ok().filter(|_| what.starts_with(rule))?;
-        let alone = |g: &[Guard]| without(g, || Sim::new(history.plan(seed)).run_to(at)).is_ok();
+        let alone = |g: &[Guard]| with_guards_disabled(g, || Sim::new(history.plan(seed)).run_to(at)).is_ok();
         (guards.len() == 1 || guards.chunks(1).all(alone)).then_some((seed, at))
     })
 }
