--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,5 +1,6 @@
-//! What parts of the core need while they handle an input: the time, names, settings, the shards'
-//! owners, and functions to send, write, call and reply. No part needs the node itself.
+//! What the components of a node need while they handle an input: the time, names, settings, the
+//! shards' owners, and functions to send, write, call and reply. No component depends on the node
+//! itself.
 use crate::budget::{WriteBudget, WriteClass};
 use crate::health::is_recent;
 use crate::horizon::Horizons;
@@ -19,40 +20,40 @@
 use leaddeal_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
-/// A user asks again after this many seconds if nothing can be said now.
+/// `Retry-After`, in seconds, of a reply while the state of the job can't be determined.
 pub(crate) const UNKNOWN_RETRY_S: u32 = 1;
 
-/// What the core needs of the settings.
+/// The settings that the core needs.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// For how long a worker runs on after its last answered heartbeat, in ms.
+    /// How long a worker keeps its tasks running after its last answered heartbeat, in ms.
     pub worker_lease_ms: u64,
-    /// A cancelled job's tasks must be gone this long after its user was told, in ms.
+    /// Time from the acknowledgement of a cancellation until all tasks of the job must be gone, in ms.
     pub cancel_ms: u64,
-    /// A machine silent for this long, in ms, gets no new work.
+    /// A machine that has been silent for this long, in ms, gets no new tasks.
     pub quiet_ms: u64,
-    /// A worker that was answered sends its next heartbeat within this time, in ms.
+    /// Time within which a worker whose heartbeat was answered sends the next one, in ms.
     pub report_due_ms: u64,
-    /// Placements in one decision: as many as one record of the store holds.
+    /// Most placements in one decision, which must fit into one record of the store.
     pub max_placements: usize,
-    /// Conditions and changes that one transaction of the store may have.
+    /// Most conditions and changes, counted together, in one transaction of the store.
     pub txn_ops: usize,
-    /// A new instance may be missing from the cloud's list for this long, in ms.
+    /// How long a new instance may be missing from the cloud's list of instances, in ms.
     pub list_lag_ms: u64,
-    /// Between calls to the cloud, in ms, so that all together stay below its limit.
+    /// Interval between calls to the cloud, in ms, which keeps the calls below its rate limit.
     pub cloud_gap_ms: u64,
-    /// The teams with their limits; a team's place here is its number.
+    /// The teams with their quotas; a team's index here is its number.
     pub teams: Vec<leaddeal_wire::settings::Team>,
     /// The service-level objectives.
     pub objectives: Objectives,
 }
 
-/// Why a submission is refused, unless its job is known already.
+/// Why a submission is rejected, unless its job is already known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionRejection {
-    /// The job can't be read.
+    /// The request is not a valid job.
     Malformed,
-    /// No machine type could take a task of it, or its team's limit is too small for it.
+    /// No machine type can run a task of the job, or the team's quota is too small for the job.
     CanNeverRun,
 }
 
@@ -66,74 +67,75 @@
     }
 }
 
-/// What a job is looked up for.
+/// Why a job is looked up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupPurpose {
-    /// A user asks for its state.
+    /// A user asks for the job's state.
     GetState,
-    /// It was submitted, and the store says that it is known already.
+    /// The job was submitted, and the store reports that it is already known.
     Resubmission,
-    /// It was submitted in a form that is refused unless the job is known.
+    /// The job was submitted in a form that is rejected unless the job is known.
     RejectedSubmission(SubmissionRejection),
-    /// A user cancels it.
+    /// A user cancels the job.
     Cancellation,
 }
 
-/// A request about a job that is looked up: here, at a sibling or in the store.
+/// A request about a job, which is looked up on this node, at a sibling or in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobLookup {
-    /// The request that is answered.
+    /// The request to be answered.
     pub req: RequestId,
     /// The job.
     pub id: JobId,
-    /// What it is looked up for.
+    /// Why the job is looked up.
     pub purpose: LookupPurpose,
 }
 
-/// A call of the provisioner to the cloud.
+/// A call from the provisioner to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProvisionerOperation {
-    /// A page of the list of instances.
+    /// The read of one page of the list of instances.
     List,
-    /// A launch of instances, by the request's number.
+    /// A launch of instances, with the number of the instance request.
     Launch(u64),
     /// A release of instances.
     Release,
 }
 
-/// A call to an outside service: what its answer is for. Epochs are those under which the call was
-/// made: the answer is for no other owner of the shard.
+/// The purpose of a call to an external service, which says who handles the answer. The epoch in an
+/// operation is the one under which the call was made: the answer is ignored if the shard has
+/// another owner by then.
 #[derive(Debug)]
 pub enum Operation {
-    /// A request for a lease for this node.
+    /// The request for a new lease of this node.
     NewLease {
-        /// When it was sent.
+        /// When the request was sent.
         sent: Timestamp,
     },
-    /// A renewal of this node's lease.
+    /// The renewal of this node's lease.
     RenewLease {
-        /// When it was sent.
+        /// When the renewal was sent.
         sent: Timestamp,
-        /// The lease's number.
+        /// The number of the lease.
         lease: u64,
     },
-    /// The list of all shards' keys.
+    /// The read of all shards' keys.
     ListShards,
     /// The watch on all shards' keys.
     WatchShards,
-    /// A transaction that makes this node the shard's owner.
+    /// The transaction that makes this node the shard's owner.
     Acquire {
         /// The shard.
         shard: Shard,
     },
-    /// A transaction that gives the shard back.
+    /// The transaction that releases the shard.
     Release {
         /// The shard.
         shard: Shard,
         /// The epoch under which this node owned it.
         epoch: Epoch,
     },
-    /// A page or an event of the records that a coordinator reads.
+    /// The read of one page, or the watch, of the records that a coordinator loads.
     Records {
         /// The shard.
         shard: Shard,
@@ -147,14 +149,14 @@
         /// The epoch of the coordinator that made the call.
         epoch: Epoch,
     },
-    /// The write of completed tasks as bitmaps.
+    /// The write of a compaction: completed tasks as bitmaps.
     Compaction {
         /// The shard.
         shard: Shard,
         /// The epoch of the coordinator that made the call.
         epoch: Epoch,
     },
-    /// The write of a job's terminal state.
+    /// The write of the terminal state of a cancelled job.
     Finish {
         /// The shard.
         shard: Shard,
@@ -182,25 +184,25 @@
         /// What is looked up, and for what.
         lookup: JobLookup,
     },
-    /// A page or an event of a silent owner's terminal states.
+    /// The read of one page, or the watch, of the terminal states of a shard whose owner is silent.
     TerminalStates {
         /// The shard.
         shard: Shard,
         /// When the call was made.
         asked: Timestamp,
     },
-    /// The creation of the record of the newest machine of the operator.
+    /// The creation of the record that names the newest machine that the operator provides.
     PutOperatorMachines,
     /// The read of that record.
     GetOperatorMachines,
-    /// The cloud's machine types.
+    /// The read of the cloud's machine types.
     Catalog,
-    /// A call of the provisioner that acts under that epoch.
+    /// A call from the provisioner that acts under this epoch.
     Provisioner(Epoch, ProvisionerOperation),
 }
 
 impl Operation {
-    /// Whether it counts against the service's limit of changes.
+    /// Whether the operation counts against the store's limit of changes.
     pub(crate) fn counts_as_write(&self) -> bool {
         matches!(
             self,
@@ -212,17 +214,17 @@
     }
 }
 
-/// Calls to outside services that are not answered yet. Invariant: no number is given twice.
+/// Calls to external services that are not answered yet. Invariant: no number is assigned twice.
 #[derive(Debug, Default)]
 pub(crate) struct PendingOperations {
-    /// The newest number given.
+    /// The last number that was assigned; 0 before the first call.
     last: OperationId,
-    /// By number.
+    /// The unanswered calls, by number.
     pub open: HashMap<OperationId, Operation>,
 }
 
 impl PendingOperations {
-    /// Gives a call its number.
+    /// Assigns a number to a call.
     fn begin(&mut self, operation: Operation) -> OperationId {
         self.last += 1;
         self.open.insert(self.last, operation);
@@ -230,7 +232,7 @@
     }
 }
 
-/// A message from one shard to another, on its way out.
+/// A message from one shard to another that has not been sent yet.
 #[derive(Debug)]
 pub(crate) struct OutgoingMessage {
     pub from: Shard,
@@ -238,61 +240,63 @@
     pub message: ShardMessage,
 }
 
-/// A request that a sibling made on behalf of its user.
+/// A request that a sibling made on behalf of a user.
 #[derive(Debug)]
 pub(crate) struct RelayedRequest {
-    /// The sibling's name.
+    /// The name of the sibling.
     pub node: String,
-    /// Its number of the call.
+    /// The sibling's number for the call.
     pub call: u64,
 }
 
-/// What parts of the core need of the node while they handle an input.
+/// What the components of a node need from it while they handle an input.
 pub struct Context<'a> {
-    /// The steady clock, in ms since an arbitrary moment: it never goes back. For intervals.
+    /// The monotonic clock, in ms since an arbitrary moment. Used for intervals.
     pub now: Timestamp,
-    /// The wall clock, in ms since 1970: it may be set, also back. For what is stored or shown.
+    /// The wall clock, in ms since 1970, which may jump in both directions. Used for what is stored
+    /// or shown.
     pub wall_clock_ms: u64,
-    /// This node's lease is certainly not over yet: what it owns is its own.
+    /// Whether this node's lease has certainly not expired, so that no other node can own its shards.
     pub lease_valid: bool,
-    /// Set by a part when a coordinator may have work for a decision round.
+    /// Set by a component when a coordinator may have work for a decision round.
     pub wake: bool,
-    /// What is sent, written and answered.
+    /// The calls, messages, commands, replies and log lines that result from the input.
     pub effects: &'a mut Effects,
-    /// Numbers of names, and the cloud's catalog.
+    /// The numbers assigned to names, and the cloud's catalog.
     pub names: &'a mut Names,
     /// The settings.
     pub config: &'a Config,
-    /// Changes that this node may still write.
+    /// How many changes this node may still write.
     pub budget: &'a mut WriteBudget,
-    /// What was cancelled, and up to when it is known.
+    /// The known cancellations and, by shard, the time up to which all of them are known.
     pub horizons: &'a mut Horizons,
     /// This node.
     pub(crate) me: NodeIdx,
-    /// By shard: its owner, as far as is known.
+    /// The known ownership of each shard, by shard.
     pub(crate) shard_views: &'a [ShardView],
-    /// By node: when something was last received from it.
+    /// When something was last received from each node, by node; 0: never.
     pub(crate) heard_at: &'a [Timestamp],
-    /// Calls to outside services that are not answered yet.
+    /// Calls to external services that are not answered yet.
     pub(crate) operations: &'a mut PendingOperations,
-    /// Messages between shards that are not delivered yet.
+    /// Messages between shards that were not delivered yet.
     pub(crate) outbox: &'a mut VecDeque<OutgoingMessage>,
-    /// Requests that siblings made, by the number they have here.
+    /// Requests that siblings made on behalf of their users, by this node's number for the request.
     pub(crate) relayed_requests: &'a mut HashMap<RequestId, RelayedRequest>,
 }
 
 impl Context<'_> {
-    /// All shards.
+    /// Iterates over all shards.
     pub fn shards(&self) -> impl Iterator<Item = Shard> {
         (0..self.shard_views.len() as u8).map(Shard)
     }
 
-    /// The shard's owner, as far as is known.
+    /// Returns the shard's owner; `None` if none is known.
     pub fn owner(&self, shard: Shard) -> Option<Owner> {
         self.shard_views.get(shard.0 as usize).and_then(|view| view.owner)
     }
 
-    /// Whether it is owned by this node, or by one from which something was received recently.
+    /// Whether the shard is owned by this node, or by a node from which something was received
+    /// recently.
     pub fn reachable(&self, shard: Shard) -> bool {
         self.owner(shard).is_some_and(|owner| {
             let heard_at = self.heard_at.get(owner.node.0 as usize);
@@ -300,17 +304,18 @@
         })
     }
 
-    /// The shard that the job belongs to.
+    /// Returns the shard that the job belongs to.
     pub fn shard_of_job(&self, job: JobId) -> Shard {
         shard_of_job(job, self.shard_views.len())
     }
 
-    /// The shard that the machine of that name belongs to.
+    /// Returns the shard that the machine with this name belongs to.
     pub fn shard_of_machine(&self, name: &str) -> Shard {
         shard_of_machine(name, self.shard_views.len())
     }
 
-    /// A job's team and what a task takes of its limit, if it has one.
+    /// Returns the job's team and how much of the team's quota one task takes; `None` if the team is
+    /// unknown or has no quota.
     pub fn team_use(&self, job: &Job) -> Option<QuotaUse> {
         let team = self.config.teams.iter().position(|team| team.name == job.wire.team)?;
         quota::limit(&self.config.teams[team])?;
@@ -319,24 +324,24 @@
         Some(QuotaUse { team: team as u8, amount })
     }
 
-    /// Sends a message from one shard to another, which may be on this node too.
+    /// Sends a message from one shard to another, which may be owned by this node as well.
     pub fn send(&mut self, from: Shard, to: Shard, message: ShardMessage) {
         self.outbox.push_back(OutgoingMessage { from, to, message });
     }
 
-    /// Calls the state service; the answer comes to what the operation says.
+    /// Calls the store; the answer is handled by the component that the operation names.
     pub fn store(&mut self, operation: Operation, call: StoreCall) {
         let op = self.operations.begin(operation);
         self.effects.push(Effect::Store { op, call });
     }
 
-    /// Calls the cloud service; the answer comes to what the operation says.
+    /// Calls the cloud; the answer is handled by the component that the operation names.
     pub fn cloud(&mut self, operation: Operation, call: CloudCall) {
         let op = self.operations.begin(operation);
         self.effects.push(Effect::Cloud { op, call });
     }
 
-    /// Sends commands to a worker at that address; `batch` ties the answer to them.
+    /// Sends commands to the worker at this address; `batch` identifies them in the answer.
     pub fn send_commands(
         &mut self,
         machine: MachineIdx,
@@ -348,7 +353,8 @@
         self.effects.push(Effect::Commands { machine, addr, batch, direct });
     }
 
-    /// Creates the record of the newest machine that was there before the service, or reads it.
+    /// Creates the record that names the newest machine which existed before the service. Whether it
+    /// was created now or existed already, it is then read back.
     pub fn find_operator_machines(&mut self, newest: String) {
         let change = Change::Put {
             key: keys::BASE_KEY.into(),
@@ -375,7 +381,7 @@
         self.store(Operation::ReadTerminalState { lookup }, StoreCall::Get { key });
     }
 
-    /// Answers a lookup: neither the job nor its terminal state is in the store.
+    /// Answers a lookup for which the store holds neither the job nor its terminal state.
     pub(crate) fn reply_unknown(&mut self, lookup: JobLookup) {
         match lookup.purpose {
             LookupPurpose::RejectedSubmission(rejection) => {
@@ -388,13 +394,13 @@
         }
     }
 
-    /// Refuses a submission for good.
+    /// Rejects a submission permanently.
     pub(crate) fn reply_rejection(&mut self, req: RequestId, rejection: SubmissionRejection) {
         let (status, why) = rejection.status();
         self.reply_error(req, status, why, None);
     }
 
-    /// Answers a request of a user, or of a sibling on behalf of its user.
+    /// Answers a request from a user, or from a sibling on behalf of a user.
     pub fn reply(&mut self, req: RequestId, reply: UserReply) {
         let Some(RelayedRequest { node, call }) = self.relayed_requests.remove(&req) else {
             self.effects.push(Effect::User { req, reply });
@@ -408,17 +414,18 @@
         self.effects.push(Effect::Mesh { to: node, msg: NodeMessage::JobAnswer { call, answer } });
     }
 
-    /// Answers with a job's state and that HTTP status.
+    /// Answers with a job's state and this HTTP status.
     pub fn reply_state(&mut self, req: RequestId, status: u16, state: JobState) {
         self.reply(req, UserReply { status, ..UserReply::found(state) });
     }
 
-    /// Refuses for now; the user may ask again after that many seconds.
+    /// Refuses a request temporarily; the user may retry after `after_s` seconds.
     pub fn reply_later(&mut self, req: RequestId, status: u16, after_s: u32) {
         self.reply_error(req, status, "try again later", Some(after_s));
     }
 
-    /// Refuses with that HTTP status and text; if `after_s` is given, the user may ask again then.
+    /// Refuses a request with this HTTP status and text; if `after_s` is given, the user may retry
+    /// after that many seconds.
     pub fn reply_error(&mut self, req: RequestId, status: u16, why: &str, after_s: Option<u32>) {
         let reply =
             UserReply { status, state: None, error: Some(why.to_string()), retry_after_s: after_s };
@@ -426,7 +433,7 @@
     }
 }
 
-/// The state of a job of which nothing is known but that it is there.
+/// Returns the state shown for a job of which nothing is known except that it exists.
 pub(crate) fn queued(id: JobId) -> JobState {
     JobState { id: user::job_id(id.0), status: Status::Queued, done: 0, running: 0 }
 }
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -5,22 +5,22 @@
 }
 
 #[test]
-fn only_the_word_of_every_sibling_proves_that_older_owners_let_go() {
+fn all_siblings_must_acknowledge_epoch() {
     let mut health = Health::new(NodeIdx(0), 3);
     let (shard, epoch) = (Shard(1), Epoch(7));
     health.record_heartbeat(NodeIdx(1), &heartbeat(&[(1, 0, 7)], true));
-    assert!(!health.all_acknowledge(shard, epoch), "the third said nothing");
+    assert!(!health.all_acknowledge(shard, epoch), "the third node stated nothing");
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5), (0, 0, 9)], true));
-    assert!(!health.all_acknowledge(shard, epoch), "the third knows an older owner");
+    assert!(!health.all_acknowledge(shard, epoch), "the third node knows only an older owner");
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 0, 7)], true));
     assert!(health.all_acknowledge(shard, epoch));
-    // Held back, and out of its order: what was known is not forgotten.
+    // A delayed heartbeat arrives out of order: the known epoch is not forgotten.
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5)], true));
     assert!(health.all_acknowledge(shard, epoch) && !health.all_acknowledge(shard, Epoch(8)));
 }
 
 #[test]
-fn who_is_heard_and_ready_serves() {
+fn detects_reachable_and_ready_siblings() {
     let mut health = Health::new(NodeIdx(0), 3);
     health.record_heartbeat(NodeIdx(1), &heartbeat(&[], true));
     assert!(!health.another_is_ready(10_000) && !health.hears_any_sibling(10_000));
@@ -35,5 +35,5 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::AllSiblingsKnowEpoch, only_the_word_of_every_sibling_proves_that_older_owners_let_go);
+    assert_fails_without(Guard::AllSiblingsKnowEpoch, all_siblings_must_acknowledge_epoch);
 }
--- a/crates/core/src/horizon/cancellations.rs
+++ b/crates/core/src/horizon/cancellations.rs
@@ -1,30 +1,31 @@
-//! The jobs that are known to be terminal, and the log of those that this node cancelled itself.
+//! The jobs that are known to be terminal, and the log of the cancellations by this node itself.
 use crate::ids::{Epoch, JobId, Timestamp};
 use std::collections::{HashMap, VecDeque};
 
-/// Stands for the store in place of an epoch: what it holds is never taken back.
+/// Marks a cancellation that was read from the store. It is newer than any epoch, since what the
+/// store holds is never revoked.
 pub(super) const STORED: Epoch = Epoch(u64::MAX);
 
-/// On what the knowledge of a cancellation rests.
+/// The evidence of a cancellation.
 #[derive(Clone, Copy, Debug)]
 struct Cancellation {
-    /// The epoch of the owner that stated it, or [`STORED`].
+    /// The epoch of the owner that stated the cancellation, or [`STORED`].
     stated_by: Epoch,
     learned_at: Timestamp,
 }
 
-/// The jobs that are known to be terminal. A completed job counts as well: none of its tasks may
-/// run, either.
+/// The jobs that are known to be terminal. This includes completed jobs, since none of their tasks
+/// may run either.
 #[derive(Debug)]
 pub(super) struct KnownCancellations {
     by_job: HashMap<JobId, Cancellation>,
-    /// Learned since they were last taken.
+    /// Jobs that became known since [`KnownCancellations::take_new`] was last called.
     new: Vec<JobId>,
     keep_ms: u64,
 }
 
 impl KnownCancellations {
-    /// Each is remembered for `keep_ms`.
+    /// Creates an empty set whose entries are remembered for `keep_ms`.
     pub(super) fn new(keep_ms: u64) -> KnownCancellations {
         KnownCancellations { by_job: HashMap::new(), new: Vec::new(), keep_ms }
     }
@@ -37,7 +38,7 @@
         self.by_job.contains_key(&job)
     }
 
-    /// Learns of a cancellation, unless it is known from this epoch or a newer one.
+    /// Adds a cancellation, unless it is already known from this epoch or a newer one.
     pub(super) fn learn(&mut self, job: JobId, stated_by: Epoch, now: Timestamp) {
         if self.by_job.get(&job).is_none_or(|known| known.stated_by < stated_by) {
             self.by_job.insert(job, Cancellation { stated_by, learned_at: now });
@@ -45,14 +46,14 @@
         }
     }
 
-    /// Forgets a cancellation that was stated under an older epoch than this.
+    /// Forgets the job's cancellation if it was stated under an older epoch than this.
     pub(super) fn forget_older(&mut self, job: JobId, epoch: Epoch) {
         if self.by_job.get(&job).is_some_and(|known| known.stated_by < epoch) {
             self.by_job.remove(&job);
         }
     }
 
-    /// Those that were learned since the last call.
+    /// Returns the jobs that became known since the last call.
     pub(super) fn take_new(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.new)
     }
@@ -63,18 +64,18 @@
     }
 }
 
-/// A cancellation of a shard that this node acts for.
+/// A cancellation in a shard that this node owns.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoggedCancellation {
-    /// Counted from 1 under each epoch.
+    /// The position in the log, counted from 1 under each epoch.
     pub(super) number: u64,
     pub(super) job: JobId,
     logged_at: Timestamp,
 }
 
-/// The cancellations that this node made of one shard under its present epoch.
+/// The cancellations that this node made in one shard under its current epoch.
 ///
-/// Invariant: the numbers rise without a gap, and no job is in it twice.
+/// Invariant: the numbers are consecutive, and no job occurs twice.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CancellationLog {
     entries: VecDeque<LoggedCancellation>,
@@ -82,7 +83,7 @@
 }
 
 impl CancellationLog {
-    /// Adds a job, unless it is there.
+    /// Adds a job, unless the log holds it already.
     pub(super) fn append(&mut self, job: JobId, now: Timestamp) {
         if self.entries.iter().all(|entry| entry.job != job) {
             self.last_number += 1;
@@ -96,13 +97,13 @@
         self.last_number = 0;
     }
 
-    /// At most `max_entries` of the entries with a higher number than this, the lowest first.
+    /// Returns at most `max_entries` entries with a higher number than this, in ascending order.
     pub(super) fn after(&self, number: u64, max_entries: usize) -> Vec<LoggedCancellation> {
         let later = self.entries.iter().filter(|entry| entry.number > number);
         later.take(max_entries).copied().collect()
     }
 
-    /// Whether there is no entry with a higher number than this.
+    /// Whether the log has no entry with a higher number than this.
     pub(super) fn ends_at(&self, number: u64) -> bool {
         self.entries.back().is_none_or(|entry| entry.number <= number)
     }
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -1,5 +1,5 @@
-//! What is stated about horizons in heartbeats between controllers: made for others, and taken from
-//! theirs.
+//! Statements about horizons in the heartbeats between controllers: how they are made, and how
+//! those of other controllers are applied.
 use super::shard_horizon::{EpochStatement, LogPosition, ShardHorizon};
 use super::{newest_epoch, Horizons, OwnedShard};
 use crate::guards::{is_enforced, Guard};
@@ -7,17 +7,18 @@
 use crate::shard::{at_least, ShardView};
 use leaddeal_wire::mesh::{NodeHeartbeat, ShardAssertion, Stamp};
 
-/// An assertion names at most this many cancellations; if there are more, it is not complete.
+/// Most cancellations in one assertion; if there are more, the assertion is not complete.
 pub(super) const MAX_CANCELLATIONS_NAMED: usize = 400;
 
-/// What another controller last stated.
+/// The last statements of another controller.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerStatements {
-    /// Its newest stamp.
+    /// The stamp of its last heartbeat; `None`: no heartbeat was received from it.
     stamp: Option<Stamp>,
-    /// By shard: neither it nor an earlier process of its node acted under a newer epoch than this.
+    /// By shard, an epoch such that neither this controller nor an earlier process of its node acted
+    /// under a newer one.
     pub(super) newest_epochs: Vec<EpochStatement>,
-    /// By shard: what it has received of this node's cancellations.
+    /// By shard, how much of this node's log of cancellations it has received.
     acknowledged: Vec<LogPosition>,
 }
 
@@ -33,8 +34,9 @@
 }
 
 impl Horizons {
-    /// Takes a heartbeat of another controller, after what it says of owners was taken into `view`.
-    /// True: it is from a process that was not heard before, and which waits for this node's stamp.
+    /// Applies a heartbeat of another controller. What it states about owners must be in `view`
+    /// already. Returns true if the heartbeat is the first one of its process, which needs this node's
+    /// stamp before it can make a statement that counts here.
     pub fn on_heartbeat(
         &mut self,
         from: NodeIdx,
@@ -61,14 +63,14 @@
         is_new_process
     }
 
-    /// After which time a heartbeat was made: when this process sent the stamp that it echoes.
-    /// `None`: it echoes none of this process, or one of the future.
+    /// Returns a time after which the heartbeat was made: when this process sent the stamp that the
+    /// heartbeat echoes. `None`: it echoes no stamp of this process, or one in the future.
     fn made_after(&self, heartbeat: &NodeHeartbeat, now: Timestamp) -> Option<Timestamp> {
         let echo = heartbeat.echo.filter(|echo| echo.boot == self.boot && echo.at <= now)?;
         Some(if is_enforced(Guard::AssertionDatedByEcho) { echo.at } else { now })
     }
 
-    /// What an owner states of its shard.
+    /// Applies an owner's assertion about its shard, unless a newer owner is known.
     fn on_assertion(
         &mut self,
         assertion: &ShardAssertion,
@@ -87,9 +89,9 @@
         }
     }
 
-    /// Adds to a heartbeat to another controller: this process's stamp and the echo of the other's,
-    /// the newest epochs, what was received, and the assertions about the shards that this node acts
-    /// for.
+    /// Adds the statements about horizons to a heartbeat to another controller: the stamp of this
+    /// process, the echo of the receiver's stamp, the newest epochs, how many cancellations were
+    /// received, and the assertions about the shards that this node owns.
     pub fn add_to_heartbeat(
         &self,
         to: NodeIdx,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// By shard: no process of this node acted under a newer epoch, and none is known here. `None`:
-    /// this process has not read all keys of shards yet.
+    /// Returns, by shard, an epoch such that no process of this node acted under a newer one and none
+    /// is known here. `None`: this process has not read the keys of all shards yet.
     fn newest_epochs(&self, view: &[ShardView]) -> Option<Vec<u64>> {
         let newest = |(state, shard): (&ShardHorizon, &ShardView)| {
             let last = shard.newest_owner.map_or(0, |owner| owner.epoch.0);
@@ -125,7 +127,8 @@
         self.shards.iter().zip(view).map(newest).collect()
     }
 
-    /// Shard, epoch and number of what was received, as a heartbeat holds them.
+    /// Returns the shard, epoch and log number up to which cancellations were received, in the form
+    /// of a heartbeat.
     fn acknowledgements(&self) -> Vec<(u8, u64, u64)> {
         let positions = self.shards.iter().map(|state| state.received).enumerate();
         let received = positions.filter(|(_, position)| position.number > 0);
@@ -134,7 +137,7 @@
 }
 
 impl ShardHorizon {
-    /// What the owner under this epoch states, which is the newest one that is known.
+    /// Applies an assertion of the owner under this epoch, which is the newest known one.
     fn on_assertion(
         &mut self,
         assertion: &ShardAssertion,
@@ -149,7 +152,8 @@
         self.received = LogPosition { epoch, number: received.max(assertion.up_to) };
         let Some(made_after) = made_after.filter(|_| assertion.complete) else { return };
         self.owner_statement = Some(EpochStatement { epoch, made_after });
-        // Until when its lease was certain, by a clock that may be slow.
+        // The owner's statement counts up to the time until which its lease was certain. The owner's
+        // clock may be slow, so the uncertain time is taken as longer than stated.
         let lease_uncertain = assertion.doubt_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
         let uncertain_ms = if lease_uncertain { at_least(assertion.doubt_ms) } else { 0 };
         let certain_until = made_after.checked_sub(uncertain_ms);
@@ -157,7 +161,8 @@
         self.confirmed_at = self.confirmed_at.max(certain_until.filter(|_| uncertain_ms == 0));
     }
 
-    /// What this node states of a shard that it acts for, to a node that has received this much.
+    /// Returns this node's assertion about a shard that it owns, for a node that has received its
+    /// cancellations up to `position`.
     fn assertion(&self, shard: u8, owned: OwnedShard, position: LogPosition) -> ShardAssertion {
         let after = position.number_under(owned.epoch);
         let named = self.log.after(after, MAX_CANCELLATIONS_NAMED);
--- a/crates/core/src/horizon/shard_horizon.rs
+++ b/crates/core/src/horizon/shard_horizon.rs
@@ -1,27 +1,28 @@
-//! One shard's horizon, and what advances it.
+//! The horizon of one shard, and what advances it.
 use super::cancellations::CancellationLog;
 use super::OwnedShard;
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Timestamp};
 
-/// A statement about a shard's epoch, and after which time of this node's clock it was made.
+/// A statement about a shard's epoch, and a time of this node's clock after which it was made.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EpochStatement {
     pub(super) epoch: Epoch,
     pub(super) made_after: Timestamp,
 }
 
-/// How far a node has received the cancellations that a shard's owner logged.
+/// How much of the owner's log of a shard's cancellations a node has received.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LogPosition {
-    /// The owner's epoch.
+    /// The epoch of the owner whose log this is about.
     pub(super) epoch: Epoch,
-    /// The highest number in the owner's log up to which all were received.
+    /// The highest number in the owner's log up to which all entries were received.
     pub(super) number: u64,
 }
 
 impl LogPosition {
-    /// The number that was reached under this epoch; 0 if the position is of another one.
+    /// Returns the number that was reached under this epoch; 0 if the position is in the log of
+    /// another epoch.
     pub(super) fn number_under(self, epoch: Epoch) -> u64 {
         if self.epoch == epoch {
             self.number
@@ -31,26 +32,29 @@
     }
 }
 
-/// What is known of one shard.
+/// What is known of the cancellations of one shard.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ShardHorizon {
-    /// All cancellations that were written until then are known; `None`: nothing is.
+    /// The time before which all cancellations that were written are known; `None`: there is no such
+    /// time yet.
     pub(super) horizon: Option<Timestamp>,
-    /// The newest statement of an owner, under its own epoch.
+    /// The newest statement of an owner about its own epoch.
     pub(super) owner_statement: Option<EpochStatement>,
-    /// When its owner under a valid lease, or the store, last proved that all is known.
+    /// When all cancellations were last proven known, by the owner under a valid lease or by the
+    /// store; `None`: never.
     pub(super) confirmed_at: Option<Timestamp>,
-    /// How far the owner's cancellations were received here.
+    /// How much of the owner's log of cancellations was received here.
     pub(super) received: LogPosition,
-    /// The cancellations of this node, while it acts for the shard.
+    /// The cancellations that this node made while it owns the shard.
     pub(super) log: CancellationLog,
-    /// No earlier process of this node acted under a newer epoch than this; `None`: not read yet.
+    /// An epoch such that no earlier process of this node acted under a newer one; `None`: the shard's
+    /// key was not read yet.
     pub(super) predecessor_epoch_limit: Option<Epoch>,
 }
 
 impl ShardHorizon {
-    /// This node acts for the shard, so it knows all that was written until its lease became
-    /// uncertain.
+    /// Advances the horizon of a shard that this node owns: it knows all cancellations that were
+    /// written before its lease became uncertain.
     pub(super) fn advance_as_owner(&mut self, owned: OwnedShard, now: Timestamp) {
         self.owner_statement = Some(EpochStatement { epoch: owned.epoch, made_after: now });
         let uncertain_ms = if is_enforced(Guard::HorizonExcludesUncertainLease) { owned.lease_uncertain_ms } else { 0 };
@@ -60,10 +64,10 @@
         }
     }
 
-    /// Advances to the time from which on the owner and all other nodes have stated that nobody acted
-    /// under a newer epoch, though the owner's lease may be uncertain. `newest_epoch`: the newest one
-    /// that is known here. `statements`: by other node, if it made one, the newest epoch of which
-    /// it knows.
+    /// Advances the horizon to the earliest time after which the owner and all other nodes have stated
+    /// that no process acted under a newer epoch. This works while the owner's lease is uncertain.
+    /// `newest_epoch` is the newest epoch known here. `statements` holds for each other node the newest
+    /// epoch that it knows, or `None` if it made no statement.
     pub(super) fn advance_by_peers(
         &mut self,
         newest_epoch: Epoch,
@@ -75,7 +79,7 @@
         if newest_epoch > owner.epoch || predecessor_may_be_newer && is_enforced(Guard::HorizonNeedsPredecessorLimit) {
             return;
         }
-        // A node without a statement, or one that knows a newer epoch, leaves the horizon in place.
+        // The horizon does not advance if a node made no statement or knows a newer epoch.
         let proved_until = statements.try_fold(owner.made_after, |earliest, statement| {
             let statement = statement.filter(|statement| statement.epoch <= owner.epoch)?;
             Some(earliest.min(statement.made_after))
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -1,4 +1,4 @@
-//! The rules of horizons one by one; `search` plays whole histories of faults.
+//! Tests of the single rules for horizons; `search` runs whole sequences of faults.
 use super::heartbeats::MAX_CANCELLATIONS_NAMED;
 use super::*;
 use crate::shard::Owner;
@@ -10,8 +10,9 @@
 const CANCEL_MS: u64 = 16_000;
 const WORKER_LEASE_MS: u64 = 6000;
 const JOB: JobId = JobId(7);
-/// The shard of the job, and that of the machine.
+/// The shard of the job.
 const JOBS: Shard = Shard(1);
+/// The shard of the machine.
 const MACHINES: Shard = Shard(0);
 
 fn views() -> Vec<ShardView> {
@@ -28,7 +29,7 @@
     owned
 }
 
-/// `a` sends a heartbeat, and `b` answers with one that echoes it.
+/// Sends a heartbeat from `a` to `b`, and one from `b` to `a` that echoes it and arrives 700 ms later.
 fn exchange(
     a: &mut Horizons,
     b: &mut Horizons,
@@ -46,23 +47,23 @@
 }
 
 #[test]
-fn only_an_assertion_that_echoes_this_process_advances_a_horizon() {
+fn only_echoed_assertions_advance_a_horizon() {
     let (mut a, mut b, view) = (horizons(0), horizons(1), views());
     let owned_by_b = owned_shards(JOBS, 5, 0);
     let mut without_echo = NodeHeartbeat::default();
     b.add_to_heartbeat(NodeIdx(0), &owned_by_b, &view, 50_000, &mut without_echo);
     a.on_heartbeat(NodeIdx(1), &without_echo, &view, 90_000);
-    assert!(!a.permits_answer(JOBS, 90_000), "made at an unknown time");
+    assert!(!a.permits_answer(JOBS, 90_000), "the time of the assertion is unknown");
     exchange(&mut a, &mut b, 90_000, &owned_by_b, &view);
-    assert_eq!(a.age_ms(JOBS, 90_700), Some(700), "counted from what it echoes");
+    assert_eq!(a.age_ms(JOBS, 90_700), Some(700), "counted from the echoed stamp");
     let grace_ms = a.grace_period_ms();
     assert!(
         a.permits_answer(JOBS, 90_000 + grace_ms - 1) && !a.permits_answer(JOBS, 90_000 + grace_ms)
     );
-    // With its lease uncertain for 3 s, its statement counts for the time before.
+    // The owner's lease has been uncertain for 3 s, so its statement counts for the time before that.
     exchange(&mut a, &mut b, 95_000, &owned_shards(JOBS, 5, 3000), &view);
     assert!((3900..4500).contains(&a.age_ms(JOBS, 95_700).unwrap_or(0)));
-    // A stamp of an earlier process of this node does not count.
+    // An echo of a stamp of an earlier process of this node does not count.
     let mut restarted = Horizons { boot: 99, ..horizons(0) };
     let mut late = NodeHeartbeat::default();
     b.add_to_heartbeat(NodeIdx(0), &owned_by_b, &view, 96_000, &mut late);
@@ -71,17 +72,17 @@
 }
 
 #[test]
-fn an_assertion_with_a_gap_states_only_what_it_names() {
+fn incomplete_assertion_does_not_advance_horizon() {
     let (mut a, mut b, view) = (horizons(0), horizons(1), views());
     let owned_by_b = owned_shards(JOBS, 5, 0);
     for n in 0..=(MAX_CANCELLATIONS_NAMED as u64) {
         b.on_cancelled(JOBS, Epoch(5), JobId(n), 1000);
     }
     exchange(&mut a, &mut b, 10_000, &owned_by_b, &view);
-    assert!(a.is_terminal(JobId(0)) && !a.permits_answer(JOBS, 10_700), "there are more to name");
+    assert!(a.is_terminal(JobId(0)) && !a.permits_answer(JOBS, 10_700), "the log holds more than the assertion names");
     exchange(&mut a, &mut b, 11_000, &owned_by_b, &view);
     assert!(a.is_terminal(JobId(MAX_CANCELLATIONS_NAMED as u64)) && a.permits_answer(JOBS, 11_700));
-    // A restarted process has received nothing: all is stated to it restarted.
+    // A restarted process has received nothing, so all cancellations are stated to it again.
     let mut restarted = Horizons { boot: 77, ..horizons(0) };
     exchange(&mut restarted, &mut b, 12_000, &owned_by_b, &view);
     exchange(&mut restarted, &mut b, 13_000, &owned_by_b, &view);
@@ -89,7 +90,7 @@
         restarted.is_terminal(JobId(0))
             && restarted.is_terminal(JobId(MAX_CANCELLATIONS_NAMED as u64))
     );
-    // Assertions of an earlier owner count for nothing.
+    // Assertions of an earlier owner are ignored.
     let mut newer = views();
     newer[1].set_owner(Owner { node: NodeIdx(2), boot: 1, epoch: Epoch(9) }, 0);
     exchange(&mut a, &mut b, 20_000, &owned_by_b, &newer);
@@ -97,11 +98,11 @@
 }
 
 #[test]
-fn a_job_that_a_newer_owner_continues_was_not_cancelled() {
+fn newer_owner_overrides_unwritten_cancellation() {
     let mut horizons = horizons(0);
     horizons.on_cancelled(JOBS, Epoch(5), JOB, 0);
     horizons.on_job_continued(JOB, Epoch(5));
-    assert!(horizons.is_terminal(JOB), "the same owner's statement, from before");
+    assert!(horizons.is_terminal(JOB), "stated earlier by the same owner");
     horizons.on_job_continued(JOB, Epoch(6));
     assert!(!horizons.is_terminal(JOB));
     horizons.on_stored_terminal([JOB], 0);
@@ -111,9 +112,9 @@
     assert!(!horizons.is_terminal(JOB));
 }
 
-/// Bad input: shards, epochs and stamps that never were change nothing and cause no panic.
+/// Shards, epochs and stamps that don't exist must change nothing and cause no panic.
 #[test]
-fn impossible_assertions_change_nothing() {
+fn ignores_invalid_assertions() {
     let (mut a, view) = (horizons(0), views());
     let assertion = ShardAssertion {
         shard: 99,
@@ -133,7 +134,7 @@
     };
     a.on_heartbeat(NodeIdx(1), &heartbeat, &view, 5000);
     a.on_heartbeat(NodeIdx(77), &heartbeat, &view, 5000);
-    // Of the future, and with a lease that was uncertain for longer than the clock has run.
+    // The lease has been uncertain for longer than the clock has run.
     let uncertain = ShardAssertion { shard: 1, doubt_ms: 1 << 60, ..assertion };
     let past = Some(Stamp { boot: 1, at: 4000 });
     a.on_heartbeat(
@@ -150,8 +151,8 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::AssertionDatedByEcho, only_an_assertion_that_echoes_this_process_advances_a_horizon);
-    assert_fails_without(Guard::HorizonExcludesUncertainLease, only_an_assertion_that_echoes_this_process_advances_a_horizon);
-    assert_fails_without(Guard::AnswersStopAfterGracePeriod, only_an_assertion_that_echoes_this_process_advances_a_horizon);
-    assert_fails_without(Guard::HeartbeatsNameCancellations, an_assertion_with_a_gap_states_only_what_it_names);
+    assert_fails_without(Guard::AssertionDatedByEcho, only_echoed_assertions_advance_a_horizon);
+    assert_fails_without(Guard::HorizonExcludesUncertainLease, only_echoed_assertions_advance_a_horizon);
+    assert_fails_without(Guard::AnswersStopAfterGracePeriod, only_echoed_assertions_advance_a_horizon);
+    assert_fails_without(Guard::HeartbeatsNameCancellations, incomplete_assertion_does_not_advance_horizon);
 }
--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -1,18 +1,20 @@
-//! A bounded search: every history of up to a number of faults, at every step, of three controllers, a
-//! store, one machine and one cancelled job, over the real transition functions.
+//! A bounded search over fault sequences: all sequences of up to a number of faults at given steps, with
+//! three controllers, a store, one machine and one cancelled job, run on the real transition functions.
 use super::*;
 use crate::shard::{Lease, LEASE_MS};
 
 const STEP_MS: u64 = 1000;
 
-/// A fault in a history, from a step on.
+/// A fault that begins at a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
+    /// The store is down for this number of steps.
     Outage(u64),
     /// The store refuses this controller.
     Refuse(usize),
-    /// This controller ends, and is back after that number of steps.
+    /// This controller crashes, and restarts after this number of steps.
     Crash(usize, u64),
+    /// These two controllers can't reach each other.
     LinkDown(usize, usize),
     /// This controller reaches the worker, but neither the store nor another controller.
     Isolated(usize),
@@ -35,21 +37,23 @@
     Fault::Isolated(1),
 ];
 
-/// What is made wrong on purpose.
+/// A bug that is introduced on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SeededBug {
     Nothing,
     /// A process that has not read the store makes statements about earlier processes of its node.
     Restarts,
-    /// A controller that is `heard_at` is taken to know all, as before there were horizons.
+    /// A worker is answered without regard to horizons, as long as the other controllers are heard.
     Silence,
 }
 
-/// How the job is cancelled: at this step, and whether the transaction's answer is lost, so that it is
-/// executed later and acknowledged by any controller that reads the store.
+/// How the job is cancelled.
 #[derive(Clone, Copy, Debug)]
 struct Cancel {
+    /// The step at which its user cancels it.
     at: u64,
+    /// Whether the transaction's answer is lost, so that the transaction is executed later and any
+    /// controller that reads the store acknowledges it.
     late: bool,
 }
 
@@ -79,18 +83,21 @@
     nodes: Vec<Node>,
     revision: u64,
     keys: [Option<Key>; NODES],
-    /// When a key was last there.
+    /// When each shard last had a key in the store, by shard.
     last_owned_at: [Timestamp; NODES],
-    /// When the leases of the store end, by number.
+    /// When the leases in the store end, by number.
     leases: Vec<Timestamp>,
     is_terminal_in_store: bool,
+    /// The step at which a delayed cancellation is executed, and the epoch under which it was written.
     late_write: Option<(u64, u64)>,
     acknowledged_at: Option<Timestamp>,
-    /// The worker: the controller that it sends heartbeats to, the newest fencing token that it saw, when
-    /// its lease was last granted, and whether the task is on it.
+    /// The controller that the worker sends heartbeats to.
     worker_at: usize,
+    /// The newest fencing token that the worker saw.
     token: u64,
+    /// When the worker's lease was last granted.
     lease_granted_at: Timestamp,
+    /// Whether the task is on the machine.
     task_on_machine: bool,
 }
 
@@ -223,7 +230,8 @@
                 }
             }
             let before = self.keys[s].is_some_and(|k| k.node == n && k.boot != node.boot);
-            // The third controller acquires a vacant shard at once, before the others have seen that it is.
+            // The third controller acquires a vacant shard at once, before the others have seen that the
+            // shard is vacant.
             let waited = now > self.last_owned_at[s] + if n == 2 { 0 } else { STEP_MS };
             let home = s == n && now == 100_000;
             if (self.keys[s].is_none() && (home || (waited && now > 100_000))) || before {
@@ -338,12 +346,12 @@
         }
     }
 
-    /// Runs the history; false: the task was on its machine for too long.
+    /// Runs the fault sequence. False: the cancelled task ran on its machine for too long.
     fn holds_the_rule(&mut self, cancel: Cancel) -> bool {
         for _ in 0..38 {
             let now = self.now;
             if !self.store_is_down() {
-                // Leases ran out at their time, and none while the store was down.
+                // Leases expire at their time, but not while the store is down.
                 for k in &mut self.keys {
                     if k.is_some_and(|k| self.leases[k.lease as usize] <= now) {
                         *k = None;
@@ -380,7 +388,7 @@
                 }
             }
             self.cancel_job(cancel);
-            // A crash may come right after the acknowledgement.
+            // A crash may follow right after the acknowledgement.
             self.apply_crashes();
             self.exchange_heartbeats();
             for n in 0..NODES {
@@ -402,8 +410,8 @@
     }
 }
 
-/// All histories of up to `depth` faults at these steps. Returns their number, and one that broke the
-/// rule.
+/// Runs all sequences of up to `depth` faults at these steps. Returns their number, and one in which the
+/// cancelled task ran for too long, if there is one.
 fn search(depth: usize, steps: &[u64], bug: SeededBug) -> (u64, Option<String>) {
     let all: Vec<(u64, Fault)> = steps.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
     let mut histories = 0;
@@ -427,37 +435,37 @@
 }
 
 #[test]
-fn no_history_of_faults_keeps_a_cancelled_task_for_too_long() {
+fn cancelled_task_ends_in_time_under_faults() {
     let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::Nothing);
     assert_eq!(broken, None);
     let depth = std::env::var("LEADDEAL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
     let (more, broken) = search(depth, &[3, 6, 7], SeededBug::Nothing);
     assert_eq!(broken, None);
-    assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} histories");
+    assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} sequences");
 }
 
 #[test]
-fn the_search_finds_seeded_bugs() {
+fn search_finds_seeded_bugs() {
     for bug in [SeededBug::Silence, SeededBug::Restarts] {
         let found = search(3, &[3, 6, 7], bug).1;
-        assert!(found.is_some(), "{bug:?} went unnoticed");
+        assert!(found.is_some(), "{bug:?} was not found");
     }
 }
 
-/// The search would prove nothing if tasks ended that may run on.
+/// The search would prove nothing if tasks were stopped that may run on.
 #[test]
-fn a_task_that_is_not_cancelled_outlives_an_outage() {
+fn uncancelled_task_survives_store_outage() {
     let mut world = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
     assert!(world.holds_the_rule(Cancel { at: 999, late: false }));
     assert!(
         world.task_on_machine && world.lease_granted_at + 2 * STEP_MS > world.now,
-        "its worker got no answers"
+        "the worker got no answers"
     );
 }
 
 #[cfg(feature = "guards")]
 #[test]
-fn the_search_finds_a_guard_that_is_out() {
+fn search_finds_disabled_guards() {
     use crate::guards::{with_guards_disabled, Guard};
     for guard in [
         Guard::AnswersStopAfterGracePeriod,
@@ -467,6 +475,6 @@
         Guard::HeartbeatsNameCancellations,
     ] {
         let found = with_guards_disabled(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
-        assert!(found.is_some(), "{guard:?} is not missed");
+        assert!(found.is_some(), "no failure with {guard:?} disabled");
     }
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,12 +1,12 @@
-//! The jobs of a shard: what is done, placed and still to be placed.
+//! The jobs of a shard, with their completed, placed and pending tasks.
 //!
 //! - [`Job`]: one job and its tasks, from submission to its terminal state;
-//! - `backoff`: when tasks that no machine had capacity for are requested again;
-//! - `zones`: how many tasks each zone may take, and the zone that a gang waits for;
+//! - `backoff`: when placement is retried for tasks that no machine had capacity for;
+//! - `zones`: how many tasks each zone may run, and the zone in which a gang waits;
 //! - [`Objectives`] and [`Urgency`]: service-level objectives, and the order that follows from them;
-//! - [`FailureSuspicion`]: whether a job fails on whatever machine it is tried;
-//! - [`CompletionProgress`]: completed tasks on their way into the store;
-//! - [`Termination`]: the job's way to its terminal state.
+//! - [`FailureSuspicion`]: whether a job fails on every machine that it is tried on;
+//! - [`CompletionProgress`]: completed tasks that are being written to the store;
+//! - [`Termination`]: a terminal state that is being written.
 use crate::ids::JobId;
 use crate::stored::TerminalState;
 use leaddeal_wire::mesh;
@@ -29,13 +29,13 @@
 pub use termination::Termination;
 pub use urgency::Urgency;
 
-/// What users see of a job that is in a terminal state.
+/// Returns the state shown to users for a job in a terminal state.
 pub fn job_state(id: JobId, terminal: TerminalState) -> JobState {
     JobState { id: user::job_id(id.0), status: terminal.status, done: terminal.done, running: 0 }
 }
 
-/// What participants need to know of a job to place a task of it: resources in thousandths of
-/// processors and GPUs and in MB, rounded up.
+/// Returns what participants need to know of a job to place its tasks. Resources are in thousandths
+/// of processors and GPUs and in MB, rounded up.
 pub fn wire_shape(job: &user::Job) -> mesh::Shape {
     let round_up = |amount: f64| (amount * 1000.0 - 1e-6).ceil().max(0.0) as u64;
     mesh::Shape {
--- a/crates/core/src/jobs/failure_suspicion.rs
+++ b/crates/core/src/jobs/failure_suspicion.rs
@@ -1,36 +1,39 @@
-//! Whether a job, and not the machines that it ran on, is at fault when its tasks fail.
+//! Decides whether a job, rather than the machines that it ran on, is the cause of its failures.
 use crate::ids::{MachineIdx, Timestamp};
 use std::collections::BTreeSet;
 
-/// A job that fails on this many machines and runs well on none is suspected.
+/// A job that fails on this many machines, and runs well on none, is suspected.
 const MIN_MACHINES_TO_SUSPECT: usize = 3;
-/// Before the retry after a failure that doesn't make the job suspected.
+/// The delay before the retry of a job that is not suspected.
 const RETRY_DELAY_MS: u64 = 200;
-/// Before the retry of a suspected job; doubled before each retry, the first included.
+/// The base of the delay before retries of a suspected job. It is doubled for each retry, including
+/// the first.
 const SUSPECTED_RETRY_DELAY_MS: u64 = 1000;
 /// The longest delay before the retry of a suspected job.
 const MAX_SUSPECTED_RETRY_DELAY_MS: u64 = 60_000;
-/// The delay is doubled no more often, so that the shift can't overflow.
+/// The delay is doubled at most this often, so that the shift can't overflow.
 const MAX_DELAY_DOUBLINGS: u32 = 8;
 
-/// Whether a job fails by itself, on whatever machine it is tried.
+/// Whether a job fails by itself, regardless of the machine.
 ///
-/// One failure, or many on the same machine, don't make the job suspected: it is retried elsewhere
-/// at once. Once it has failed on several machines and run well on none, it is retried with
-/// exponential backoff, and in one place at a time, until it runs well or its user cancels it. (Of
-/// one job in 25 each start fails: tried at once on all machines, an array of hundreds takes
-/// fetches, starts and changes from the others for as long as its user waits.)
+/// One failure, or many on the same machine, don't make the job suspected: it is soon retried on
+/// another machine. After it has failed on several machines and run well on none, it is retried with
+/// exponential back-off, and on one machine at a time, until it runs well or its user cancels it.
+/// One job in 25 fails at every start. Without the back-off, an array of hundreds of such tasks
+/// would take image fetches, starts and store changes from other jobs until its user cancels it.
 #[derive(Clone, Debug, Default)]
 pub struct FailureSuspicion {
-    /// Machines on which it failed since it last ran well; no more than make it suspected.
+    /// Machines on which the job failed since it last ran well, up to the number that makes it
+    /// suspected.
     failed_on: BTreeSet<MachineIdx>,
+    /// Retries since the job became suspected, including the failure that made it so.
     retries: u32,
 }
 
 impl FailureSuspicion {
-    /// A task failed on this machine. Returns the time before which the job is not to be retried,
-    /// given the one that held until now. Tasks that were started together fail together, and count
-    /// as one retry.
+    /// Records that a task failed on this machine. Returns the time before which the job must not be
+    /// retried; `not_before` is that time so far. Tasks that were started together fail together, and
+    /// count as one retry.
     pub fn failed(
         &mut self,
         machine: MachineIdx,
@@ -50,12 +53,12 @@
         not_before.max(now + delay.min(MAX_SUSPECTED_RETRY_DELAY_MS))
     }
 
-    /// A task of the job ran well: whatever failed before was not the job's fault.
+    /// Records that a task of the job ran well, so the job did not cause the earlier failures.
     pub fn ran_well(&mut self) {
         *self = FailureSuspicion::default();
     }
 
-    /// The job fails wherever it is tried, as far as is known.
+    /// Whether the job has failed on enough machines, and run well on none, to be suspected.
     pub fn is_suspected(&self) -> bool {
         self.failed_on.len() >= MIN_MACHINES_TO_SUSPECT
     }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! One job: its tasks from submission to completion.
+//! One job and its tasks, from submission to completion.
 use super::backoff::{PlacementBackoff, RequestOutcome};
 use super::wire_shape;
 use super::{CompletionProgress, FailureSuspicion, Objectives, Termination};
@@ -13,22 +13,23 @@
 
 /// A job array, gang or service, with the progress of its tasks.
 ///
-/// Invariant: a task is done, placed, being decided, or still to be placed; never two of these.
-/// [`Job::pending`] counts those being decided as still to be placed.
+/// Invariant: a task is in exactly one of these states: completed, placed, part of a pending
+/// decision, or unplaced. [`Job::pending`] counts the last two.
 #[derive(Debug)]
 pub struct Job {
-    /// Its number, unique in the cluster.
+    /// The number of the job, unique in the cluster.
     pub id: JobId,
     /// The job as its user submitted it.
     pub wire: user::Job,
-    /// What a task of it takes.
+    /// The resources and constraints of one task.
     pub shape: Shape,
-    /// When it was submitted; before this process began, perhaps.
+    /// When the job was submitted, which may be before this process started.
     pub created: Timestamp,
-    /// Latest starts that meet its objectives, in milliseconds from the submission, ascending.
+    /// The latest starts that meet the job's objectives, in milliseconds from its submission, in
+    /// ascending order.
     pub(super) latest_starts_ms: Vec<f64>,
 
-    /// When a task of it was first known to run, by this owner of its shard.
+    /// When a task of the job was first known to run, by this owner of the job's shard.
     pub first_started_at: Option<Timestamp>,
     /// Completed tasks.
     pub done: TaskSet,
@@ -36,41 +37,41 @@
     pub placed: Placed,
     unplaced: UnplacedTasks,
 
-    /// Not requested before this time.
+    /// The job's tasks are not requested before this time.
     pub not_before: Timestamp,
     pub(super) backoff: PlacementBackoff,
-    /// Why its last request placed nothing; none: it placed something, or there was none.
+    /// Why the last request placed nothing; `None`: it placed something, or there was no request yet.
     pub last_request: Option<RequestOutcome>,
-    /// Counts up to which participant is to preempt for it, one at a time; none: capacity was not
-    /// short.
+    /// A counter that selects the participant that is to preempt for the job, one at a time; `None`:
+    /// capacity was not short.
     pub preemption_turn: Option<u32>,
-    /// When a participant last said that it preempts for it.
+    /// When a participant last reported that it preempts for the job.
     pub preempting_at: Option<Timestamp>,
-    /// The zone in which a gang waits for capacity.
+    /// The zone in which a gang waits for capacity; `None`: no zone is chosen.
     pub target_zone: Option<ZoneIdx>,
-    /// Failures since anything of it last ran well.
+    /// The failures since a task of the job last ran well.
     pub failure_suspicion: FailureSuspicion,
 
-    /// Completed tasks on their way into the store.
+    /// Completed tasks that are being written to the store.
     pub completion: CompletionProgress,
 
     /// The terminal state that is being written.
     pub termination: Termination,
-    /// Its cancellation is durable and answered: no task of it may start any more.
+    /// Whether the cancellation is durable and answered, so that no task of the job may start.
     pub cancelled: bool,
 }
 
-/// Tasks that are still to be placed.
+/// Tasks that have yet to be placed.
 #[derive(Debug, Default)]
 struct UnplacedTasks {
-    /// This task and all after it were never taken.
+    /// The first task that was never taken; all tasks after it were not taken either.
     next_fresh: u32,
-    /// Tasks before it that were put back.
+    /// Tasks before `next_fresh` that were returned.
     returned: BTreeSet<u32>,
 }
 
 impl Job {
-    /// A job none of whose tasks is placed or done yet.
+    /// Creates a job without placed or completed tasks.
     pub fn new(
         id: JobId,
         wire: user::Job,
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Stands for a job whose terminal state is in the store while tasks of it may still be on
-    /// machines. It counts as cancelled, and what its user submitted is not known.
+    /// Creates a placeholder for a job whose terminal state is in the store while its tasks may still be
+    /// on machines. It counts as cancelled. What its user submitted is not known.
     pub fn tombstone(id: JobId, names: &mut Names) -> Job {
         let wire = user::Job {
             id: user::job_id(id.0),
@@ -132,23 +133,24 @@
         job
     }
 
-    /// Made by [`Job::tombstone`]: submitted jobs have a class.
+    /// Whether the job was created by [`Job::tombstone`]. Submitted jobs always have a class.
     pub fn is_tombstone(&self) -> bool {
         self.wire.class.is_empty()
     }
 
-    /// How many tasks are neither done nor placed.
+    /// Returns how many tasks are neither completed nor placed.
     pub fn pending(&self) -> u32 {
         self.wire.tasks - self.done.len() - self.placed.len()
     }
 
-    /// Gangs start whole, and a suspected job in one place at a time.
+    /// Whether tasks may be placed while others are: not those of a gang, which starts as a whole, nor
+    /// those of a suspected job, which is tried on one machine at a time.
     pub fn may_start(&self) -> bool {
         self.placed.is_empty()
             || (self.wire.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
     }
 
-    /// Takes the next task to be placed.
+    /// Takes the next task to be placed; `None`: all are taken, placed or completed.
     pub fn take(&mut self) -> Option<u32> {
         if let Some(task) = self.unplaced.returned.pop_first() {
             return Some(task);
@@ -163,14 +165,14 @@
         None
     }
 
-    /// Puts a task back that was taken or has lost its machine.
+    /// Returns a task that was taken, or that lost its machine, to the unplaced tasks.
     pub fn give_back(&mut self, task: u32) {
         if task < self.unplaced.next_fresh && !self.done.contains(task) {
             self.unplaced.returned.insert(task);
         }
     }
 
-    /// A task was completed; ignored if it was already, or if the job has no such task.
+    /// Marks a task as completed. Ignored if it already is, or if the job has no such task.
     pub fn set_done(&mut self, task: u32, now: Timestamp) {
         if task < self.wire.tasks && self.done.insert(task) {
             self.unplaced.returned.remove(&task);
@@ -178,13 +180,13 @@
         }
     }
 
-    /// All tasks are done. A service never is.
+    /// Whether all tasks are completed. A service is never complete.
     pub fn complete(&self) -> bool {
         let all = self.done.len() == self.wire.tasks;
         self.wire.kind != Kind::Service && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
     }
 
-    /// What users see of it.
+    /// Returns the state shown to users.
     pub fn state(&self) -> JobState {
         let running = self.placed.running();
         let status = match (self.cancelled, running) {
--- a/crates/core/src/jobs/objectives.rs
+++ b/crates/core/src/jobs/objectives.rs
@@ -1,21 +1,21 @@
-//! Service-level objectives from the settings, and the latest starts that meet them.
+//! Service-level objectives from the settings, and the latest starts of jobs that meet them.
 use leaddeal_wire::settings::Objective;
 use leaddeal_wire::user;
 use std::collections::HashMap;
 
-/// Milliseconds that a task is reckoned to run for each second of its user's estimate: a fifth more
-/// than the estimate.
+/// Expected run time, in milliseconds, for each second of the user's estimate: a fifth longer than
+/// the estimate.
 const RUN_MS_PER_ESTIMATED_S: f64 = 1200.0;
 
-/// Service-level objectives by class of jobs.
+/// Service-level objectives, by class of jobs.
 #[derive(Clone, Debug, Default)]
 pub struct Objectives {
-    /// How long it takes to place one more task of the same job, in milliseconds.
+    /// The time to place one more task of the same job, in milliseconds.
     placement_ms_per_task: f64,
     by_class: HashMap<String, ClassObjectives>,
 }
 
-/// Objectives of one class.
+/// The objectives of one class.
 #[derive(Clone, Debug, Default)]
 struct ClassObjectives {
     /// Time from submission to start, in milliseconds.
@@ -27,8 +27,8 @@
 }
 
 impl Objectives {
-    /// Objectives of the settings; those of unknown kinds are left out. `placement_ms_per_task` is
-    /// how long it takes to place one more task of the same job, in milliseconds.
+    /// Creates the objectives from the settings and skips those of unknown kinds.
+    /// `placement_ms_per_task` is the time to place one more task of the same job, in milliseconds.
     pub fn new(objectives: &[Objective], placement_ms_per_task: f64) -> Objectives {
         let mut by_class: HashMap<String, ClassObjectives> = HashMap::new();
         for objective in objectives {
@@ -43,7 +43,7 @@
         Objectives { placement_ms_per_task, by_class }
     }
 
-    /// The latest starts that meet a job's objectives, in milliseconds from its submission, in
+    /// Returns the latest starts that meet a job's objectives, in milliseconds from its submission, in
     /// ascending order.
     pub(super) fn latest_starts_ms(&self, job: &user::Job) -> Vec<f64> {
         let none = ClassObjectives::default();
@@ -59,9 +59,9 @@
             let multiples = class.deadline_multiples.iter();
             starts.extend(multiples.map(|multiple| deadline_ms * multiple - run_ms));
         }
-        // The last of its tasks is to start by then, so a large job is due earlier. (Found on the
-        // operators' sites: an array of 25,000 tasks was due as late as one of ten, and when its
-        // turn came there was not time enough to place them.)
+        // The last task has to start in time, so a large job is due earlier. Without this, an array
+        // of 25,000 tasks was due as late as one of ten on operators' sites, and there was not enough
+        // time left to place all tasks when it was served.
         let placement_ms = self.placement_ms_per_task * f64::from(job.tasks);
         for start in &mut starts {
             *start -= placement_ms;
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -6,7 +6,7 @@
 use leaddeal_wire::user::{Kind, Priority};
 
 #[test]
-fn a_gang_waits_for_one_zone_until_that_has_nothing() {
+fn gang_keeps_target_zone_while_it_offers_capacity() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.wire = user::Job {
@@ -17,68 +17,68 @@
         one_zone: true,
         ..job.wire
     };
-    assert!(!job.queue_position(0).expect("a gang's").holds_position, "asks for the first time");
+    assert!(!job.queue_position(0).expect("a gang has a position").holds_position, "first request");
     let room = [4, 4, 4];
     job.backoff.failed_tries = 1;
     job.choose_target_zone(&[0, 2, 1], &room);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)));
     job.choose_target_zone(&[3, 1, 0], &room);
-    assert_eq!(job.target_zone, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
+    assert_eq!(job.target_zone, Some(ZoneIdx(1)), "reservations in the zone are not wasted");
     assert!(job.queue_position(0).expect("a gang's").holds_position);
     job.choose_target_zone(&[3, 0, 0], &room);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
     job.wire.tasks = 1;
     job.choose_target_zone(&[0, 0, 0], &room);
-    assert_eq!(job.target_zone, None, "a lone task needs no zone to itself");
+    assert_eq!(job.target_zone, None, "a single task needs no target zone");
     assert!(!job.queue_position(0).expect("a gang's").holds_position);
 }
 
-/// Found by counting: with a fleet that was booting, asking in vain took most of the time.
+/// While a fleet was booting, repeated requests without capacity took most of the processor time.
 #[test]
-fn a_job_without_room_waits_to_be_told_and_asks_by_itself_less_and_less() {
+fn retries_unmet_demand_with_backoff() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.wire.priority = Priority::High;
     let (mut now, mut tries) = (10_000, 0);
     while now < 20_000 {
-        assert!(job.record_unmet_demand(now), "it was its own time to try");
+        assert!(job.record_unmet_demand(now), "a retry by timer");
         (now, tries) = (job.not_before, tries + 1);
     }
-    assert!((12..20).contains(&tries), "{tries} tries in 10 s");
+    assert!((12..20).contains(&tries), "{tries} retries in 10 s");
     assert!(job.record_unmet_demand(now));
     job.capacity_freed(now + 10);
-    assert_eq!(job.not_before, now + 10, "told of room, it asks at once");
-    assert!(!job.record_unmet_demand(now + 20), "which is no try by itself");
+    assert_eq!(job.not_before, now + 10, "freed capacity causes a retry at once");
+    assert!(!job.record_unmet_demand(now + 20), "which is not a retry by timer");
     assert!(job.not_before > now + 20);
     job.not_before = now + 5000;
     job.capacity_freed(now + 30);
-    assert_eq!(job.not_before, now + 5000, "after failures it waits all the same");
+    assert_eq!(job.not_before, now + 5000, "freed capacity does not shorten the wait after failures");
 }
 
 #[test]
-fn a_job_that_fails_everywhere_is_tried_rarely_and_one_that_met_a_bad_machine_is_not() {
+fn backs_off_only_jobs_failing_on_several_machines() {
     let mut suspicion = FailureSuspicion::default();
     let at = |suspicion: &mut FailureSuspicion, m, now, before| {
         suspicion.failed(MachineIdx(m), now, before)
     };
     for _ in 0..50 {
-        assert_eq!(at(&mut suspicion, 1, 1000, 0), 1200, "all on one machine");
+        assert_eq!(at(&mut suspicion, 1, 1000, 0), 1200, "all failures on one machine");
     }
     at(&mut suspicion, 2, 1000, 0);
     let first = at(&mut suspicion, 3, 1000, 0);
     assert!(suspicion.is_suspected() && first > 2000);
-    assert_eq!(at(&mut suspicion, 4, 1001, first), first.max(1001 + 2000), "one try, one wait");
+    assert_eq!(at(&mut suspicion, 4, 1001, first), first.max(1001 + 2000), "tasks started together count as one retry");
     let (mut now, mut tries) = (first, 0);
     while now < 600_000 {
         (now, tries) = (at(&mut suspicion, 5, now, now), tries + 1);
     }
-    assert!((10..20).contains(&tries), "{tries} tries in ten minutes, and never given up");
+    assert!((10..20).contains(&tries), "{tries} retries in ten minutes, without an end");
     suspicion.ran_well();
     assert_eq!(at(&mut suspicion, 1, now, now), now + 200);
 }
 
 #[test]
-fn a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks() {
+fn single_zone_job_in_two_zones_gets_no_tasks() {
     use crate::ids::Shard;
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
@@ -107,14 +107,14 @@
     assert_eq!(job.zone_room(&zones), [0, 9, 0]);
 }
 
-/// Found on a day of our own: of gangs that had missed all aims each took itself for later than
-/// all others, so that none was ever first in line.
+/// Gangs that had missed all objectives must not each count as later than all others, since then no
+/// gang is ever first in the queue. This happened in a simulated day.
 #[test]
-fn gangs_that_missed_all_aims_keep_their_order() {
+fn gangs_without_remaining_objectives_keep_order() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.wire.kind = Kind::Gang;
-    // When its turn was, as a participant reckons it from what it is told.
+    // The due time as a participant computes it from the gang's queue position.
     let turn = |job: &Job, now: Timestamp| {
         let line = job.queue_position(now).expect("a gang's");
         (line.late, now.saturating_add_signed(line.time_left_ms))
@@ -124,13 +124,14 @@
         job.created = older;
         let first = turn(&job, now);
         job.created = younger;
-        assert!(first < turn(&job, now - 900), "asked earlier, and younger all the same");
+        assert!(first < turn(&job, now - 900), "requested earlier, but submitted later");
     }
 }
 
-/// A job older than the process must keep its age, or its order and urgency are lost.
+/// A job that was submitted before the process started must keep its age, since its order and urgency
+/// depend on it.
 #[test]
-fn urgency_counts_from_the_submission() {
+fn urgency_counts_from_submission() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
     let objective = |within_s| Objective {
@@ -147,12 +148,12 @@
     job.created = 1_000_000;
     assert_eq!(job.urgency(1_050_000), urgency(0, 1_080_000));
     assert_eq!(job.urgency(1_100_000), urgency(1, 1_350_000));
-    // One that has not begun comes first in the end, and then only until it has.
+    // A job that has waited too long for its first start comes first until it starts.
     assert_eq!(job.placement_urgency(1_109_000), job.urgency(1_109_000));
     assert_eq!(job.placement_urgency(1_200_000), urgency(0, 1_110_000));
     job.first_started_at = Some(1_200_000);
     assert_eq!(job.placement_urgency(1_200_000), job.urgency(1_200_000));
-    // A large one takes so long to be placed that it is due earlier.
+    // A large job takes longer to be placed, so it is due earlier.
     job.wire.tasks = 25_000;
     job.latest_starts_ms =
         Objectives::new(&[objective(80.0), objective(350.0)], 4.0).latest_starts_ms(&job.wire);
@@ -163,6 +164,6 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::NoTasksWhileInTwoZones, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
-    assert_fails_without(Guard::PossibleTasksCountedInZone, a_job_of_one_zone_that_may_be_in_two_gets_no_more_tasks);
+    assert_fails_without(Guard::NoTasksWhileInTwoZones, single_zone_job_in_two_zones_gets_no_tasks);
+    assert_fails_without(Guard::PossibleTasksCountedInZone, single_zone_job_in_two_zones_gets_no_tasks);
 }
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -1,20 +1,20 @@
-//! Zones of a job: how many tasks each may take, and the one that a gang waits for.
+//! Zones of a job: how many of its tasks each zone may run, and the zone in which a gang waits.
 use super::Job;
 use crate::guards::{is_enforced, Guard};
 use crate::ids::ZoneIdx;
 
-/// A gang for which no zone has anything waits for another zone after this many failed tries.
+/// A gang that is offered nothing in any zone waits for another zone after this many failed tries.
 const FAILED_TRIES_PER_ZONE: u32 = 16;
 
 impl Job {
-    /// Several of its tasks need capacity in the same zone.
+    /// Whether several tasks of the job need capacity in the same zone.
     fn needs_one_zone(&self) -> bool {
         self.wire.one_zone && self.pending() > 1
     }
 
-    /// Chooses the zone that a gang waits for, from how many of its tasks each zone offered capacity
-    /// for and may take. It stays where it is offered something, so that what is reserved for it
-    /// there is not reserved in vain.
+    /// Chooses the zone in which a gang waits. By zone, `offered` is the number of tasks that capacity
+    /// was offered for, and `zone_room` the number of tasks that the zone may run. The zone stays the
+    /// same while it offers something, so that the reservations in it are not wasted.
     pub fn choose_target_zone(&mut self, offered: &[u32], zone_room: &[u32]) {
         if !self.needs_one_zone() {
             self.target_zone = None;
@@ -31,7 +31,7 @@
         let best = (0..offered.len()).max_by_key(|&zone| usable(zone));
         let next = match (best.filter(|&zone| usable(zone) > 0), current) {
             (Some(zone), _) => Some(zone),
-            // Nothing anywhere: the zones in turn, but not at every failed try.
+            // No zone offers anything: the zones take turns, but not at every failed try.
             (None, Some(zone))
                 if !self.backoff.failed_tries.is_multiple_of(FAILED_TRIES_PER_ZONE) =>
             {
@@ -42,7 +42,8 @@
         self.target_zone = next.map(|zone| ZoneIdx(zone as u8));
     }
 
-    /// The zone whose turn it is of those that may take tasks. Jobs begin with different ones.
+    /// Returns the zone whose turn it is, of the zones that may run tasks. Jobs begin with different
+    /// zones.
     fn zone_in_turn(&self, zone_room: &[u32]) -> Option<usize> {
         let open: Vec<usize> = (0..zone_room.len()).filter(|&zone| zone_room[zone] > 0).collect();
         if open.is_empty() {
@@ -52,7 +53,8 @@
         Some(open[(self.id.0 as usize + turn) % open.len()])
     }
 
-    /// How many more tasks each zone may take, given those that may still be in one.
+    /// Returns how many more tasks of the job each zone may run, given the tasks that may still be in a
+    /// zone.
     pub fn zone_room(&self, zones: &[String]) -> Vec<u32> {
         let zones_used = (0..zones.len()).filter(|&zone| self.placed.in_zone(zone) > 0).count();
         let rooms = zones.iter().enumerate();
@@ -64,9 +66,9 @@
         if self.wire.zone.as_ref().is_some_and(|wanted| wanted != name) {
             return 0;
         }
-        // After a failover a task may be counted where an older attempt of it was, in another zone
-        // than the rest; until that one is proven gone, no zone is the job's. (Found by the
-        // simulator: both zones were given more tasks.)
+        // After a failover a task may be counted in the zone of an older attempt, apart from the other
+        // tasks. Until that attempt is proven gone, neither zone gets more tasks. Without this, both
+        // zones got more tasks (seen in the simulator).
         let in_several = zones_used > 1 && is_enforced(Guard::NoTasksWhileInTwoZones);
         let in_another = zones_used == 1 && used == 0;
         if self.wire.one_zone && (in_several || in_another) {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,13 +1,14 @@
-//! Limits of teams: constraints of the same kind as a machine's capacity, held by the team's shard.
+//! Quotas of teams: constraints of the same kind as a machine's capacity, managed by the team's
+//! shard.
 //!
-//! A team's shard grants each coordinator a part of the limit. A coordinator decides only within
-//! its grant, and its decision is conditional on the epoch of the team's shard as well, so that a
-//! grant ends with the owner that gave it. A new owner grants nothing before every coordinator
-//! has reported what its tasks take; a coordinator's share stays counted until its shard's next
-//! owner has reported anew.
+//! A team's shard grants each coordinator a part of the quota. A coordinator decides only within
+//! its grant. Its decision is also conditional on the epoch of the team's shard, so a grant ends
+//! with the ownership under which it was made. A new owner grants nothing before every coordinator
+//! has reported its usage. A coordinator's share stays counted until the next owner of the
+//! coordinator's shard has reported.
 //!
-//! Invariant: a coordinator's share is at least what its tasks take, or were granted to take, and
-//! what is granted beyond what is in use never makes the shares more than the limit.
+//! Invariant: a coordinator's share is at least what its tasks use, or were granted to use. What is
+//! granted beyond the usage never makes the sum of the shares exceed the quota.
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, Timestamp};
 use crate::names::thousandths;
@@ -22,28 +23,28 @@
 use phase::LimitPhase;
 use plan::FirstThatLacks;
 
-/// The demand of a coordinator that has not reported for longer counts as none; its share stays
-/// counted.
+/// The demand of a coordinator that has not reported for this long, in ms, counts as none; its share
+/// stays counted.
 const REPORT_TIMEOUT_MS: u64 = 2000;
 
-/// The limit of a team in thousandths; none: no limit.
+/// Returns the quota of a team, in thousandths of processors and GPUs; `None`: the team has no quota.
 pub fn limit(team: &Team) -> Option<QuotaAmount> {
     let amount = |max: f64| if max > 0.0 { thousandths(max) } else { u64::MAX };
     (team.cpus_max > 0.0 || team.gpus_max > 0.0)
         .then(|| QuotaAmount { cpu: amount(team.cpus_max), gpu: amount(team.gpus_max) })
 }
 
-/// The shard that holds the limit of a team, given by its place in the settings.
+/// Returns the shard that manages the quota of a team, which is given by its index in the settings.
 pub fn shard_of_team(team: u8, shards: usize) -> Shard {
     Shard((team as usize % shards) as u8)
 }
 
-/// What is known of a coordinator's share of a team's limit.
+/// What is known of a coordinator's share of a team's quota.
 #[derive(Clone, Debug)]
 struct TeamShare {
-    /// As last reported.
+    /// The usage and demand that the coordinator last reported.
     usage: TeamUsage,
-    /// What its tasks may take in all.
+    /// How much the coordinator's tasks may use in total.
     share: QuotaAmount,
 }
 
@@ -56,11 +57,11 @@
     teams: BTreeMap<u8, TeamShare>,
 }
 
-/// Shares out the limits of the teams of a shard.
+/// Divides the quotas of a shard's teams among the coordinators.
 #[derive(Debug)]
 pub struct QuotaManager {
     shard: Shard,
-    /// By the teams' places in the settings.
+    /// The quota of each team, by the team's index in the settings; `None`: no quota.
     limits: Vec<Option<QuotaAmount>>,
     /// The last report of each coordinator, by its shard.
     reports: BTreeMap<Shard, UsageReport>,
@@ -69,7 +70,7 @@
 }
 
 impl QuotaManager {
-    /// The manager of a new owner of the shard, which knows of no coordinator yet.
+    /// Creates the manager of a new owner of the shard, which has no reports yet.
     pub fn new(shard: Shard, teams: &[Team], shards: usize) -> QuotaManager {
         QuotaManager {
             shard,
@@ -80,13 +81,14 @@
         }
     }
 
-    /// What becomes of room that is not enough for the first job in turn, from now on.
+    /// Sets the phase, which decides about free quota that does not suffice for the first job.
     pub fn set_phase(&mut self, phase: LimitPhase) {
         self.phase = phase;
     }
 
-    /// A coordinator's report; returns what it may take in all. It gives up whatever it was granted
-    /// beyond what it reports. None: from no shard, or no newer than the last report.
+    /// Applies a coordinator's report and returns its grants. Whatever the coordinator was granted
+    /// beyond the reported usage is freed. `None`: the report is from a shard that does not exist, or
+    /// is not newer than the last one.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -110,8 +112,8 @@
         Some(teams.into_iter().filter_map(|team| self.grant(now, from, team)).collect())
     }
 
-    /// The shares of a coordinator after its report: no more than it uses. Teams without a limit and
-    /// teams of other shards are left out.
+    /// Returns the shares of a coordinator after its report, which are no more than its usage. Teams
+    /// without a quota and teams of other shards are left out.
     fn reported_shares(&self, usage: &[TeamUsage]) -> BTreeMap<u8, TeamShare> {
         usage
             .iter()
@@ -128,8 +130,8 @@
             self.current_usages(now, team).into_iter().unzip();
         let asking = shards.iter().position(|shard| *shard == from)?;
         let used = usages[asking].in_use();
-        // What may be in use after a failover is counted in full, and can be more than the limit;
-        // a grant never is. (Found by the simulator.)
+        // All that may be in use after a failover is counted, so the usage can exceed the quota. A
+        // grant must not exceed it, as the simulator found.
         let lacking = match self.phase {
             LimitPhase::Keeping => FirstThatLacks::Waits,
             LimitPhase::Filling => FirstThatLacks::IsPassedOver,
@@ -137,13 +139,13 @@
         let additional = plan::additional_shares(limit, &usages, lacking)[asking];
         let may = used.plus(additional).least(limit.minus(others));
         let share = may.most(used);
-        debug_assert!(within_limit(limit, used, share, others), "more is granted than there is");
+        debug_assert!(within_limit(limit, used, share, others), "the shares exceed the quota");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
         let due = plan::shares_after_preemption(limit, &usages)[asking];
         Some(TeamGrant { team, may, due })
     }
 
-    /// The shares that all other coordinators have of a team's limit.
+    /// Returns the sum of all other coordinators' shares of a team's quota.
     fn shares_of_others(&self, from: Shard, team: u8) -> QuotaAmount {
         let others = self.reports.iter().filter(|(shard, _)| **shard != from);
         others
@@ -152,8 +154,8 @@
             .fold(QuotaAmount::default(), |sum, team_share| sum.plus(team_share.share))
     }
 
-    /// What each coordinator uses and wants of a team's limit; of one that has not reported lately,
-    /// what it uses.
+    /// Returns each coordinator's usage of a team's quota and its demand. A coordinator that has not
+    /// reported lately has no demand.
     fn current_usages(&self, now: Timestamp, team: u8) -> Vec<(Shard, TeamUsage)> {
         let mut usages = Vec::new();
         for (shard, report) in &self.reports {
@@ -170,7 +172,7 @@
     }
 }
 
-/// A share beyond what is used keeps to the limit, together with those of the others.
+/// Whether the shares stay within the quota, as far as this share exceeds the usage.
 fn within_limit(
     limit: QuotaAmount,
     used: QuotaAmount,
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -1,43 +1,45 @@
-//! Which of a coordinator's pending tasks may run, before any offer is requested.
+//! Which of a coordinator's pending tasks may run, decided before any offer is requested.
 //!
-//! The pending jobs are admitted in their order; of each is said how many of its tasks the team's
-//! limit lets in: `now`, which the grant covers, and `in_turn`, which it would cover once lesser work
-//! of the team was preempted. All that requests offers, preempts, takes a queue position, counts as
-//! unmet demand or decides goes by it; the rest waits without cost.
+//! The pending jobs are admitted in their order. For each job, admission says how many of its tasks
+//! the team's quota admits: `now`, which the grant covers, and `in_turn`, which it would cover after
+//! preemption of the team's lower-priority work. Requests for offers, preemption, queue positions,
+//! unmet demand and decisions consider only admitted tasks; the other tasks wait without any cost.
 //!
-//! Invariant: what is let in now and counts is never more than the grant less what is used.
+//! Invariant: what is admitted now and counted against the grant never exceeds the grant less the
+//! usage.
 use super::phase::LimitPhase;
 use leaddeal_wire::mesh::{ByPriority, QuotaAmount};
 use leaddeal_wire::user::Priority;
 
-/// What a coordinator's tasks may take of a team's limit, and what they take.
+/// A coordinator's grant of a team's quota, and its usage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaStatus {
-    /// What the grant covers in all; nothing if there is none.
+    /// The granted amount, including what is in use; 0 without a grant.
     pub may: QuotaAmount,
-    /// What it would cover if lesser work of the team was preempted everywhere.
+    /// The amount that would be granted if the team's lower-priority work was preempted everywhere.
     pub due: QuotaAmount,
-    /// By priority, the least first.
+    /// The amount in use, by priority in ascending order.
     pub used: ByPriority,
 }
 
-/// A pending job as the limit sees it.
+/// The properties of a pending job that matter for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Priority of the job.
+    /// The priority of the job.
     pub priority: Priority,
-    /// What a task takes.
+    /// How much of the quota one task uses.
     pub task: QuotaAmount,
-    /// How many tasks want to run.
+    /// The number of pending tasks.
     pub count: u32,
-    /// All of its tasks run or none: a gang.
+    /// Whether either all of its tasks run or none, as for a gang.
     pub all_or_nothing: bool,
-    /// What it could take is left to those after it, since it has found no machine lately.
+    /// Whether the quota that it could use is left to later jobs, since no machine had capacity for it
+    /// lately.
     pub yields_quota: bool,
 }
 
 impl AdmissionRequest {
-    /// How many tasks run next: one, or the gang as a whole.
+    /// Returns how many tasks start together: one, or all tasks of a gang.
     pub fn next_count(&self) -> u32 {
         if self.all_or_nothing {
             self.count
@@ -47,62 +49,63 @@
     }
 }
 
-/// What a pending job keeps of its team's limit from those after it.
+/// How much of its team's quota a pending job keeps from the jobs after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaClaim {
-    /// All that its tasks take.
+    /// What all of its tasks use.
     All,
-    /// What its next task takes, or the gang as a whole: it has found no machine lately, and is the
-    /// first of its queue. (Found on the users' bench: such an array kept what its hundreds of tasks
-    /// take, 390 of 1,200 processors, while the team's other coordinators had none left.)
+    /// What its next task uses, or all tasks of a gang: no machine had capacity for the job lately, and
+    /// it is the first in its queue. In a test under user load, such an array claimed what its
+    /// hundreds of tasks use, 390 of 1,200 processors, while the team's other coordinators had none
+    /// left.
     Next,
-    /// Nothing: it has found no machine lately.
+    /// Nothing: no machine had capacity for the job lately.
     Nothing,
 }
 
-/// How many tasks of a job may run.
+/// How many tasks of a job are admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Admitted {
-    /// The grant covers them.
+    /// Tasks that the grant covers.
     pub now: u32,
-    /// Those and the ones for which lesser work of the team would be preempted.
+    /// Tasks that the grant covers or would cover after preemption of the team's lower-priority work.
     pub in_turn: u32,
-    /// Worth a machine: of `now`, or of `in_turn` if the job yields its quota, less all that comes
-    /// before it.
+    /// Tasks for which an instance may be launched: of `now`, or of `in_turn` if the job yields its
+    /// quota, after deduction of the tasks of earlier jobs.
     pub worth: u32,
 }
 
 impl Admitted {
-    /// All tasks of a job whose team has no limit.
+    /// Admits all tasks, for a job whose team has no quota.
     pub fn all(count: u32) -> Admitted {
         Admitted { now: count, in_turn: count, worth: count }
     }
 }
 
 impl QuotaStatus {
-    /// What is used at all priorities.
+    /// Returns the amount in use at all priorities together.
     pub fn in_use(&self) -> QuotaAmount {
         self.used.iter().fold(QuotaAmount::default(), |sum, used| sum.plus(*used))
     }
 
-    /// What the grant still covers.
+    /// Returns the part of the grant that is not in use.
     pub fn free(&self) -> QuotaAmount {
         self.may.minus(self.in_use())
     }
 }
 
-/// Admission of the pending jobs of one team, one after the other.
+/// Admits the pending jobs of one team, one after the other.
 #[derive(Debug)]
 pub struct Admission {
     status: QuotaStatus,
-    /// Let in so far: now, in turn, and worth a machine.
+    /// The amounts of the tasks admitted so far, as in [`Admitted`].
     now: QuotaAmount,
     in_turn: QuotaAmount,
     worth: QuotaAmount,
     phase: LimitPhase,
 }
 
-/// How many tasks of the job this amount covers; of a gang all or none.
+/// Returns how many tasks of the job this amount covers; for a gang all or none.
 fn covered(amount: QuotaAmount, job: &AdmissionRequest) -> u32 {
     let count = amount.fits(job.task).min(u64::from(job.count)) as u32;
     if job.all_or_nothing && count < job.count {
@@ -113,18 +116,19 @@
 }
 
 impl Admission {
-    /// Admission before the first job.
+    /// Creates the admission before the first job.
     pub fn new(status: QuotaStatus) -> Admission {
         let none = QuotaAmount::default();
         Admission { status, now: none, in_turn: none, worth: none, phase: LimitPhase::default() }
     }
 
-    /// The same in this phase.
+    /// Returns the same admission for this phase.
     pub fn in_phase(self, phase: LimitPhase) -> Admission {
         Admission { phase, ..self }
     }
 
-    /// What would be left to this priority, less what is taken, if all lesser work was preempted.
+    /// Returns what would be left for this priority, less `taken`, if all lower-priority work was
+    /// preempted.
     fn free_in_turn(&self, priority: Priority, taken: QuotaAmount) -> QuotaAmount {
         let not_lesser = &self.status.used[priority as usize..];
         let before = not_lesser.iter().fold(taken, |sum, used| sum.plus(*used));
@@ -137,7 +141,7 @@
         self.admit_claim(job, claim)
     }
 
-    /// Admits the next job in the coordinator's order, which keeps what it claims.
+    /// Admits the next job in the coordinator's order and keeps what it claims from later jobs.
     pub fn admit_claim(&mut self, job: &AdmissionRequest, claim: QuotaClaim) -> Admitted {
         let free = self.status.free().minus(self.now);
         let now = covered(free, job);
@@ -147,7 +151,8 @@
             worth = worth.max(covered(self.free_in_turn(job.priority, self.worth), job));
         }
         let next = job.next_count();
-        // What the next task or gang lacks is kept for it, or smaller work would take it bit by bit.
+        // What is free is kept for the next task or gang even if it does not suffice, since smaller
+        // jobs would otherwise use it up bit by bit.
         let kept = match (claim, self.phase) {
             (QuotaClaim::Nothing, _) => 0,
             (QuotaClaim::Next, _) => next,
@@ -162,7 +167,7 @@
         };
         self.in_turn = self.in_turn.plus(job.task.times(in_turn_kept));
         self.worth = self.worth.plus(job.task.times(worth));
-        debug_assert!(job.task.times(now).within(free), "more is let in than the grant covers");
+        debug_assert!(job.task.times(now).within(free), "more is admitted than the grant covers");
         Admitted { now, in_turn, worth }
     }
 }
--- a/crates/core/src/quota/phase.rs
+++ b/crates/core/src/quota/phase.rs
@@ -1,28 +1,28 @@
-//! When room under a limit is kept for the job that is first in turn, and when others may have it.
+//! When free quota is reserved for the first job, and when other jobs may use it.
 
-/// One phase of each kind takes this long together.
+/// The duration of one reserving phase and one backfilling phase together.
 const PERIOD_MS: u64 = 30_000;
-/// For this long of each period room is kept.
+/// How long each period reserves free quota for the first job.
 const KEEPING_MS: u64 = 25_000;
 
-/// What becomes of room under a team's limit that is not enough for the job that is first in turn.
+/// What happens to the free part of a team's quota that does not suffice for the first job.
 ///
 /// The phases follow the wall clock, so that all coordinators of a team and its quota manager change
-/// them together, but for the difference of their clocks, which nothing but fairness depends on.
-/// (Found by the simulator: when each coordinator counted them from the time at which a job became
-/// first, somebody always kept the last processor of a limit, and small jobs waited beside it for
-/// minutes.)
+/// phase at the same time. Clocks may differ, which affects only fairness. When each coordinator
+/// counted the phases from the time at which a job became the first, at least one coordinator was
+/// always reserving the last processor of a quota, and small jobs that would have fitted waited for
+/// minutes (seen in the simulator).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitPhase {
-    /// It is kept until there is enough, or smaller jobs would take it bit by bit.
+    /// It is reserved until it suffices, since smaller jobs would otherwise use it up bit by bit.
     #[default]
     Keeping,
-    /// Whatever fits may have it.
+    /// Any job that fits may use it.
     Filling,
 }
 
 impl LimitPhase {
-    /// The phase at this time of the wall clock.
+    /// Returns the phase at this time of the wall clock.
     pub fn at(wall_clock_ms: u64) -> LimitPhase {
         match wall_clock_ms % PERIOD_MS < KEEPING_MS {
             true => LimitPhase::Keeping,
@@ -36,7 +36,7 @@
     use super::*;
 
     #[test]
-    fn each_period_ends_with_a_time_in_which_gaps_are_filled() {
+    fn each_period_ends_with_backfilling() {
         for period in 0..3 {
             let begin = period * PERIOD_MS;
             assert_eq!(LimitPhase::at(begin), LimitPhase::Keeping);
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -1,18 +1,19 @@
-//! How a team's limit is shared out between its coordinators, by what they have reported.
+//! How a team's quota is divided among its coordinators, from what they have reported.
 //!
-//! By priority first; within one, the job that is first in each coordinator's order is served whole,
-//! the one that has waited longest before the others, and what it lacks is kept for it, so that
-//! gangs don't each hold a part of what they need; the rest is shared max-min fairly. What found no
-//! machine lately comes after all that could start now.
+//! Higher priorities are served first. Within a priority, the first job of each coordinator is
+//! served as a whole, in the order of waiting time, longest first. What is left is reserved for a
+//! first job that it does not cover, so that gangs don't each hold a part of what they need. The
+//! rest is divided max-min fairly. Demand for which no machine had capacity lately comes after all
+//! demand that could start now.
 //!
-//! Options weighed: evenly by amounts alone (three gangs of half the limit each get a third and none
-//! starts), first come first served (a low array keeps all it can get), shares fixed by coordinator
-//! (what one can't use is lost to the others).
+//! Alternatives that were considered: equal amounts (three gangs that need half the quota each get a
+//! third and none starts), first come first served (a low-priority array keeps all it can get), and
+//! fixed shares by coordinator (what one coordinator can't use is lost to the others).
 use leaddeal_wire::mesh::{QuotaAmount, TeamUsage, PRIORITIES};
 use std::cmp::Reverse;
 
-/// Max-min fair shares of `available`: nobody gets more than wanted, and what one doesn't want is
-/// shared by the others.
+/// Returns max-min fair shares of `available`: no share exceeds what is wanted, and what one
+/// coordinator doesn't want is divided among the others.
 fn max_min_fair(available: u64, wanted: &[u64]) -> Vec<u64> {
     let mut least_first: Vec<usize> = (0..wanted.len()).collect();
     least_first.sort_by_key(|&i| wanted[i]);
@@ -26,24 +27,25 @@
     shares
 }
 
-/// What a coordinator wants at this priority beyond its first need, which is served apart.
+/// Returns what a coordinator wants at this priority beyond the need of its first job, which is
+/// served separately.
 fn wanted_after_first(usage: &TeamUsage, priority: usize) -> QuotaAmount {
     let first = usage.first[priority].map_or(QuotaAmount::default(), |first| first.need);
     usage.wanted[priority].minus(first)
 }
 
-/// What happens to the first job of a coordinator that needs more than what is left.
+/// What happens to the first job of a coordinator if it needs more than what is left.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FirstThatLacks {
-    /// It gets nothing yet, and what is left is kept for it.
+    /// It gets nothing yet, and what is left is reserved for it.
     Waits,
-    /// It gets nothing yet, and what is left goes to others.
+    /// It gets nothing yet, and what is left goes to other jobs.
     IsPassedOver,
     /// It gets what is left.
     TakesPart,
 }
 
-/// A limit as it is shared out: the shares by the coordinators' places in the list of reports.
+/// The division of a quota. Shares are indexed by the coordinators' positions in the list of reports.
 #[derive(Clone)]
 struct Allocation {
     left: QuotaAmount,
@@ -55,14 +57,14 @@
         Allocation { left: available, shares: vec![QuotaAmount::default(); coordinators] }
     }
 
-    /// Gives a coordinator this amount, as far as it goes.
+    /// Adds an amount to a coordinator's share, limited to what is left.
     fn give(&mut self, coordinator: usize, amount: QuotaAmount) {
         let amount = amount.least(self.left);
         self.left = self.left.minus(amount);
         self.shares[coordinator] = self.shares[coordinator].plus(amount);
     }
 
-    /// Shares out what is left, processors and GPUs apart.
+    /// Divides what is left max-min fairly, processors and GPUs independently.
     fn share_fairly(&mut self, wanted: &[QuotaAmount]) {
         let cpus: Vec<u64> = wanted.iter().map(|amount| amount.cpu).collect();
         let gpus: Vec<u64> = wanted.iter().map(|amount| amount.gpu).collect();
@@ -73,9 +75,10 @@
         }
     }
 
-    /// The same in whole tasks of the size of each coordinator's first need at this priority: what is
-    /// not enough for any goes to the next priority. (Found by the simulator: the last processor of a
-    /// limit was shared by two coordinators whose tasks needed two each, beside others that needed one.)
+    /// Divides what is left in whole tasks of the size of each coordinator's first job at this
+    /// priority. What does not suffice for one task goes to the next priority. Without this, the last
+    /// processor of a quota was divided between two coordinators whose tasks needed two processors
+    /// each, while tasks of other coordinators needed one (seen in the simulator).
     fn share_whole_tasks(&mut self, priority: usize, usages: &[TeamUsage], wanted: &[QuotaAmount]) {
         let mut fair = self.clone();
         fair.share_fairly(wanted);
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Serves the first job of each coordinator at this priority, the one that has waited longest
-    /// first. Jobs larger than the limit are left out.
+    /// Serves the first job of each coordinator at this priority, in the order of waiting time,
+    /// longest first. Jobs larger than the quota are skipped.
     fn give_to_first(
         &mut self,
         priority: usize,
@@ -120,8 +123,8 @@
     }
 }
 
-/// What each coordinator may take now beyond what it uses. `lacking`: what becomes of first jobs that
-/// need more than what is left.
+/// Returns what each coordinator may use now beyond its usage. `lacking` says what happens to first
+/// jobs that need more than what is left.
 pub(super) fn additional_shares(
     limit: QuotaAmount,
     usages: &[TeamUsage],
@@ -148,8 +151,8 @@
     allocation.shares
 }
 
-/// What each coordinator would take if all lesser work of the team were preempted: what is used and
-/// wanted at each priority before anything of the next.
+/// Returns what each coordinator could use if all lower-priority work of the team were preempted:
+/// each priority's usage and demand is served before the next lower priority.
 pub(super) fn shares_after_preemption(
     limit: QuotaAmount,
     usages: &[TeamUsage],
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -21,7 +21,7 @@
     u
 }
 
-/// The quota manager of one team, and its coordinators' reports by turns.
+/// The quota manager of one team, with reports of its coordinators at intervals.
 struct TeamShard {
     quota: QuotaManager,
     serial: u64,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn shares_never_exceed_the_limit_and_wait_for_every_coordinator() {
+fn grants_stay_within_quota_and_await_reports() {
     let mut manager = QuotaManager::new(Shard(0), &[team(10.0, 0.0)], 3);
     let mut now = 0;
     let mut may = |from: u8, epoch: u64, serial: u64, used, wanted| {
@@ -54,20 +54,20 @@
         let g = manager.report(now, Shard(from), Epoch(epoch), serial, &[told(used, wanted)])?;
         Some(g.first().map_or(0, |g| g.may.cpu))
     };
-    assert_eq!(may(0, 5, 1, 0, 9000), Some(0), "others are unknown yet");
+    assert_eq!(may(0, 5, 1, 0, 9000), Some(0), "the other coordinators have not reported yet");
     assert_eq!(may(1, 6, 1, 4000, 0), Some(0));
-    assert_eq!(may(2, 7, 1, 0, 9000), Some(3000), "half of what is left");
+    assert_eq!(may(2, 7, 1, 0, 9000), Some(3000), "half of the free quota");
     assert_eq!(may(0, 5, 2, 0, 9000), Some(3000), "the other half");
-    assert_eq!(may(2, 7, 2, 1000, 0), Some(1000), "unused is given up");
+    assert_eq!(may(2, 7, 2, 1000, 0), Some(1000), "unused quota is freed");
     assert_eq!(may(0, 5, 3, 0, 9000), Some(5000));
     let taken_over = may(1, 9, 1, 9000, 0).expect("a newer epoch");
-    assert!(taken_over <= 10_000 - 5000, "a grant keeps to the limit, whatever is in use");
-    assert_eq!(may(1, 3, 9, 0, 0), None, "an old epoch says nothing");
-    assert_eq!(may(1, 9, 1, 0, 0), None, "nor does a late copy");
+    assert!(taken_over <= 10_000 - 5000, "a grant stays within the quota, whatever is in use");
+    assert_eq!(may(1, 3, 9, 0, 0), None, "a report of an old epoch is ignored");
+    assert_eq!(may(1, 9, 1, 0, 0), None, "a late copy is ignored");
 }
 
 #[test]
-fn by_priority_first_then_by_what_can_start_now_then_evenly() {
+fn grants_by_priority_then_placeable_demand() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
     let mut low = told(0, 50_000);
     let mut high = told(0, 0);
@@ -75,10 +75,10 @@
     shard.report(0, low);
     shard.report(1, high);
     shard.report(2, low);
-    assert_eq!(shard.may(1, high), cpus(8000), "the higher priority has all that it can use");
+    assert_eq!(shard.may(1, high), cpus(8000), "the higher priority gets all that it can use");
     assert_eq!(shard.may(0, low), cpus(1000));
-    assert_eq!(shard.may(2, low), cpus(1000), "the rest is shared evenly");
-    // What finds no machine is not kept from those that do.
+    assert_eq!(shard.may(2, low), cpus(1000), "the rest is divided evenly");
+    // Demand that no machine can take comes after demand that can be placed.
     high.unplaceable = high.wanted;
     high.wanted = Default::default();
     shard.report(1, high);
@@ -90,9 +90,10 @@
     assert_eq!(shard.may(1, high), cpus(2000));
 }
 
-/// Gangs of half the limit, one in each coordinator: never a part each.
+/// Each of three coordinators has a gang that needs more than half the quota. The gangs must not get a
+/// part each, since then none could start.
 #[test]
-fn the_first_job_of_a_coordinator_is_served_whole() {
+fn serves_first_job_as_a_whole() {
     let gang = |waited_ms| {
         let mut u = TeamUsage::of(0);
         u.wanted[1] = cpus(6000);
@@ -103,9 +104,9 @@
     for s in 0..3 {
         shard.report(s, gang(u64::from(s)));
     }
-    assert_eq!(shard.may(2, gang(2)), cpus(6000), "whoever has waited longest");
-    assert_eq!(shard.may(1, gang(1)), NONE, "what is left is kept for the next");
-    // Small work of lesser priority does not take it bit by bit.
+    assert_eq!(shard.may(2, gang(2)), cpus(6000), "the longest waiting gang");
+    assert_eq!(shard.may(1, gang(1)), NONE, "the rest is reserved for the next gang");
+    // Small tasks of lower priority do not use it up bit by bit.
     let mut small = told(0, 9000);
     small.first[0] = Some(FirstInQueue { need: cpus(100), waited_ms: 9 });
     assert_eq!(shard.may(0, small), NONE);
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn a_task_as_large_as_the_limit_gets_all_of_it_and_a_larger_one_keeps_nothing() {
+fn task_larger_than_quota_reserves_nothing() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
     let large = |cpu| {
         let mut u = TeamUsage::of(0);
@@ -135,10 +136,11 @@
     assert_eq!(shard.may(1, told(0, 5000)), cpus(5000));
 }
 
-/// A processor is left of the limit; the first job of the highest priority needs two. It is kept for that
-/// one, and given whole to a lesser one while gaps are filled, not in parts to those that need two.
+/// One processor of the quota is free, and the first job of the highest priority needs two. The processor
+/// is reserved for that job. In the backfilling phase it goes as a whole to a lower-priority job, not in
+/// parts to jobs that need two.
 #[test]
-fn what_is_not_enough_for_the_first_goes_to_what_fits_while_gaps_are_filled() {
+fn backfilling_grants_whole_tasks_that_fit() {
     let asks = |used: u64, priority: usize, need: u64| {
         let mut usage = told(used, 0);
         usage.wanted[priority] = cpus(8000);
@@ -150,16 +152,16 @@
     for (from, usage) in [(0, large), (1, small), (2, asks(0, 3, 2000))] {
         shard.report(from, usage);
     }
-    assert_eq!(shard.may(1, small), NONE, "it is kept for the first");
+    assert_eq!(shard.may(1, small), NONE, "reserved for the first job");
     shard.quota.set_phase(phase::LimitPhase::Filling);
     assert_eq!(shard.may(0, large), cpus(4000));
     assert_eq!(shard.may(2, asks(0, 3, 2000)), NONE);
     assert_eq!(shard.may(1, small), cpus(1000));
 }
 
-/// While gaps are filled, a coordinator keeps nothing for a job that its grant doesn't cover.
+/// In the backfilling phase a coordinator reserves nothing for a job that its grant does not cover.
 #[test]
-fn admission_keeps_nothing_for_a_gang_while_gaps_are_filled() {
+fn admission_reserves_nothing_while_backfilling() {
     let gang = AdmissionRequest { all_or_nothing: true, ..asking(Priority::High, 2000, 2) };
     let task = asking(Priority::Low, 1000, 1);
     let status = standing(1000, 1000, [0; 4]);
@@ -170,9 +172,9 @@
     }
 }
 
-/// One limit reached does not keep work from the other.
+/// A used-up quota of GPUs must not block jobs that need only processors.
 #[test]
-fn limits_of_gpus_and_of_processors_are_apart() {
+fn processor_and_gpu_quotas_are_independent() {
     let mut shard = TeamShard::new(team(10.0, 2.0));
     let mut gpus = TeamUsage::of(0);
     let need = QuotaAmount { cpu: 3000, gpu: 2000 };
@@ -183,13 +185,13 @@
     shard.report(0, gpus);
     shard.report(1, busy);
     shard.report(2, told(0, 9000));
-    assert_eq!(shard.may(0, gpus), NONE, "there is one GPU left");
-    assert_eq!(shard.may(2, told(0, 9000)), cpus(6000), "all but what is kept for the first");
+    assert_eq!(shard.may(0, gpus), NONE, "one GPU is free");
+    assert_eq!(shard.may(2, told(0, 9000)), cpus(6000), "all but what is reserved for the first job");
 }
 
-/// Reports of impossible values, or of nobody.
+/// Reports with impossible values, or of coordinators that don't exist.
 #[test]
-fn invalid_reports_change_nothing() {
+fn ignores_invalid_reports() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
     for s in 0..3 {
         shard.report(s, told(0, 2000));
@@ -198,15 +200,15 @@
     let mut other = told(0, 2000);
     other.team = 200;
     assert!(shard.report(0, other).is_none());
-    assert_eq!(shard.may(1, told(2000, 1000)), cpus(3000), "nobody's report is not missed");
+    assert_eq!(shard.may(1, told(2000, 1000)), cpus(3000), "no report of a missing coordinator is waited for");
     assert!(shard.may(1, told(u64::MAX, u64::MAX)).within(cpus(10_000)));
     shard.report(0, TeamUsage::of(0));
-    assert_eq!(shard.may(2, told(0, 2000)), NONE, "what is told to be in use counts");
+    assert_eq!(shard.may(2, told(0, 2000)), NONE, "the reported usage counts");
 }
 
-/// Who is silent wants nothing any more, but what it may take stays counted.
+/// The demand of a silent coordinator is dropped, but its share stays counted.
 #[test]
-fn a_silent_coordinator_keeps_its_share_and_asks_for_no_more() {
+fn silent_coordinator_keeps_share_without_demand() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
     shard.report(1, told(1000, 9000));
     shard.report(0, told(0, 9000));
@@ -230,23 +232,23 @@
     }
 }
 
-/// An array of 5,000 tasks at low priority fills the limit; a service of the same team comes first.
+/// A low-priority array of 5,000 tasks uses the whole quota when a service of the same team arrives.
 #[test]
-fn lesser_work_of_the_team_gives_way_in_turn() {
+fn admits_tasks_after_preempting_lower_priority() {
     let service = asking(Priority::Production, 2000, 3);
     let array = asking(Priority::Low, 1000, 5000);
     let mut a = Admission::new(standing(10_000, 10_000, [10_000, 0, 0, 0]));
     let got = a.admit(&service);
     assert_eq!((got.now, got.in_turn, got.worth), (0, 3, 0), "{got:?}");
     let got = a.admit(&array);
-    assert_eq!((got.now, got.in_turn), (0, 0), "what gives way is not asked for again");
+    assert_eq!((got.now, got.in_turn), (0, 0), "preempted quota is not admitted again");
     let mut a = Admission::new(standing(10_000, 10_000, [3000, 0, 0, 0]));
     assert_eq!(a.admit(&service).now, 3);
     assert_eq!(a.admit(&array).now, 1);
 }
 
 #[test]
-fn what_a_gang_lacks_is_kept_for_it_unless_it_finds_no_machine() {
+fn reserves_quota_for_gang_unless_it_yields() {
     let gang = AdmissionRequest { all_or_nothing: true, ..asking(Priority::Normal, 3000, 2) };
     let array = asking(Priority::Low, 1000, 50);
     let free = standing(5000, 5000, [0; 4]);
@@ -255,22 +257,22 @@
     let mut a = Admission::new(free);
     let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, a.admit(&array).now), (0, 5));
-    // It is worth a machine in turn, which nobody after it is then.
+    // The gang would be admitted after preemption, so it is worth an instance.
     let mut a = Admission::new(standing(6000, 6000, [6000, 0, 0, 0]));
     let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, got.in_turn, got.worth), (0, 2, 2));
 }
 
-/// A coordinator of the model: what it takes and, by its own belief, may take.
+/// A coordinator of the model, with its usage, demand and grant.
 #[derive(Clone, Debug, Default)]
 struct ModelCoordinator {
     epoch: u64,
     serial: u64,
     used: [u64; 4],
     wants: [u64; 4],
-    /// With the epoch of the team's shard that gave it.
+    /// The epoch of the team's shard under which the grant was made, and the granted amount.
     grant: Option<(u64, QuotaAmount)>,
-    /// Reports that may come again.
+    /// Earlier reports, which may arrive again.
     sent: Vec<(u64, (u64, u64, TeamUsage))>,
 }
 
@@ -293,17 +295,19 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A report, and whether it and its answer arrive.
+    /// A coordinator reports; the flags say whether the report and its answer arrive.
     Report(usize, bool, bool),
-    /// An older report arrives again.
+    /// An earlier report arrives again.
     Duplicate(usize, usize),
-    /// As much as may be is started, of a priority.
+    /// A coordinator starts as much as its grant allows at this priority.
     Start(usize, usize),
+    /// A coordinator's usage at this priority decreases by this amount.
     End(usize, usize, u64),
+    /// A coordinator's demand at this priority becomes this amount.
     Want(usize, usize, u64),
-    /// The coordinator's shard has a new owner; what is decided stays.
+    /// The coordinator's shard gets a new owner; its usage stays.
     Moves(usize),
-    /// The team's shard has.
+    /// The team's shard gets a new owner.
     NewOwner,
 }
 
@@ -322,7 +326,7 @@
     ]
 }
 
-/// The team's shard and three coordinators, over lost, late and doubled messages and new owners.
+/// The team's shard and three coordinators, with lost, late and duplicate messages and new owners.
 struct Model {
     limit: u64,
     quota: QuotaManager,
@@ -367,8 +371,8 @@
             Step::Duplicate(c, n) => {
                 let sent = &self.coordinators[c].sent;
                 let again = sent.get(sent.len().saturating_sub(n + 1)).copied();
-                // Messages name the epochs of both ends: a new owner hears none of before. The
-                // answer is not listened to: the serial is old.
+                // Messages carry the epochs of sender and receiver, so a new owner receives no
+                // earlier ones. The answer is ignored, since the serial is old.
                 if let Some((_, r)) = again.filter(|a| a.0 == self.owner) {
                     self.receive(c, r);
                 }
@@ -409,7 +413,7 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_may_run_never_passes_the_limit(
+    fn usage_never_exceeds_quota(
         limit in 500..4000u64,
         steps in prop::collection::vec(step(), 1..150),
     ) {
@@ -420,10 +424,10 @@
         }
     }
 
-    /// Whatever went before: once reports and answers arrive again, room under the limit goes to
-    /// somebody who asks within two seconds.
+    /// After any sequence of steps: once reports and answers arrive again, free quota is granted to a
+    /// coordinator with demand within two seconds.
     #[test]
-    fn room_is_granted_within_two_seconds_of_calm(
+    fn free_quota_is_granted_after_recovery(
         limit in 500..4000u64,
         steps in prop::collection::vec(step(), 1..80),
     ) {
@@ -432,7 +436,7 @@
             model.apply(step);
         }
         let asks: u64 = model.coordinators.iter().flat_map(|c| c.wants).sum();
-        // A whole first need is waited for; there is always one that is no larger than this.
+        // Free quota is reserved until it covers a first job, which needs at most this much in the model.
         prop_assume!(asks > 0 && limit - model.total() >= 700);
         let before = model.total();
         for _ in 0..5 {
@@ -443,12 +447,12 @@
                 }
             }
         }
-        prop_assert!(model.total() > before, "nothing of {} is granted: {:?}", limit - before, model.coordinators);
+        prop_assert!(model.total() > before, "none of the free {} is granted: {:?}", limit - before, model.coordinators);
     }
 
-    /// Nothing is let in now beyond the grant, in any order of jobs.
+    /// Admission never exceeds the grant, whatever the jobs.
     #[test]
-    fn admission_keeps_to_the_grant(
+    fn admission_stays_within_grant(
         may in 0..9000u64, due in 0..9000u64, used in prop::array::uniform4(0..3000u64),
         jobs in prop::collection::vec((0..4usize, 1..900u64, 1..9u32, any::<bool>()), 1..20),
     ) {
@@ -473,6 +477,6 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::GrantsAwaitAllReports, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
-    assert_fails_without(Guard::GrantsCountOtherShares, shares_never_exceed_the_limit_and_wait_for_every_coordinator);
+    assert_fails_without(Guard::GrantsAwaitAllReports, grants_stay_within_quota_and_await_reports);
+    assert_fails_without(Guard::GrantsCountOtherShares, grants_stay_within_quota_and_await_reports);
 }
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -1,16 +1,17 @@
-//! Whether a worker receives what we send, though its heartbeats reach us.
+//! Detection of one-way partitions: whether a worker receives what this node sends, given that its
+//! heartbeats arrive here.
 //!
-//! Heartbeats may come from a machine that neither answers nor commands reach (a one-way partition).
-//! Nothing that was sent to it proves anything then; what it reports proves what it always did. It is
-//! told apart by the paths that it takes: a worker without an answer waits 4 s, turns to the next
-//! controller a second later, and goes round; one that was answered comes again by the same path when
-//! its next heartbeat is due.
+//! In a one-way partition heartbeats of a worker arrive, but neither answers nor commands reach it.
+//! Then nothing that was sent to the worker proves anything, while its reports stay as reliable as
+//! ever. Such a worker is recognized by the paths of its heartbeats. Without an answer, a worker
+//! waits 4 s, tries the next controller a second later, and so tries all controllers in turn. A
+//! worker that was answered sends its next heartbeat by the same path when it is due.
 use crate::ids::{NodeIdx, Timestamp};
 
-/// This many heartbeats in a row without proof make a worker unreachable.
+/// Number of consecutive heartbeats without proof after which a worker counts as unreachable.
 const MAX_UNPROVEN_HEARTBEATS: u32 = 2;
 
-/// The path a heartbeat came by: straight from the worker (none), or relayed by that sibling.
+/// The path of a heartbeat: directly from the worker (`None`), or relayed by a sibling.
 pub type HeartbeatPath = Option<NodeIdx>;
 
 /// The last heartbeat of a worker.
@@ -22,20 +23,23 @@
 
 /// Whether one worker is reachable.
 ///
-/// Invariants: only what the worker itself did proves that it is; a worker that is not known to be
-/// after `MAX_UNPROVEN_HEARTBEATS` in a row, or whose lease ran out although it was answered, gets no
-/// new work until that is proven again; its tasks are not called gone for it.
+/// Invariants:
+/// - Only what the worker itself did proves that it is reachable.
+/// - A worker without proof for `MAX_UNPROVEN_HEARTBEATS` consecutive heartbeats, or whose lease
+///   expired although its heartbeats were answered, gets no new tasks until it is proven reachable
+///   again. Its tasks are not declared gone because of this.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
-    /// None: the next heartbeat proves nothing.
+    /// The last heartbeat; `None`: the next heartbeat proves nothing.
     last: Option<LastHeartbeat>,
-    /// Heartbeats, or an equivalent, since the last proof.
+    /// Heartbeats since the last proof; a lost lease or a new incarnation counts as several.
     unproven: u32,
+    /// Since when the worker has counted as unreachable; `None`: it counts as reachable.
     unreachable_since: Option<Timestamp>,
 }
 
 impl Reachability {
-    /// A new heartbeat came; a worker that was answered sends its next one within `due_ms`.
+    /// Records a new heartbeat. A worker that was answered sends its next one within `due_ms`.
     pub fn report(&mut self, via: HeartbeatPath, due_ms: u64, now: Timestamp) {
         let same_path = self.last.is_some_and(|last| last.path == via && now <= last.at + due_ms);
         self.last = Some(LastHeartbeat { path: via, at: now });
@@ -46,13 +50,14 @@
         }
     }
 
-    /// Its lease ran out although it was answered, or it began anew: it has to prove itself.
+    /// Marks the worker as unreachable until the next proof, because its lease expired although its
+    /// heartbeats were answered, or because a new incarnation of it began.
     pub fn lease_ended(&mut self, now: Timestamp) {
         self.last = None;
         self.add_unproven(MAX_UNPROVEN_HEARTBEATS, now);
     }
 
-    /// It executed a command, or answered one: it is reachable.
+    /// Records proof that the worker is reachable: it executed a command, or answered one.
     pub fn proven(&mut self) {
         self.unproven = 0;
         self.unreachable_since = None;
@@ -65,7 +70,7 @@
         }
     }
 
-    /// Since when it is taken for unreachable; none: it is not.
+    /// Returns since when the worker has counted as unreachable; `None`: it counts as reachable.
     pub fn unreachable_since(&self) -> Option<Timestamp> {
         self.unreachable_since
     }
--- a/crates/core/src/reachability/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -3,24 +3,24 @@
 const DUE_MS: u64 = 4600;
 
 #[test]
-fn a_worker_that_goes_round_is_deaf_and_one_that_stays_is_not() {
+fn detects_worker_that_changes_heartbeat_path() {
     let mut reachability = Reachability::default();
     let paths = [None, Some(NodeIdx(1)), Some(NodeIdx(2))];
     for (i, &via) in paths.iter().cycle().take(9).enumerate() {
         let now = 1000 + 5000 * i as u64;
         reachability.report(via, DUE_MS, now);
-        assert_eq!(reachability.unreachable_since().is_some(), i >= 1, "after {} reports", i + 1);
+        assert_eq!(reachability.unreachable_since().is_some(), i >= 1, "after {} heartbeats", i + 1);
     }
     assert_eq!(
         reachability.unreachable_since(),
         Some(6000),
         "since the second heartbeat without proof"
     );
-    // Answered, it comes again when its next report is due.
+    // A worker that was answered sends its next heartbeat by the same path when it is due.
     reachability.report(None, DUE_MS, 50_000);
     reachability.report(None, DUE_MS, 52_500);
     assert!(reachability.unreachable_since().is_none());
-    // One report that was lost, or a try of another path, is no verdict.
+    // One lost heartbeat, or one try of another path, does not make the worker unreachable.
     reachability.report(Some(NodeIdx(1)), DUE_MS, 59_000);
     assert!(reachability.unreachable_since().is_none());
     reachability.report(Some(NodeIdx(1)), DUE_MS, 61_000);
