--- a/crates/testkit/examples/guards.rs
+++ b/crates/testkit/examples/guards.rs
@@ -1,6 +1,6 @@
-//! Takes guards of the core out and prints the first seed of each history that breaks a rule then:
-//! `cargo run --release -p leaddeal-testkit --example guards -- [NAME...] [--seeds N]`, one by one or,
-//! as `NAME+NAME`, several at once.
+//! Disables guards of the core and prints the first seed of each history that violates an invariant then:
+//! `cargo run --release -p leaddeal-testkit --example guards -- [NAME...] [--seeds N]`. `NAME+NAME` disables
+//! several guards at once.
 use clap::Parser;
 use leaddeal_core::guards::{with_guards_disabled, Guard};
 use leaddeal_testkit::histories::History;
@@ -9,20 +9,20 @@
 
 #[derive(Parser)]
 struct Cli {
-    /// None: all of them.
+    /// Guards to disable, one after the other; all of them if none is named.
     names: Vec<String>,
-    /// How many seeds of each history.
+    /// Number of seeds of each history.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Only this history.
+    /// Run only this history.
     #[arg(long)]
     history: Option<String>,
-    /// How many histories at once.
+    /// Number of histories that run at once.
     #[arg(long, default_value_t = 2)]
     threads: usize,
 }
 
-/// The sets of guards that are taken out at once. Names of no guard are passed over.
+/// Returns the sets of guards that are disabled together. Unknown names are ignored.
 fn guard_sets(names: &[String]) -> Vec<Vec<Guard>> {
     if names.is_empty() {
         return Guard::ALL.iter().map(|guard| vec![*guard]).collect();
@@ -32,7 +32,7 @@
     names.iter().map(|set| set.split('+').filter_map(by_name).collect()).collect()
 }
 
-/// The first seed that breaks a rule without these guards, and the rule.
+/// Returns the first seed that violates an invariant without these guards, and the error.
 fn first_broken(guards: &[Guard], history: History, seeds: u64) -> Option<(u64, String)> {
     (1..=seeds).find_map(|seed| {
         let run = with_guards_disabled(guards, || Sim::new(history.plan(seed)).run());
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -1,4 +1,4 @@
-//! Histories in which a guard that was taken out is missed: plans by name, each for any seed.
+//! Histories that violate an invariant when a guard is disabled: plans by name, each for any seed.
 use crate::script::Fault;
 use crate::sim::{Plan, Teams, NODES};
 
--- a/crates/testkit/tests/guards.rs
+++ b/crates/testkit/tests/guards.rs
@@ -1,16 +1,17 @@
-//! Every guard of the core is missed when it is taken out: a history breaks a rule then, and holds with it.
-//! (`docs/meetings.md` has the table; guards with a unit test beside their code are named in `BY_UNIT`.)
+//! Every guard of the core is needed: with the guard disabled, a history of faults violates an invariant
+//! that it keeps with the guard. `docs/meetings.md` has the table. Guards that a unit test beside their
+//! code covers are named in `COVERED_BY_UNIT_TEST`.
 use leaddeal_core::guards::{with_guards_disabled, Guard};
 use leaddeal_testkit::histories::History::{self, *};
 use leaddeal_testkit::sim::Sim;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The guards taken out, the history, and the rule that breaks. Of two, each holds the rule without the
-/// other.
-type Missed = (&'static [Guard], History, &'static str);
+/// The guards that are disabled, the history, and the rule that is violated. If there are two guards, either
+/// of them alone is enough to keep the rule.
+type Coverage = (&'static [Guard], History, &'static str);
 
-const MISSED: &[Missed] = &[
+const COVERED_BY_HISTORY: &[Coverage] = &[
     (&[Guard::WritesFencedByEpoch], LateFinals, "went_back"),
     (&[Guard::UserAnswerNeedsValidLease], SlowThenAlone, "went_back"),
     (&[Guard::StopIgnoresLease], DeafThenOutage, "ran_cancelled"),
@@ -25,7 +26,7 @@
     (&[Guard::StateWithheldDuringTermination], ApartLate, "went_back"),
     (&[Guard::JobReadBeforeTerminalState], ApartLate, "forgotten"),
     (&[Guard::AnswersStopAfterGracePeriod], GapForgotten, "ran_cancelled"),
-    // Where the store is not read for a silent owner, horizons stand still and workers are let go.
+    // If the store is not read for a silent owner, its horizon does not advance and workers get no answers.
     (&[Guard::SilentOwnerReadFromStore, Guard::AnswersStopAfterGracePeriod], Apart, "ran_cancelled"),
     (&[Guard::OlderStatusIgnored], OldReports, "ran_twice"),
     (&[Guard::AbsenceNeedsConfirmedToken], OldReports, "ran_twice"),
@@ -34,7 +35,7 @@
     (&[Guard::HeartbeatEndsOwnership], Refused, "ran_twice"),
     (&[Guard::OutdatedSenderRejected], FrozenDeciding, "ran_twice"),
     (&[Guard::AttemptNumberIncludesEpoch], OverAndBack, "ran_twice"),
-    // Each stops what the other one does not reach.
+    // Each of the two stops tasks that the other one does not reach.
     (&[Guard::StopResent, Guard::HeartbeatsNameCancellations], LateFinals, "ran_cancelled"),
     (&[Guard::TerminalJobStoppedByParticipant], Apart, "ran_cancelled"),
     (&[Guard::UnansweredStartRemembered], Ordinary, "ran_twice"),
@@ -49,8 +50,9 @@
     (&[Guard::InstanceRequestNamedByEpoch], OldReports, "name_reused"),
 ];
 
-/// Missed by unit tests beside their code (`tests_fail_without_their_guards`), which CI runs with the switches on.
-const BY_UNIT: &[Guard] = &[
+/// Guards covered by unit tests beside their code (`tests_fail_without_their_guards`), which CI runs with the
+/// feature `guards`.
+const COVERED_BY_UNIT_TEST: &[Guard] = &[
     Guard::RelinquishedEpochRejected,
     Guard::StartNeedsValidLease,
     Guard::ClockDriftAllowance,
@@ -71,8 +73,9 @@
     Guard::LateAssignmentStopped,
 ];
 
-/// Nothing misses them yet: holes in the tests, or implied by others (`docs/meetings.md`).
-const NOT_MISSED: &[Guard] = &[
+/// Guards without which no test fails yet: gaps in the tests, or guards implied by others
+/// (`docs/meetings.md`).
+const NOT_COVERED: &[Guard] = &[
     Guard::MachineLossNeedsValidLease,
     Guard::AcquisitionNeedsValidLease,
     Guard::OlderEpochNotOwned,
@@ -81,12 +84,14 @@
     Guard::GrantBoundToEpoch,
 ];
 
-/// Which seed breaks the rule changes with what the simulator draws: so many are tried.
+/// Number of seeds that are tried, since the seed that violates the rule changes with the random draws of the
+/// simulator.
 const SEEDS: u64 = 40;
 const THREADS: usize = 4;
 
-/// When the rule breaks without the guards, in milliseconds of simulated time, and in which seed.
-fn missed(&(guards, history, rule): &Missed) -> Option<(u64, u64)> {
+/// Returns the first seed that violates the rule without the guards, and when, in milliseconds of simulated
+/// time.
+fn first_violation(&(guards, history, rule): &Coverage) -> Option<(u64, u64)> {
     (1..=SEEDS).find_map(|seed| {
         let broken = with_guards_disabled(guards, || Sim::new(history.plan(seed)).run()).err()?;
         let (at, what) = broken.strip_prefix("at ")?.split_once(" ms: ")?;
@@ -97,15 +102,15 @@
 }
 
 #[test]
-fn every_guard_is_missed_in_a_history_that_holds_with_it() {
+fn histories_fail_without_their_guards() {
     let next = AtomicUsize::new(0);
-    let not_missed = Mutex::new(Vec::new());
+    let passing = Mutex::new(Vec::new());
     std::thread::scope(|s| {
         for _ in 0..THREADS {
             s.spawn(|| {
-                while let Some(row) = MISSED.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let Some((seed, at)) = missed(row) else {
-                        not_missed.lock().expect("no thread panics with it").push(row);
+                while let Some(row) = COVERED_BY_HISTORY.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    let Some((seed, at)) = first_violation(row) else {
+                        passing.lock().expect("no thread panics while holding the lock").push(row);
                         continue;
                     };
                     let held = Sim::new(row.1.plan(seed)).run_to(at);
@@ -114,14 +119,15 @@
             });
         }
     });
-    let not_missed = not_missed.into_inner().expect("no thread panicked with it");
-    assert!(not_missed.is_empty(), "not missed: {not_missed:?}");
+    let passing = passing.into_inner().expect("no thread panicked while holding the lock");
+    assert!(passing.is_empty(), "no violation without the guards: {passing:?}");
 }
 
 #[test]
 fn every_guard_is_in_the_table() {
-    let in_histories = MISSED.iter().flat_map(|row| row.0);
-    let table: Vec<Guard> = in_histories.chain(BY_UNIT).chain(NOT_MISSED).copied().collect();
+    let in_histories = COVERED_BY_HISTORY.iter().flat_map(|row| row.0);
+    let table: Vec<Guard> =
+        in_histories.chain(COVERED_BY_UNIT_TEST).chain(NOT_COVERED).copied().collect();
     for guard in Guard::ALL {
         assert!(table.contains(guard), "{guard:?} has no test");
     }
