--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::Job;
 use crate::quota::admission::{Admission, AdmissionRequest, Admitted, QuotaClaim};
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::QuotaAmount;
 use leaddeal_wire::user::Kind;
@@ -105,7 +105,7 @@
             return Vec::new();
         }
         let statuses = self.quota_statuses(ctx);
-        let phase = LimitPhase::at(ctx.wall_clock_ms);
+        let phase = QuotaPhase::at(ctx.wall_clock_ms);
         let mut admissions: BTreeMap<u8, Admission> = BTreeMap::new();
         let mut keeping = BTreeSet::new();
         let mut waiting = Vec::new();
@@ -153,7 +153,7 @@
     fn quota_claim(
         &self,
         pending: &Pending,
-        phase: LimitPhase,
+        phase: QuotaPhase,
         now: Timestamp,
         keeping: &mut BTreeSet<TeamQueue>,
     ) -> QuotaClaim {
@@ -167,7 +167,7 @@
         let Some(unmet_ms) = unmet_ms else { return QuotaClaim::All };
         let preempting = job.preempting_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
         let cycle = if preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
-        let keeps = phase == LimitPhase::Keeping
+        let keeps = phase == QuotaPhase::Reserving
             && cycle.is_active(unmet_ms)
             && keeping.insert(pending.queue());
         if self.keeps_preempted_quota(job.id, now) {
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -5,7 +5,7 @@
 use crate::context::Context;
 use crate::ids::Timestamp;
 use crate::quota::admission::QuotaClaim;
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use leaddeal_wire::mesh::{FirstInQueue, QuotaAmount, ShardMessage, TeamUsage};
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
                 usage.used = used;
             }
         }
-        let phase = LimitPhase::at(ctx.wall_clock_ms);
+        let phase = QuotaPhase::at(ctx.wall_clock_ms);
         let (unplaceable, placeable): (Vec<_>, Vec<_>) =
             waiting.iter().partition(|job| job.claim == QuotaClaim::Nothing);
         for job in placeable.into_iter().chain(unplaceable) {
@@ -68,7 +68,7 @@
         &self,
         usage: &mut TeamUsage,
         waiting: &WaitingJob,
-        phase: LimitPhase,
+        phase: QuotaPhase,
         now: Timestamp,
     ) {
         let request = waiting.request;
@@ -84,8 +84,8 @@
         usage.unplaceable[priority] = usage.unplaceable[priority].plus(all.minus(wanted));
         let known = usage.first[priority];
         let is_first = match phase {
-            LimitPhase::Keeping => known.is_none() && waiting.claim != QuotaClaim::Nothing,
-            LimitPhase::Filling => {
+            QuotaPhase::Reserving => known.is_none() && waiting.claim != QuotaClaim::Nothing,
+            QuotaPhase::Backfilling => {
                 let least = known.is_none_or(|known| size(need) < size(known.need));
                 let only_choice = usage.wanted[priority] == QuotaAmount::default();
                 least && (waiting.claim != QuotaClaim::Nothing || only_choice)
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -4,7 +4,7 @@
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, PROVISIONER_SHARD};
 use crate::io::{Effect, Effects};
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
 /// Rounds of delivery after one input; what is left then is delivered after the next one.
@@ -118,7 +118,7 @@
             }
             ShardMessage::TeamUsage { serial, usage } => {
                 let now = context.now;
-                active.quota.set_phase(LimitPhase::at(context.wall_clock_ms));
+                active.quota.set_phase(QuotaPhase::at(context.wall_clock_ms));
                 if let Some(granted) = active.quota.report(now, from, from_epoch, serial, &usage) {
                     context.send(to, from, ShardMessage::TeamGrant { serial, granted });
                 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -20,7 +20,7 @@
 pub mod phase;
 mod plan;
 
-use phase::LimitPhase;
+use phase::QuotaPhase;
 use plan::FirstThatLacks;
 
 /// The demand of a coordinator that has not reported for this long, in ms, counts as none; its share
@@ -66,7 +66,7 @@
     /// The last report of each coordinator, by its shard.
     reports: BTreeMap<Shard, UsageReport>,
     shards: usize,
-    phase: LimitPhase,
+    phase: QuotaPhase,
 }
 
 impl QuotaManager {
@@ -77,12 +77,12 @@
             limits: teams.iter().map(limit).collect(),
             reports: BTreeMap::new(),
             shards,
-            phase: LimitPhase::default(),
+            phase: QuotaPhase::default(),
         }
     }
 
     /// Sets the phase, which decides about free quota that does not suffice for the first job.
-    pub fn set_phase(&mut self, phase: LimitPhase) {
+    pub fn set_phase(&mut self, phase: QuotaPhase) {
         self.phase = phase;
     }
 
@@ -133,8 +133,8 @@
         // All that may be in use after a failover is counted, so the usage can exceed the quota. A
         // grant must not exceed it, as the simulator found.
         let lacking = match self.phase {
-            LimitPhase::Keeping => FirstThatLacks::Waits,
-            LimitPhase::Filling => FirstThatLacks::IsPassedOver,
+            QuotaPhase::Reserving => FirstThatLacks::Waits,
+            QuotaPhase::Backfilling => FirstThatLacks::IsPassedOver,
         };
         let additional = plan::additional_shares(limit, &usages, lacking)[asking];
         let may = used.plus(additional).least(limit.minus(others));
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariant: what is admitted now and counted against the grant never exceeds the grant less the
 //! usage.
-use super::phase::LimitPhase;
+use super::phase::QuotaPhase;
 use leaddeal_wire::mesh::{ByPriority, QuotaAmount};
 use leaddeal_wire::user::Priority;
 
@@ -102,7 +102,7 @@
     now: QuotaAmount,
     in_turn: QuotaAmount,
     worth: QuotaAmount,
-    phase: LimitPhase,
+    phase: QuotaPhase,
 }
 
 /// Returns how many tasks of the job this amount covers; for a gang all or none.
@@ -119,11 +119,11 @@
     /// Creates the admission before the first job.
     pub fn new(status: QuotaStatus) -> Admission {
         let none = QuotaAmount::default();
-        Admission { status, now: none, in_turn: none, worth: none, phase: LimitPhase::default() }
+        Admission { status, now: none, in_turn: none, worth: none, phase: QuotaPhase::default() }
     }
 
     /// Returns the same admission for this phase.
-    pub fn in_phase(self, phase: LimitPhase) -> Admission {
+    pub fn in_phase(self, phase: QuotaPhase) -> Admission {
         Admission { phase, ..self }
     }
 
@@ -156,8 +156,8 @@
         let kept = match (claim, self.phase) {
             (QuotaClaim::Nothing, _) => 0,
             (QuotaClaim::Next, _) => next,
-            (QuotaClaim::All, LimitPhase::Keeping) => now.max(next),
-            (QuotaClaim::All, LimitPhase::Filling) => now,
+            (QuotaClaim::All, QuotaPhase::Reserving) => now.max(next),
+            (QuotaClaim::All, QuotaPhase::Backfilling) => now,
         };
         self.now = self.now.plus(job.task.times(kept).least(free));
         let in_turn_kept = match claim {
--- a/crates/core/src/quota/phase.rs
+++ b/crates/core/src/quota/phase.rs
@@ -3,7 +3,7 @@
 /// The duration of one reserving phase and one backfilling phase together.
 const PERIOD_MS: u64 = 30_000;
 /// How long each period reserves free quota for the first job.
-const KEEPING_MS: u64 = 25_000;
+const RESERVING_MS: u64 = 25_000;
 
 /// What happens to the free part of a team's quota that does not suffice for the first job.
 ///
@@ -13,20 +13,20 @@
 /// always reserving the last processor of a quota, and small jobs that would have fitted waited for
 /// minutes (seen in the simulator).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LimitPhase {
+pub enum QuotaPhase {
     /// It is reserved until it suffices, since smaller jobs would otherwise use it up bit by bit.
     #[default]
-    Keeping,
+    Reserving,
     /// Any job that fits may use it.
-    Filling,
+    Backfilling,
 }
 
-impl LimitPhase {
+impl QuotaPhase {
     /// Returns the phase at this time of the wall clock.
-    pub fn at(wall_clock_ms: u64) -> LimitPhase {
-        match wall_clock_ms % PERIOD_MS < KEEPING_MS {
-            true => LimitPhase::Keeping,
-            false => LimitPhase::Filling,
+    pub fn at(wall_clock_ms: u64) -> QuotaPhase {
+        match wall_clock_ms % PERIOD_MS < RESERVING_MS {
+            true => QuotaPhase::Reserving,
+            false => QuotaPhase::Backfilling,
         }
     }
 }
@@ -39,10 +39,10 @@
     fn each_period_ends_with_backfilling() {
         for period in 0..3 {
             let begin = period * PERIOD_MS;
-            assert_eq!(LimitPhase::at(begin), LimitPhase::Keeping);
-            assert_eq!(LimitPhase::at(begin + KEEPING_MS - 1), LimitPhase::Keeping);
-            assert_eq!(LimitPhase::at(begin + KEEPING_MS), LimitPhase::Filling);
-            assert_eq!(LimitPhase::at(begin + PERIOD_MS - 1), LimitPhase::Filling);
+            assert_eq!(QuotaPhase::at(begin), QuotaPhase::Reserving);
+            assert_eq!(QuotaPhase::at(begin + RESERVING_MS - 1), QuotaPhase::Reserving);
+            assert_eq!(QuotaPhase::at(begin + RESERVING_MS), QuotaPhase::Backfilling);
+            assert_eq!(QuotaPhase::at(begin + PERIOD_MS - 1), QuotaPhase::Backfilling);
         }
     }
 }
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -153,7 +153,7 @@
         shard.report(from, usage);
     }
     assert_eq!(shard.may(1, small), NONE, "reserved for the first job");
-    shard.quota.set_phase(phase::LimitPhase::Filling);
+    shard.quota.set_phase(phase::QuotaPhase::Backfilling);
     assert_eq!(shard.may(0, large), cpus(4000));
     assert_eq!(shard.may(2, asks(0, 3, 2000)), NONE);
     assert_eq!(shard.may(1, small), cpus(1000));
@@ -165,7 +165,7 @@
     let gang = AdmissionRequest { all_or_nothing: true, ..asking(Priority::High, 2000, 2) };
     let task = asking(Priority::Low, 1000, 1);
     let status = standing(1000, 1000, [0; 4]);
-    for (phase, let_in) in [(phase::LimitPhase::Keeping, 0), (phase::LimitPhase::Filling, 1)] {
+    for (phase, let_in) in [(phase::QuotaPhase::Reserving, 0), (phase::QuotaPhase::Backfilling, 1)] {
         let mut admission = Admission::new(status).in_phase(phase);
         assert_eq!(admission.admit(&gang).now, 0);
         assert_eq!(admission.admit(&task).now, let_in, "{phase:?}");
