--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -318,7 +318,7 @@
     /// unknown or has no quota.
     pub fn team_use(&self, job: &Job) -> Option<QuotaUse> {
         let team = self.config.teams.iter().position(|team| team.name == job.wire.team)?;
-        quota::limit(&self.config.teams[team])?;
+        quota::team_quota(&self.config.teams[team])?;
         let need = job.shape.need;
         let amount = QuotaAmount { cpu: need.cpu, gpu: need.gpu };
         Some(QuotaUse { team: team as u8, amount })
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -41,7 +41,7 @@
 /// Teams with a limit, by their place in the settings.
 pub(super) fn limited_teams(ctx: &Context) -> BTreeMap<u8, QuotaAmount> {
     let teams = ctx.config.teams.iter().enumerate();
-    teams.filter_map(|(team, settings)| Some((team as u8, quota::limit(settings)?))).collect()
+    teams.filter_map(|(team, settings)| Some((team as u8, quota::team_quota(settings)?))).collect()
 }
 
 impl Coordinator {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -21,14 +21,14 @@
 mod plan;
 
 use phase::QuotaPhase;
-use plan::FirstThatLacks;
+use plan::UncoveredFirstJob;
 
 /// The demand of a coordinator that has not reported for this long, in ms, counts as none; its share
 /// stays counted.
 const REPORT_TIMEOUT_MS: u64 = 2000;
 
 /// Returns the quota of a team, in thousandths of processors and GPUs; `None`: the team has no quota.
-pub fn limit(team: &Team) -> Option<QuotaAmount> {
+pub fn team_quota(team: &Team) -> Option<QuotaAmount> {
     let amount = |max: f64| if max > 0.0 { thousandths(max) } else { u64::MAX };
     (team.cpus_max > 0.0 || team.gpus_max > 0.0)
         .then(|| QuotaAmount { cpu: amount(team.cpus_max), gpu: amount(team.gpus_max) })
@@ -62,7 +62,7 @@
 pub struct QuotaManager {
     shard: Shard,
     /// The quota of each team, by the team's index in the settings; `None`: no quota.
-    limits: Vec<Option<QuotaAmount>>,
+    quotas: Vec<Option<QuotaAmount>>,
     /// The last report of each coordinator, by its shard.
     reports: BTreeMap<Shard, UsageReport>,
     shards: usize,
@@ -74,7 +74,7 @@
     pub fn new(shard: Shard, teams: &[Team], shards: usize) -> QuotaManager {
         QuotaManager {
             shard,
-            limits: teams.iter().map(limit).collect(),
+            quotas: teams.iter().map(team_quota).collect(),
             reports: BTreeMap::new(),
             shards,
             phase: QuotaPhase::default(),
@@ -118,13 +118,13 @@
         usage
             .iter()
             .filter(|usage| shard_of_team(usage.team, self.shards) == self.shard)
-            .filter(|usage| self.limits.get(usage.team as usize).is_some_and(Option::is_some))
+            .filter(|usage| self.quotas.get(usage.team as usize).is_some_and(Option::is_some))
             .map(|usage| (usage.team, TeamShare { usage: *usage, share: usage.in_use() }))
             .collect()
     }
 
     fn grant(&mut self, now: Timestamp, from: Shard, team: u8) -> Option<TeamGrant> {
-        let limit = (*self.limits.get(team as usize)?)?;
+        let quota = (*self.quotas.get(team as usize)?)?;
         let others = self.shares_of_others(from, team);
         let (shards, usages): (Vec<Shard>, Vec<TeamUsage>) =
             self.current_usages(now, team).into_iter().unzip();
@@ -132,17 +132,17 @@
         let used = usages[asking].in_use();
         // All that may be in use after a failover is counted, so the usage can exceed the quota. A
         // grant must not exceed it, as the simulator found.
-        let lacking = match self.phase {
-            QuotaPhase::Reserving => FirstThatLacks::Waits,
-            QuotaPhase::Backfilling => FirstThatLacks::IsPassedOver,
+        let uncovered_first = match self.phase {
+            QuotaPhase::Reserving => UncoveredFirstJob::Waits,
+            QuotaPhase::Backfilling => UncoveredFirstJob::Skipped,
         };
-        let additional = plan::additional_shares(limit, &usages, lacking)[asking];
-        let may = used.plus(additional).least(limit.minus(others));
-        let share = may.most(used);
-        debug_assert!(within_limit(limit, used, share, others), "the shares exceed the quota");
+        let additional = plan::additional_shares(quota, &usages, uncovered_first)[asking];
+        let granted = used.plus(additional).least(quota.minus(others));
+        let share = granted.most(used);
+        debug_assert!(is_within_quota(quota, used, share, others), "the shares exceed the quota");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
-        let due = plan::shares_after_preemption(limit, &usages)[asking];
-        Some(TeamGrant { team, may, due })
+        let due = plan::shares_after_preemption(quota, &usages)[asking];
+        Some(TeamGrant { team, may: granted, due })
     }
 
     /// Returns the sum of all other coordinators' shares of a team's quota.
@@ -173,15 +173,15 @@
 }
 
 /// Whether the shares stay within the quota, as far as this share exceeds the usage.
-fn within_limit(
-    limit: QuotaAmount,
+fn is_within_quota(
+    quota: QuotaAmount,
     used: QuotaAmount,
     share: QuotaAmount,
     others: QuotaAmount,
 ) -> bool {
     let sum = share.plus(others);
-    (share.cpu == used.cpu || sum.cpu <= limit.cpu)
-        && (share.gpu == used.gpu || sum.gpu <= limit.gpu)
+    (share.cpu == used.cpu || sum.cpu <= quota.cpu)
+        && (share.gpu == used.gpu || sum.gpu <= quota.gpu)
 }
 
 #[cfg(test)]
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -36,13 +36,13 @@
 
 /// What happens to the first job of a coordinator if it needs more than what is left.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum FirstThatLacks {
+pub(super) enum UncoveredFirstJob {
     /// It gets nothing yet, and what is left is reserved for it.
     Waits,
     /// It gets nothing yet, and what is left goes to other jobs.
-    IsPassedOver,
+    Skipped,
     /// It gets what is left.
-    TakesPart,
+    TakesRemainder,
 }
 
 /// The division of a quota. Shares are indexed by the coordinators' positions in the list of reports.
@@ -58,7 +58,7 @@
     }
 
     /// Adds an amount to a coordinator's share, limited to what is left.
-    fn give(&mut self, coordinator: usize, amount: QuotaAmount) {
+    fn allocate(&mut self, coordinator: usize, amount: QuotaAmount) {
         let amount = amount.least(self.left);
         self.left = self.left.minus(amount);
         self.shares[coordinator] = self.shares[coordinator].plus(amount);
@@ -71,7 +71,7 @@
         let cpus = max_min_fair(self.left.cpu, &cpus);
         let gpus = max_min_fair(self.left.gpu, &gpus);
         for (coordinator, (cpu, gpu)) in cpus.into_iter().zip(gpus).enumerate() {
-            self.give(coordinator, QuotaAmount { cpu, gpu });
+            self.allocate(coordinator, QuotaAmount { cpu, gpu });
         }
     }
 
@@ -85,59 +85,59 @@
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
             let share = fair.shares[coordinator].minus(self.shares[coordinator]);
-            self.give(coordinator, first.need.times(share.fits(first.need) as u32));
+            self.allocate(coordinator, first.need.times(share.fits(first.need) as u32));
         }
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
             let share = fair.shares[coordinator].minus(self.shares[coordinator]);
             if share != QuotaAmount::default() && first.need.within(self.left) {
-                self.give(coordinator, first.need);
+                self.allocate(coordinator, first.need);
             }
         }
     }
 
     /// Serves the first job of each coordinator at this priority, in the order of waiting time,
     /// longest first. Jobs larger than the quota are skipped.
-    fn give_to_first(
+    fn allocate_to_first(
         &mut self,
         priority: usize,
-        limit: QuotaAmount,
+        quota: QuotaAmount,
         usages: &[TeamUsage],
-        lacking: FirstThatLacks,
+        uncovered_first: UncoveredFirstJob,
     ) {
         let mut firsts: Vec<_> = usages
             .iter()
             .enumerate()
             .filter_map(|(coordinator, usage)| Some((coordinator, usage.first[priority]?)))
-            .filter(|(_, first)| first.need.within(limit))
+            .filter(|(_, first)| first.need.within(quota))
             .collect();
         firsts.sort_by_key(|(coordinator, first)| (Reverse(first.waited_ms), *coordinator));
         for (coordinator, first) in firsts {
-            match lacking {
-                _ if first.need.within(self.left) => self.give(coordinator, first.need),
-                FirstThatLacks::Waits => self.left = self.left.minus(first.need),
-                FirstThatLacks::IsPassedOver => {}
-                FirstThatLacks::TakesPart => self.give(coordinator, first.need),
+            match uncovered_first {
+                _ if first.need.within(self.left) => self.allocate(coordinator, first.need),
+                UncoveredFirstJob::Waits => self.left = self.left.minus(first.need),
+                UncoveredFirstJob::Skipped => {}
+                UncoveredFirstJob::TakesRemainder => self.allocate(coordinator, first.need),
             }
         }
     }
 }
 
-/// Returns what each coordinator may use now beyond its usage. `lacking` says what happens to first
+/// Returns what each coordinator may use now beyond its usage. `uncovered_first` says what happens to first
 /// jobs that need more than what is left.
 pub(super) fn additional_shares(
-    limit: QuotaAmount,
+    quota: QuotaAmount,
     usages: &[TeamUsage],
-    lacking: FirstThatLacks,
+    uncovered_first: UncoveredFirstJob,
 ) -> Vec<QuotaAmount> {
     let used = usages.iter().fold(QuotaAmount::default(), |sum, usage| sum.plus(usage.in_use()));
-    let mut allocation = Allocation::new(limit.minus(used), usages.len());
+    let mut allocation = Allocation::new(quota.minus(used), usages.len());
     for priority in (0..PRIORITIES).rev() {
-        allocation.give_to_first(priority, limit, usages, lacking);
+        allocation.allocate_to_first(priority, quota, usages, uncovered_first);
         let wanted: Vec<QuotaAmount> =
             usages.iter().map(|usage| wanted_after_first(usage, priority)).collect();
-        match lacking {
-            FirstThatLacks::IsPassedOver => {
+        match uncovered_first {
+            UncoveredFirstJob::Skipped => {
                 allocation.share_whole_tasks(priority, usages, &wanted);
             }
             _ => allocation.share_fairly(&wanted),
@@ -154,15 +154,15 @@
 /// Returns what each coordinator could use if all lower-priority work of the team were preempted:
 /// each priority's usage and demand is served before the next lower priority.
 pub(super) fn shares_after_preemption(
-    limit: QuotaAmount,
+    quota: QuotaAmount,
     usages: &[TeamUsage],
 ) -> Vec<QuotaAmount> {
-    let mut allocation = Allocation::new(limit, usages.len());
+    let mut allocation = Allocation::new(quota, usages.len());
     for priority in (0..PRIORITIES).rev() {
         for (coordinator, usage) in usages.iter().enumerate() {
-            allocation.give(coordinator, usage.used[priority]);
+            allocation.allocate(coordinator, usage.used[priority]);
         }
-        allocation.give_to_first(priority, limit, usages, FirstThatLacks::TakesPart);
+        allocation.allocate_to_first(priority, quota, usages, UncoveredFirstJob::TakesRemainder);
         let wanted = |usage: &TeamUsage| {
             wanted_after_first(usage, priority).plus(usage.unplaceable[priority])
         };
