--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -14,7 +14,7 @@
     QuotaAmount { cpu, gpu: 0 }
 }
 
-fn told(used: u64, wanted: u64) -> TeamUsage {
+fn team_usage(used: u64, wanted: u64) -> TeamUsage {
     let mut u = TeamUsage::of(0);
     u.used[0] = cpus(used);
     u.wanted[0] = cpus(wanted);
@@ -23,24 +23,24 @@
 
 /// The quota manager of one team, with reports of its coordinators at intervals.
 struct TeamShard {
-    quota: QuotaManager,
+    manager: QuotaManager,
     serial: u64,
     now: Timestamp,
 }
 
 impl TeamShard {
     fn new(t: Team) -> TeamShard {
-        TeamShard { quota: QuotaManager::new(Shard(0), &[t], 3), serial: 0, now: 0 }
+        TeamShard { manager: QuotaManager::new(Shard(0), &[t], 3), serial: 0, now: 0 }
     }
 
     fn report(&mut self, from: u8, u: TeamUsage) -> Option<TeamGrant> {
         self.serial += 1;
         self.now += 100;
-        let granted = self.quota.report(self.now, Shard(from), Epoch(5), self.serial, &[u]);
+        let granted = self.manager.report(self.now, Shard(from), Epoch(5), self.serial, &[u]);
         granted.and_then(|g| g.first().copied())
     }
 
-    fn may(&mut self, from: u8, u: TeamUsage) -> QuotaAmount {
+    fn granted(&mut self, from: u8, u: TeamUsage) -> QuotaAmount {
         self.report(from, u).map_or(NONE, |g| g.may)
     }
 }
@@ -49,35 +49,35 @@
 fn grants_stay_within_quota_and_await_reports() {
     let mut manager = QuotaManager::new(Shard(0), &[team(10.0, 0.0)], 3);
     let mut now = 0;
-    let mut may = |from: u8, epoch: u64, serial: u64, used, wanted| {
+    let mut granted = |from: u8, epoch: u64, serial: u64, used, wanted| {
         now += 100;
-        let g = manager.report(now, Shard(from), Epoch(epoch), serial, &[told(used, wanted)])?;
+        let g = manager.report(now, Shard(from), Epoch(epoch), serial, &[team_usage(used, wanted)])?;
         Some(g.first().map_or(0, |g| g.may.cpu))
     };
-    assert_eq!(may(0, 5, 1, 0, 9000), Some(0), "the other coordinators have not reported yet");
-    assert_eq!(may(1, 6, 1, 4000, 0), Some(0));
-    assert_eq!(may(2, 7, 1, 0, 9000), Some(3000), "half of the free quota");
-    assert_eq!(may(0, 5, 2, 0, 9000), Some(3000), "the other half");
-    assert_eq!(may(2, 7, 2, 1000, 0), Some(1000), "unused quota is freed");
-    assert_eq!(may(0, 5, 3, 0, 9000), Some(5000));
-    let taken_over = may(1, 9, 1, 9000, 0).expect("a newer epoch");
-    assert!(taken_over <= 10_000 - 5000, "a grant stays within the quota, whatever is in use");
-    assert_eq!(may(1, 3, 9, 0, 0), None, "a report of an old epoch is ignored");
-    assert_eq!(may(1, 9, 1, 0, 0), None, "a late copy is ignored");
+    assert_eq!(granted(0, 5, 1, 0, 9000), Some(0), "the other coordinators have not reported yet");
+    assert_eq!(granted(1, 6, 1, 4000, 0), Some(0));
+    assert_eq!(granted(2, 7, 1, 0, 9000), Some(3000), "half of the free quota");
+    assert_eq!(granted(0, 5, 2, 0, 9000), Some(3000), "the other half");
+    assert_eq!(granted(2, 7, 2, 1000, 0), Some(1000), "unused quota is freed");
+    assert_eq!(granted(0, 5, 3, 0, 9000), Some(5000));
+    let granted_to_successor = granted(1, 9, 1, 9000, 0).expect("a newer epoch");
+    assert!(granted_to_successor <= 10_000 - 5000, "a grant stays within the quota, whatever is in use");
+    assert_eq!(granted(1, 3, 9, 0, 0), None, "a report of an old epoch is ignored");
+    assert_eq!(granted(1, 9, 1, 0, 0), None, "a late copy is ignored");
 }
 
 #[test]
 fn grants_by_priority_then_placeable_demand() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
-    let mut low = told(0, 50_000);
-    let mut high = told(0, 0);
+    let mut low = team_usage(0, 50_000);
+    let mut high = team_usage(0, 0);
     high.wanted[2] = cpus(8000);
     shard.report(0, low);
     shard.report(1, high);
     shard.report(2, low);
-    assert_eq!(shard.may(1, high), cpus(8000), "the higher priority gets all that it can use");
-    assert_eq!(shard.may(0, low), cpus(1000));
-    assert_eq!(shard.may(2, low), cpus(1000), "the rest is divided evenly");
+    assert_eq!(shard.granted(1, high), cpus(8000), "the higher priority gets all that it can use");
+    assert_eq!(shard.granted(0, low), cpus(1000));
+    assert_eq!(shard.granted(2, low), cpus(1000), "the rest is divided evenly");
     // Demand that no machine can take comes after demand that can be placed.
     high.unplaceable = high.wanted;
     high.wanted = Default::default();
@@ -85,9 +85,9 @@
     low.wanted[0] = cpus(4000);
     shard.report(0, low);
     shard.report(2, low);
-    assert_eq!(shard.may(0, low), cpus(4000));
-    assert_eq!(shard.may(2, low), cpus(4000));
-    assert_eq!(shard.may(1, high), cpus(2000));
+    assert_eq!(shard.granted(0, low), cpus(4000));
+    assert_eq!(shard.granted(2, low), cpus(4000));
+    assert_eq!(shard.granted(1, high), cpus(2000));
 }
 
 /// Each of three coordinators has a gang that needs more than half the quota. The gangs must not get a
@@ -104,15 +104,15 @@
     for s in 0..3 {
         shard.report(s, gang(u64::from(s)));
     }
-    assert_eq!(shard.may(2, gang(2)), cpus(6000), "the longest waiting gang");
-    assert_eq!(shard.may(1, gang(1)), NONE, "the rest is reserved for the next gang");
+    assert_eq!(shard.granted(2, gang(2)), cpus(6000), "the longest waiting gang");
+    assert_eq!(shard.granted(1, gang(1)), NONE, "the rest is reserved for the next gang");
     // Small tasks of lower priority do not use it up bit by bit.
-    let mut small = told(0, 9000);
+    let mut small = team_usage(0, 9000);
     small.first[0] = Some(FirstInQueue { need: cpus(100), waited_ms: 9 });
-    assert_eq!(shard.may(0, small), NONE);
-    assert_eq!(shard.may(2, TeamUsage::of(0)), NONE);
-    assert_eq!(shard.may(1, gang(1)), cpus(6000));
-    assert_eq!(shard.may(0, small), cpus(4000));
+    assert_eq!(shard.granted(0, small), NONE);
+    assert_eq!(shard.granted(2, TeamUsage::of(0)), NONE);
+    assert_eq!(shard.granted(1, gang(1)), cpus(6000));
+    assert_eq!(shard.granted(0, small), cpus(4000));
 }
 
 #[test]
@@ -125,15 +125,15 @@
         u
     };
     shard.report(0, large(10_000));
-    shard.report(1, told(0, 5000));
-    shard.report(2, told(0, 5000));
-    assert_eq!(shard.may(1, told(0, 5000)), NONE);
-    assert_eq!(shard.may(0, large(10_000)), cpus(10_000));
+    shard.report(1, team_usage(0, 5000));
+    shard.report(2, team_usage(0, 5000));
+    assert_eq!(shard.granted(1, team_usage(0, 5000)), NONE);
+    assert_eq!(shard.granted(0, large(10_000)), cpus(10_000));
     shard.report(0, TeamUsage::of(0));
     let mut never = large(10_001);
     never.wanted = Default::default();
     shard.report(0, never);
-    assert_eq!(shard.may(1, told(0, 5000)), cpus(5000));
+    assert_eq!(shard.granted(1, team_usage(0, 5000)), cpus(5000));
 }
 
 /// One processor of the quota is free, and the first job of the highest priority needs two. The processor
@@ -142,7 +142,7 @@
 #[test]
 fn backfilling_grants_whole_tasks_that_fit() {
     let asks = |used: u64, priority: usize, need: u64| {
-        let mut usage = told(used, 0);
+        let mut usage = team_usage(used, 0);
         usage.wanted[priority] = cpus(8000);
         usage.first[priority] = Some(FirstInQueue { need: cpus(need), waited_ms: 90_000 });
         usage
@@ -152,23 +152,23 @@
     for (from, usage) in [(0, large), (1, small), (2, asks(0, 3, 2000))] {
         shard.report(from, usage);
     }
-    assert_eq!(shard.may(1, small), NONE, "reserved for the first job");
-    shard.quota.set_phase(phase::QuotaPhase::Backfilling);
-    assert_eq!(shard.may(0, large), cpus(4000));
-    assert_eq!(shard.may(2, asks(0, 3, 2000)), NONE);
-    assert_eq!(shard.may(1, small), cpus(1000));
+    assert_eq!(shard.granted(1, small), NONE, "reserved for the first job");
+    shard.manager.set_phase(phase::QuotaPhase::Backfilling);
+    assert_eq!(shard.granted(0, large), cpus(4000));
+    assert_eq!(shard.granted(2, asks(0, 3, 2000)), NONE);
+    assert_eq!(shard.granted(1, small), cpus(1000));
 }
 
 /// In the backfilling phase a coordinator reserves nothing for a job that its grant does not cover.
 #[test]
 fn admission_reserves_nothing_while_backfilling() {
-    let gang = AdmissionRequest { all_or_nothing: true, ..asking(Priority::High, 2000, 2) };
-    let task = asking(Priority::Low, 1000, 1);
-    let status = standing(1000, 1000, [0; 4]);
-    for (phase, let_in) in [(phase::QuotaPhase::Reserving, 0), (phase::QuotaPhase::Backfilling, 1)] {
+    let gang = AdmissionRequest { all_or_nothing: true, ..request(Priority::High, 2000, 2) };
+    let task = request(Priority::Low, 1000, 1);
+    let status = quota_status(1000, 1000, [0; 4]);
+    for (phase, admitted) in [(phase::QuotaPhase::Reserving, 0), (phase::QuotaPhase::Backfilling, 1)] {
         let mut admission = Admission::new(status).in_phase(phase);
         assert_eq!(admission.admit(&gang).now, 0);
-        assert_eq!(admission.admit(&task).now, let_in, "{phase:?}");
+        assert_eq!(admission.admit(&task).now, admitted, "{phase:?}");
     }
 }
 
@@ -184,9 +184,9 @@
     busy.used[3] = QuotaAmount { cpu: 1000, gpu: 1000 };
     shard.report(0, gpus);
     shard.report(1, busy);
-    shard.report(2, told(0, 9000));
-    assert_eq!(shard.may(0, gpus), NONE, "one GPU is free");
-    assert_eq!(shard.may(2, told(0, 9000)), cpus(6000), "all but what is reserved for the first job");
+    shard.report(2, team_usage(0, 9000));
+    assert_eq!(shard.granted(0, gpus), NONE, "one GPU is free");
+    assert_eq!(shard.granted(2, team_usage(0, 9000)), cpus(6000), "all but what is reserved for the first job");
 }
 
 /// Reports with impossible values, or of coordinators that don't exist.
@@ -194,35 +194,35 @@
 fn ignores_invalid_reports() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
     for s in 0..3 {
-        shard.report(s, told(0, 2000));
+        shard.report(s, team_usage(0, 2000));
     }
-    assert!(shard.report(7, told(0, 2000)).is_none());
-    let mut other = told(0, 2000);
+    assert!(shard.report(7, team_usage(0, 2000)).is_none());
+    let mut other = team_usage(0, 2000);
     other.team = 200;
     assert!(shard.report(0, other).is_none());
-    assert_eq!(shard.may(1, told(2000, 1000)), cpus(3000), "no report of a missing coordinator is waited for");
-    assert!(shard.may(1, told(u64::MAX, u64::MAX)).within(cpus(10_000)));
+    assert_eq!(shard.granted(1, team_usage(2000, 1000)), cpus(3000), "no report of a missing coordinator is waited for");
+    assert!(shard.granted(1, team_usage(u64::MAX, u64::MAX)).within(cpus(10_000)));
     shard.report(0, TeamUsage::of(0));
-    assert_eq!(shard.may(2, told(0, 2000)), NONE, "the reported usage counts");
+    assert_eq!(shard.granted(2, team_usage(0, 2000)), NONE, "the reported usage counts");
 }
 
 /// The demand of a silent coordinator is dropped, but its share stays counted.
 #[test]
 fn silent_coordinator_keeps_share_without_demand() {
     let mut shard = TeamShard::new(team(10.0, 0.0));
-    shard.report(1, told(1000, 9000));
-    shard.report(0, told(0, 9000));
+    shard.report(1, team_usage(1000, 9000));
+    shard.report(0, team_usage(0, 9000));
     shard.report(2, TeamUsage::of(0));
-    assert_eq!(shard.may(0, told(0, 9000)), cpus(4500));
+    assert_eq!(shard.granted(0, team_usage(0, 9000)), cpus(4500));
     shard.now += 3000;
-    assert_eq!(shard.may(0, told(0, 9000)), cpus(9000));
+    assert_eq!(shard.granted(0, team_usage(0, 9000)), cpus(9000));
 }
 
-fn standing(may: u64, due: u64, used: [u64; 4]) -> QuotaStatus {
+fn quota_status(may: u64, due: u64, used: [u64; 4]) -> QuotaStatus {
     QuotaStatus { may: cpus(may), due: cpus(due), used: used.map(cpus) }
 }
 
-fn asking(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
+fn request(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
     AdmissionRequest {
         priority,
         task: cpus(cpu),
@@ -235,30 +235,30 @@
 /// A low-priority array of 5,000 tasks uses the whole quota when a service of the same team arrives.
 #[test]
 fn admits_tasks_after_preempting_lower_priority() {
-    let service = asking(Priority::Production, 2000, 3);
-    let array = asking(Priority::Low, 1000, 5000);
-    let mut a = Admission::new(standing(10_000, 10_000, [10_000, 0, 0, 0]));
+    let service = request(Priority::Production, 2000, 3);
+    let array = request(Priority::Low, 1000, 5000);
+    let mut a = Admission::new(quota_status(10_000, 10_000, [10_000, 0, 0, 0]));
     let got = a.admit(&service);
     assert_eq!((got.now, got.in_turn, got.worth), (0, 3, 0), "{got:?}");
     let got = a.admit(&array);
     assert_eq!((got.now, got.in_turn), (0, 0), "preempted quota is not admitted again");
-    let mut a = Admission::new(standing(10_000, 10_000, [3000, 0, 0, 0]));
+    let mut a = Admission::new(quota_status(10_000, 10_000, [3000, 0, 0, 0]));
     assert_eq!(a.admit(&service).now, 3);
     assert_eq!(a.admit(&array).now, 1);
 }
 
 #[test]
 fn reserves_quota_for_gang_unless_it_yields() {
-    let gang = AdmissionRequest { all_or_nothing: true, ..asking(Priority::Normal, 3000, 2) };
-    let array = asking(Priority::Low, 1000, 50);
-    let free = standing(5000, 5000, [0; 4]);
+    let gang = AdmissionRequest { all_or_nothing: true, ..request(Priority::Normal, 3000, 2) };
+    let array = request(Priority::Low, 1000, 50);
+    let free = quota_status(5000, 5000, [0; 4]);
     let mut a = Admission::new(free);
     assert_eq!((a.admit(&gang).in_turn, a.admit(&array).now), (0, 0));
     let mut a = Admission::new(free);
     let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, a.admit(&array).now), (0, 5));
     // The gang would be admitted after preemption, so it is worth an instance.
-    let mut a = Admission::new(standing(6000, 6000, [6000, 0, 0, 0]));
+    let mut a = Admission::new(quota_status(6000, 6000, [6000, 0, 0, 0]));
     let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, got.in_turn, got.worth), (0, 2, 2));
 }
@@ -281,7 +281,7 @@
         self.used.iter().sum()
     }
 
-    fn told(&self) -> TeamUsage {
+    fn usage(&self) -> TeamUsage {
         let mut u = TeamUsage::of(0);
         u.used = self.used.map(cpus);
         u.wanted = self.wants.map(cpus);
@@ -328,25 +328,25 @@
 
 /// The team's shard and three coordinators, with lost, late and duplicate messages and new owners.
 struct Model {
-    limit: u64,
-    quota: QuotaManager,
+    quota: u64,
+    manager: QuotaManager,
     owner: u64,
     now: Timestamp,
     coordinators: Vec<ModelCoordinator>,
 }
 
 impl Model {
-    fn new(limit: u64) -> Model {
-        let quota = Model::fresh(limit);
-        Model { limit, quota, owner: 1, now: 0, coordinators: vec![ModelCoordinator::default(); 3] }
+    fn new(quota: u64) -> Model {
+        let manager = Model::fresh(quota);
+        Model { quota, manager, owner: 1, now: 0, coordinators: vec![ModelCoordinator::default(); 3] }
     }
 
-    fn fresh(limit: u64) -> QuotaManager {
-        QuotaManager::new(Shard(0), &[team(limit as f64 / 1000.0, 0.0)], 3)
+    fn fresh(quota: u64) -> QuotaManager {
+        QuotaManager::new(Shard(0), &[team(quota as f64 / 1000.0, 0.0)], 3)
     }
 
     fn receive(&mut self, c: usize, r: (u64, u64, TeamUsage)) -> Option<QuotaAmount> {
-        let g = self.quota.report(self.now, Shard(c as u8), Epoch(r.0), r.1, &[r.2])?;
+        let g = self.manager.report(self.now, Shard(c as u8), Epoch(r.0), r.1, &[r.2])?;
         g.first().map(|g| g.may)
     }
 
@@ -354,7 +354,7 @@
         let coordinator = &mut self.coordinators[c];
         coordinator.serial += 1;
         coordinator.grant = None;
-        let r = (coordinator.epoch, coordinator.serial, coordinator.told());
+        let r = (coordinator.epoch, coordinator.serial, coordinator.usage());
         coordinator.sent.push((self.owner, r));
         if arrives {
             let may = self.receive(c, r);
@@ -399,7 +399,7 @@
             }
             Step::NewOwner => {
                 self.owner += 1;
-                self.quota = Model::fresh(self.limit);
+                self.manager = Model::fresh(self.quota);
             }
         }
     }
@@ -414,13 +414,13 @@
 
     #[test]
     fn usage_never_exceeds_quota(
-        limit in 500..4000u64,
+        quota in 500..4000u64,
         steps in prop::collection::vec(step(), 1..150),
     ) {
-        let mut model = Model::new(limit);
+        let mut model = Model::new(quota);
         for step in &steps {
             model.apply(step);
-            prop_assert!(model.total() <= limit, "{} of {limit} after {step:?}", model.total());
+            prop_assert!(model.total() <= quota, "{} of {quota} after {step:?}", model.total());
         }
     }
 
@@ -428,16 +428,16 @@
     /// coordinator with demand within two seconds.
     #[test]
     fn free_quota_is_granted_after_recovery(
-        limit in 500..4000u64,
+        quota in 500..4000u64,
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let mut model = Model::new(limit);
+        let mut model = Model::new(quota);
         for step in &steps {
             model.apply(step);
         }
         let asks: u64 = model.coordinators.iter().flat_map(|c| c.wants).sum();
         // Free quota is reserved until it covers a first job, which needs at most this much in the model.
-        prop_assume!(asks > 0 && limit - model.total() >= 700);
+        prop_assume!(asks > 0 && quota - model.total() >= 700);
         let before = model.total();
         for _ in 0..5 {
             for c in 0..3 {
@@ -447,7 +447,7 @@
                 }
             }
         }
-        prop_assert!(model.total() > before, "none of the free {} is granted: {:?}", limit - before, model.coordinators);
+        prop_assert!(model.total() > before, "none of the free {} is granted: {:?}", quota - before, model.coordinators);
     }
 
     /// Admission never exceeds the grant, whatever the jobs.
@@ -456,7 +456,7 @@
         may in 0..9000u64, due in 0..9000u64, used in prop::array::uniform4(0..3000u64),
         jobs in prop::collection::vec((0..4usize, 1..900u64, 1..9u32, any::<bool>()), 1..20),
     ) {
-        let mut a = Admission::new(standing(may, due, used));
+        let mut a = Admission::new(quota_status(may, due, used));
         let mut taken = used.iter().sum::<u64>();
         let started = taken;
         let mut jobs = jobs;
@@ -464,7 +464,7 @@
         for (p, cpu, count, whole) in jobs {
             let priority =
                 [Priority::Low, Priority::Normal, Priority::High, Priority::Production][p];
-            let got = a.admit(&AdmissionRequest { all_or_nothing: whole, ..asking(priority, cpu, count) });
+            let got = a.admit(&AdmissionRequest { all_or_nothing: whole, ..request(priority, cpu, count) });
             prop_assert!(got.in_turn <= count && got.now <= got.in_turn);
             prop_assert!(!whole || got.now == 0 || got.now == count);
             taken += cpu * u64::from(got.now);
