--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -31,9 +31,9 @@
     /// Time from the acknowledgement of a cancellation until all tasks of the job must be gone, in ms.
     pub cancel_ms: u64,
     /// A machine that has been silent for this long, in ms, gets no new tasks.
-    pub quiet_ms: u64,
+    pub max_silence_ms: u64,
     /// Time within which a worker whose heartbeat was answered sends the next one, in ms.
-    pub report_due_ms: u64,
+    pub heartbeat_due_ms: u64,
     /// Most placements in one decision, which must fit into one record of the store.
     pub max_placements: usize,
     /// Most conditions and changes, counted together, in one transaction of the store.
@@ -41,7 +41,7 @@
     /// How long a new instance may be missing from the cloud's list of instances, in ms.
     pub list_lag_ms: u64,
     /// Interval between calls to the cloud, in ms, which keeps the calls below its rate limit.
-    pub cloud_gap_ms: u64,
+    pub cloud_call_interval_ms: u64,
     /// The teams with their quotas; a team's index here is its number.
     pub teams: Vec<leaddeal_wire::settings::Team>,
     /// The service-level objectives.
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -65,12 +65,12 @@
     Config {
         worker_lease_ms: (params.workers.lease_s * 1000.0) as u64,
         cancel_ms: (params.workers.cancel_s * 1000.0) as u64,
-        quiet_ms: (params.workers.report_s * QUIET_MS_PER_INTERVAL_S) as u64 + QUIET_EXTRA_MS,
-        report_due_ms: (params.workers.report_s * REPORT_DUE_MS_PER_INTERVAL_S) as u64
+        max_silence_ms: (params.workers.report_s * QUIET_MS_PER_INTERVAL_S) as u64 + QUIET_EXTRA_MS,
+        heartbeat_due_ms: (params.workers.report_s * REPORT_DUE_MS_PER_INTERVAL_S) as u64
             + REPORT_DUE_EXTRA_MS,
         max_placements,
         txn_ops: params.state.txn_ops,
-        cloud_gap_ms: (CLOUD_GAP_AT_1_RPS_MS / params.cloud.rps) as u64,
+        cloud_call_interval_ms: (CLOUD_GAP_AT_1_RPS_MS / params.cloud.rps) as u64,
         list_lag_ms: (params.cloud.list_lag_s * 1000.0) as u64,
         teams: params.teams.clone(),
         objectives: Objectives::new(&params.objectives, 1000.0 / placed_per_s.max(1.0)),
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -92,7 +92,7 @@
             && machine.reachability.unreachable_since().is_none()
             && machine.quarantined_until <= ctx.now
             && !self.is_suspected(idx, ctx.now)
-            && ctx.now < machine.last_heartbeat_at + ctx.config.quiet_ms
+            && ctx.now < machine.last_heartbeat_at + ctx.config.max_silence_ms
     }
 
     /// Cheap work does not keep a machine that is too expensive for it, unless that is paid for
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -109,7 +109,7 @@
         if machine.released || !machine.awaits_response(heartbeat) {
             return None;
         }
-        machine.reachability.report(via, ctx.config.report_due_ms, ctx.now);
+        machine.reachability.report(via, ctx.config.heartbeat_due_ms, ctx.now);
         self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::Periodic);
         let token = self.epoch.0;
         let machine = self.machine(idx);
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -70,7 +70,7 @@
 
 /// Whether a command batch may be sent to the machine's worker now.
 fn may_command(ctx: &Context, machine: &Machine) -> bool {
-    let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.quiet_ms;
+    let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
     (ctx.lease_valid || !is_enforced(Guard::StartNeedsValidLease))
         && machine.direct_batch.is_none()
         && !machine.released
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -48,12 +48,12 @@
         let config = Config {
             worker_lease_ms: LEASE_MS,
             cancel_ms: 30_000,
-            quiet_ms: 6000,
-            report_due_ms: 4000,
+            max_silence_ms: 6000,
+            heartbeat_due_ms: 4000,
             max_placements: 50,
             txn_ops: 12,
             list_lag_ms: 3000,
-            cloud_gap_ms: 100,
+            cloud_call_interval_ms: 100,
             teams: Vec::new(),
             objectives: Objectives::default(),
         };
--- a/crates/core/src/provisioner/instance_list.rs
+++ b/crates/core/src/provisioner/instance_list.rs
@@ -136,7 +136,7 @@
     /// Asks for the list of instances, if it is time.
     pub(super) fn request_list(&mut self, ctx: &mut Context) {
         if self.listed.is_due(ctx.now) && self.call_pacing.is_ready(ctx.now) {
-            self.call_pacing.on_call(ctx.now, ctx.config.cloud_gap_ms);
+            self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
             self.listed.on_call(ctx.now);
             self.send_list_call(ctx, None);
         }
@@ -150,7 +150,7 @@
     pub(super) fn on_list_page(&mut self, ctx: &mut Context, page: InstanceList) {
         match self.listed.on_page(page, self.scale_in.released()) {
             ListProgress::NextPage { after } => {
-                self.call_pacing.on_early_call(ctx.now, ctx.config.cloud_gap_ms);
+                self.call_pacing.on_early_call(ctx.now, ctx.config.cloud_call_interval_ms);
                 self.send_list_call(ctx, Some(after));
             }
             ListProgress::Complete => self.reconcile(ctx),
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -183,7 +183,7 @@
             return;
         }
         let Some((number, request)) = self.instance_requests.next_to_send(ctx.now) else { return };
-        self.call_pacing.on_call(ctx.now, ctx.config.cloud_gap_ms);
+        self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::Launch(number));
         ctx.cloud(operation, CloudCall::Launch(request));
     }
--- a/crates/core/src/provisioner/scale_in.rs
+++ b/crates/core/src/provisioner/scale_in.rs
@@ -93,7 +93,7 @@
             return;
         }
         let Some(names) = self.scale_in.next_release(ctx.now) else { return };
-        self.call_pacing.on_call(ctx.now, ctx.config.cloud_gap_ms);
+        self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::Release);
         ctx.cloud(operation, CloudCall::Release(names));
     }
