--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -259,7 +259,7 @@
     /// Whether this node's lease has certainly not expired, so that no other node can own its shards.
     pub lease_valid: bool,
     /// Set by a component when a coordinator may have work for a decision round.
-    pub wake: bool,
+    pub needs_round: bool,
     /// The calls, messages, commands, replies and log lines that result from the input.
     pub effects: &'a mut Effects,
     /// The numbers assigned to names, and the cloud's catalog.
@@ -297,7 +297,7 @@
 
     /// Whether the shard is owned by this node, or by a node from which something was received
     /// recently.
-    pub fn reachable(&self, shard: Shard) -> bool {
+    pub fn is_reachable(&self, shard: Shard) -> bool {
         self.owner(shard).is_some_and(|owner| {
             let heard_at = self.heard_at.get(owner.node.0 as usize);
             owner.node == self.me || heard_at.is_some_and(|&at| is_recent(at, self.now))
@@ -316,7 +316,7 @@
 
     /// Returns the job's team and how much of the team's quota one task takes; `None` if the team is
     /// unknown or has no quota.
-    pub fn team_use(&self, job: &Job) -> Option<QuotaUse> {
+    pub fn quota_use(&self, job: &Job) -> Option<QuotaUse> {
         let team = self.config.teams.iter().position(|team| team.name == job.wire.team)?;
         quota::team_quota(&self.config.teams[team])?;
         let need = job.shape.need;
@@ -330,13 +330,13 @@
     }
 
     /// Calls the store; the answer is handled by the component that the operation names.
-    pub fn store(&mut self, operation: Operation, call: StoreCall) {
+    pub fn call_store(&mut self, operation: Operation, call: StoreCall) {
         let op = self.operations.begin(operation);
         self.effects.push(Effect::Store { op, call });
     }
 
     /// Calls the cloud; the answer is handled by the component that the operation names.
-    pub fn cloud(&mut self, operation: Operation, call: CloudCall) {
+    pub fn call_cloud(&mut self, operation: Operation, call: CloudCall) {
         let op = self.operations.begin(operation);
         self.effects.push(Effect::Cloud { op, call });
     }
@@ -355,7 +355,7 @@
 
     /// Creates the record that names the newest machine which existed before the service. Whether it
     /// was created now or existed already, it is then read back.
-    pub fn find_operator_machines(&mut self, newest: String) {
+    pub fn put_operator_machines(&mut self, newest: String) {
         let change = Change::Put {
             key: keys::BASE_KEY.into(),
             value: OperatorMachinesRecord(&newest).encode(),
@@ -366,19 +366,19 @@
             changes: vec![change],
         };
         self.budget.spend(WriteClass::Deferrable, 1);
-        self.store(Operation::PutOperatorMachines, StoreCall::Transaction(transaction));
+        self.call_store(Operation::PutOperatorMachines, StoreCall::Transaction(transaction));
     }
 
     /// Reads the job from the store.
     pub(crate) fn read_job(&mut self, lookup: JobLookup) {
         let key = keys::job_key(self.shard_of_job(lookup.id), lookup.id);
-        self.store(Operation::ReadJob { lookup }, StoreCall::Get { key });
+        self.call_store(Operation::ReadJob { lookup }, StoreCall::Get { key });
     }
 
     /// Reads the job's terminal state from the store.
     pub(crate) fn read_terminal_state(&mut self, lookup: JobLookup) {
         let key = keys::terminal_state_key(self.shard_of_job(lookup.id), lookup.id);
-        self.store(Operation::ReadTerminalState { lookup }, StoreCall::Get { key });
+        self.call_store(Operation::ReadTerminalState { lookup }, StoreCall::Get { key });
     }
 
     /// Answers a lookup for which the store holds neither the job nor its terminal state.
--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -79,7 +79,7 @@
         if let Some(call) = call {
             ctx.horizons.on_cancelled(self.shard, self.epoch, id, ctx.now);
             let operation = Operation::Finish { shard: self.shard, epoch: self.epoch, job: id };
-            ctx.store(operation, call);
+            ctx.call_store(operation, call);
         }
     }
 
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -61,7 +61,7 @@
             machine: &choice.offer.machine,
             incarnation: choice.offer.incarnation,
             zone: ZoneIdx(choice.offer.zone),
-            quota: self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job)),
+            quota: self.jobs.get(&choice.job).and_then(|job| ctx.quota_use(job)),
         });
         DecisionRecord { attempt: attempt.0, placements: placements.collect() }.encode()
     }
@@ -76,7 +76,7 @@
     ) -> PendingWrite {
         for (team, grant) in &self.quota.grants {
             let is_used = selected.iter().any(|choice| {
-                let quota = self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job));
+                let quota = self.jobs.get(&choice.job).and_then(|job| ctx.quota_use(job));
                 quota.is_some_and(|quota| quota.team == *team)
             });
             if is_used && is_enforced(Guard::GrantBoundToEpoch) {
@@ -95,7 +95,7 @@
             return;
         };
         if let Some(call) = decision.write.next_call(ctx.now, ctx.budget) {
-            ctx.store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
@@ -139,7 +139,7 @@
             ctx.send(self.shard, request.target.participant, request.into_message());
         }
         self.close_negotiation(ctx, decision.negotiation, &decision.holders);
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Places one task and adds it to the batch. False if its job was cancelled while the decision was
@@ -166,7 +166,7 @@
             sent_at: ctx.now,
             stop: None,
             adopted: false,
-            quota: ctx.team_use(job),
+            quota: ctx.quota_use(job),
         };
         if job.cancelled || job.termination.status.is_some() {
             job.give_back(task);
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -46,7 +46,7 @@
     /// Reads on: the next page, or what is written.
     pub(super) fn read_on(&mut self, ctx: &mut Context) {
         if let Some(call) = self.reader.next_call(ctx.now) {
-            ctx.store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
@@ -120,7 +120,7 @@
         for job in self.jobs.values().filter(|job| job.wire.class.is_empty()) {
             ctx.horizons.on_cancelled(self.shard, self.epoch, job.id, ctx.now);
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
         let (shard, jobs) = (self.shard.0, self.jobs.len());
         ctx.effects.log(LogLevel::Info, "shard_loaded", || format!("shard={shard} jobs={jobs}"));
     }
@@ -144,7 +144,7 @@
         self.service_statistics.record_submission(&job);
         self.jobs.insert(id, job);
         self.unplaced_jobs.insert(id);
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// One that can't be read counts as nothing done: its tasks run again, and exit with `done`.
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -190,7 +190,7 @@
                 job.capacity_freed(ctx.now);
             }
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Does what is due: loads, writes, resends, and starts a round.
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -139,7 +139,7 @@
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| job.may_start())
             .filter_map(|job| {
-                let QuotaUse { team, amount: task } = ctx.team_use(job)?;
+                let QuotaUse { team, amount: task } = ctx.quota_use(job)?;
                 let rank = QueueRank::of(job, ctx.now);
                 Some(Pending { rank, job, team, task })
             })
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -84,7 +84,7 @@
             return;
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let Some(QuotaUse { team, amount }) = ctx.team_use(job) else { return };
+        let Some(QuotaUse { team, amount }) = ctx.quota_use(job) else { return };
         let gang = job.wire.kind == Kind::Gang;
         let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
         let fewest = if gang { wanted } else { 1 };
@@ -116,7 +116,7 @@
         let jobs = self.jobs.values();
         let of_team = jobs
             .filter(|job| job.wire.kind != Kind::Service && job.wire.priority < priority)
-            .filter(|job| ctx.team_use(job).is_some_and(|usage| usage.team == team));
+            .filter(|job| ctx.quota_use(job).is_some_and(|usage| usage.team == team));
         for job in of_team {
             lesser.add(job, ctx.now);
         }
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -60,7 +60,7 @@
         for grant in granted {
             self.quota.grants.insert(grant.team, ReceivedGrant { epoch, grant });
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// What the tasks that are or may be on machines take of the teams' limits, by priority; what is
@@ -82,7 +82,7 @@
         }
         for choice in self.pending_decision.iter().flat_map(|decision| &decision.selected) {
             let Some(job) = self.jobs.get(&choice.job) else { continue };
-            if let Some(usage) = ctx.team_use(job) {
+            if let Some(usage) = ctx.quota_use(job) {
                 count(job.wire.priority, usage);
             }
         }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -34,7 +34,7 @@
 
 /// How many of a job's tasks its team's limit lets in; of a team without one, all.
 fn admitted_tasks(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> Admitted {
-    match ctx.team_use(job) {
+    match ctx.quota_use(job) {
         Some(_) => admitted.get(&job.id).copied().unwrap_or_default(),
         None => Admitted::all(job.pending()),
     }
@@ -163,7 +163,7 @@
         let gpu_work = self.gpu_work.kinds(ctx.now, self.jobs.values());
         let shards = ctx.shards().count();
         // A shard known to be vacant is not waited for.
-        let asked: Vec<Shard> = ctx.shards().filter(|shard| ctx.reachable(*shard)).collect();
+        let asked: Vec<Shard> = ctx.shards().filter(|shard| ctx.is_reachable(*shard)).collect();
         for &participant in &asked {
             let items = requests.iter().map(|r| r.for_participant(participant, shards)).collect();
             let gpu_work = gpu_work.clone();
@@ -228,7 +228,7 @@
     /// Decides once all participants that are reachable have answered, or the time for it is over.
     pub(super) fn check_negotiation(&mut self, ctx: &mut Context) {
         let Some(open) = &mut self.negotiation else { return };
-        open.unanswered.retain(|shard| ctx.reachable(*shard));
+        open.unanswered.retain(|shard| ctx.is_reachable(*shard));
         if open.unanswered.is_empty() || ctx.now >= open.started_at + OFFER_TIMEOUT_MS {
             self.decide(ctx);
         }
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -157,7 +157,7 @@
         offers: &JobOffers,
         wanted: u32,
     ) -> Option<u32> {
-        let Some(quota) = ctx.team_use(job) else {
+        let Some(quota) = ctx.quota_use(job) else {
             return Some(wanted);
         };
         // What is granted is not known just now: it soon is.
@@ -205,7 +205,7 @@
         taken: Vec<ReceivedOffer>,
     ) {
         let count = taken.len() as u32;
-        if let Some(quota) = ctx.team_use(job) {
+        if let Some(quota) = ctx.quota_use(job) {
             if let Some(status) = self.quotas.get_mut(&quota.team) {
                 let used = &mut status.used[job.wire.priority as usize];
                 *used = used.plus(quota.amount.times(count));
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -135,7 +135,7 @@
             machine: placement.machine,
             round: placement.round,
         });
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// The task has to be placed again, unless its job is cancelled.
@@ -161,7 +161,7 @@
         if is_empty_leftover {
             self.drop_cancelled(id);
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 }
 
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -43,7 +43,7 @@
         for active in self.owned.iter_mut().flatten() {
             let mut context = self.shared.context(effects);
             active.coordinator.start_round(&mut context);
-            self.wake |= context.wake;
+            self.wake |= context.needs_round;
         }
     }
 
@@ -124,7 +124,7 @@
                 }
             }
         }
-        self.wake |= context.wake;
+        self.wake |= context.needs_round;
     }
 }
 
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -26,9 +26,9 @@
         let mut context = self.shared.context(effects);
         match id {
             Some(lease) => context
-                .store(Operation::RenewLease { sent: now, lease }, StoreCall::RenewLease { lease }),
+                .call_store(Operation::RenewLease { sent: now, lease }, StoreCall::RenewLease { lease }),
             None => context
-                .store(Operation::NewLease { sent: now }, StoreCall::NewLease { ttl_ms: LEASE_MS }),
+                .call_store(Operation::NewLease { sent: now }, StoreCall::NewLease { ttl_ms: LEASE_MS }),
         }
     }
 
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -207,7 +207,7 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
+        context.call_store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
     }
 
     /// The answer to an acquisition. If another node owns the shard, the watch will report it.
@@ -259,7 +259,7 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
+        context.call_store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
     }
 
     /// The answer to the transaction that gives a shard back.
--- a/crates/core/src/node/provisioning.rs
+++ b/crates/core/src/node/provisioning.rs
@@ -33,7 +33,7 @@
         match result {
             StoreResult::Committed(_) | StoreResult::Conflict(_) => {
                 let call = StoreCall::Get { key: keys::BASE_KEY.into() };
-                self.shared.context(effects).store(Operation::GetOperatorMachines, call);
+                self.shared.context(effects).call_store(Operation::GetOperatorMachines, call);
             }
             _ => self.set_operator_machines(None),
         }
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -48,7 +48,7 @@
         }
         list.list_in_flight = true;
         let call = StoreCall::List { prefix: keys::SHARD_PREFIX.into(), after: None };
-        self.shared.context(effects).store(Operation::ListShards, call);
+        self.shared.context(effects).call_store(Operation::ListShards, call);
     }
 
     pub(super) fn shards_listed(&mut self, effects: &mut Effects, result: &StoreResult) {
@@ -74,7 +74,7 @@
     fn watch_shards(&mut self, effects: &mut Effects, after: u64) {
         let prefix = keys::SHARD_PREFIX.into();
         let call = StoreCall::Watch { prefix, after, wait_ms: WATCH_WAIT_MS };
-        self.shared.context(effects).store(Operation::WatchShards, call);
+        self.shared.context(effects).call_store(Operation::WatchShards, call);
     }
 
     pub(super) fn shards_watched(&mut self, effects: &mut Effects, result: &StoreResult) {
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -111,7 +111,7 @@
             now: effects.now,
             wall_clock_ms: self.wall_clock_ms,
             lease_valid: self.lease.valid(effects.now),
-            wake: false,
+            needs_round: false,
             effects,
             names: &mut self.names,
             config: &self.config,
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -71,7 +71,7 @@
         let Some(active) = slot.as_mut().filter(|active| active.epoch == epoch) else { return };
         let mut context = self.shared.context(effects);
         active.coordinator.records_read(&mut context, result);
-        self.wake |= context.wake;
+        self.wake |= context.needs_round;
     }
 
     /// The answer to a coordinator's write. If that was refused since the shard is another's, it is
@@ -95,7 +95,7 @@
                 coordinator.cancellation_written(&mut context, job, result)
             }
         };
-        self.wake |= context.wake;
+        self.wake |= context.needs_round;
         if ownership == Ownership::Lost {
             self.drop_shard(effects, shard);
             self.shard_list.relist_from(effects.now);
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -115,7 +115,7 @@
             reading.as_of = now;
         }
         let operation = Operation::TerminalStates { shard, asked: now };
-        self.shared.context(effects).store(operation, call);
+        self.shared.context(effects).call_store(operation, call);
     }
 
     /// The answer to a reading's call that was made at `asked`. It is ignored if that reading was
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -86,7 +86,7 @@
     fn request_catalog(&mut self, effects: &mut Effects) {
         if self.shared.names.catalog.is_empty() && effects.now >= self.timers.next_catalog_request {
             self.timers.next_catalog_request = effects.now + CATALOG_RETRY_INTERVAL_MS;
-            self.shared.context(effects).cloud(Operation::Catalog, CloudCall::Catalog);
+            self.shared.context(effects).call_cloud(Operation::Catalog, CloudCall::Catalog);
         }
     }
 
@@ -97,7 +97,7 @@
             if context.lease_valid {
                 active.coordinator.tick(&mut context);
             }
-            self.wake |= context.wake;
+            self.wake |= context.needs_round;
         }
     }
 
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -79,7 +79,7 @@
         let changes = vec![Change::Put { key, value: value.clone(), lease: None }];
         self.shared.budget.spend(WriteClass::Submission, 1);
         let call = StoreCall::Transaction(Transaction { conditions, changes });
-        self.shared.context(effects).store(Operation::Submit { req, id, value }, call);
+        self.shared.context(effects).call_store(Operation::Submit { req, id, value }, call);
     }
 
     /// Whether a machine type could take a task of the job, and its team's limit the whole job.
@@ -263,7 +263,7 @@
         if active.coordinator.ready() && newer {
             let mut context = self.shared.context(effects);
             active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
-            self.wake |= context.wake;
+            self.wake |= context.needs_round;
         }
     }
 }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -76,7 +76,7 @@
             now,
             wall_clock_ms: now,
             lease_valid: true,
-            wake: false,
+            needs_round: false,
             effects: &mut effects,
             names: &mut self.names,
             config: &self.config,
--- a/crates/core/src/provisioner/instance_list.rs
+++ b/crates/core/src/provisioner/instance_list.rs
@@ -144,7 +144,7 @@
 
     fn send_list_call(&self, ctx: &mut Context, after: Option<String>) {
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::List);
-        ctx.cloud(operation, CloudCall::List { after });
+        ctx.call_cloud(operation, CloudCall::List { after });
     }
 
     pub(super) fn on_list_page(&mut self, ctx: &mut Context, page: InstanceList) {
@@ -204,7 +204,7 @@
     /// Stores, or reads, the name of the newest machine that was there before the service.
     fn find_operator_machines(&mut self, ctx: &mut Context) {
         if self.operator_machines.begin_read() {
-            ctx.find_operator_machines(self.listed.newest().cloned().unwrap_or_default());
+            ctx.put_operator_machines(self.listed.newest().cloned().unwrap_or_default());
         }
     }
 }
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -167,7 +167,7 @@
         self.request_list(ctx);
         if now >= self.next_catalog_at {
             self.next_catalog_at = now + CATALOG_INTERVAL_MS;
-            ctx.cloud(Operation::Catalog, CloudCall::Catalog);
+            ctx.call_cloud(Operation::Catalog, CloudCall::Catalog);
         }
         self.request_launch(ctx);
         self.request_release(ctx);
@@ -185,7 +185,7 @@
         let Some((number, request)) = self.instance_requests.next_to_send(ctx.now) else { return };
         self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::Launch(number));
-        ctx.cloud(operation, CloudCall::Launch(request));
+        ctx.call_cloud(operation, CloudCall::Launch(request));
     }
 
     fn plan(&mut self, ctx: &mut Context) {
--- a/crates/core/src/provisioner/scale_in.rs
+++ b/crates/core/src/provisioner/scale_in.rs
@@ -95,7 +95,7 @@
         let Some(names) = self.scale_in.next_release(ctx.now) else { return };
         self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::Release);
-        ctx.cloud(operation, CloudCall::Release(names));
+        ctx.call_cloud(operation, CloudCall::Release(names));
     }
 
     pub(super) fn on_release_result(&mut self, ctx: &mut Context, result: &CloudResult) {
