--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -136,28 +136,28 @@
         epoch: Epoch,
     },
     /// The read of one page, or the watch, of the records that a coordinator loads.
-    Records {
+    ReadRecords {
         /// The shard.
         shard: Shard,
         /// The epoch of the coordinator that made the call.
         epoch: Epoch,
     },
     /// The write of a decision.
-    Decide {
+    WriteDecision {
         /// The shard.
         shard: Shard,
         /// The epoch of the coordinator that made the call.
         epoch: Epoch,
     },
     /// The write of a compaction: completed tasks as bitmaps.
-    Compaction {
+    WriteCompaction {
         /// The shard.
         shard: Shard,
         /// The epoch of the coordinator that made the call.
         epoch: Epoch,
     },
     /// The write of the terminal state of a cancelled job.
-    Finish {
+    WriteCancellation {
         /// The shard.
         shard: Shard,
         /// The epoch of the coordinator that made the call.
@@ -166,7 +166,7 @@
         job: JobId,
     },
     /// The write of a new job.
-    Submit {
+    WriteSubmission {
         /// The user's request.
         req: RequestId,
         /// The job.
@@ -185,7 +185,7 @@
         lookup: JobLookup,
     },
     /// The read of one page, or the watch, of the terminal states of a shard whose owner is silent.
-    TerminalStates {
+    ReadTerminalStates {
         /// The shard.
         shard: Shard,
         /// When the call was made.
@@ -206,10 +206,10 @@
     pub(crate) fn counts_as_write(&self) -> bool {
         matches!(
             self,
-            Operation::Decide { .. }
-                | Operation::Compaction { .. }
-                | Operation::Finish { .. }
-                | Operation::Submit { .. }
+            Operation::WriteDecision { .. }
+                | Operation::WriteCompaction { .. }
+                | Operation::WriteCancellation { .. }
+                | Operation::WriteSubmission { .. }
         )
     }
 }
@@ -218,17 +218,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingOperations {
     /// The last number that was assigned; 0 before the first call.
-    last: OperationId,
+    last_id: OperationId,
     /// The unanswered calls, by number.
-    pub open: HashMap<OperationId, Operation>,
+    pub by_id: HashMap<OperationId, Operation>,
 }
 
 impl PendingOperations {
     /// Assigns a number to a call.
-    fn begin(&mut self, operation: Operation) -> OperationId {
-        self.last += 1;
-        self.open.insert(self.last, operation);
-        self.last
+    fn register(&mut self, operation: Operation) -> OperationId {
+        self.last_id += 1;
+        self.by_id.insert(self.last_id, operation);
+        self.last_id
     }
 }
 
@@ -331,13 +331,13 @@
 
     /// Calls the store; the answer is handled by the component that the operation names.
     pub fn call_store(&mut self, operation: Operation, call: StoreCall) {
-        let op = self.operations.begin(operation);
+        let op = self.operations.register(operation);
         self.effects.push(Effect::Store { op, call });
     }
 
     /// Calls the cloud; the answer is handled by the component that the operation names.
     pub fn call_cloud(&mut self, operation: Operation, call: CloudCall) {
-        let op = self.operations.begin(operation);
+        let op = self.operations.register(operation);
         self.effects.push(Effect::Cloud { op, call });
     }
 
@@ -434,6 +434,6 @@
 }
 
 /// Returns the state shown for a job of which nothing is known except that it exists.
-pub(crate) fn queued(id: JobId) -> JobState {
+pub(crate) fn queued_state(id: JobId) -> JobState {
     JobState { id: user::job_id(id.0), status: Status::Queued, done: 0, running: 0 }
 }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -95,7 +95,7 @@
             return;
         };
         if let Some(call) = decision.write.next_call(ctx.now, ctx.budget) {
-            ctx.call_store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::WriteDecision { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -46,7 +46,7 @@
     /// Reads on: the next page, or what is written.
     pub(super) fn read_on(&mut self, ctx: &mut Context) {
         if let Some(call) = self.reader.next_call(ctx.now) {
-            ctx.call_store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::ReadRecords { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -150,6 +150,6 @@
 
     /// Too many calls to outside services are in flight to begin another one for a user.
     pub(super) fn too_many_operations(&self) -> bool {
-        self.operations.open.len() > super::MAX_OPEN_STORE_CALLS
+        self.operations.by_id.len() > super::MAX_OPEN_STORE_CALLS
     }
 }
--- a/crates/core/src/node/step.rs
+++ b/crates/core/src/node/step.rs
@@ -35,7 +35,7 @@
 
     /// An answer of the state service. An answer to no call of this process is ignored.
     fn store_result(&mut self, effects: &mut Effects, op: OperationId, result: StoreResult) {
-        let Some(operation) = self.shared.operations.open.remove(&op) else { return };
+        let Some(operation) = self.shared.operations.by_id.remove(&op) else { return };
         if !matches!(result, StoreResult::Refused | StoreResult::RateLimited | StoreResult::Unknown)
         {
             self.store_answered_at = effects.now;
@@ -54,7 +54,7 @@
 
     /// An answer of the cloud service. An answer to no call of this process is ignored.
     fn cloud_result(&mut self, effects: &mut Effects, op: OperationId, result: CloudResult) {
-        let Some(operation) = self.shared.operations.open.remove(&op) else { return };
+        let Some(operation) = self.shared.operations.by_id.remove(&op) else { return };
         match (operation, result) {
             (Operation::Catalog, CloudResult::Catalog(catalog)) => {
                 self.shared.names.set_catalog(catalog);
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -31,26 +31,26 @@
             Operation::Release { shard, epoch } => {
                 self.release_answered(effects, shard, epoch, &result);
             }
-            Operation::Records { shard, epoch } => {
+            Operation::ReadRecords { shard, epoch } => {
                 self.records_read(effects, shard, epoch, result);
             }
-            Operation::Decide { shard, epoch } => {
+            Operation::WriteDecision { shard, epoch } => {
                 self.written(effects, shard, epoch, CoordinatorWrite::Decision, &result);
             }
-            Operation::Compaction { shard, epoch } => {
+            Operation::WriteCompaction { shard, epoch } => {
                 self.written(effects, shard, epoch, CoordinatorWrite::Compaction, &result);
             }
-            Operation::Finish { shard, epoch, job } => {
+            Operation::WriteCancellation { shard, epoch, job } => {
                 self.written(effects, shard, epoch, CoordinatorWrite::Finish(job), &result);
             }
-            Operation::Submit { req, id, value } => {
+            Operation::WriteSubmission { req, id, value } => {
                 self.submitted(effects, req, id, &value, &result);
             }
             Operation::ReadJob { lookup } => self.job_read(effects, lookup, &result),
             Operation::ReadTerminalState { lookup } => {
                 self.terminal_state_read(effects, lookup, result);
             }
-            Operation::TerminalStates { shard, asked } => {
+            Operation::ReadTerminalStates { shard, asked } => {
                 self.terminal_states_read(effects.now, shard, asked, result);
             }
             Operation::PutOperatorMachines => self.operator_machines_put(effects, &result),
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -114,7 +114,7 @@
         if !matches!(call, StoreCall::List { after: Some(_), .. }) {
             reading.as_of = now;
         }
-        let operation = Operation::TerminalStates { shard, asked: now };
+        let operation = Operation::ReadTerminalStates { shard, asked: now };
         self.shared.context(effects).call_store(operation, call);
     }
 
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -2,7 +2,7 @@
 use super::Node;
 use crate::budget::WriteClass;
 use crate::context::{
-    queued, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
+    queued_state, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
 };
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{shard_of_job, JobId, NodeIdx, Shard, Timestamp, TypeIdx};
@@ -79,7 +79,7 @@
         let changes = vec![Change::Put { key, value: value.clone(), lease: None }];
         self.shared.budget.spend(WriteClass::Submission, 1);
         let call = StoreCall::Transaction(Transaction { conditions, changes });
-        self.shared.context(effects).call_store(Operation::Submit { req, id, value }, call);
+        self.shared.context(effects).call_store(Operation::WriteSubmission { req, id, value }, call);
     }
 
     /// Whether a machine type could take a task of the job, and its team's limit the whole job.
@@ -187,7 +187,7 @@
             StoreResult::Item(Some(_)) if lookup.purpose == LookupPurpose::Cancellation => {
                 context.reply_later(lookup.req, 503, UNKNOWN_RETRY_S);
             }
-            StoreResult::Item(Some(_)) => context.reply_state(lookup.req, 200, queued(lookup.id)),
+            StoreResult::Item(Some(_)) => context.reply_state(lookup.req, 200, queued_state(lookup.id)),
             StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.read_terminal_state(lookup);
             }
@@ -234,13 +234,13 @@
         match result {
             StoreResult::Committed(revision) => {
                 self.job_created(effects, id, value, *revision);
-                self.shared.context(effects).reply(req, UserReply::created(queued(id)));
+                self.shared.context(effects).reply(req, UserReply::created(queued_state(id)));
             }
             StoreResult::Conflict(_) => {
                 self.lookup(effects, req, id, LookupPurpose::Resubmission);
             }
             StoreResult::Unknown if !is_enforced(Guard::SubmissionDurableBeforeAck) => {
-                self.shared.context(effects).reply(req, UserReply::created(queued(id)));
+                self.shared.context(effects).reply(req, UserReply::created(queued_state(id)));
             }
             _ => self.reply_later(effects, req, UNKNOWN_RETRY_S),
         }
