--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -2,7 +2,7 @@
 //! shards' owners, and functions to send, write, call and reply. No component depends on the node
 //! itself.
 use crate::budget::{WriteBudget, WriteClass};
-use crate::health::is_recent;
+use crate::health::counts_as_reachable;
 use crate::horizon::Horizons;
 use crate::ids::{
     shard_of_job, shard_of_machine, Epoch, JobId, MachineIdx, NodeIdx, Shard, Timestamp,
@@ -275,7 +275,7 @@
     /// The known ownership of each shard, by shard.
     pub(crate) shard_views: &'a [ShardView],
     /// When something was last received from each node, by node; 0: never.
-    pub(crate) heard_at: &'a [Timestamp],
+    pub(crate) last_contact_at: &'a [Timestamp],
     /// Calls to external services that are not answered yet.
     pub(crate) operations: &'a mut PendingOperations,
     /// Messages between shards that were not delivered yet.
@@ -299,8 +299,8 @@
     /// recently.
     pub fn is_reachable(&self, shard: Shard) -> bool {
         self.owner(shard).is_some_and(|owner| {
-            let heard_at = self.heard_at.get(owner.node.0 as usize);
-            owner.node == self.me || heard_at.is_some_and(|&at| is_recent(at, self.now))
+            let last_contact_at = self.last_contact_at.get(owner.node.0 as usize);
+            owner.node == self.me || last_contact_at.is_some_and(|&at| counts_as_reachable(at, self.now))
         })
     }
 
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -14,9 +14,9 @@
 /// A sibling from which nothing was received for this long, in ms, is considered unreachable.
 const UNREACHABLE_AFTER_MS: u64 = 3000;
 
-/// Whether a sibling from which something was last received at `heard_at` is considered reachable.
-pub(crate) fn is_recent(heard_at: Timestamp, now: Timestamp) -> bool {
-    now < heard_at + UNREACHABLE_AFTER_MS
+/// Whether a sibling from which something was last received at `last_contact_at` is considered reachable.
+pub(crate) fn counts_as_reachable(last_contact_at: Timestamp, now: Timestamp) -> bool {
+    now < last_contact_at + UNREACHABLE_AFTER_MS
 }
 
 /// What a sibling stated about itself.
@@ -33,7 +33,7 @@
 pub struct Health {
     me: NodeIdx,
     /// When something was last received from each node, by node; 0: never.
-    heard_at: Vec<Timestamp>,
+    last_contact_at: Vec<Timestamp>,
     /// The statements of each node, by node.
     statements: Vec<Statement>,
 }
@@ -43,13 +43,13 @@
     /// shards.
     pub fn new(me: NodeIdx, nodes: usize) -> Health {
         let nothing = Statement { known_epochs: vec![Epoch(0); nodes], ready: false };
-        Health { me, heard_at: vec![0; nodes], statements: vec![nothing; nodes] }
+        Health { me, last_contact_at: vec![0; nodes], statements: vec![nothing; nodes] }
     }
 
     /// Records that something was received from a sibling.
     pub fn record_contact(&mut self, node: NodeIdx, now: Timestamp) {
-        if let Some(heard_at) = self.heard_at.get_mut(node.0 as usize) {
-            *heard_at = now;
+        if let Some(last_contact_at) = self.last_contact_at.get_mut(node.0 as usize) {
+            *last_contact_at = now;
         }
     }
 
@@ -65,40 +65,40 @@
     }
 
     /// Returns when something was last received from each node, by node; 0: never.
-    pub fn heard_at(&self) -> &[Timestamp] {
-        &self.heard_at
+    pub fn last_contact_at(&self) -> &[Timestamp] {
+        &self.last_contact_at
     }
 
     /// Whether something was received from the node recently.
-    pub fn hears(&self, node: NodeIdx, now: Timestamp) -> bool {
-        self.heard_at.get(node.0 as usize).is_some_and(|&at| is_recent(at, now))
+    pub fn is_reachable(&self, node: NodeIdx, now: Timestamp) -> bool {
+        self.last_contact_at.get(node.0 as usize).is_some_and(|&at| counts_as_reachable(at, now))
     }
 
     fn siblings(&self) -> impl Iterator<Item = NodeIdx> + '_ {
-        (0..self.heard_at.len()).map(|node| NodeIdx(node as u8)).filter(|&node| node != self.me)
+        (0..self.last_contact_at.len()).map(|node| NodeIdx(node as u8)).filter(|&node| node != self.me)
     }
 
     /// Whether a sibling is reachable, or this node has no siblings.
-    pub fn hears_any_sibling(&self, now: Timestamp) -> bool {
+    pub fn reaches_any_sibling(&self, now: Timestamp) -> bool {
         let mut siblings = self.siblings().peekable();
-        siblings.peek().is_none() || siblings.any(|node| self.hears(node, now))
+        siblings.peek().is_none() || siblings.any(|node| self.is_reachable(node, now))
     }
 
     /// Whether a reachable sibling can serve user requests.
-    pub fn another_is_ready(&self, now: Timestamp) -> bool {
+    pub fn has_ready_sibling(&self, now: Timestamp) -> bool {
         let is_ready = |node: NodeIdx| self.statements[node.0 as usize].ready;
-        self.siblings().any(|node| self.hears(node, now) && is_ready(node))
+        self.siblings().any(|node| self.is_reachable(node, now) && is_ready(node))
     }
 
     /// Whether every sibling has stated that it knows this epoch of the shard, or a newer one. Then
     /// whatever the siblings, and earlier processes of their nodes, granted under older epochs was
     /// granted before now.
-    pub fn all_acknowledge(&self, shard: Shard, epoch: Epoch) -> bool {
-        let acknowledges = |node: NodeIdx| {
+    pub fn all_siblings_know_epoch(&self, shard: Shard, epoch: Epoch) -> bool {
+        let knows_epoch = |node: NodeIdx| {
             let known_epochs = &self.statements[node.0 as usize].known_epochs;
             known_epochs.get(shard.0 as usize).is_some_and(|known| *known >= epoch)
         };
-        self.siblings().all(acknowledges) || !is_enforced(Guard::AllSiblingsKnowEpoch)
+        self.siblings().all(knows_epoch) || !is_enforced(Guard::AllSiblingsKnowEpoch)
     }
 }
 
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -9,26 +9,26 @@
     let mut health = Health::new(NodeIdx(0), 3);
     let (shard, epoch) = (Shard(1), Epoch(7));
     health.record_heartbeat(NodeIdx(1), &heartbeat(&[(1, 0, 7)], true));
-    assert!(!health.all_acknowledge(shard, epoch), "the third node stated nothing");
+    assert!(!health.all_siblings_know_epoch(shard, epoch), "the third node stated nothing");
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5), (0, 0, 9)], true));
-    assert!(!health.all_acknowledge(shard, epoch), "the third node knows only an older owner");
+    assert!(!health.all_siblings_know_epoch(shard, epoch), "the third node knows only an older owner");
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 0, 7)], true));
-    assert!(health.all_acknowledge(shard, epoch));
+    assert!(health.all_siblings_know_epoch(shard, epoch));
     // A delayed heartbeat arrives out of order: the known epoch is not forgotten.
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5)], true));
-    assert!(health.all_acknowledge(shard, epoch) && !health.all_acknowledge(shard, Epoch(8)));
+    assert!(health.all_siblings_know_epoch(shard, epoch) && !health.all_siblings_know_epoch(shard, Epoch(8)));
 }
 
 #[test]
 fn detects_reachable_and_ready_siblings() {
     let mut health = Health::new(NodeIdx(0), 3);
     health.record_heartbeat(NodeIdx(1), &heartbeat(&[], true));
-    assert!(!health.another_is_ready(10_000) && !health.hears_any_sibling(10_000));
+    assert!(!health.has_ready_sibling(10_000) && !health.reaches_any_sibling(10_000));
     health.record_contact(NodeIdx(2), 8000);
-    assert!(!health.another_is_ready(10_000) && health.hears_any_sibling(10_000));
+    assert!(!health.has_ready_sibling(10_000) && health.reaches_any_sibling(10_000));
     health.record_contact(NodeIdx(1), 9000);
-    assert!(health.another_is_ready(10_000));
-    assert!(!health.another_is_ready(12_100) && !health.hears_any_sibling(12_100));
+    assert!(health.has_ready_sibling(10_000));
+    assert!(!health.has_ready_sibling(12_100) && !health.reaches_any_sibling(12_100));
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -65,7 +65,7 @@
     lease: Lease,
     lease_id: u64,
     owned_epochs: [Option<Epoch>; NODES],
-    heard_at: [Timestamp; NODES],
+    last_contact_at: [Timestamp; NODES],
 }
 
 #[derive(Clone, Copy)]
@@ -111,7 +111,7 @@
             lease: Lease::default(),
             lease_id: 0,
             owned_epochs: [None; NODES],
-            heard_at: [0; NODES],
+            last_contact_at: [0; NODES],
         };
         World {
             now: 100_000,
@@ -176,7 +176,7 @@
             let boot = self.nodes[n].boot + 10;
             let horizons = Horizons { boot, ..horizons(n as u8) };
             let (view, lease) = (views(), Lease::default());
-            let (owned_epochs, heard_at) = ([None; NODES], [0; NODES]);
+            let (owned_epochs, last_contact_at) = ([None; NODES], [0; NODES]);
             self.nodes[n] = Node {
                 up_from_step: step + back,
                 boot,
@@ -185,7 +185,7 @@
                 lease,
                 lease_id: 0,
                 owned_epochs,
-                heard_at,
+                last_contact_at,
             };
             if self.bug == SeededBug::Restarts {
                 for s in 0..NODES as u8 {
@@ -279,7 +279,7 @@
                 let known: Vec<(usize, Owner)> =
                     last.filter_map(|(s, v)| Some((s, v.newest_owner?))).collect();
                 let to = &mut self.nodes[b];
-                to.heard_at[a] = now;
+                to.last_contact_at[a] = now;
                 for (s, o) in known {
                     if o.node.0 as usize != b
                         && to.view[s].accept_claim(Owner { boot: 0, ..o }, now)
@@ -328,7 +328,7 @@
         let (now, n) = (self.now, self.worker_at);
         let up = self.is_up(n);
         let node = &self.nodes[n];
-        let all = (0..NODES).all(|k| k == n || now < node.heard_at[k] + 3000);
+        let all = (0..NODES).all(|k| k == n || now < node.last_contact_at[k] + 3000);
         let may = match self.bug {
             SeededBug::Silence => all && now < node.lease.renewed + 45_000,
             _ => {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -130,7 +130,7 @@
     /// is cut off, more likely than all of them.
     pub fn healthy(&self, now: Timestamp) -> bool {
         let health = &self.shared.health;
-        let best = !health.another_is_ready(now) && health.hears_any_sibling(now);
+        let best = !health.has_ready_sibling(now) && health.reaches_any_sibling(now);
         self.ready(now) || (now >= self.timers.started + STARTUP_LISTEN_MS && best)
     }
 
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -182,7 +182,7 @@
         }
         let count = self.shared.shard_count();
         let home = shard.0 as usize;
-        let is_alive = |node: usize| self.shared.health.hears(NodeIdx(node as u8), now);
+        let is_alive = |node: usize| self.shared.health.is_reachable(NodeIdx(node as u8), now);
         let nodes_ahead = (1..count)
             .map(|distance| (home + distance) % count)
             .take_while(|&node| node != self.shared.me.0 as usize)
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -119,7 +119,7 @@
             horizons: &mut self.horizons,
             me: self.me,
             shard_views: &self.shard_views,
-            heard_at: self.health.heard_at(),
+            last_contact_at: self.health.last_contact_at(),
             operations: &mut self.operations,
             outbox: &mut self.outbox,
             relayed_requests: &mut self.relayed_requests,
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -70,7 +70,7 @@
         let own_assertions = self.own_assertions(effects.now);
         self.shared.horizons.advance(&own_assertions, &self.shared.shard_views, effects.now);
         for active in self.owned.iter_mut().flatten() {
-            if self.shared.health.all_acknowledge(active.participant.shard, active.epoch) {
+            if self.shared.health.all_siblings_know_epoch(active.participant.shard, active.epoch) {
                 active.participant.previous_owners_relinquished(effects.now);
             }
         }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -156,7 +156,7 @@
     /// The sibling that owns the shard, if it is reachable.
     fn reachable_owner(&self, shard: Shard, now: Timestamp) -> Option<NodeIdx> {
         let owner = self.shared.owner(shard)?.node;
-        let reachable = owner != self.shared.me && self.shared.health.hears(owner, now);
+        let reachable = owner != self.shared.me && self.shared.health.is_reachable(owner, now);
         reachable.then_some(owner)
     }
 
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -84,7 +84,7 @@
     fn owner_to_relay_to(&mut self, report: &WorkerHeartbeat, now: Timestamp) -> Option<NodeIdx> {
         let shard = shard_of_machine(&report.machine, self.shared.shard_count());
         let view = self.shared.shard_views[shard.0 as usize];
-        let heard = view.owner.filter(|owner| self.shared.health.hears(owner.node, now));
+        let heard = view.owner.filter(|owner| self.shared.health.is_reachable(owner.node, now));
         let machine = self.shared.names.machine(&report.machine);
         let owner = heard.filter(|_| self.calls.may_relay())?;
         let visit = WorkerVisit {
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -84,7 +84,7 @@
             horizons: &mut self.horizons,
             me: NodeIdx(0),
             shard_views: &self.view,
-            heard_at: &[0],
+            last_contact_at: &[0],
             operations: &mut operations,
             outbox: &mut outbox,
             relayed_requests: &mut relayed_requests,
