--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -76,7 +76,7 @@
 
     fn begin_incarnation(&mut self, incarnation: u64, now: Timestamp) {
         if self.incarnation > 0 {
-            self.reachability.lease_ended(now);
+            self.reachability.mark_unreachable(now);
         }
         for task in self.tasks.values_mut().filter(|task| task.incarnation < incarnation) {
             task.end_with_incarnation();
@@ -105,7 +105,7 @@
         // Once a worker comes back without the token, responses of owners before us count again.
         let confirmed = token == epoch.0;
         if confirmed && self.reported_token < token {
-            self.reachability.proven();
+            self.reachability.record_proof();
         }
         self.reported_token = token;
         // When a worker shows our token for the first time, they counted until now, whatever we
@@ -134,7 +134,7 @@
         let task = self.tasks.entry(key).or_insert_with(unknown);
         // It was started by a command of ours, so the worker receives what we send.
         if task.phase == TaskPhase::Decided && task.start_sent() {
-            self.reachability.proven();
+            self.reachability.record_proof();
         }
         task.reported = true;
         if task.phase == TaskPhase::Gone {
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -109,7 +109,7 @@
         if machine.released || !machine.awaits_response(heartbeat) {
             return None;
         }
-        machine.reachability.report(via, ctx.config.heartbeat_due_ms, ctx.now);
+        machine.reachability.record_heartbeat(via, ctx.config.heartbeat_due_ms, ctx.now);
         self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::Periodic);
         let token = self.epoch.0;
         let machine = self.machine(idx);
@@ -155,7 +155,7 @@
                 }
                 let machine = self.machine(idx);
                 machine.end_direct_batch(batch, BatchEnd::Known);
-                machine.reachability.proven();
+                machine.reachability.record_proof();
             }
             None => {
                 let end = if unknown { BatchEnd::Unknown } else { BatchEnd::Known };
--- a/crates/core/src/reachability.rs
+++ b/crates/core/src/reachability.rs
@@ -33,18 +33,18 @@
     /// The last heartbeat; `None`: the next heartbeat proves nothing.
     last: Option<LastHeartbeat>,
     /// Heartbeats since the last proof; a lost lease or a new incarnation counts as several.
-    unproven: u32,
+    unproven_heartbeats: u32,
     /// Since when the worker has counted as unreachable; `None`: it counts as reachable.
     unreachable_since: Option<Timestamp>,
 }
 
 impl Reachability {
     /// Records a new heartbeat. A worker that was answered sends its next one within `due_ms`.
-    pub fn report(&mut self, via: HeartbeatPath, due_ms: u64, now: Timestamp) {
+    pub fn record_heartbeat(&mut self, via: HeartbeatPath, due_ms: u64, now: Timestamp) {
         let same_path = self.last.is_some_and(|last| last.path == via && now <= last.at + due_ms);
         self.last = Some(LastHeartbeat { path: via, at: now });
         if same_path {
-            self.proven();
+            self.record_proof();
         } else {
             self.add_unproven(1, now);
         }
@@ -52,20 +52,20 @@
 
     /// Marks the worker as unreachable until the next proof, because its lease expired although its
     /// heartbeats were answered, or because a new incarnation of it began.
-    pub fn lease_ended(&mut self, now: Timestamp) {
+    pub fn mark_unreachable(&mut self, now: Timestamp) {
         self.last = None;
         self.add_unproven(MAX_UNPROVEN_HEARTBEATS, now);
     }
 
     /// Records proof that the worker is reachable: it executed a command, or answered one.
-    pub fn proven(&mut self) {
-        self.unproven = 0;
+    pub fn record_proof(&mut self) {
+        self.unproven_heartbeats = 0;
         self.unreachable_since = None;
     }
 
     fn add_unproven(&mut self, heartbeats: u32, now: Timestamp) {
-        self.unproven = self.unproven.saturating_add(heartbeats);
-        if self.unproven >= MAX_UNPROVEN_HEARTBEATS {
+        self.unproven_heartbeats = self.unproven_heartbeats.saturating_add(heartbeats);
+        if self.unproven_heartbeats >= MAX_UNPROVEN_HEARTBEATS {
             self.unreachable_since.get_or_insert(now);
         }
     }
