--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -317,7 +317,7 @@
     /// Returns the job's team and how much of the team's quota one task takes; `None` if the team is
     /// unknown or has no quota.
     pub fn quota_use(&self, job: &Job) -> Option<QuotaUse> {
-        let team = self.config.teams.iter().position(|team| team.name == job.wire.team)?;
+        let team = self.config.teams.iter().position(|team| team.name == job.spec.team)?;
         quota::team_quota(&self.config.teams[team])?;
         let need = job.shape.need;
         let amount = QuotaAmount { cpu: need.cpu, gpu: need.gpu };
--- a/crates/core/src/coordinator/gpu_work.rs
+++ b/crates/core/src/coordinator/gpu_work.rs
@@ -23,7 +23,7 @@
 impl GpuWork {
     fn of(job: &Job) -> GpuWork {
         let need = job.shape.need;
-        GpuWork { cpu: need.cpu, gpu: need.gpu, mem: need.mem, priority: job.wire.priority }
+        GpuWork { cpu: need.cpu, gpu: need.gpu, mem: need.mem, priority: job.spec.priority }
     }
 
     /// As `ShardMessage::RequestOffers` has it.
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -110,14 +110,14 @@
         let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
         self.unsettled_jobs = placed.map(|job| job.id).collect();
         self.compaction.complete_jobs = done.map(|job| (job.id, ctx.now)).collect();
-        for job in self.jobs.values_mut().filter(|job| !job.wire.class.is_empty()) {
+        for job in self.jobs.values_mut().filter(|job| !job.spec.class.is_empty()) {
             if !job.placed.is_empty() || !job.done.is_empty() {
                 job.first_started_at = Some(ctx.now);
                 self.service_statistics.record_earlier_start(job);
             }
         }
         // Their terminal states are written already: an earlier owner may have told nobody else.
-        for job in self.jobs.values().filter(|job| job.wire.class.is_empty()) {
+        for job in self.jobs.values().filter(|job| job.spec.class.is_empty()) {
             ctx.horizons.on_cancelled(self.shard, self.epoch, job.id, ctx.now);
         }
         ctx.needs_round = true;
@@ -157,7 +157,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.completion.stored_chunks.insert(chunk, record.version);
         let is_read = CompletionRecord::decode(&record.value)
-            .is_ok_and(|bitmap| job.done.insert_chunk(chunk, bitmap.0, job.wire.tasks));
+            .is_ok_and(|bitmap| job.done.insert_chunk(chunk, bitmap.0, job.spec.tasks));
         if !is_read {
             log_unreadable(ctx, &record.key);
         }
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -185,7 +185,7 @@
     /// requested again. Jobs whose tasks are all placed are not concerned.
     fn capacity_freed(&mut self, ctx: &mut Context, priority: Priority) {
         for id in &self.unplaced_jobs {
-            let job = self.jobs.get_mut(id).filter(|job| job.wire.priority >= priority);
+            let job = self.jobs.get_mut(id).filter(|job| job.spec.priority >= priority);
             if let Some(job) = job {
                 job.capacity_freed(ctx.now);
             }
--- a/crates/core/src/coordinator/queue_rank.rs
+++ b/crates/core/src/coordinator/queue_rank.rs
@@ -18,9 +18,9 @@
 impl QueueRank {
     pub(super) fn of(job: &Job, now: Timestamp) -> QueueRank {
         QueueRank {
-            priority: Reverse(job.wire.priority),
+            priority: Reverse(job.spec.priority),
             urgency: job.placement_urgency(now),
-            created: job.created,
+            created: job.submitted_at,
             job: job.id,
         }
     }
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -74,11 +74,11 @@
     }
 
     fn is_gang(&self) -> bool {
-        self.job.wire.kind == Kind::Gang
+        self.job.spec.kind == Kind::Gang
     }
 
     fn queue(&self) -> TeamQueue {
-        (self.team, self.job.wire.priority)
+        (self.team, self.job.spec.priority)
     }
 
     /// What its next task takes, or the gang as a whole.
@@ -119,7 +119,7 @@
                 admissions.entry(team).or_insert_with(|| Admission::new(status()).in_phase(phase));
             let claim = self.quota_claim(&pending, phase, ctx.now, &mut keeping);
             let request = AdmissionRequest {
-                priority: pending.job.wire.priority,
+                priority: pending.job.spec.priority,
                 task: pending.task,
                 count: pending.count(),
                 all_or_nothing: pending.is_gang(),
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -35,15 +35,15 @@
 /// start, or what it takes to save if it saves its progress.
 fn lost_work(job: &Job, placement: &Placement, need: Resources, now: Timestamp) -> u64 {
     let ran_s = now.saturating_sub(placement.placed_at) / 1000;
-    let saves = job.wire.checkpoint_s > 0.0;
-    let lost_s = if saves { ran_s.min(job.wire.save_s as u64 + 1) } else { ran_s };
+    let saves = job.spec.checkpoint_s > 0.0;
+    let lost_s = if saves { ran_s.min(job.spec.save_s as u64 + 1) } else { ran_s };
     lost_s * (need.cpu + CORES_PER_GPU * need.gpu)
 }
 
 impl LesserWork {
     /// Adds the tasks of a job with a limit: one by one, or a gang as a whole.
     fn add(&mut self, job: &Job, now: Timestamp) {
-        let priority = job.wire.priority;
+        let priority = job.spec.priority;
         let key = Victim::Gang { job: job.id };
         let mut gang = Candidate { key, priority, need: Resources::default(), loss: 0 };
         for (task, placement) in job.placed.iter() {
@@ -54,7 +54,7 @@
                 continue;
             }
             let loss = lost_work(job, placement, need, now);
-            if job.wire.kind == Kind::Gang {
+            if job.spec.kind == Kind::Gang {
                 gang.need.add(need, 1);
                 gang.loss += loss;
             } else {
@@ -85,10 +85,10 @@
         }
         let Some(job) = self.jobs.get(&id) else { return };
         let Some(QuotaUse { team, amount }) = ctx.quota_use(job) else { return };
-        let gang = job.wire.kind == Kind::Gang;
+        let gang = job.spec.kind == Kind::Gang;
         let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
         let fewest = if gang { wanted } else { 1 };
-        let priority = job.wire.priority;
+        let priority = job.spec.priority;
         let lesser = self.lesser_work(ctx, team, priority);
         let free = status.free();
         let mut free = Resources { cpu: free.cpu, gpu: free.gpu, mem: 0 };
@@ -115,7 +115,7 @@
         let mut lesser = LesserWork { stopping: Resources::default(), candidates: Vec::new() };
         let jobs = self.jobs.values();
         let of_team = jobs
-            .filter(|job| job.wire.kind != Kind::Service && job.wire.priority < priority)
+            .filter(|job| job.spec.kind != Kind::Service && job.spec.priority < priority)
             .filter(|job| ctx.quota_use(job).is_some_and(|usage| usage.team == team));
         for job in of_team {
             lesser.add(job, ctx.now);
@@ -126,8 +126,8 @@
     fn stop_victim(&mut self, victim: Victim) {
         let (Victim::Task { job: id, .. } | Victim::Gang { job: id }) = victim;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let saves = job.wire.checkpoint_s > 0.0;
-        let grace_s = if saves { job.wire.save_s + SAVE_MARGIN_S } else { 0.0 };
+        let saves = job.spec.checkpoint_s > 0.0;
+        let grace_s = if saves { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
         let before = job.placed.stopping();
         match victim {
             Victim::Task { task, .. } => job.placed.stop(task, grace_s),
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -93,7 +93,7 @@
         };
         if is_first {
             let job = self.jobs.get(&waiting.id);
-            let waited_ms = job.map_or(0, |job| now.saturating_sub(job.created));
+            let waited_ms = job.map_or(0, |job| now.saturating_sub(job.submitted_at));
             usage.first[priority] = Some(FirstInQueue { need, waited_ms });
         }
     }
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -77,13 +77,13 @@
         };
         for job in self.jobs.values() {
             for usage in job.placed.values().filter_map(|placement| placement.quota) {
-                count(job.wire.priority, usage);
+                count(job.spec.priority, usage);
             }
         }
         for choice in self.pending_decision.iter().flat_map(|decision| &decision.selected) {
             let Some(job) = self.jobs.get(&choice.job) else { continue };
             if let Some(usage) = ctx.quota_use(job) {
-                count(job.wire.priority, usage);
+                count(job.spec.priority, usage);
             }
         }
         used
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -43,7 +43,7 @@
 /// For how many tasks to request offers, when the round has `left` of its `max` tasks left. None: a
 /// gang that does not fit in what is left.
 fn requested_count(job: &Job, admitted: Admitted, max: u32, left: u32) -> Option<u32> {
-    if job.wire.kind == Kind::Gang {
+    if job.spec.kind == Kind::Gang {
         return (job.pending() <= left).then(|| job.pending());
     }
     // What the grant covers; else what would be let in if lesser work of the team gave way.
@@ -57,7 +57,7 @@
 fn build_request(ctx: &Context, job: &Job, admitted: Admitted, count: u32) -> RoundRequest {
     let covered = admitted.now > 0;
     let makes_room =
-        job.wire.priority > Priority::Low && !job.failure_suspicion.is_suspected() && covered;
+        job.spec.priority > Priority::Low && !job.failure_suspicion.is_suspected() && covered;
     let queue_position = job.queue_position(ctx.now).map(|position| QueuePosition {
         holds_position: position.holds_position && covered,
         ..position
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -78,7 +78,7 @@
 
 /// What each zone may take of a job: all of it in one zone if it has to be, the one that takes the most.
 fn restrict_to_one_zone(job: &Job, room: &[u32], offered: &[u32]) -> Vec<u32> {
-    if !job.wire.one_zone {
+    if !job.spec.one_zone {
         return room.to_vec();
     }
     let best = (0..offered.len()).max_by_key(|&zone| offered[zone].min(room[zone]));
@@ -133,9 +133,9 @@
         let room = job.zone_room(&ctx.names.zones);
         let offered = offers.count_by_zone(room.len());
         // Replicas of a service go to different machines where they can.
-        let max_per_turn = if job.wire.kind == Kind::Service { 1 } else { u32::MAX };
+        let max_per_turn = if job.spec.kind == Kind::Service { 1 } else { u32::MAX };
         let taken = offers.take(wanted, restrict_to_one_zone(job, &room, &offered), max_per_turn);
-        let whole = job.wire.kind != Kind::Gang || taken.len() as u32 == job.pending();
+        let whole = job.spec.kind != Kind::Gang || taken.len() as u32 == job.pending();
         if taken.is_empty() || !whole {
             self.refuse(item, job, &offered, &room);
         } else {
@@ -165,7 +165,7 @@
         let fits = free.fits(quota.amount).min(u64::from(wanted)) as u32;
         let covered = if is_enforced(Guard::DecisionWithinGrant) { fits } else { wanted };
         let found_room = offers.count().min(wanted);
-        let is_limited = match job.wire.kind {
+        let is_limited = match job.spec.kind {
             Kind::Gang => covered < wanted && found_room == wanted,
             _ => covered == 0,
         };
@@ -207,7 +207,7 @@
         let count = taken.len() as u32;
         if let Some(quota) = ctx.quota_use(job) {
             if let Some(status) = self.quotas.get_mut(&quota.team) {
-                let used = &mut status.used[job.wire.priority as usize];
+                let used = &mut status.used[job.spec.priority as usize];
                 *used = used.plus(quota.amount.times(count));
             }
         }
--- a/crates/core/src/coordinator/service_statistics.rs
+++ b/crates/core/src/coordinator/service_statistics.rs
@@ -42,7 +42,7 @@
 
     /// The first task of a job runs.
     pub(super) fn record_start(&mut self, job: &Job, now: Timestamp) {
-        let wait_ms = now.saturating_sub(job.created);
+        let wait_ms = now.saturating_sub(job.submitted_at);
         self.update(job, |counts| {
             counts.begun += 1;
             counts.longest_wait_ms = counts.longest_wait_ms.max(wait_ms);
@@ -51,7 +51,7 @@
 
     /// Changes the counts of the job's class and of its team.
     fn update(&mut self, job: &Job, change: impl Fn(&mut GroupCounts)) {
-        for (kind, name) in [("class", &job.wire.class), ("team", &job.wire.team)] {
+        for (kind, name) in [("class", &job.spec.class), ("team", &job.spec.team)] {
             change(self.group(format!("{kind}.{name}")));
         }
     }
@@ -77,9 +77,9 @@
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .filter(|job| job.first_started_at.is_none());
-        if let Some(job) = waiting.max_by_key(|job| job.wire.tasks) {
-            let (id, tasks) = (&job.wire.id, job.wire.tasks);
-            let waited_s = now.saturating_sub(job.created) / 1000;
+        if let Some(job) = waiting.max_by_key(|job| job.spec.tasks) {
+            let (id, tasks) = (&job.spec.id, job.spec.tasks);
+            let waited_s = now.saturating_sub(job.submitted_at) / 1000;
             words.push(format!("largest_waiting={id} tasks={tasks} for_s={waited_s}"));
         }
         format!("shard={} {}", self.shard.0, words.join(" "))
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -97,8 +97,8 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.placed.set_phase(event.task, event.phase);
         // A gang that is to save must be stopped whole, and soon.
-        if event.phase == TaskPhase::On(TaskState::Saving) && job.wire.kind == Kind::Gang {
-            job.placed.stop_rest(job.wire.save_s + SAVE_MARGIN_S);
+        if event.phase == TaskPhase::On(TaskState::Saving) && job.spec.kind == Kind::Gang {
+            job.placed.stop_rest(job.spec.save_s + SAVE_MARGIN_S);
             self.unsettled_jobs.insert(id);
             self.next_resend = ctx.now;
             self.resend(ctx);
@@ -111,7 +111,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let Some(placement) = job.placed.remove(event.task) else { return false };
         let is_done = matches!(event.phase, TaskPhase::Exited(ExitReason::Done, _));
-        if is_done && job.wire.kind != Kind::Service && !job.cancelled {
+        if is_done && job.spec.kind != Kind::Service && !job.cancelled {
             self.task_done(ctx, id, event.task, &placement);
             return false;
         }
@@ -150,7 +150,7 @@
         delay_next_try(ctx, job, event.phase, placement);
         job.give_back(event.task);
         self.unplaced_jobs.insert(id);
-        if job.wire.kind == Kind::Gang {
+        if job.spec.kind == Kind::Gang {
             // Won whole or not at all: the rest of the attempt stops.
             job.placed.stop_rest(0.0);
             self.unsettled_jobs.insert(id);
@@ -171,13 +171,13 @@
     let suspicion = &mut job.failure_suspicion;
     match phase {
         TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
-            if job.wire.kind == Kind::Service && job.placed.running() > 0 {
+            if job.spec.kind == Kind::Service && job.placed.running() > 0 {
                 suspicion.ran_well();
             }
             let was_suspected = suspicion.is_suspected();
             job.not_before = suspicion.failed(placement.machine, now, job.not_before);
             if suspicion.is_suspected() && !was_suspected {
-                let name = &job.wire.id;
+                let name = &job.spec.id;
                 ctx.effects.log(LogLevel::Info, "job_suspected", || name.clone());
             }
         }
--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -35,7 +35,7 @@
         ];
         // Most jobs are over before any completion of them was compacted: there is nothing to delete.
         if !job.completion.stored_chunks.is_empty() {
-            for chunk in 0..job.wire.tasks.div_ceil(TASKS_PER_CHUNK) {
+            for chunk in 0..job.spec.tasks.div_ceil(TASKS_PER_CHUNK) {
                 changes.push(Change::Delete { key: keys::completion_key(self.shard, id, chunk) });
             }
         }
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -16,7 +16,7 @@
 type DemandOrder = (Reverse<Priority>, Timestamp, JobId);
 
 fn demand_order(job: &Job) -> DemandOrder {
-    (Reverse(job.wire.priority), job.created, job.id)
+    (Reverse(job.spec.priority), job.submitted_at, job.id)
 }
 
 /// How many tasks of the job are worth a machine.
@@ -48,7 +48,7 @@
             shape: job.shape.wire.clone(),
             count: worth(ctx, &admitted, job),
             zone_room: job.zone_room(&ctx.names.zones),
-            waited_ms: ctx.now.saturating_sub(job.created),
+            waited_ms: ctx.now.saturating_sub(job.submitted_at),
             urgent: job.is_urgent(ctx.now),
         };
         lacking.into_iter().map(demand).collect()
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -89,8 +89,8 @@
     fn add(&mut self, job: &Job, cause: WaitCause) {
         self.by_cause[cause as usize] += 1;
         let known = self.oldest.as_ref().map(|(created, ..)| *created);
-        if known.is_none_or(|created| job.created < created) {
-            self.oldest = Some((job.created, cause, user::job_id(job.id.0)));
+        if known.is_none_or(|created| job.submitted_at < created) {
+            self.oldest = Some((job.submitted_at, cause, user::job_id(job.id.0)));
         }
     }
 
@@ -123,7 +123,7 @@
         let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
         let waiting = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
-            .filter(|job| ctx.now >= job.created + MIN_WAIT_MS);
+            .filter(|job| ctx.now >= job.submitted_at + MIN_WAIT_MS);
         let with_cause =
             waiting.map(|job| (job, wait_cause(job, limited.get(&job.id).copied(), ctx.now)));
         with_cause.collect()
--- a/crates/core/src/jobs/backoff.rs
+++ b/crates/core/src/jobs/backoff.rs
@@ -72,7 +72,7 @@
         let by_timer = now >= self.backoff.next_retry_at;
         if by_timer {
             self.backoff.failed_tries += 1;
-            let interval = self.backoff.retry_interval_ms(self.wire.priority);
+            let interval = self.backoff.retry_interval_ms(self.spec.priority);
             self.backoff.next_retry_at = (now / interval + 1) * interval;
         }
         self.not_before = self.backoff.next_retry_at;
@@ -111,6 +111,6 @@
     pub fn may_use_gpu_machines(&self, now: Timestamp) -> bool {
         let late = self.urgency(now).missed_objectives > 0;
         let long = self.demand_unmet_ms(now).is_some_and(|ms| ms >= GPU_MACHINES_ALLOWED_AFTER_MS);
-        self.wire.kind == Kind::Service && late && long
+        self.spec.kind == Kind::Service && late && long
     }
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -20,11 +20,11 @@
     /// The number of the job, unique in the cluster.
     pub id: JobId,
     /// The job as its user submitted it.
-    pub wire: user::Job,
+    pub spec: user::Job,
     /// The resources and constraints of one task.
     pub shape: Shape,
     /// When the job was submitted, which may be before this process started.
-    pub created: Timestamp,
+    pub submitted_at: Timestamp,
     /// The latest starts that meet the job's objectives, in milliseconds from its submission, in
     /// ascending order.
     pub(super) latest_starts_ms: Vec<f64>,
@@ -74,17 +74,17 @@
     /// Creates a job without placed or completed tasks.
     pub fn new(
         id: JobId,
-        wire: user::Job,
+        spec: user::Job,
         shape: Shape,
-        created: Timestamp,
+        submitted_at: Timestamp,
         objectives: &Objectives,
     ) -> Job {
         Job {
             id,
             shape,
-            created,
-            latest_starts_ms: objectives.latest_starts_ms(&wire),
-            wire,
+            submitted_at,
+            latest_starts_ms: objectives.latest_starts_ms(&spec),
+            spec,
             first_started_at: None,
             done: TaskSet::default(),
             placed: Placed::default(),
@@ -105,7 +105,7 @@
     /// Creates a placeholder for a job whose terminal state is in the store while its tasks may still be
     /// on machines. It counts as cancelled. What its user submitted is not known.
     pub fn tombstone(id: JobId, names: &mut Names) -> Job {
-        let wire = user::Job {
+        let spec = user::Job {
             id: user::job_id(id.0),
             class: String::new(),
             team: String::new(),
@@ -127,27 +127,27 @@
             save_s: 0.0,
             deadline_s: None,
         };
-        let shape = names.shape(&Arc::new(wire_shape(&wire)));
-        let mut job = Job::new(id, wire, shape, 0, &Objectives::default());
+        let shape = names.shape(&Arc::new(wire_shape(&spec)));
+        let mut job = Job::new(id, spec, shape, 0, &Objectives::default());
         job.cancelled = true;
         job
     }
 
-    /// Whether the job was created by [`Job::tombstone`]. Submitted jobs always have a class.
+    /// Whether the job was submitted_at by [`Job::tombstone`]. Submitted jobs always have a class.
     pub fn is_tombstone(&self) -> bool {
-        self.wire.class.is_empty()
+        self.spec.class.is_empty()
     }
 
     /// Returns how many tasks are neither completed nor placed.
     pub fn pending(&self) -> u32 {
-        self.wire.tasks - self.done.len() - self.placed.len()
+        self.spec.tasks - self.done.len() - self.placed.len()
     }
 
     /// Whether tasks may be placed while others are: not those of a gang, which starts as a whole, nor
     /// those of a suspected job, which is tried on one machine at a time.
     pub fn may_start(&self) -> bool {
         self.placed.is_empty()
-            || (self.wire.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
+            || (self.spec.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
     }
 
     /// Takes the next task to be placed; `None`: all are taken, placed or completed.
@@ -155,7 +155,7 @@
         if let Some(task) = self.unplaced.returned.pop_first() {
             return Some(task);
         }
-        while self.unplaced.next_fresh < self.wire.tasks {
+        while self.unplaced.next_fresh < self.spec.tasks {
             let task = self.unplaced.next_fresh;
             self.unplaced.next_fresh += 1;
             if !self.done.contains(task) && self.placed.get(task).is_none() {
@@ -174,7 +174,7 @@
 
     /// Marks a task as completed. Ignored if it already is, or if the job has no such task.
     pub fn set_done(&mut self, task: u32, now: Timestamp) {
-        if task < self.wire.tasks && self.done.insert(task) {
+        if task < self.spec.tasks && self.done.insert(task) {
             self.unplaced.returned.remove(&task);
             self.completion.mark_dirty(task, now);
         }
@@ -182,8 +182,8 @@
 
     /// Whether all tasks are completed. A service is never complete.
     pub fn complete(&self) -> bool {
-        let all = self.done.len() == self.wire.tasks;
-        self.wire.kind != Kind::Service && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
+        let all = self.done.len() == self.spec.tasks;
+        self.spec.kind != Kind::Service && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
     }
 
     /// Returns the state shown to users.
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -9,13 +9,13 @@
 fn gang_keeps_target_zone_while_it_offers_capacity() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
-    job.wire = user::Job {
+    job.spec = user::Job {
         class: "c".into(),
         kind: Kind::Gang,
         priority: Priority::Normal,
         tasks: 4,
         one_zone: true,
-        ..job.wire
+        ..job.spec
     };
     assert!(!job.queue_position(0).expect("a gang has a position").holds_position, "first request");
     let room = [4, 4, 4];
@@ -27,7 +27,7 @@
     assert!(job.queue_position(0).expect("a gang's").holds_position);
     job.choose_target_zone(&[3, 0, 0], &room);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
-    job.wire.tasks = 1;
+    job.spec.tasks = 1;
     job.choose_target_zone(&[0, 0, 0], &room);
     assert_eq!(job.target_zone, None, "a single task needs no target zone");
     assert!(!job.queue_position(0).expect("a gang's").holds_position);
@@ -38,7 +38,7 @@
 fn retries_unmet_demand_with_backoff() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
-    job.wire.priority = Priority::High;
+    job.spec.priority = Priority::High;
     let (mut now, mut tries) = (10_000, 0);
     while now < 20_000 {
         assert!(job.record_unmet_demand(now), "a retry by timer");
@@ -82,7 +82,7 @@
     use crate::ids::Shard;
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
-    (job.wire.one_zone, job.wire.tasks) = (true, 9);
+    (job.spec.one_zone, job.spec.tasks) = (true, 9);
     let zones = ["a", "b", "c"].map(String::from);
     let placement = |zone| Placement {
         attempt: Attempt(1),
@@ -113,7 +113,7 @@
 fn gangs_without_remaining_objectives_keep_order() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
-    job.wire.kind = Kind::Gang;
+    job.spec.kind = Kind::Gang;
     // The due time as a participant computes it from the gang's queue position.
     let turn = |job: &Job, now: Timestamp| {
         let line = job.queue_position(now).expect("a gang's");
@@ -121,9 +121,9 @@
     };
     let (older, younger) = (1_000_000, 1_005_000);
     for now in [1_100_000, 1_900_000, 3_000_000] {
-        job.created = older;
+        job.submitted_at = older;
         let first = turn(&job, now);
-        job.created = younger;
+        job.submitted_at = younger;
         assert!(first < turn(&job, now - 900), "requested earlier, but submitted later");
     }
 }
@@ -142,10 +142,10 @@
         times: None,
     };
     let urgency = |missed_objectives, due| Urgency { missed_objectives, due };
-    job.wire.class = "c".into();
+    job.spec.class = "c".into();
     job.latest_starts_ms =
-        Objectives::new(&[objective(80.0), objective(350.0)], 0.0).latest_starts_ms(&job.wire);
-    job.created = 1_000_000;
+        Objectives::new(&[objective(80.0), objective(350.0)], 0.0).latest_starts_ms(&job.spec);
+    job.submitted_at = 1_000_000;
     assert_eq!(job.urgency(1_050_000), urgency(0, 1_080_000));
     assert_eq!(job.urgency(1_100_000), urgency(1, 1_350_000));
     // A job that has waited too long for its first start comes first until it starts.
@@ -154,9 +154,9 @@
     job.first_started_at = Some(1_200_000);
     assert_eq!(job.placement_urgency(1_200_000), job.urgency(1_200_000));
     // A large job takes longer to be placed, so it is due earlier.
-    job.wire.tasks = 25_000;
+    job.spec.tasks = 25_000;
     job.latest_starts_ms =
-        Objectives::new(&[objective(80.0), objective(350.0)], 4.0).latest_starts_ms(&job.wire);
+        Objectives::new(&[objective(80.0), objective(350.0)], 4.0).latest_starts_ms(&job.spec);
     assert_eq!(job.urgency(1_050_000), urgency(1, 1_250_000));
 }
 
--- a/crates/core/src/jobs/urgency.rs
+++ b/crates/core/src/jobs/urgency.rs
@@ -22,10 +22,10 @@
 impl Job {
     /// Returns how urgent the job is by its objectives alone.
     pub fn urgency(&self, now: Timestamp) -> Urgency {
-        let age = now.saturating_sub(self.created) as f64;
+        let age = now.saturating_sub(self.submitted_at) as f64;
         let missed = self.latest_starts_ms.partition_point(|&start| start < age);
         let next = self.latest_starts_ms.get(missed).copied().unwrap_or(DEFAULT_LATEST_START_MS);
-        Urgency { missed_objectives: missed as u8, due: self.created + next.max(0.0) as u64 }
+        Urgency { missed_objectives: missed as u8, due: self.submitted_at + next.max(0.0) as u64 }
     }
 
     /// Returns the job's urgency among jobs of the same priority that wait to be placed. A job that has
@@ -34,7 +34,7 @@
     /// arrays without an objective started after 500 to 590 s on operators' sites, behind a stream of
     /// small jobs.
     pub fn placement_urgency(&self, now: Timestamp) -> Urgency {
-        let due = self.created + MAX_WAIT_FOR_FIRST_START_MS;
+        let due = self.submitted_at + MAX_WAIT_FOR_FIRST_START_MS;
         if self.first_started_at.is_none() && now >= due {
             return Urgency { missed_objectives: 0, due };
         }
@@ -44,12 +44,12 @@
     /// Whether more than a third of the time from submission to the next objective has passed.
     pub fn is_urgent(&self, now: Timestamp) -> bool {
         let due = self.urgency(now).due;
-        now.saturating_sub(self.created) > due.saturating_sub(self.created) / 3
+        now.saturating_sub(self.submitted_at) > due.saturating_sub(self.submitted_at) / 3
     }
 
     /// Returns a gang's position in the gang queue of a participant; `None` for other kinds of jobs.
     pub fn queue_position(&self, now: Timestamp) -> Option<mesh::QueuePosition> {
-        if self.wire.kind != Kind::Gang {
+        if self.spec.kind != Kind::Gang {
             return None;
         }
         let urgency = self.urgency(now);
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -9,7 +9,7 @@
 impl Job {
     /// Whether several tasks of the job need capacity in the same zone.
     fn needs_one_zone(&self) -> bool {
-        self.wire.one_zone && self.pending() > 1
+        self.spec.one_zone && self.pending() > 1
     }
 
     /// Chooses the zone in which a gang waits. By zone, `offered` is the number of tasks that capacity
@@ -63,7 +63,7 @@
 
     fn room_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
         let used = if is_enforced(Guard::PossibleTasksCountedInZone) { self.placed.in_zone(zone) } else { 0 };
-        if self.wire.zone.as_ref().is_some_and(|wanted| wanted != name) {
+        if self.spec.zone.as_ref().is_some_and(|wanted| wanted != name) {
             return 0;
         }
         // After a failover a task may be counted in the zone of an older attempt, apart from the other
@@ -71,12 +71,12 @@
         // zones got more tasks (seen in the simulator).
         let in_several = zones_used > 1 && is_enforced(Guard::NoTasksWhileInTwoZones);
         let in_another = zones_used == 1 && used == 0;
-        if self.wire.one_zone && (in_several || in_another) {
+        if self.spec.one_zone && (in_several || in_another) {
             return 0;
         }
-        if self.wire.spread {
-            return self.wire.tasks.div_ceil(2).saturating_sub(used);
+        if self.spec.spread {
+            return self.spec.tasks.div_ceil(2).saturating_sub(used);
         }
-        self.wire.tasks
+        self.spec.tasks
     }
 }
