--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -49,7 +49,7 @@
         if !is_enforced(Guard::CancellationDurableBeforeAck) {
             answer_before_durable(ctx, id, job);
         }
-        if job.termination.status.is_none() && !job.complete() {
+        if job.termination.status.is_none() && !job.is_complete() {
             job.termination.status = Some(Status::Cancelled);
             self.cancelling.insert(id);
             self.write_cancellations(ctx);
--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -185,7 +185,7 @@
             let since = job.completion.uncompacted_since;
             let late = since.is_some_and(|since| now >= since + MAX_UNCOMPACTED_MS);
             // Soon over, perhaps: its terminal state makes this write needless.
-            let goes_on = job.termination.status.is_none() && !job.complete();
+            let goes_on = job.termination.status.is_none() && !job.is_complete();
             if (late || waiting >= MAX_UNCOMPACTED_ATTEMPTS) && goes_on {
                 due.push((Reverse(waiting), *id));
             }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -169,7 +169,7 @@
             quota: ctx.quota_use(job),
         };
         if job.cancelled || job.termination.status.is_some() {
-            job.give_back(task);
+            job.return_task(task);
             self.unplaced_jobs.insert(id);
             return false;
         }
@@ -187,8 +187,8 @@
         let Some(decision) = self.pending_decision.take() else { return };
         for choice in &decision.selected {
             if let Some(job) = self.jobs.get_mut(&choice.job) {
-                job.give_back(choice.task);
-                job.last_request = Some(RequestOutcome::DecisionNotWritten);
+                job.return_task(choice.task);
+                job.last_request_outcome = Some(RequestOutcome::DecisionNotWritten);
                 job.not_before = ctx.now + DECISION_RETRY_INTERVAL_MS;
                 self.unplaced_jobs.insert(choice.job);
             }
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -106,7 +106,7 @@
     /// All records are read: puts together what they say of the jobs.
     fn loaded(&mut self, ctx: &mut Context) {
         self.take_decisions(ctx);
-        let done = self.jobs.values().filter(|job| job.complete() && !job.cancelled);
+        let done = self.jobs.values().filter(|job| job.is_complete() && !job.cancelled);
         let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
         self.unsettled_jobs = placed.map(|job| job.id).collect();
         self.compaction.complete_jobs = done.map(|job| (job.id, ctx.now)).collect();
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -163,9 +163,9 @@
         }
         let unmet_ms = job.demand_unmet_ms(now).filter(|unmet_ms| *unmet_ms > YIELD_AFTER_MS);
         // What was true of a job that was not asked for lately may have changed.
-        let unmet_ms = unmet_ms.filter(|_| job.was_refused_within(UNMET_EVIDENCE_MS, now));
+        let unmet_ms = unmet_ms.filter(|_| job.had_no_capacity_within(UNMET_EVIDENCE_MS, now));
         let Some(unmet_ms) = unmet_ms else { return QuotaClaim::All };
-        let preempting = job.preempting_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
+        let preempting = job.preemption_reported_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
         let cycle = if preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
         let keeps = phase == QuotaPhase::Reserving
             && cycle.is_active(unmet_ms)
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -123,14 +123,14 @@
     /// Selects offers for the tasks of one job, or none.
     fn select(&mut self, ctx: &Context, item: usize, requested: u32, job: &mut Job) {
         if self.is_preempting(item) {
-            job.preempting_at = Some(self.now);
+            job.preemption_reported_at = Some(self.now);
         }
         let mut offers = JobOffers::new(std::mem::take(&mut self.offers[item]));
         let wanted = requested.min(job.pending());
         let Some(wanted) = self.within_quota(ctx, job, &offers, wanted) else {
             return;
         };
-        let room = job.zone_room(&ctx.names.zones);
+        let room = job.zone_task_limits(&ctx.names.zones);
         let offered = offers.count_by_zone(room.len());
         // Replicas of a service go to different machines where they can.
         let max_per_turn = if job.spec.kind == Kind::Service { 1 } else { u32::MAX };
@@ -173,7 +173,7 @@
             return Some(covered);
         }
         job.reset_backoff();
-        job.last_request = Some(RequestOutcome::QuotaExceeded);
+        job.last_request_outcome = Some(RequestOutcome::QuotaExceeded);
         job.preemption_turn = None;
         job.not_before = self.now + QUOTA_RETRY_INTERVAL_MS;
         let limited = QuotaLimitedJob { job: job.id, team: quota.team, tasks: found_room };
@@ -184,7 +184,7 @@
     /// The job has found no room, or a gang not enough.
     fn refuse(&self, item: usize, job: &mut Job, offered: &[u32], room: &[u32]) {
         let found_some = offered.iter().any(|&count| count > 0);
-        job.last_request = Some(match found_some {
+        job.last_request_outcome = Some(match found_some {
             true => RequestOutcome::GangIncomplete,
             false => RequestOutcome::NoOffer,
         });
@@ -212,12 +212,12 @@
             }
         }
         job.reset_backoff();
-        job.last_request = None;
+        job.last_request_outcome = None;
         let step = u32::from(!self.is_preempting(item));
         job.preemption_turn =
             (count < wanted).then(|| job.preemption_turn.map_or(0, |turn| turn + step));
         for ReceivedOffer { participant, offer } in taken {
-            let Some(task) = job.take() else { break };
+            let Some(task) = job.take_task() else { break };
             self.selected.push(SelectedOffer { job: job.id, task, participant, offer });
         }
     }
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -122,9 +122,9 @@
     /// The task is done: its completion is written before the participant may forget it.
     fn task_done(&mut self, ctx: &mut Context, id: JobId, task: u32, placement: &Placement) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.failure_suspicion.ran_well();
-        job.set_done(task, ctx.now);
-        if job.complete() {
+        job.failure_suspicion.record_good_run();
+        job.mark_done(task, ctx.now);
+        if job.is_complete() {
             self.compaction.complete_jobs.insert(id, ctx.now);
         } else {
             self.compaction.dirty_jobs.insert(id);
@@ -148,7 +148,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         delay_next_try(ctx, job, event.phase, placement);
-        job.give_back(event.task);
+        job.return_task(event.task);
         self.unplaced_jobs.insert(id);
         if job.spec.kind == Kind::Gang {
             // Won whole or not at all: the rest of the attempt stops.
@@ -172,10 +172,10 @@
     match phase {
         TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
             if job.spec.kind == Kind::Service && job.placed.running() > 0 {
-                suspicion.ran_well();
+                suspicion.record_good_run();
             }
             let was_suspected = suspicion.is_suspected();
-            job.not_before = suspicion.failed(placement.machine, now, job.not_before);
+            job.not_before = suspicion.record_failure(placement.machine, now, job.not_before);
             if suspicion.is_suspected() && !was_suspected {
                 let name = &job.spec.id;
                 ctx.effects.log(LogLevel::Info, "job_suspected", || name.clone());
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -141,6 +141,6 @@
     } else if limited.is_some_and(|waiting| waiting.admitted.in_turn == 0) {
         WaitCause::Quota
     } else {
-        WaitCause::of_request(job.last_request)
+        WaitCause::of_request(job.last_request_outcome)
     }
 }
--- a/crates/core/src/jobs/backoff.rs
+++ b/crates/core/src/jobs/backoff.rs
@@ -36,11 +36,11 @@
 #[derive(Debug, Default)]
 pub struct PlacementBackoff {
     /// Retries by timer that found no capacity, since a participant last had capacity for the job.
-    pub(super) failed_tries: u32,
+    pub(super) failed_retries: u32,
     /// Since when no participant has had capacity for the job; `None`: its last demand was met.
     unmet_since: Option<Timestamp>,
     /// When the last request found no capacity.
-    refused_at: Timestamp,
+    last_unmet_at: Timestamp,
     /// When the job is retried even if no participant reports freed capacity.
     next_retry_at: Timestamp,
 }
@@ -51,7 +51,7 @@
         if priority == Priority::Low {
             return LOW_PRIORITY_RETRY_INTERVAL_MS;
         }
-        match self.failed_tries {
+        match self.failed_retries {
             0..FIRST_RETRIES => FIRST_RETRY_INTERVAL_MS,
             FIRST_RETRIES..NEXT_RETRIES_UNTIL => NEXT_RETRY_INTERVAL_MS,
             _ => LATER_RETRY_INTERVAL_MS,
@@ -68,10 +68,10 @@
     /// are multiples of the interval, so that one round serves many jobs.
     pub fn record_unmet_demand(&mut self, now: Timestamp) -> bool {
         self.backoff.unmet_since.get_or_insert(now);
-        self.backoff.refused_at = now;
+        self.backoff.last_unmet_at = now;
         let by_timer = now >= self.backoff.next_retry_at;
         if by_timer {
-            self.backoff.failed_tries += 1;
+            self.backoff.failed_retries += 1;
             let interval = self.backoff.retry_interval_ms(self.spec.priority);
             self.backoff.next_retry_at = (now / interval + 1) * interval;
         }
@@ -86,8 +86,8 @@
     }
 
     /// Whether the job has unmet demand and its last request without capacity was within `ms`.
-    pub fn was_refused_within(&self, ms: u64, now: Timestamp) -> bool {
-        self.backoff.unmet_since.is_some() && now <= self.backoff.refused_at + ms
+    pub fn had_no_capacity_within(&self, ms: u64, now: Timestamp) -> bool {
+        self.backoff.unmet_since.is_some() && now <= self.backoff.last_unmet_at + ms
     }
 
     /// Resets the back-off because a participant had capacity for the job. The next unmet demand starts
--- a/crates/core/src/jobs/failure_suspicion.rs
+++ b/crates/core/src/jobs/failure_suspicion.rs
@@ -34,7 +34,7 @@
     /// Records that a task failed on this machine. Returns the time before which the job must not be
     /// retried; `not_before` is that time so far. Tasks that were started together fail together, and
     /// count as one retry.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         machine: MachineIdx,
         now: Timestamp,
@@ -54,7 +54,7 @@
     }
 
     /// Records that a task of the job ran well, so the job did not cause the earlier failures.
-    pub fn ran_well(&mut self) {
+    pub fn record_good_run(&mut self) {
         *self = FailureSuspicion::default();
     }
 
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -41,12 +41,12 @@
     pub not_before: Timestamp,
     pub(super) backoff: PlacementBackoff,
     /// Why the last request placed nothing; `None`: it placed something, or there was no request yet.
-    pub last_request: Option<RequestOutcome>,
+    pub last_request_outcome: Option<RequestOutcome>,
     /// A counter that selects the participant that is to preempt for the job, one at a time; `None`:
     /// capacity was not short.
     pub preemption_turn: Option<u32>,
     /// When a participant last reported that it preempts for the job.
-    pub preempting_at: Option<Timestamp>,
+    pub preemption_reported_at: Option<Timestamp>,
     /// The zone in which a gang waits for capacity; `None`: no zone is chosen.
     pub target_zone: Option<ZoneIdx>,
     /// The failures since a task of the job last ran well.
@@ -91,9 +91,9 @@
             unplaced: UnplacedTasks::default(),
             not_before: 0,
             backoff: PlacementBackoff::default(),
-            last_request: None,
+            last_request_outcome: None,
             preemption_turn: None,
-            preempting_at: None,
+            preemption_reported_at: None,
             target_zone: None,
             failure_suspicion: FailureSuspicion::default(),
             completion: CompletionProgress::default(),
@@ -151,7 +151,7 @@
     }
 
     /// Takes the next task to be placed; `None`: all are taken, placed or completed.
-    pub fn take(&mut self) -> Option<u32> {
+    pub fn take_task(&mut self) -> Option<u32> {
         if let Some(task) = self.unplaced.returned.pop_first() {
             return Some(task);
         }
@@ -166,14 +166,14 @@
     }
 
     /// Returns a task that was taken, or that lost its machine, to the unplaced tasks.
-    pub fn give_back(&mut self, task: u32) {
+    pub fn return_task(&mut self, task: u32) {
         if task < self.unplaced.next_fresh && !self.done.contains(task) {
             self.unplaced.returned.insert(task);
         }
     }
 
     /// Marks a task as completed. Ignored if it already is, or if the job has no such task.
-    pub fn set_done(&mut self, task: u32, now: Timestamp) {
+    pub fn mark_done(&mut self, task: u32, now: Timestamp) {
         if task < self.spec.tasks && self.done.insert(task) {
             self.unplaced.returned.remove(&task);
             self.completion.mark_dirty(task, now);
@@ -181,7 +181,7 @@
     }
 
     /// Whether all tasks are completed. A service is never complete.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let all = self.done.len() == self.spec.tasks;
         self.spec.kind != Kind::Service && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
     }
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -18,17 +18,17 @@
         ..job.spec
     };
     assert!(!job.queue_position(0).expect("a gang has a position").holds_position, "first request");
-    let room = [4, 4, 4];
-    job.backoff.failed_tries = 1;
-    job.choose_target_zone(&[0, 2, 1], &room);
+    let zone_task_limits = [4, 4, 4];
+    job.backoff.failed_retries = 1;
+    job.choose_target_zone(&[0, 2, 1], &zone_task_limits);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)));
-    job.choose_target_zone(&[3, 1, 0], &room);
+    job.choose_target_zone(&[3, 1, 0], &zone_task_limits);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)), "reservations in the zone are not wasted");
     assert!(job.queue_position(0).expect("a gang's").holds_position);
-    job.choose_target_zone(&[3, 0, 0], &room);
+    job.choose_target_zone(&[3, 0, 0], &zone_task_limits);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
     job.spec.tasks = 1;
-    job.choose_target_zone(&[0, 0, 0], &room);
+    job.choose_target_zone(&[0, 0, 0], &zone_task_limits);
     assert_eq!(job.target_zone, None, "a single task needs no target zone");
     assert!(!job.queue_position(0).expect("a gang's").holds_position);
 }
@@ -39,12 +39,12 @@
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.spec.priority = Priority::High;
-    let (mut now, mut tries) = (10_000, 0);
+    let (mut now, mut retries) = (10_000, 0);
     while now < 20_000 {
         assert!(job.record_unmet_demand(now), "a retry by timer");
-        (now, tries) = (job.not_before, tries + 1);
+        (now, retries) = (job.not_before, retries + 1);
     }
-    assert!((12..20).contains(&tries), "{tries} retries in 10 s");
+    assert!((12..20).contains(&retries), "{retries} retries in 10 s");
     assert!(job.record_unmet_demand(now));
     job.capacity_freed(now + 10);
     assert_eq!(job.not_before, now + 10, "freed capacity causes a retry at once");
@@ -59,7 +59,7 @@
 fn backs_off_only_jobs_failing_on_several_machines() {
     let mut suspicion = FailureSuspicion::default();
     let at = |suspicion: &mut FailureSuspicion, m, now, before| {
-        suspicion.failed(MachineIdx(m), now, before)
+        suspicion.record_failure(MachineIdx(m), now, before)
     };
     for _ in 0..50 {
         assert_eq!(at(&mut suspicion, 1, 1000, 0), 1200, "all failures on one machine");
@@ -68,12 +68,12 @@
     let first = at(&mut suspicion, 3, 1000, 0);
     assert!(suspicion.is_suspected() && first > 2000);
     assert_eq!(at(&mut suspicion, 4, 1001, first), first.max(1001 + 2000), "tasks started together count as one retry");
-    let (mut now, mut tries) = (first, 0);
+    let (mut now, mut retries) = (first, 0);
     while now < 600_000 {
-        (now, tries) = (at(&mut suspicion, 5, now, now), tries + 1);
+        (now, retries) = (at(&mut suspicion, 5, now, now), retries + 1);
     }
-    assert!((10..20).contains(&tries), "{tries} retries in ten minutes, without an end");
-    suspicion.ran_well();
+    assert!((10..20).contains(&retries), "{retries} retries in ten minutes, without an end");
+    suspicion.record_good_run();
     assert_eq!(at(&mut suspicion, 1, now, now), now + 200);
 }
 
@@ -98,13 +98,13 @@
         adopted: true,
         quota: None,
     };
-    assert_eq!(job.zone_room(&zones), [9, 9, 9]);
+    assert_eq!(job.zone_task_limits(&zones), [9, 9, 9]);
     job.placed.insert(0, placement(1));
-    assert_eq!(job.zone_room(&zones), [0, 9, 0]);
+    assert_eq!(job.zone_task_limits(&zones), [0, 9, 0]);
     job.placed.insert(3, placement(0));
-    assert_eq!(job.zone_room(&zones), [0, 0, 0]);
+    assert_eq!(job.zone_task_limits(&zones), [0, 0, 0]);
     job.placed.remove(3);
-    assert_eq!(job.zone_room(&zones), [0, 9, 0]);
+    assert_eq!(job.zone_task_limits(&zones), [0, 9, 0]);
 }
 
 /// Gangs that had missed all objectives must not each count as later than all others, since then no
--- a/crates/core/src/jobs/urgency.rs
+++ b/crates/core/src/jobs/urgency.rs
@@ -58,7 +58,7 @@
             // Negative once the job is late. If it were cut off at zero, each late gang would count as
             // later than the gangs that requested before it, and no gang would ever be first.
             time_left_ms: urgency.due as i64 - now as i64,
-            holds_position: self.backoff.failed_tries > 0 && self.target_zone.is_some(),
+            holds_position: self.backoff.failed_retries > 0 && self.target_zone.is_some(),
             zone: self.target_zone.map(|zone| zone.0),
         })
     }
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -3,8 +3,8 @@
 use crate::guards::{is_enforced, Guard};
 use crate::ids::ZoneIdx;
 
-/// A gang that is offered nothing in any zone waits for another zone after this many failed tries.
-const FAILED_TRIES_PER_ZONE: u32 = 16;
+/// A gang that is offered nothing in any zone waits for another zone after this many failed retries.
+const FAILED_RETRIES_PER_ZONE: u32 = 16;
 
 impl Job {
     /// Whether several tasks of the job need capacity in the same zone.
@@ -13,55 +13,55 @@
     }
 
     /// Chooses the zone in which a gang waits. By zone, `offered` is the number of tasks that capacity
-    /// was offered for, and `zone_room` the number of tasks that the zone may run. The zone stays the
+    /// was offered for, and `zone_task_limits` the number of tasks that the zone may run. The zone stays the
     /// same while it offers something, so that the reservations in it are not wasted.
-    pub fn choose_target_zone(&mut self, offered: &[u32], zone_room: &[u32]) {
+    pub fn choose_target_zone(&mut self, offered: &[u32], zone_task_limits: &[u32]) {
         if !self.needs_one_zone() {
             self.target_zone = None;
             return;
         }
-        let usable = |zone: usize| offered[zone].min(zone_room[zone]);
+        let usable = |zone: usize| offered[zone].min(zone_task_limits[zone]);
         let current = self
             .target_zone
             .map(|zone| zone.0 as usize)
-            .filter(|&zone| zone < offered.len() && zone_room[zone] > 0);
+            .filter(|&zone| zone < offered.len() && zone_task_limits[zone] > 0);
         if current.is_some_and(|zone| usable(zone) > 0) {
             return;
         }
         let best = (0..offered.len()).max_by_key(|&zone| usable(zone));
         let next = match (best.filter(|&zone| usable(zone) > 0), current) {
             (Some(zone), _) => Some(zone),
-            // No zone offers anything: the zones take turns, but not at every failed try.
+            // No zone offers anything: the zones take turns, but not at every failed retry.
             (None, Some(zone))
-                if !self.backoff.failed_tries.is_multiple_of(FAILED_TRIES_PER_ZONE) =>
+                if !self.backoff.failed_retries.is_multiple_of(FAILED_RETRIES_PER_ZONE) =>
             {
                 Some(zone)
             }
-            _ => self.zone_in_turn(zone_room),
+            _ => self.next_zone(zone_task_limits),
         };
         self.target_zone = next.map(|zone| ZoneIdx(zone as u8));
     }
 
     /// Returns the zone whose turn it is, of the zones that may run tasks. Jobs begin with different
     /// zones.
-    fn zone_in_turn(&self, zone_room: &[u32]) -> Option<usize> {
-        let open: Vec<usize> = (0..zone_room.len()).filter(|&zone| zone_room[zone] > 0).collect();
+    fn next_zone(&self, zone_task_limits: &[u32]) -> Option<usize> {
+        let open: Vec<usize> = (0..zone_task_limits.len()).filter(|&zone| zone_task_limits[zone] > 0).collect();
         if open.is_empty() {
             return None;
         }
-        let turn = (self.backoff.failed_tries / FAILED_TRIES_PER_ZONE) as usize;
+        let turn = (self.backoff.failed_retries / FAILED_RETRIES_PER_ZONE) as usize;
         Some(open[(self.id.0 as usize + turn) % open.len()])
     }
 
     /// Returns how many more tasks of the job each zone may run, given the tasks that may still be in a
     /// zone.
-    pub fn zone_room(&self, zones: &[String]) -> Vec<u32> {
+    pub fn zone_task_limits(&self, zones: &[String]) -> Vec<u32> {
         let zones_used = (0..zones.len()).filter(|&zone| self.placed.in_zone(zone) > 0).count();
-        let rooms = zones.iter().enumerate();
-        rooms.map(|(zone, name)| self.room_in_zone(zone, name, zones_used)).collect()
+        let indexed = zones.iter().enumerate();
+        indexed.map(|(zone, name)| self.task_limit_in_zone(zone, name, zones_used)).collect()
     }
 
-    fn room_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
+    fn task_limit_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
         let used = if is_enforced(Guard::PossibleTasksCountedInZone) { self.placed.in_zone(zone) } else { 0 };
         if self.spec.zone.as_ref().is_some_and(|wanted| wanted != name) {
             return 0;
