--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -114,14 +114,14 @@
         )];
         for (team, status) in self.quota_statuses(ctx) {
             let name = &ctx.config.teams[team as usize].name;
-            let (used, may) = (status.in_use(), status.may);
+            let (used, granted) = (status.in_use(), status.granted);
             let units = |thousandths: u64| thousandths as f64 / 1000.0;
             words.push(format!(
                 "team.{name}={:.1}/{:.1} gpus={:.1}/{:.1}",
                 units(used.cpu),
-                units(may.cpu),
+                units(granted.cpu),
                 units(used.gpu),
-                units(may.gpu)
+                units(granted.gpu)
             ));
         }
         Some(words.join(" "))
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -102,7 +102,7 @@
                 .filter(|received| Some(received.epoch) == epoch || !is_enforced(Guard::GrantBoundToEpoch));
             let Some(ReceivedGrant { grant, .. }) = valid else { continue };
             let used = used.remove(&team).unwrap_or_default();
-            statuses.insert(team, QuotaStatus { may: grant.may, due: grant.due, used });
+            statuses.insert(team, QuotaStatus { granted: grant.may, granted_after_preemption: grant.due, used });
         }
         statuses
     }
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaStatus {
     /// The granted amount, including what is in use; 0 without a grant.
-    pub may: QuotaAmount,
+    pub granted: QuotaAmount,
     /// The amount that would be granted if the team's lower-priority work was preempted everywhere.
-    pub due: QuotaAmount,
+    pub granted_after_preemption: QuotaAmount,
     /// The amount in use, by priority in ascending order.
     pub used: ByPriority,
 }
@@ -90,7 +90,7 @@
 
     /// Returns the part of the grant that is not in use.
     pub fn free(&self) -> QuotaAmount {
-        self.may.minus(self.in_use())
+        self.granted.minus(self.in_use())
     }
 }
 
@@ -132,7 +132,7 @@
     fn free_in_turn(&self, priority: Priority, taken: QuotaAmount) -> QuotaAmount {
         let not_lesser = &self.status.used[priority as usize..];
         let before = not_lesser.iter().fold(taken, |sum, used| sum.plus(*used));
-        self.status.due.minus(before)
+        self.status.granted_after_preemption.minus(before)
     }
 
     /// Admits the next job in the coordinator's order.
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -218,8 +218,8 @@
     assert_eq!(shard.granted(0, team_usage(0, 9000)), cpus(9000));
 }
 
-fn quota_status(may: u64, due: u64, used: [u64; 4]) -> QuotaStatus {
-    QuotaStatus { may: cpus(may), due: cpus(due), used: used.map(cpus) }
+fn quota_status(granted: u64, granted_after_preemption: u64, used: [u64; 4]) -> QuotaStatus {
+    QuotaStatus { granted: cpus(granted), granted_after_preemption: cpus(granted_after_preemption), used: used.map(cpus) }
 }
 
 fn request(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
