--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -106,7 +106,7 @@
             return None;
         }
         let preempted = std::mem::take(&mut self.quota.preempted_tasks);
-        let over_quota = |job: &&WaitingJob| job.admitted.in_turn == 0;
+        let over_quota = |job: &&WaitingJob| job.admitted.after_preemption == 0;
         let waiting = self.quota.waiting.iter().filter(over_quota).count();
         let mut words = vec![format!(
             "shard={} over_quota={waiting} preempted_in_team={preempted}",
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -47,7 +47,7 @@
         return (job.pending() <= left).then(|| job.pending());
     }
     // What the grant covers; else what would be let in if lesser work of the team gave way.
-    let may_run = if admitted.now > 0 { admitted.now } else { admitted.in_turn };
+    let may_run = if admitted.now > 0 { admitted.now } else { admitted.after_preemption };
     // No job takes the whole round: others may fit where it does not.
     let count = may_run.min(left).min(max / 3 + 1);
     let limit = if job.failure_suspicion.is_suspected() { 1 } else { u32::MAX };
@@ -121,7 +121,7 @@
             .filter_map(|id| jobs.get(id))
             .filter(|job| job.termination.status.is_none() && job.not_before <= now)
             .filter(|job| job.may_start())
-            .filter(|job| admitted_tasks(ctx, admitted, job).in_turn > 0)
+            .filter(|job| admitted_tasks(ctx, admitted, job).after_preemption > 0)
             .map(|job| QueueRank::of(job, now))
             .collect();
         if ranks.len() > MAX_REQUESTS_PER_ROUND {
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -22,7 +22,7 @@
 /// How many tasks of the job are worth a machine.
 fn worth(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
     match ctx.quota_use(job) {
-        Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.worth),
+        Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.launchable),
         None => job.pending(),
     }
 }
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -138,7 +138,7 @@
         WaitCause::FailureBackoff
     } else if limited.is_some_and(|waiting| !waiting.grant_known) {
         WaitCause::GrantUnknown
-    } else if limited.is_some_and(|waiting| waiting.admitted.in_turn == 0) {
+    } else if limited.is_some_and(|waiting| waiting.admitted.after_preemption == 0) {
         WaitCause::Quota
     } else {
         WaitCause::of_request(job.last_request_outcome)
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -1,7 +1,7 @@
 //! Which of a coordinator's pending tasks may run, decided before any offer is requested.
 //!
 //! The pending jobs are admitted in their order. For each job, admission says how many of its tasks
-//! the team's quota admits: `now`, which the grant covers, and `in_turn`, which it would cover after
+//! the team's quota admits: `now`, which the grant covers, and `after_preemption`, which it would cover after
 //! preemption of the team's lower-priority work. Requests for offers, preemption, queue positions,
 //! unmet demand and decisions consider only admitted tasks; the other tasks wait without any cost.
 //!
@@ -69,16 +69,16 @@
     /// Tasks that the grant covers.
     pub now: u32,
     /// Tasks that the grant covers or would cover after preemption of the team's lower-priority work.
-    pub in_turn: u32,
-    /// Tasks for which an instance may be launched: of `now`, or of `in_turn` if the job yields its
+    pub after_preemption: u32,
+    /// Tasks for which an instance may be launched: of `now`, or of `after_preemption` if the job yields its
     /// quota, after deduction of the tasks of earlier jobs.
-    pub worth: u32,
+    pub launchable: u32,
 }
 
 impl Admitted {
     /// Admits all tasks, for a job whose team has no quota.
     pub fn all(count: u32) -> Admitted {
-        Admitted { now: count, in_turn: count, worth: count }
+        Admitted { now: count, after_preemption: count, launchable: count }
     }
 }
 
@@ -100,8 +100,8 @@
     status: QuotaStatus,
     /// The amounts of the tasks admitted so far, as in [`Admitted`].
     now: QuotaAmount,
-    in_turn: QuotaAmount,
-    worth: QuotaAmount,
+    after_preemption: QuotaAmount,
+    launchable: QuotaAmount,
     phase: QuotaPhase,
 }
 
@@ -119,7 +119,7 @@
     /// Creates the admission before the first job.
     pub fn new(status: QuotaStatus) -> Admission {
         let none = QuotaAmount::default();
-        Admission { status, now: none, in_turn: none, worth: none, phase: QuotaPhase::default() }
+        Admission { status, now: none, after_preemption: none, launchable: none, phase: QuotaPhase::default() }
     }
 
     /// Returns the same admission for this phase.
@@ -129,7 +129,7 @@
 
     /// Returns what would be left for this priority, less `taken`, if all lower-priority work was
     /// preempted.
-    fn free_in_turn(&self, priority: Priority, taken: QuotaAmount) -> QuotaAmount {
+    fn free_after_preemption(&self, priority: Priority, taken: QuotaAmount) -> QuotaAmount {
         let not_lesser = &self.status.used[priority as usize..];
         let before = not_lesser.iter().fold(taken, |sum, used| sum.plus(*used));
         self.status.granted_after_preemption.minus(before)
@@ -145,10 +145,10 @@
     pub fn admit_claim(&mut self, job: &AdmissionRequest, claim: QuotaClaim) -> Admitted {
         let free = self.status.free().minus(self.now);
         let now = covered(free, job);
-        let in_turn = covered(self.free_in_turn(job.priority, self.in_turn), job).max(now);
-        let mut worth = covered(self.status.free().minus(self.worth), job);
+        let after_preemption = covered(self.free_after_preemption(job.priority, self.after_preemption), job).max(now);
+        let mut launchable = covered(self.status.free().minus(self.launchable), job);
         if claim == QuotaClaim::Nothing {
-            worth = worth.max(covered(self.free_in_turn(job.priority, self.worth), job));
+            launchable = launchable.max(covered(self.free_after_preemption(job.priority, self.launchable), job));
         }
         let next = job.next_count();
         // What is free is kept for the next task or gang even if it does not suffice, since smaller
@@ -160,14 +160,14 @@
             (QuotaClaim::All, QuotaPhase::Backfilling) => now,
         };
         self.now = self.now.plus(job.task.times(kept).least(free));
-        let in_turn_kept = match claim {
+        let kept_after_preemption = match claim {
             QuotaClaim::Nothing => 0,
-            QuotaClaim::Next => in_turn.min(next),
-            QuotaClaim::All => in_turn,
+            QuotaClaim::Next => after_preemption.min(next),
+            QuotaClaim::All => after_preemption,
         };
-        self.in_turn = self.in_turn.plus(job.task.times(in_turn_kept));
-        self.worth = self.worth.plus(job.task.times(worth));
+        self.after_preemption = self.after_preemption.plus(job.task.times(kept_after_preemption));
+        self.launchable = self.launchable.plus(job.task.times(launchable));
         debug_assert!(job.task.times(now).within(free), "more is admitted than the grant covers");
-        Admitted { now, in_turn, worth }
+        Admitted { now, after_preemption, launchable }
     }
 }
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -239,9 +239,9 @@
     let array = request(Priority::Low, 1000, 5000);
     let mut a = Admission::new(quota_status(10_000, 10_000, [10_000, 0, 0, 0]));
     let got = a.admit(&service);
-    assert_eq!((got.now, got.in_turn, got.worth), (0, 3, 0), "{got:?}");
+    assert_eq!((got.now, got.after_preemption, got.launchable), (0, 3, 0), "{got:?}");
     let got = a.admit(&array);
-    assert_eq!((got.now, got.in_turn), (0, 0), "preempted quota is not admitted again");
+    assert_eq!((got.now, got.after_preemption), (0, 0), "preempted quota is not admitted again");
     let mut a = Admission::new(quota_status(10_000, 10_000, [3000, 0, 0, 0]));
     assert_eq!(a.admit(&service).now, 3);
     assert_eq!(a.admit(&array).now, 1);
@@ -253,14 +253,14 @@
     let array = request(Priority::Low, 1000, 50);
     let free = quota_status(5000, 5000, [0; 4]);
     let mut a = Admission::new(free);
-    assert_eq!((a.admit(&gang).in_turn, a.admit(&array).now), (0, 0));
+    assert_eq!((a.admit(&gang).after_preemption, a.admit(&array).now), (0, 0));
     let mut a = Admission::new(free);
     let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
     assert_eq!((got.now, a.admit(&array).now), (0, 5));
     // The gang would be admitted after preemption, so it is worth an instance.
     let mut a = Admission::new(quota_status(6000, 6000, [6000, 0, 0, 0]));
     let got = a.admit(&AdmissionRequest { yields_quota: true, ..gang });
-    assert_eq!((got.now, got.in_turn, got.worth), (0, 2, 2));
+    assert_eq!((got.now, got.after_preemption, got.launchable), (0, 2, 2));
 }
 
 /// A coordinator of the model, with its usage, demand and grant.
@@ -465,7 +465,7 @@
             let priority =
                 [Priority::Low, Priority::Normal, Priority::High, Priority::Production][p];
             let got = a.admit(&AdmissionRequest { all_or_nothing: whole, ..request(priority, cpu, count) });
-            prop_assert!(got.in_turn <= count && got.now <= got.in_turn);
+            prop_assert!(got.after_preemption <= count && got.now <= got.after_preemption);
             prop_assert!(!whole || got.now == 0 || got.now == count);
             taken += cpu * u64::from(got.now);
             prop_assert!(taken == started || taken <= may);
