--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -120,8 +120,8 @@
             let claim = self.quota_claim(&pending, phase, ctx.now, &mut keeping);
             let request = AdmissionRequest {
                 priority: pending.job.spec.priority,
-                task: pending.task,
-                count: pending.count(),
+                amount_per_task: pending.task,
+                tasks: pending.count(),
                 all_or_nothing: pending.is_gang(),
                 yields_quota: claim == QuotaClaim::Nothing,
             };
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -73,8 +73,8 @@
     ) {
         let request = waiting.request;
         let priority = request.priority as usize;
-        let all = request.task.times(request.count);
-        let need = request.task.times(request.next_count());
+        let all = request.amount_per_task.times(request.tasks);
+        let need = request.amount_per_task.times(request.next_count());
         let wanted = match waiting.claim {
             QuotaClaim::All => all,
             QuotaClaim::Next => need,
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -28,9 +28,9 @@
     /// The priority of the job.
     pub priority: Priority,
     /// How much of the quota one task uses.
-    pub task: QuotaAmount,
+    pub amount_per_task: QuotaAmount,
     /// The number of pending tasks.
-    pub count: u32,
+    pub tasks: u32,
     /// Whether either all of its tasks run or none, as for a gang.
     pub all_or_nothing: bool,
     /// Whether the quota that it could use is left to later jobs, since no machine had capacity for it
@@ -42,7 +42,7 @@
     /// Returns how many tasks start together: one, or all tasks of a gang.
     pub fn next_count(&self) -> u32 {
         if self.all_or_nothing {
-            self.count
+            self.tasks
         } else {
             1
         }
@@ -107,8 +107,8 @@
 
 /// Returns how many tasks of the job this amount covers; for a gang all or none.
 fn covered(amount: QuotaAmount, job: &AdmissionRequest) -> u32 {
-    let count = amount.fits(job.task).min(u64::from(job.count)) as u32;
-    if job.all_or_nothing && count < job.count {
+    let count = amount.fits(job.amount_per_task).min(u64::from(job.tasks)) as u32;
+    if job.all_or_nothing && count < job.tasks {
         0
     } else {
         count
@@ -159,15 +159,15 @@
             (QuotaClaim::All, QuotaPhase::Reserving) => now.max(next),
             (QuotaClaim::All, QuotaPhase::Backfilling) => now,
         };
-        self.now = self.now.plus(job.task.times(kept).least(free));
+        self.now = self.now.plus(job.amount_per_task.times(kept).least(free));
         let kept_after_preemption = match claim {
             QuotaClaim::Nothing => 0,
             QuotaClaim::Next => after_preemption.min(next),
             QuotaClaim::All => after_preemption,
         };
-        self.after_preemption = self.after_preemption.plus(job.task.times(kept_after_preemption));
-        self.launchable = self.launchable.plus(job.task.times(launchable));
-        debug_assert!(job.task.times(now).within(free), "more is admitted than the grant covers");
+        self.after_preemption = self.after_preemption.plus(job.amount_per_task.times(kept_after_preemption));
+        self.launchable = self.launchable.plus(job.amount_per_task.times(launchable));
+        debug_assert!(job.amount_per_task.times(now).within(free), "more is admitted than the grant covers");
         Admitted { now, after_preemption, launchable }
     }
 }
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -225,8 +225,8 @@
 fn request(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
     AdmissionRequest {
         priority,
-        task: cpus(cpu),
-        count,
+        amount_per_task: cpus(cpu),
+        tasks: count,
         all_or_nothing: false,
         yields_quota: false,
     }
