--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -28,7 +28,8 @@
 pub struct Config {
     /// How long a worker keeps its tasks running after its last answered heartbeat, in ms.
     pub worker_lease_ms: u64,
-    /// Time from the acknowledgement of a cancellation until all tasks of the job must be gone, in ms.
+    /// Time from the acknowledgement of a cancellation until all tasks of the job must be gone, in
+    /// ms.
     pub cancel_ms: u64,
     /// A machine that has been silent for this long, in ms, gets no new tasks.
     pub max_silence_ms: u64,
@@ -256,7 +257,8 @@
     /// The wall clock, in ms since 1970, which may jump in both directions. Used for what is stored
     /// or shown.
     pub wall_clock_ms: u64,
-    /// Whether this node's lease has certainly not expired, so that no other node can own its shards.
+    /// Whether this node's lease has certainly not expired, so that no other node can own its
+    /// shards.
     pub lease_valid: bool,
     /// Set by a component when a coordinator may have work for a decision round.
     pub needs_round: bool,
@@ -314,8 +316,8 @@
         shard_of_machine(name, self.shard_views.len())
     }
 
-    /// Returns the job's team and how much of the team's quota one task takes; `None` if the team is
-    /// unknown or has no quota.
+    /// Returns the job's team and how much of the team's quota one task takes; `None` if the team
+    /// is unknown or has no quota.
     pub fn quota_use(&self, job: &Job) -> Option<QuotaUse> {
         let team = self.config.teams.iter().position(|team| team.name == job.spec.team)?;
         quota::team_quota(&self.config.teams[team])?;
@@ -353,8 +355,8 @@
         self.effects.push(Effect::Commands { machine, addr, batch, direct });
     }
 
-    /// Creates the record that names the newest machine which existed before the service. Whether it
-    /// was created now or existed already, it is then read back.
+    /// Creates the record that names the newest machine which existed before the service. Whether
+    /// it was created now or existed already, it is then read back.
     pub fn put_operator_machines(&mut self, newest: String) {
         let change = Change::Put {
             key: keys::BASE_KEY.into(),
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -130,7 +130,7 @@
         let Some(wanted) = self.within_quota(ctx, job, &offers, wanted) else {
             return;
         };
-        let room = job.zone_task_limits(&ctx.names.zones);
+        let room = job.max_per_zone(&ctx.names.zones);
         let offered = offers.count_by_zone(room.len());
         // Replicas of a service go to different machines where they can.
         let max_per_turn = if job.spec.kind == Kind::Service { 1 } else { u32::MAX };
--- a/crates/core/src/guards.rs
+++ b/crates/core/src/guards.rs
@@ -33,8 +33,8 @@
     UserAnswerNeedsValidLease,
     /// Prevents a machine from being declared lost while this node's lease is uncertain.
     MachineLossNeedsValidLease,
-    /// Prevents this node from owning a shard because of a response that arrived while its lease was
-    /// uncertain.
+    /// Prevents this node from owning a shard because of a response that arrived while its lease
+    /// was uncertain.
     AcquisitionNeedsValidLease,
     /// Prevents a lease from being counted from the response to its renewal rather than from the
     /// time at which the renewal was sent.
@@ -76,8 +76,8 @@
     /// Prevents an owner with an uncertain lease from being believed while another node may know a
     /// newer owner.
     HorizonNeedsPeerStatements,
-    /// Prevents an owner with an uncertain lease from being believed while an earlier process of this
-    /// node may have been a newer owner.
+    /// Prevents an owner with an uncertain lease from being believed while an earlier process of
+    /// this node may have been a newer owner.
     HorizonNeedsPredecessorLimit,
     /// Prevents cancellations by a reachable owner from staying unknown here.
     HeartbeatsNameCancellations,
@@ -92,8 +92,8 @@
     /// Prevents the absence of a task from being believed of a worker that may still obey an older
     /// owner.
     AbsenceNeedsConfirmedToken,
-    /// Prevents a worker's lease from being counted from this owner's answer although an older owner
-    /// answered the worker until the worker saw the new fencing token.
+    /// Prevents a worker's lease from being counted from this owner's answer although an older
+    /// owner answered the worker until the worker saw the new fencing token.
     LeaseCountedFromTokenConfirmation,
     /// Prevents a task from being started in another incarnation of the worker than that of the
     /// offer.
@@ -122,8 +122,8 @@
     TerminalJobStoppedByParticipant,
     /// Prevents a stop command from waiting for this node's lease to be valid.
     StopIgnoresLease,
-    /// Prevents an unanswered start from being forgotten, since a late copy of it may start the task
-    /// again.
+    /// Prevents an unanswered start from being forgotten, since a late copy of it may start the
+    /// task again.
     UnansweredStartRemembered,
     /// Prevents a start from being forgotten while its command is in flight.
     StartInFlightRemembered,
@@ -131,7 +131,8 @@
     AdoptedTaskNotStarted,
     /// Prevents a job from being called done before its last task is.
     CompletionNeedsAllTasks,
-    /// Prevents a decision from being overwritten while a task that it placed may be on its machine.
+    /// Prevents a decision from being overwritten while a task that it placed may be on its
+    /// machine.
     DecisionRecordKeptWhileLive,
     /// Prevents an older attempt from being taken for the newest one after a failover.
     NewestAttemptAdopted,
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,4 +1,5 @@
-//! Failure detection between controllers: what was received from each sibling, and what that proves.
+//! Failure detection between controllers: what was received from each sibling, and what that
+//! proves.
 //!
 //! Invariants:
 //! - Evidence is only what a sibling itself stated or did, with the time at which it reached this
@@ -14,7 +15,8 @@
 /// A sibling from which nothing was received for this long, in ms, is considered unreachable.
 const UNREACHABLE_AFTER_MS: u64 = 3000;
 
-/// Whether a sibling from which something was last received at `last_contact_at` is considered reachable.
+/// Whether a sibling from which something was last received at `last_contact_at` is considered
+/// reachable.
 pub(crate) fn counts_as_reachable(last_contact_at: Timestamp, now: Timestamp) -> bool {
     now < last_contact_at + UNREACHABLE_AFTER_MS
 }
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Records a sibling's heartbeat. Known epochs never decrease, in whatever order heartbeats arrive.
+    /// Records a sibling's heartbeat. Known epochs never decrease, in whatever order heartbeats
+    /// arrive.
     pub fn record_heartbeat(&mut self, node: NodeIdx, heartbeat: &NodeHeartbeat) {
         let Some(statement) = self.statements.get_mut(node.0 as usize) else { return };
         statement.ready = heartbeat.ready;
--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -17,9 +17,9 @@
 //!   than the stamp, however long it was in transit.
 //! - Silence, a restart, or a newer epoch without such a statement never advances a horizon.
 //! - A worker is answered only until the grace period after the horizon of its own shard and of the
-//!   shards of its tasks. The grace period is `cancel_s` less the worker's lease. So no owner answers
-//!   later than a grace period after it lost its shard, and a new owner waits for that time before it
-//!   declares a silent machine lost.
+//!   shards of its tasks. The grace period is `cancel_s` less the worker's lease. So no owner
+//!   answers later than a grace period after it lost its shard, and a new owner waits for that time
+//!   before it declares a silent machine lost.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -40,7 +40,8 @@
 
 /// How much longer than `cancel_ms` a cancellation is remembered, in ms.
 const CANCELLATION_KEEP_MS: u64 = 60_000;
-/// If neither the owner nor the store has confirmed a horizon for this long, in ms, the store is read.
+/// If neither the owner nor the store has confirmed a horizon for this long, in ms, the store is
+/// read.
 const UNCONFIRMED_MAX_MS: u64 = 3000;
 
 /// A shard that this node owns and whose coordinator has loaded all records.
@@ -66,15 +67,16 @@
     peers: Vec<PeerStatements>,
 }
 
-/// Returns how long after a shard's horizon workers may be answered, with all times in milliseconds.
+/// Returns how long after a shard's horizon workers may be answered, with all times in
+/// milliseconds.
 fn grace_period_ms(cancel_ms: u64, worker_lease_ms: u64) -> u64 {
     at_most(cancel_ms).saturating_sub(at_least(worker_lease_ms))
 }
 
 impl Horizons {
     /// Creates the state of a process that knows nothing yet. `nodes` is the number of controllers,
-    /// and of shards; `cancel_ms` is the longest time from an acknowledged cancellation to the end of
-    /// the job's tasks.
+    /// and of shards; `cancel_ms` is the longest time from an acknowledged cancellation to the end
+    /// of the job's tasks.
     pub fn new(
         this_node: NodeIdx,
         boot: u64,
@@ -134,9 +136,9 @@
         self.cancellations.take_new()
     }
 
-    /// Records that this node, which owns the shard under this epoch, writes the job's cancellation or
-    /// found it in the store. Must be called before the write is known to be executed, since another
-    /// node that reads the store may acknowledge the cancellation first.
+    /// Records that this node, which owns the shard under this epoch, writes the job's cancellation
+    /// or found it in the store. Must be called before the write is known to be executed, since
+    /// another node that reads the store may acknowledge the cancellation first.
     pub fn on_cancelled(&mut self, shard: Shard, epoch: Epoch, job: JobId, now: Timestamp) {
         self.cancellations.learn(job, epoch, now);
         if let Some(state) = self.shards.get_mut(usize::from(shard.0)) {
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Records that the owner under this epoch has tasks of the job placed. So a cancellation that an
-    /// earlier owner tried to write was not written in time, and never will be.
+    /// Records that the owner under this epoch has tasks of the job placed. So a cancellation that
+    /// an earlier owner tried to write was not written in time, and never will be.
     pub fn on_job_continued(&mut self, job: JobId, epoch: Epoch) {
         self.cancellations.forget_older(job, epoch);
     }
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Records that all terminal states of the shard in the store were read, by calls that were made
-    /// at `asked_at` or later.
+    /// Records that all terminal states of the shard in the store were read, by calls that were
+    /// made at `asked_at` or later.
     pub fn on_store_read(&mut self, shard: Shard, asked_at: Timestamp) {
         if let Some(state) = self.shards.get_mut(usize::from(shard.0)) {
             state.horizon = state.horizon.max(Some(asked_at));
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -15,8 +15,8 @@
 pub(super) struct PeerStatements {
     /// The stamp of its last heartbeat; `None`: no heartbeat was received from it.
     stamp: Option<Stamp>,
-    /// By shard, an epoch such that neither this controller nor an earlier process of its node acted
-    /// under a newer one.
+    /// By shard, an epoch such that neither this controller nor an earlier process of its node
+    /// acted under a newer one.
     pub(super) newest_epochs: Vec<EpochStatement>,
     /// By shard, how much of this node's log of cancellations it has received.
     acknowledged: Vec<LogPosition>,
@@ -35,8 +35,8 @@
 
 impl Horizons {
     /// Applies a heartbeat of another controller. What it states about owners must be in `view`
-    /// already. Returns true if the heartbeat is the first one of its process, which needs this node's
-    /// stamp before it can make a statement that counts here.
+    /// already. Returns true if the heartbeat is the first one of its process, which needs this
+    /// node's stamp before it can make a statement that counts here.
     pub fn on_heartbeat(
         &mut self,
         from: NodeIdx,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Returns, by shard, an epoch such that no process of this node acted under a newer one and none
-    /// is known here. `None`: this process has not read the keys of all shards yet.
+    /// Returns, by shard, an epoch such that no process of this node acted under a newer one and
+    /// none is known here. `None`: this process has not read the keys of all shards yet.
     fn newest_epochs(&self, view: &[ShardView]) -> Option<Vec<u64>> {
         let newest = |(state, shard): (&ShardHorizon, &ShardView)| {
             let last = shard.newest_owner.map_or(0, |owner| owner.epoch.0);
@@ -152,8 +152,8 @@
         self.received = LogPosition { epoch, number: received.max(assertion.up_to) };
         let Some(made_after) = made_after.filter(|_| assertion.complete) else { return };
         self.owner_statement = Some(EpochStatement { epoch, made_after });
-        // The owner's statement counts up to the time until which its lease was certain. The owner's
-        // clock may be slow, so the uncertain time is taken as longer than stated.
+        // The owner's statement counts up to the time until which its lease was certain. The
+        // owner's clock may be slow, so the uncertain time is taken as longer than stated.
         let lease_uncertain = assertion.doubt_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
         let uncertain_ms = if lease_uncertain { at_least(assertion.doubt_ms) } else { 0 };
         let certain_until = made_after.checked_sub(uncertain_ms);
--- a/crates/core/src/horizon/shard_horizon.rs
+++ b/crates/core/src/horizon/shard_horizon.rs
@@ -35,8 +35,8 @@
 /// What is known of the cancellations of one shard.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ShardHorizon {
-    /// The time before which all cancellations that were written are known; `None`: there is no such
-    /// time yet.
+    /// The time before which all cancellations that were written are known; `None`: there is no
+    /// such time yet.
     pub(super) horizon: Option<Timestamp>,
     /// The newest statement of an owner about its own epoch.
     pub(super) owner_statement: Option<EpochStatement>,
@@ -47,8 +47,8 @@
     pub(super) received: LogPosition,
     /// The cancellations that this node made while it owns the shard.
     pub(super) log: CancellationLog,
-    /// An epoch such that no earlier process of this node acted under a newer one; `None`: the shard's
-    /// key was not read yet.
+    /// An epoch such that no earlier process of this node acted under a newer one; `None`: the
+    /// shard's key was not read yet.
     pub(super) predecessor_epoch_limit: Option<Epoch>,
 }
 
@@ -64,10 +64,10 @@
         }
     }
 
-    /// Advances the horizon to the earliest time after which the owner and all other nodes have stated
-    /// that no process acted under a newer epoch. This works while the owner's lease is uncertain.
-    /// `newest_epoch` is the newest epoch known here. `statements` holds for each other node the newest
-    /// epoch that it knows, or `None` if it made no statement.
+    /// Advances the horizon to the earliest time after which the owner and all other nodes have
+    /// stated that no process acted under a newer epoch. This works while the owner's lease is
+    /// uncertain. `newest_epoch` is the newest epoch known here. `statements` holds for each other
+    /// node the newest epoch that it knows, or `None` if it made no statement.
     pub(super) fn advance_by_peers(
         &mut self,
         newest_epoch: Epoch,
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -29,7 +29,8 @@
     owned
 }
 
-/// Sends a heartbeat from `a` to `b`, and one from `b` to `a` that echoes it and arrives 700 ms later.
+/// Sends a heartbeat from `a` to `b`, and one from `b` to `a` that echoes it and arrives 700 ms
+/// later.
 fn exchange(
     a: &mut Horizons,
     b: &mut Horizons,
@@ -60,7 +61,8 @@
     assert!(
         a.permits_answer(JOBS, 90_000 + grace_ms - 1) && !a.permits_answer(JOBS, 90_000 + grace_ms)
     );
-    // The owner's lease has been uncertain for 3 s, so its statement counts for the time before that.
+    // The owner's lease has been uncertain for 3 s, so its statement counts for the time before
+    // that.
     exchange(&mut a, &mut b, 95_000, &owned_shards(JOBS, 5, 3000), &view);
     assert!((3900..4500).contains(&a.age_ms(JOBS, 95_700).unwrap_or(0)));
     // An echo of a stamp of an earlier process of this node does not count.
--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -1,5 +1,6 @@
-//! A bounded search over fault sequences: all sequences of up to a number of faults at given steps, with
-//! three controllers, a store, one machine and one cancelled job, run on the real transition functions.
+//! A bounded search over fault sequences: all sequences of up to a number of faults at given steps,
+//! with three controllers, a store, one machine and one cancelled job, run on the real transition
+//! functions.
 use super::*;
 use crate::shard::{Lease, LEASE_MS};
 
@@ -88,7 +89,8 @@
     /// When the leases in the store end, by number.
     leases: Vec<Timestamp>,
     is_terminal_in_store: bool,
-    /// The step at which a delayed cancellation is executed, and the epoch under which it was written.
+    /// The step at which a delayed cancellation is executed, and the epoch under which it was
+    /// written.
     late_write: Option<(u64, u64)>,
     acknowledged_at: Option<Timestamp>,
     /// The controller that the worker sends heartbeats to.
@@ -230,8 +232,8 @@
                 }
             }
             let before = self.keys[s].is_some_and(|k| k.node == n && k.boot != node.boot);
-            // The third controller acquires a vacant shard at once, before the others have seen that the
-            // shard is vacant.
+            // The third controller acquires a vacant shard at once, before the others have seen
+            // that the shard is vacant.
             let waited = now > self.last_owned_at[s] + if n == 2 { 0 } else { STEP_MS };
             let home = s == n && now == 100_000;
             if (self.keys[s].is_none() && (home || (waited && now > 100_000))) || before {
@@ -410,8 +412,8 @@
     }
 }
 
-/// Runs all sequences of up to `depth` faults at these steps. Returns their number, and one in which the
-/// cancelled task ran for too long, if there is one.
+/// Runs all sequences of up to `depth` faults at these steps. Returns their number, and one in
+/// which the cancelled task ran for too long, if there is one.
 fn search(depth: usize, steps: &[u64], bug: SeededBug) -> (u64, Option<String>) {
     let all: Vec<(u64, Fault)> = steps.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
     let mut histories = 0;
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -3,7 +3,8 @@
 //! - [`Job`]: one job and its tasks, from submission to its terminal state;
 //! - `backoff`: when placement is retried for tasks that no machine had capacity for;
 //! - `zones`: how many tasks each zone may run, and the zone in which a gang waits;
-//! - [`Objectives`] and [`Urgency`]: service-level objectives, and the order that follows from them;
+//! - [`Objectives`] and [`Urgency`]: service-level objectives, and the order that follows from
+//!   them;
 //! - [`FailureSuspicion`]: whether a job fails on every machine that it is tried on;
 //! - [`CompletionProgress`]: completed tasks that are being written to the store;
 //! - [`Termination`]: a terminal state that is being written.
--- a/crates/core/src/jobs/backoff.rs
+++ b/crates/core/src/jobs/backoff.rs
@@ -60,12 +60,12 @@
 }
 
 impl Job {
-    /// Records that no participant had capacity for the job, and schedules the next retry. Returns true
-    /// if this was a retry by timer.
+    /// Records that no participant had capacity for the job, and schedules the next retry. Returns
+    /// true if this was a retry by timer.
     ///
-    /// Participants report freed capacity, so the next retry by timer may be late. The first retries
-    /// follow soon, since preemption is requested from one participant after the other. Retry times
-    /// are multiples of the interval, so that one round serves many jobs.
+    /// Participants report freed capacity, so the next retry by timer may be late. The first
+    /// retries follow soon, since preemption is requested from one participant after the other.
+    /// Retry times are multiples of the interval, so that one round serves many jobs.
     pub fn record_unmet_demand(&mut self, now: Timestamp) -> bool {
         self.backoff.unmet_since.get_or_insert(now);
         self.backoff.last_unmet_at = now;
@@ -79,8 +79,8 @@
         by_timer
     }
 
-    /// Returns for how long no participant has had capacity for the job, in milliseconds; `None`: its
-    /// last demand was met.
+    /// Returns for how long no participant has had capacity for the job, in milliseconds; `None`:
+    /// its last demand was met.
     pub fn demand_unmet_ms(&self, now: Timestamp) -> Option<u64> {
         self.backoff.unmet_since.map(|since| now.saturating_sub(since))
     }
@@ -90,8 +90,8 @@
         self.backoff.unmet_since.is_some() && now <= self.backoff.last_unmet_at + ms
     }
 
-    /// Resets the back-off because a participant had capacity for the job. The next unmet demand starts
-    /// a new back-off.
+    /// Resets the back-off because a participant had capacity for the job. The next unmet demand
+    /// starts a new back-off.
     pub fn reset_backoff(&mut self) {
         self.backoff = PlacementBackoff::default();
     }
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Whether the job may use machines with GPUs that it does not need. This holds for a service that
-    /// is late and finds no machine: users notice a missing service sooner than waiting GPU work, and
-    /// the service is moved to another machine later.
+    /// Whether the job may use machines with GPUs that it does not need. This holds for a service
+    /// that is late and finds no machine: users notice a missing service sooner than waiting GPU
+    /// work, and the service is moved to another machine later.
     pub fn may_use_gpu_machines(&self, now: Timestamp) -> bool {
         let late = self.urgency(now).missed_objectives > 0;
         let long = self.demand_unmet_ms(now).is_some_and(|ms| ms >= GPU_MACHINES_ALLOWED_AFTER_MS);
--- a/crates/core/src/jobs/completion.rs
+++ b/crates/core/src/jobs/completion.rs
@@ -26,10 +26,11 @@
     pub(crate) dirty_chunks: BTreeSet<u32>,
     /// Since when there has been a completed task that is not in the store; `None`: there is none.
     pub(crate) uncompacted_since: Option<Timestamp>,
-    /// Chunks that are in the store, or may be, with the last known version of their records; 0: the
-    /// record may not exist.
+    /// Chunks that are in the store, or may be, with the last known version of their records; 0:
+    /// the record may not exist.
     pub(crate) stored_chunks: BTreeMap<u32, u64>,
-    /// Completed attempts that are acknowledged to their machines after their completion is durable.
+    /// Completed attempts that are acknowledged to their machines after their completion is
+    /// durable.
     pub(crate) uncompacted: Vec<CompletedAttempt>,
 }
 
--- a/crates/core/src/jobs/failure_suspicion.rs
+++ b/crates/core/src/jobs/failure_suspicion.rs
@@ -17,9 +17,9 @@
 /// Whether a job fails by itself, regardless of the machine.
 ///
 /// One failure, or many on the same machine, don't make the job suspected: it is soon retried on
-/// another machine. After it has failed on several machines and run well on none, it is retried with
-/// exponential back-off, and on one machine at a time, until it runs well or its user cancels it.
-/// One job in 25 fails at every start. Without the back-off, an array of hundreds of such tasks
+/// another machine. After it has failed on several machines and run well on none, it is retried
+/// with exponential back-off, and on one machine at a time, until it runs well or its user cancels
+/// it. One job in 25 fails at every start. Without the back-off, an array of hundreds of such tasks
 /// would take image fetches, starts and store changes from other jobs until its user cancels it.
 #[derive(Clone, Debug, Default)]
 pub struct FailureSuspicion {
@@ -31,9 +31,9 @@
 }
 
 impl FailureSuspicion {
-    /// Records that a task failed on this machine. Returns the time before which the job must not be
-    /// retried; `not_before` is that time so far. Tasks that were started together fail together, and
-    /// count as one retry.
+    /// Records that a task failed on this machine. Returns the time before which the job must not
+    /// be retried; `not_before` is that time so far. Tasks that were started together fail
+    /// together, and count as one retry.
     pub fn record_failure(
         &mut self,
         machine: MachineIdx,
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -40,10 +40,11 @@
     /// The job's tasks are not requested before this time.
     pub not_before: Timestamp,
     pub(super) backoff: PlacementBackoff,
-    /// Why the last request placed nothing; `None`: it placed something, or there was no request yet.
+    /// Why the last request placed nothing; `None`: it placed something, or there was no request
+    /// yet.
     pub last_request_outcome: Option<RequestOutcome>,
-    /// A counter that selects the participant that is to preempt for the job, one at a time; `None`:
-    /// capacity was not short.
+    /// A counter that selects the participant that is to preempt for the job, one at a time;
+    /// `None`: capacity was not short.
     pub preemption_turn: Option<u32>,
     /// When a participant last reported that it preempts for the job.
     pub preemption_reported_at: Option<Timestamp>,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Creates a placeholder for a job whose terminal state is in the store while its tasks may still be
-    /// on machines. It counts as cancelled. What its user submitted is not known.
+    /// Creates a placeholder for a job whose terminal state is in the store while its tasks may
+    /// still be on machines. It counts as cancelled. What its user submitted is not known.
     pub fn tombstone(id: JobId, names: &mut Names) -> Job {
         let spec = user::Job {
             id: user::job_id(id.0),
@@ -143,8 +144,8 @@
         self.spec.tasks - self.done.len() - self.placed.len()
     }
 
-    /// Whether tasks may be placed while others are: not those of a gang, which starts as a whole, nor
-    /// those of a suspected job, which is tried on one machine at a time.
+    /// Whether tasks may be placed while others are: not those of a gang, which starts as a whole,
+    /// nor those of a suspected job, which is tried on one machine at a time.
     pub fn may_start(&self) -> bool {
         self.placed.is_empty()
             || (self.spec.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
--- a/crates/core/src/jobs/objectives.rs
+++ b/crates/core/src/jobs/objectives.rs
@@ -43,8 +43,8 @@
         Objectives { placement_ms_per_task, by_class }
     }
 
-    /// Returns the latest starts that meet a job's objectives, in milliseconds from its submission, in
-    /// ascending order.
+    /// Returns the latest starts that meet a job's objectives, in milliseconds from its submission,
+    /// in ascending order.
     pub(super) fn latest_starts_ms(&self, job: &user::Job) -> Vec<f64> {
         let none = ClassObjectives::default();
         let class = self.by_class.get(&job.class).unwrap_or(&none);
@@ -60,8 +60,8 @@
             starts.extend(multiples.map(|multiple| deadline_ms * multiple - run_ms));
         }
         // The last task has to start in time, so a large job is due earlier. Without this, an array
-        // of 25,000 tasks was due as late as one of ten on operators' sites, and there was not enough
-        // time left to place all tasks when it was served.
+        // of 25,000 tasks was due as late as one of ten on operators' sites, and there was not
+        // enough time left to place all tasks when it was served.
         let placement_ms = self.placement_ms_per_task * f64::from(job.tasks);
         for start in &mut starts {
             *start -= placement_ms;
--- a/crates/core/src/jobs/termination.rs
+++ b/crates/core/src/jobs/termination.rs
@@ -6,11 +6,12 @@
 /// A terminal state that is being written, and the requests that wait for it.
 #[derive(Debug, Default)]
 pub struct Termination {
-    /// The terminal state that is being written; `None`: there is none. It may be in the store already,
-    /// so until the outcome is known no task of the job is started and its state is not reported.
+    /// The terminal state that is being written; `None`: there is none. It may be in the store
+    /// already, so until the outcome is known no task of the job is started and its state is not
+    /// reported.
     pub(crate) status: Option<Status>,
-    /// The transaction of a cancellation; `None` for a completed job, since completed jobs are written
-    /// together in a compaction.
+    /// The transaction of a cancellation; `None` for a completed job, since completed jobs are
+    /// written together in a compaction.
     pub(crate) write: Option<PendingWrite>,
     /// Cancellation requests that are answered after the terminal state is durable.
     pub(crate) requests: Vec<RequestId>,
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -18,17 +18,17 @@
         ..job.spec
     };
     assert!(!job.queue_position(0).expect("a gang has a position").holds_position, "first request");
-    let zone_task_limits = [4, 4, 4];
+    let max_per_zone = [4, 4, 4];
     job.backoff.failed_retries = 1;
-    job.choose_target_zone(&[0, 2, 1], &zone_task_limits);
+    job.choose_target_zone(&[0, 2, 1], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)));
-    job.choose_target_zone(&[3, 1, 0], &zone_task_limits);
+    job.choose_target_zone(&[3, 1, 0], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)), "reservations in the zone are not wasted");
     assert!(job.queue_position(0).expect("a gang's").holds_position);
-    job.choose_target_zone(&[3, 0, 0], &zone_task_limits);
+    job.choose_target_zone(&[3, 0, 0], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
     job.spec.tasks = 1;
-    job.choose_target_zone(&[0, 0, 0], &zone_task_limits);
+    job.choose_target_zone(&[0, 0, 0], &max_per_zone);
     assert_eq!(job.target_zone, None, "a single task needs no target zone");
     assert!(!job.queue_position(0).expect("a gang's").holds_position);
 }
@@ -98,13 +98,13 @@
         adopted: true,
         quota: None,
     };
-    assert_eq!(job.zone_task_limits(&zones), [9, 9, 9]);
+    assert_eq!(job.max_per_zone(&zones), [9, 9, 9]);
     job.placed.insert(0, placement(1));
-    assert_eq!(job.zone_task_limits(&zones), [0, 9, 0]);
+    assert_eq!(job.max_per_zone(&zones), [0, 9, 0]);
     job.placed.insert(3, placement(0));
-    assert_eq!(job.zone_task_limits(&zones), [0, 0, 0]);
+    assert_eq!(job.max_per_zone(&zones), [0, 0, 0]);
     job.placed.remove(3);
-    assert_eq!(job.zone_task_limits(&zones), [0, 9, 0]);
+    assert_eq!(job.max_per_zone(&zones), [0, 9, 0]);
 }
 
 /// Gangs that had missed all objectives must not each count as later than all others, since then no
@@ -128,8 +128,8 @@
     }
 }
 
-/// A job that was submitted before the process started must keep its age, since its order and urgency
-/// depend on it.
+/// A job that was submitted before the process started must keep its age, since its order and
+/// urgency depend on it.
 #[test]
 fn urgency_counts_from_submission() {
     let mut names = Names::default();
--- a/crates/core/src/jobs/urgency.rs
+++ b/crates/core/src/jobs/urgency.rs
@@ -28,11 +28,11 @@
         Urgency { missed_objectives: missed as u8, due: self.submitted_at + next.max(0.0) as u64 }
     }
 
-    /// Returns the job's urgency among jobs of the same priority that wait to be placed. A job that has
-    /// waited too long for its first start comes first, regardless of its objectives and those of other
-    /// jobs: the operators' largest and idle-time jobs have to start within four minutes. Without this,
-    /// arrays without an objective started after 500 to 590 s on operators' sites, behind a stream of
-    /// small jobs.
+    /// Returns the job's urgency among jobs of the same priority that wait to be placed. A job that
+    /// has waited too long for its first start comes first, regardless of its objectives and those
+    /// of other jobs: the operators' largest and idle-time jobs have to start within four minutes.
+    /// Without this, arrays without an objective started after 500 to 590 s on operators' sites,
+    /// behind a stream of small jobs.
     pub fn placement_urgency(&self, now: Timestamp) -> Urgency {
         let due = self.submitted_at + MAX_WAIT_FOR_FIRST_START_MS;
         if self.first_started_at.is_none() && now >= due {
@@ -47,7 +47,8 @@
         now.saturating_sub(self.submitted_at) > due.saturating_sub(self.submitted_at) / 3
     }
 
-    /// Returns a gang's position in the gang queue of a participant; `None` for other kinds of jobs.
+    /// Returns a gang's position in the gang queue of a participant; `None` for other kinds of
+    /// jobs.
     pub fn queue_position(&self, now: Timestamp) -> Option<mesh::QueuePosition> {
         if self.spec.kind != Kind::Gang {
             return None;
@@ -55,8 +56,8 @@
         let urgency = self.urgency(now);
         Some(mesh::QueuePosition {
             late: urgency.missed_objectives,
-            // Negative once the job is late. If it were cut off at zero, each late gang would count as
-            // later than the gangs that requested before it, and no gang would ever be first.
+            // Negative once the job is late. If it were cut off at zero, each late gang would count
+            // as later than the gangs that requested before it, and no gang would ever be first.
             time_left_ms: urgency.due as i64 - now as i64,
             holds_position: self.backoff.failed_retries > 0 && self.target_zone.is_some(),
             zone: self.target_zone.map(|zone| zone.0),
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -3,7 +3,8 @@
 use crate::guards::{is_enforced, Guard};
 use crate::ids::ZoneIdx;
 
-/// A gang that is offered nothing in any zone waits for another zone after this many failed retries.
+/// A gang that is offered nothing in any zone waits for another zone after this many failed
+/// retries.
 const FAILED_RETRIES_PER_ZONE: u32 = 16;
 
 impl Job {
@@ -12,19 +13,20 @@
         self.spec.one_zone && self.pending() > 1
     }
 
-    /// Chooses the zone in which a gang waits. By zone, `offered` is the number of tasks that capacity
-    /// was offered for, and `zone_task_limits` the number of tasks that the zone may run. The zone stays the
-    /// same while it offers something, so that the reservations in it are not wasted.
-    pub fn choose_target_zone(&mut self, offered: &[u32], zone_task_limits: &[u32]) {
+    /// Chooses the zone in which a gang waits. By zone, `offered` is the number of tasks that
+    /// capacity was offered for, and `max_per_zone` the number of tasks that the zone may run. The
+    /// zone stays the same while it offers something, so that the reservations in it are not
+    /// wasted.
+    pub fn choose_target_zone(&mut self, offered: &[u32], max_per_zone: &[u32]) {
         if !self.needs_one_zone() {
             self.target_zone = None;
             return;
         }
-        let usable = |zone: usize| offered[zone].min(zone_task_limits[zone]);
+        let usable = |zone: usize| offered[zone].min(max_per_zone[zone]);
         let current = self
             .target_zone
             .map(|zone| zone.0 as usize)
-            .filter(|&zone| zone < offered.len() && zone_task_limits[zone] > 0);
+            .filter(|&zone| zone < offered.len() && max_per_zone[zone] > 0);
         if current.is_some_and(|zone| usable(zone) > 0) {
             return;
         }
@@ -37,15 +39,15 @@
             {
                 Some(zone)
             }
-            _ => self.next_zone(zone_task_limits),
+            _ => self.next_zone(max_per_zone),
         };
         self.target_zone = next.map(|zone| ZoneIdx(zone as u8));
     }
 
-    /// Returns the zone whose turn it is, of the zones that may run tasks. Jobs begin with different
-    /// zones.
-    fn next_zone(&self, zone_task_limits: &[u32]) -> Option<usize> {
-        let open: Vec<usize> = (0..zone_task_limits.len()).filter(|&zone| zone_task_limits[zone] > 0).collect();
+    /// Returns the zone whose turn it is, of the zones that may run tasks. Jobs begin with
+    /// different zones.
+    fn next_zone(&self, max_per_zone: &[u32]) -> Option<usize> {
+        let open: Vec<usize> = (0..max_per_zone.len()).filter(|&zone| max_per_zone[zone] > 0).collect();
         if open.is_empty() {
             return None;
         }
@@ -53,22 +55,22 @@
         Some(open[(self.id.0 as usize + turn) % open.len()])
     }
 
-    /// Returns how many more tasks of the job each zone may run, given the tasks that may still be in a
-    /// zone.
-    pub fn zone_task_limits(&self, zones: &[String]) -> Vec<u32> {
+    /// Returns how many more tasks of the job each zone may run, given the tasks that may still be
+    /// in a zone.
+    pub fn max_per_zone(&self, zones: &[String]) -> Vec<u32> {
         let zones_used = (0..zones.len()).filter(|&zone| self.placed.in_zone(zone) > 0).count();
         let indexed = zones.iter().enumerate();
-        indexed.map(|(zone, name)| self.task_limit_in_zone(zone, name, zones_used)).collect()
+        indexed.map(|(zone, name)| self.max_in_zone(zone, name, zones_used)).collect()
     }
 
-    fn task_limit_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
+    fn max_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
         let used = if is_enforced(Guard::PossibleTasksCountedInZone) { self.placed.in_zone(zone) } else { 0 };
         if self.spec.zone.as_ref().is_some_and(|wanted| wanted != name) {
             return 0;
         }
-        // After a failover a task may be counted in the zone of an older attempt, apart from the other
-        // tasks. Until that attempt is proven gone, neither zone gets more tasks. Without this, both
-        // zones got more tasks (seen in the simulator).
+        // After a failover a task may be counted in the zone of an older attempt, apart from the
+        // other tasks. Until that attempt is proven gone, neither zone gets more tasks. Without
+        // this, both zones got more tasks (seen in the simulator).
         let in_several = zones_used > 1 && is_enforced(Guard::NoTasksWhileInTwoZones);
         let in_another = zones_used == 1 && used == 0;
         if self.spec.one_zone && (in_several || in_another) {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -23,11 +23,12 @@
 use phase::QuotaPhase;
 use plan::UncoveredFirstJob;
 
-/// The demand of a coordinator that has not reported for this long, in ms, counts as none; its share
-/// stays counted.
+/// The demand of a coordinator that has not reported for this long, in ms, counts as none; its
+/// share stays counted.
 const REPORT_TIMEOUT_MS: u64 = 2000;
 
-/// Returns the quota of a team, in thousandths of processors and GPUs; `None`: the team has no quota.
+/// Returns the quota of a team, in thousandths of processors and GPUs; `None`: the team has no
+/// quota.
 pub fn team_quota(team: &Team) -> Option<QuotaAmount> {
     let amount = |max: f64| if max > 0.0 { thousandths(max) } else { u64::MAX };
     (team.cpus_max > 0.0 || team.gpus_max > 0.0)
@@ -87,8 +88,8 @@
     }
 
     /// Applies a coordinator's report and returns its grants. Whatever the coordinator was granted
-    /// beyond the reported usage is freed. `None`: the report is from a shard that does not exist, or
-    /// is not newer than the last one.
+    /// beyond the reported usage is freed. `None`: the report is from a shard that does not exist,
+    /// or is not newer than the last one.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -112,8 +113,8 @@
         Some(teams.into_iter().filter_map(|team| self.grant(now, from, team)).collect())
     }
 
-    /// Returns the shares of a coordinator after its report, which are no more than its usage. Teams
-    /// without a quota and teams of other shards are left out.
+    /// Returns the shares of a coordinator after its report, which are no more than its usage.
+    /// Teams without a quota and teams of other shards are left out.
     fn reported_shares(&self, usage: &[TeamUsage]) -> BTreeMap<u8, TeamShare> {
         usage
             .iter()
@@ -154,8 +155,8 @@
             .fold(QuotaAmount::default(), |sum, team_share| sum.plus(team_share.share))
     }
 
-    /// Returns each coordinator's usage of a team's quota and its demand. A coordinator that has not
-    /// reported lately has no demand.
+    /// Returns each coordinator's usage of a team's quota and its demand. A coordinator that has
+    /// not reported lately has no demand.
     fn current_usages(&self, now: Timestamp, team: u8) -> Vec<(Shard, TeamUsage)> {
         let mut usages = Vec::new();
         for (shard, report) in &self.reports {
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -1,9 +1,10 @@
 //! Which of a coordinator's pending tasks may run, decided before any offer is requested.
 //!
 //! The pending jobs are admitted in their order. For each job, admission says how many of its tasks
-//! the team's quota admits: `now`, which the grant covers, and `after_preemption`, which it would cover after
-//! preemption of the team's lower-priority work. Requests for offers, preemption, queue positions,
-//! unmet demand and decisions consider only admitted tasks; the other tasks wait without any cost.
+//! the team's quota admits: `now`, which the grant covers, and `after_preemption`, which it would
+//! cover after preemption of the team's lower-priority work. Requests for offers, preemption, queue
+//! positions, unmet demand and decisions consider only admitted tasks; the other tasks wait without
+//! any cost.
 //!
 //! Invariant: what is admitted now and counted against the grant never exceeds the grant less the
 //! usage.
@@ -33,8 +34,8 @@
     pub tasks: u32,
     /// Whether either all of its tasks run or none, as for a gang.
     pub all_or_nothing: bool,
-    /// Whether the quota that it could use is left to later jobs, since no machine had capacity for it
-    /// lately.
+    /// Whether the quota that it could use is left to later jobs, since no machine had capacity for
+    /// it lately.
     pub yields_quota: bool,
 }
 
@@ -54,8 +55,8 @@
 pub enum QuotaClaim {
     /// What all of its tasks use.
     All,
-    /// What its next task uses, or all tasks of a gang: no machine had capacity for the job lately, and
-    /// it is the first in its queue. In a test under user load, such an array claimed what its
+    /// What its next task uses, or all tasks of a gang: no machine had capacity for the job lately,
+    /// and it is the first in its queue. In a test under user load, such an array claimed what its
     /// hundreds of tasks use, 390 of 1,200 processors, while the team's other coordinators had none
     /// left.
     Next,
@@ -68,10 +69,11 @@
 pub struct Admitted {
     /// Tasks that the grant covers.
     pub now: u32,
-    /// Tasks that the grant covers or would cover after preemption of the team's lower-priority work.
+    /// Tasks that the grant covers or would cover after preemption of the team's lower-priority
+    /// work.
     pub after_preemption: u32,
-    /// Tasks for which an instance may be launched: of `now`, or of `after_preemption` if the job yields its
-    /// quota, after deduction of the tasks of earlier jobs.
+    /// Tasks for which an instance may be launched: of `now`, or of `after_preemption` if the job
+    /// yields its quota, after deduction of the tasks of earlier jobs.
     pub launchable: u32,
 }
 
--- a/crates/core/src/quota/phase.rs
+++ b/crates/core/src/quota/phase.rs
@@ -7,11 +7,11 @@
 
 /// What happens to the free part of a team's quota that does not suffice for the first job.
 ///
-/// The phases follow the wall clock, so that all coordinators of a team and its quota manager change
-/// phase at the same time. Clocks may differ, which affects only fairness. When each coordinator
-/// counted the phases from the time at which a job became the first, at least one coordinator was
-/// always reserving the last processor of a quota, and small jobs that would have fitted waited for
-/// minutes (seen in the simulator).
+/// The phases follow the wall clock, so that all coordinators of a team and its quota manager
+/// change phase at the same time. Clocks may differ, which affects only fairness. When each
+/// coordinator counted the phases from the time at which a job became the first, at least one
+/// coordinator was always reserving the last processor of a quota, and small jobs that would have
+/// fitted waited for minutes (seen in the simulator).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QuotaPhase {
     /// It is reserved until it suffices, since smaller jobs would otherwise use it up bit by bit.
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -6,9 +6,9 @@
 //! rest is divided max-min fairly. Demand for which no machine had capacity lately comes after all
 //! demand that could start now.
 //!
-//! Alternatives that were considered: equal amounts (three gangs that need half the quota each get a
-//! third and none starts), first come first served (a low-priority array keeps all it can get), and
-//! fixed shares by coordinator (what one coordinator can't use is lost to the others).
+//! Alternatives that were considered: equal amounts (three gangs that need half the quota each get
+//! a third and none starts), first come first served (a low-priority array keeps all it can get),
+//! and fixed shares by coordinator (what one coordinator can't use is lost to the others).
 use leaddeal_wire::mesh::{QuotaAmount, TeamUsage, PRIORITIES};
 use std::cmp::Reverse;
 
@@ -45,7 +45,8 @@
     TakesRemainder,
 }
 
-/// The division of a quota. Shares are indexed by the coordinators' positions in the list of reports.
+/// The division of a quota. Shares are indexed by the coordinators' positions in the list of
+/// reports.
 #[derive(Clone)]
 struct Allocation {
     left: QuotaAmount,
@@ -76,9 +77,9 @@
     }
 
     /// Divides what is left in whole tasks of the size of each coordinator's first job at this
-    /// priority. What does not suffice for one task goes to the next priority. Without this, the last
-    /// processor of a quota was divided between two coordinators whose tasks needed two processors
-    /// each, while tasks of other coordinators needed one (seen in the simulator).
+    /// priority. What does not suffice for one task goes to the next priority. Without this, the
+    /// last processor of a quota was divided between two coordinators whose tasks needed two
+    /// processors each, while tasks of other coordinators needed one (seen in the simulator).
     fn share_whole_tasks(&mut self, priority: usize, usages: &[TeamUsage], wanted: &[QuotaAmount]) {
         let mut fair = self.clone();
         fair.share_fairly(wanted);
@@ -123,8 +124,8 @@
     }
 }
 
-/// Returns what each coordinator may use now beyond its usage. `uncovered_first` says what happens to first
-/// jobs that need more than what is left.
+/// Returns what each coordinator may use now beyond its usage. `uncovered_first` says what happens
+/// to first jobs that need more than what is left.
 pub(super) fn additional_shares(
     quota: QuotaAmount,
     usages: &[TeamUsage],
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -90,8 +90,8 @@
     assert_eq!(shard.granted(1, high), cpus(2000));
 }
 
-/// Each of three coordinators has a gang that needs more than half the quota. The gangs must not get a
-/// part each, since then none could start.
+/// Each of three coordinators has a gang that needs more than half the quota. The gangs must not
+/// get a part each, since then none could start.
 #[test]
 fn serves_first_job_as_a_whole() {
     let gang = |waited_ms| {
@@ -136,9 +136,9 @@
     assert_eq!(shard.granted(1, team_usage(0, 5000)), cpus(5000));
 }
 
-/// One processor of the quota is free, and the first job of the highest priority needs two. The processor
-/// is reserved for that job. In the backfilling phase it goes as a whole to a lower-priority job, not in
-/// parts to jobs that need two.
+/// One processor of the quota is free, and the first job of the highest priority needs two. The
+/// processor is reserved for that job. In the backfilling phase it goes as a whole to a
+/// lower-priority job, not in parts to jobs that need two.
 #[test]
 fn backfilling_grants_whole_tasks_that_fit() {
     let asks = |used: u64, priority: usize, need: u64| {
@@ -232,7 +232,8 @@
     }
 }
 
-/// A low-priority array of 5,000 tasks uses the whole quota when a service of the same team arrives.
+/// A low-priority array of 5,000 tasks uses the whole quota when a service of the same team
+/// arrives.
 #[test]
 fn admits_tasks_after_preempting_lower_priority() {
     let service = request(Priority::Production, 2000, 3);
@@ -424,8 +425,8 @@
         }
     }
 
-    /// After any sequence of steps: once reports and answers arrive again, free quota is granted to a
-    /// coordinator with demand within two seconds.
+    /// After any sequence of steps: once reports and answers arrive again, free quota is granted to
+    /// a coordinator with demand within two seconds.
     #[test]
     fn free_quota_is_granted_after_recovery(
         quota in 500..4000u64,
@@ -436,7 +437,8 @@
             model.apply(step);
         }
         let asks: u64 = model.coordinators.iter().flat_map(|c| c.wants).sum();
-        // Free quota is reserved until it covers a first job, which needs at most this much in the model.
+        // Free quota is reserved until it covers a first job, which needs at most this much in the
+        // model.
         prop_assume!(asks > 0 && quota - model.total() >= 700);
         let before = model.total();
         for _ in 0..5 {
