--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// The store is down for this number of steps.
-    Outage(u64),
+    StoreOutage(u64),
     /// The store refuses this controller.
-    Refuse(usize),
+    StoreRefuses(usize),
     /// This controller crashes, and restarts after this number of steps.
     Crash(usize, u64),
     /// These two controllers can't reach each other.
@@ -22,11 +22,11 @@
 }
 
 const FAULTS: [Fault; 14] = [
-    Fault::Outage(2),
-    Fault::Outage(20),
-    Fault::Refuse(0),
-    Fault::Refuse(1),
-    Fault::Refuse(2),
+    Fault::StoreOutage(2),
+    Fault::StoreOutage(20),
+    Fault::StoreRefuses(0),
+    Fault::StoreRefuses(1),
+    Fault::StoreRefuses(2),
     Fault::Crash(0, 1),
     Fault::Crash(1, 1),
     Fault::Crash(1, 99),
@@ -41,21 +41,22 @@
 /// A bug that is introduced on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SeededBug {
-    Nothing,
+    NoBug,
     /// A process that has not read the store makes statements about earlier processes of its node.
-    Restarts,
-    /// A worker is answered without regard to horizons, as long as the other controllers are heard.
-    Silence,
+    IgnoresPredecessors,
+    /// A worker is answered without regard to horizons, as before they existed, while the other
+    /// controllers are heard.
+    IgnoresHorizons,
 }
 
 /// How the job is cancelled.
 #[derive(Clone, Copy, Debug)]
-struct Cancel {
+struct Cancellation {
     /// The step at which its user cancels it.
-    at: u64,
+    at_step: u64,
     /// Whether the transaction's answer is lost, so that the transaction is executed later and any
     /// controller that reads the store acknowledges it.
-    late: bool,
+    is_late: bool,
 }
 
 struct Node {
@@ -143,12 +144,12 @@
     }
 
     fn store_is_down(&self) -> bool {
-        self.faults.iter().any(|t| matches!(t.1, Fault::Outage(n) if self.is_active(n, t.0)))
+        self.faults.iter().any(|t| matches!(t.1, Fault::StoreOutage(n) if self.is_active(n, t.0)))
     }
 
     fn reaches_store(&self, n: usize) -> bool {
         let off = |t: &(u64, Fault)| match t.1 {
-            Fault::Refuse(k) => k == n && self.is_active(9, t.0),
+            Fault::StoreRefuses(k) => k == n && self.is_active(9, t.0),
             Fault::Isolated(k) => k == n && self.is_active(16, t.0),
             _ => false,
         };
@@ -189,7 +190,7 @@
                 owned_epochs,
                 last_contact_at,
             };
-            if self.bug == SeededBug::Restarts {
+            if self.bug == SeededBug::IgnoresPredecessors {
                 for s in 0..NODES as u8 {
                     self.nodes[n].horizons.on_shard_key_read(Shard(s), 0);
                 }
@@ -294,7 +295,7 @@
         }
     }
 
-    fn cancel_job(&mut self, c: Cancel) {
+    fn cancel_job(&mut self, cancellation: Cancellation) {
         let step = self.step_no();
         if let Some((_, epoch)) = self.late_write.filter(|p| step >= p.0) {
             let fenced = self.keys[JOBS.0 as usize].is_none_or(|k| k.epoch != epoch);
@@ -307,7 +308,7 @@
         if self.is_terminal_in_store && self.acknowledged_at.is_none() && reads {
             self.acknowledged_at = Some(self.now);
         }
-        if step != c.at {
+        if step != cancellation.at_step {
             return;
         }
         let Some(key) = self.keys[JOBS.0 as usize] else { return };
@@ -318,7 +319,7 @@
             return;
         }
         node.horizons.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
-        if c.late {
+        if cancellation.is_late {
             self.late_write = Some((step + 3, key.epoch));
         } else if self.reaches_store(n) && self.is_up(n) {
             self.is_terminal_in_store = true;
@@ -330,16 +331,16 @@
         let (now, n) = (self.now, self.worker_at);
         let up = self.is_up(n);
         let node = &self.nodes[n];
-        let all = (0..NODES).all(|k| k == n || now < node.last_contact_at[k] + 3000);
-        let may = match self.bug {
-            SeededBug::Silence => all && now < node.lease.renewed + 45_000,
+        let hears_all = (0..NODES).all(|k| k == n || now < node.last_contact_at[k] + 3000);
+        let permits_answer = match self.bug {
+            SeededBug::IgnoresHorizons => hears_all && now < node.lease.renewed + 45_000,
             _ => {
                 node.horizons.permits_answer(MACHINES, now)
                     && node.horizons.permits_answer(JOBS, now)
             }
         };
         let epoch = node.owned_epochs[MACHINES.0 as usize].filter(|e| e.0 >= self.token);
-        match epoch.filter(|_| up && may) {
+        match epoch.filter(|_| up && permits_answer) {
             Some(e) => {
                 (self.token, self.lease_granted_at) = (e.0, now);
                 self.task_on_machine &= !node.horizons.is_terminal(JOB);
@@ -349,7 +350,7 @@
     }
 
     /// Runs the fault sequence. False: the cancelled task ran on its machine for too long.
-    fn holds_the_rule(&mut self, cancel: Cancel) -> bool {
+    fn ends_task_in_time(&mut self, cancel: Cancellation) -> bool {
         for _ in 0..38 {
             let now = self.now;
             if !self.store_is_down() {
@@ -419,10 +420,10 @@
     let mut histories = 0;
     let mut open: Vec<(usize, Vec<(u64, Fault)>)> = vec![(0, Vec::new())];
     while let Some((from, faults)) = open.pop() {
-        for late in [false, true] {
-            let cancel = Cancel { at: 6, late };
+        for is_late in [false, true] {
+            let cancel = Cancellation { at_step: 6, is_late };
             histories += 1;
-            if !World::new(faults.clone(), bug).holds_the_rule(cancel) {
+            if !World::new(faults.clone(), bug).ends_task_in_time(cancel) {
                 return (histories, Some(format!("{cancel:?} {faults:?}")));
             }
         }
@@ -438,17 +439,17 @@
 
 #[test]
 fn cancelled_task_ends_in_time_under_faults() {
-    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::Nothing);
+    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::NoBug);
     assert_eq!(broken, None);
     let depth = std::env::var("LEADDEAL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
-    let (more, broken) = search(depth, &[3, 6, 7], SeededBug::Nothing);
+    let (more, broken) = search(depth, &[3, 6, 7], SeededBug::NoBug);
     assert_eq!(broken, None);
     assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} sequences");
 }
 
 #[test]
 fn search_finds_seeded_bugs() {
-    for bug in [SeededBug::Silence, SeededBug::Restarts] {
+    for bug in [SeededBug::IgnoresHorizons, SeededBug::IgnoresPredecessors] {
         let found = search(3, &[3, 6, 7], bug).1;
         assert!(found.is_some(), "{bug:?} was not found");
     }
@@ -457,8 +458,8 @@
 /// The search would prove nothing if tasks were stopped that may run on.
 #[test]
 fn uncancelled_task_survives_store_outage() {
-    let mut world = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
-    assert!(world.holds_the_rule(Cancel { at: 999, late: false }));
+    let mut world = World::new(vec![(4, Fault::StoreOutage(20))], SeededBug::NoBug);
+    assert!(world.ends_task_in_time(Cancellation { at_step: 999, is_late: false }));
     assert!(
         world.task_on_machine && world.lease_granted_at + 2 * STEP_MS > world.now,
         "the worker got no answers"
@@ -476,7 +477,7 @@
         Guard::HorizonNeedsPredecessorLimit,
         Guard::HeartbeatsNameCancellations,
     ] {
-        let found = with_guards_disabled(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
+        let found = with_guards_disabled(&[guard], || search(3, &[3, 6, 7], SeededBug::NoBug).1);
         assert!(found.is_some(), "no failure with {guard:?} disabled");
     }
 }
