--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -56,9 +56,9 @@
     /// What all of its tasks use.
     All,
     /// What its next task uses, or all tasks of a gang: no machine had capacity for the job lately,
-    /// and it is the first in its queue. In a test under user load, such an array claimed what its
-    /// hundreds of tasks use, 390 of 1,200 processors, while the team's other coordinators had none
-    /// left.
+    /// and it is the first in its queue. A claim of all tasks was too much: in a test under user
+    /// load, such an array kept 390 of 1,200 processors for its hundreds of tasks, while the team's
+    /// other coordinators had none left.
     Next,
     /// Nothing: no machine had capacity for the job lately.
     Nothing,
