--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -302,7 +302,8 @@
     pub fn is_reachable(&self, shard: Shard) -> bool {
         self.owner(shard).is_some_and(|owner| {
             let last_contact_at = self.last_contact_at.get(owner.node.0 as usize);
-            owner.node == self.me || last_contact_at.is_some_and(|&at| counts_as_reachable(at, self.now))
+            owner.node == self.me
+                || last_contact_at.is_some_and(|&at| counts_as_reachable(at, self.now))
         })
     }
 
--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -78,7 +78,8 @@
         job.termination.write = Some(write);
         if let Some(call) = call {
             ctx.horizons.on_cancelled(self.shard, self.epoch, id, ctx.now);
-            let operation = Operation::WriteCancellation { shard: self.shard, epoch: self.epoch, job: id };
+            let operation =
+                Operation::WriteCancellation { shard: self.shard, epoch: self.epoch, job: id };
             ctx.call_store(operation, call);
         }
     }
--- a/crates/core/src/coordinator/compaction.rs
+++ b/crates/core/src/coordinator/compaction.rs
@@ -77,7 +77,10 @@
         }
         let Some(compaction) = self.compaction.in_flight.as_mut() else { return };
         if let Some(call) = compaction.write.next_call(ctx.now, ctx.budget) {
-            ctx.call_store(Operation::WriteCompaction { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(
+                Operation::WriteCompaction { shard: self.shard, epoch: self.epoch },
+                call,
+            );
         }
     }
 }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -31,7 +31,8 @@
         selected: Vec<SelectedOffer>,
     ) {
         let round = self.next_round_id();
-        let epoch_of_attempt = if is_enforced(Guard::AttemptNumberIncludesEpoch) { self.epoch } else { Epoch(0) };
+        let epoch_of_attempt =
+            if is_enforced(Guard::AttemptNumberIncludesEpoch) { self.epoch } else { Epoch(0) };
         let attempt = Attempt::new(epoch_of_attempt, round);
         let (shard, epoch) = (self.shard, self.epoch);
         let slot = self.decision_log.take_slot(|| keys::decision_key(shard, epoch, round));
--- a/crates/core/src/coordinator/decision_log/tests.rs
+++ b/crates/core/src/coordinator/decision_log/tests.rs
@@ -71,5 +71,8 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::DecisionRecordKeptWhileLive, no_late_deletion_takes_a_live_decision);
+    assert_fails_without(
+        Guard::DecisionRecordKeptWhileLive,
+        no_late_deletion_takes_a_live_decision,
+    );
 }
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -165,7 +165,8 @@
         // What was true of a job that was not asked for lately may have changed.
         let unmet_ms = unmet_ms.filter(|_| job.had_no_capacity_within(UNMET_EVIDENCE_MS, now));
         let Some(unmet_ms) = unmet_ms else { return QuotaClaim::All };
-        let preempting = job.preemption_reported_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
+        let preempting =
+            job.preemption_reported_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
         let cycle = if preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
         let keeps = phase == QuotaPhase::Reserving
             && cycle.is_active(unmet_ms)
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -98,11 +98,15 @@
         for team in limited_teams(ctx).into_keys() {
             let epoch = ctx.owner(shard_of_team(team, shards)).map(|owner| owner.epoch);
             let received = self.quota.grants.get(&team);
-            let valid = received
-                .filter(|received| Some(received.epoch) == epoch || !is_enforced(Guard::GrantBoundToEpoch));
+            let valid = received.filter(|received| {
+                Some(received.epoch) == epoch || !is_enforced(Guard::GrantBoundToEpoch)
+            });
             let Some(ReceivedGrant { grant, .. }) = valid else { continue };
             let used = used.remove(&team).unwrap_or_default();
-            statuses.insert(team, QuotaStatus { granted: grant.may, granted_after_preemption: grant.due, used });
+            statuses.insert(
+                team,
+                QuotaStatus { granted: grant.may, granted_after_preemption: grant.due, used },
+            );
         }
         statuses
     }
--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -57,7 +57,8 @@
         let job = self.jobs.get(&id)?;
         // A tombstone stands for a job whose terminal state is in the store. And a terminal state that
         // is being written may be there already, and a controller that read it may have told it.
-        let may_tell = job.termination.status.is_none() || !is_enforced(Guard::StateWithheldDuringTermination);
+        let may_tell =
+            job.termination.status.is_none() || !is_enforced(Guard::StateWithheldDuringTermination);
         (!job.is_tombstone() && may_tell).then(|| job.state())
     }
 }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -78,7 +78,9 @@
     }
 
     fn siblings(&self) -> impl Iterator<Item = NodeIdx> + '_ {
-        (0..self.last_contact_at.len()).map(|node| NodeIdx(node as u8)).filter(|&node| node != self.me)
+        (0..self.last_contact_at.len())
+            .map(|node| NodeIdx(node as u8))
+            .filter(|&node| node != self.me)
     }
 
     /// Whether a sibling is reachable, or this node has no siblings.
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -11,12 +11,18 @@
     health.record_heartbeat(NodeIdx(1), &heartbeat(&[(1, 0, 7)], true));
     assert!(!health.all_siblings_know_epoch(shard, epoch), "the third node stated nothing");
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5), (0, 0, 9)], true));
-    assert!(!health.all_siblings_know_epoch(shard, epoch), "the third node knows only an older owner");
+    assert!(
+        !health.all_siblings_know_epoch(shard, epoch),
+        "the third node knows only an older owner"
+    );
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 0, 7)], true));
     assert!(health.all_siblings_know_epoch(shard, epoch));
     // A delayed heartbeat arrives out of order: the known epoch is not forgotten.
     health.record_heartbeat(NodeIdx(2), &heartbeat(&[(1, 2, 5)], true));
-    assert!(health.all_siblings_know_epoch(shard, epoch) && !health.all_siblings_know_epoch(shard, Epoch(8)));
+    assert!(
+        health.all_siblings_know_epoch(shard, epoch)
+            && !health.all_siblings_know_epoch(shard, Epoch(8))
+    );
 }
 
 #[test]
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -154,7 +154,8 @@
         self.owner_statement = Some(EpochStatement { epoch, made_after });
         // The owner's statement counts up to the time until which its lease was certain. The
         // owner's clock may be slow, so the uncertain time is taken as longer than stated.
-        let lease_uncertain = assertion.doubt_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
+        let lease_uncertain =
+            assertion.doubt_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
         let uncertain_ms = if lease_uncertain { at_least(assertion.doubt_ms) } else { 0 };
         let certain_until = made_after.checked_sub(uncertain_ms);
         self.horizon = self.horizon.max(certain_until);
--- a/crates/core/src/horizon/shard_horizon.rs
+++ b/crates/core/src/horizon/shard_horizon.rs
@@ -57,7 +57,11 @@
     /// written before its lease became uncertain.
     pub(super) fn advance_as_owner(&mut self, owned: OwnedShard, now: Timestamp) {
         self.owner_statement = Some(EpochStatement { epoch: owned.epoch, made_after: now });
-        let uncertain_ms = if is_enforced(Guard::HorizonExcludesUncertainLease) { owned.lease_uncertain_ms } else { 0 };
+        let uncertain_ms = if is_enforced(Guard::HorizonExcludesUncertainLease) {
+            owned.lease_uncertain_ms
+        } else {
+            0
+        };
         self.horizon = self.horizon.max(now.checked_sub(uncertain_ms));
         if owned.lease_uncertain_ms == 0 {
             self.confirmed_at = Some(now);
@@ -76,7 +80,9 @@
         let Some(owner) = self.owner_statement else { return };
         let predecessor_may_be_newer =
             self.predecessor_epoch_limit.is_none_or(|limit| limit > owner.epoch);
-        if newest_epoch > owner.epoch || predecessor_may_be_newer && is_enforced(Guard::HorizonNeedsPredecessorLimit) {
+        if newest_epoch > owner.epoch
+            || predecessor_may_be_newer && is_enforced(Guard::HorizonNeedsPredecessorLimit)
+        {
             return;
         }
         // The horizon does not advance if a node made no statement or knows a newer epoch.
@@ -84,8 +90,11 @@
             let statement = statement.filter(|statement| statement.epoch <= owner.epoch)?;
             Some(earliest.min(statement.made_after))
         });
-        let proved_until =
-            if is_enforced(Guard::HorizonNeedsPeerStatements) { proved_until } else { Some(owner.made_after) };
+        let proved_until = if is_enforced(Guard::HorizonNeedsPeerStatements) {
+            proved_until
+        } else {
+            Some(owner.made_after)
+        };
         self.horizon = self.horizon.max(proved_until);
     }
 }
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -81,7 +81,10 @@
         b.on_cancelled(JOBS, Epoch(5), JobId(n), 1000);
     }
     exchange(&mut a, &mut b, 10_000, &owned_by_b, &view);
-    assert!(a.is_terminal(JobId(0)) && !a.permits_answer(JOBS, 10_700), "the log holds more than the assertion names");
+    assert!(
+        a.is_terminal(JobId(0)) && !a.permits_answer(JOBS, 10_700),
+        "the log holds more than the assertion names"
+    );
     exchange(&mut a, &mut b, 11_000, &owned_by_b, &view);
     assert!(a.is_terminal(JobId(MAX_CANCELLATIONS_NAMED as u64)) && a.permits_answer(JOBS, 11_700));
     // A restarted process has received nothing, so all cancellations are stated to it again.
@@ -154,7 +157,16 @@
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
     assert_fails_without(Guard::AssertionDatedByEcho, only_echoed_assertions_advance_a_horizon);
-    assert_fails_without(Guard::HorizonExcludesUncertainLease, only_echoed_assertions_advance_a_horizon);
-    assert_fails_without(Guard::AnswersStopAfterGracePeriod, only_echoed_assertions_advance_a_horizon);
-    assert_fails_without(Guard::HeartbeatsNameCancellations, incomplete_assertion_does_not_advance_horizon);
+    assert_fails_without(
+        Guard::HorizonExcludesUncertainLease,
+        only_echoed_assertions_advance_a_horizon,
+    );
+    assert_fails_without(
+        Guard::AnswersStopAfterGracePeriod,
+        only_echoed_assertions_advance_a_horizon,
+    );
+    assert_fails_without(
+        Guard::HeartbeatsNameCancellations,
+        incomplete_assertion_does_not_advance_horizon,
+    );
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -184,7 +184,8 @@
     /// Whether all tasks are completed. A service is never complete.
     pub fn is_complete(&self) -> bool {
         let all = self.done.len() == self.spec.tasks;
-        self.spec.kind != Kind::Service && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
+        self.spec.kind != Kind::Service
+            && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
     }
 
     /// Returns the state shown to users.
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -52,7 +52,11 @@
     assert!(job.not_before > now + 20);
     job.not_before = now + 5000;
     job.capacity_freed(now + 30);
-    assert_eq!(job.not_before, now + 5000, "freed capacity does not shorten the wait after failures");
+    assert_eq!(
+        job.not_before,
+        now + 5000,
+        "freed capacity does not shorten the wait after failures"
+    );
 }
 
 #[test]
@@ -67,7 +71,11 @@
     at(&mut suspicion, 2, 1000, 0);
     let first = at(&mut suspicion, 3, 1000, 0);
     assert!(suspicion.is_suspected() && first > 2000);
-    assert_eq!(at(&mut suspicion, 4, 1001, first), first.max(1001 + 2000), "tasks started together count as one retry");
+    assert_eq!(
+        at(&mut suspicion, 4, 1001, first),
+        first.max(1001 + 2000),
+        "tasks started together count as one retry"
+    );
     let (mut now, mut retries) = (first, 0);
     while now < 600_000 {
         (now, retries) = (at(&mut suspicion, 5, now, now), retries + 1);
@@ -165,5 +173,8 @@
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
     assert_fails_without(Guard::NoTasksWhileInTwoZones, single_zone_job_in_two_zones_gets_no_tasks);
-    assert_fails_without(Guard::PossibleTasksCountedInZone, single_zone_job_in_two_zones_gets_no_tasks);
+    assert_fails_without(
+        Guard::PossibleTasksCountedInZone,
+        single_zone_job_in_two_zones_gets_no_tasks,
+    );
 }
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -47,7 +47,8 @@
     /// Returns the zone whose turn it is, of the zones that may run tasks. Jobs begin with
     /// different zones.
     fn next_zone(&self, max_per_zone: &[u32]) -> Option<usize> {
-        let open: Vec<usize> = (0..max_per_zone.len()).filter(|&zone| max_per_zone[zone] > 0).collect();
+        let open: Vec<usize> =
+            (0..max_per_zone.len()).filter(|&zone| max_per_zone[zone] > 0).collect();
         if open.is_empty() {
             return None;
         }
@@ -64,7 +65,11 @@
     }
 
     fn max_in_zone(&self, zone: usize, name: &str, zones_used: usize) -> u32 {
-        let used = if is_enforced(Guard::PossibleTasksCountedInZone) { self.placed.in_zone(zone) } else { 0 };
+        let used = if is_enforced(Guard::PossibleTasksCountedInZone) {
+            self.placed.in_zone(zone)
+        } else {
+            0
+        };
         if self.spec.zone.as_ref().is_some_and(|wanted| wanted != name) {
             return 0;
         }
--- a/crates/core/src/machine/commands.rs
+++ b/crates/core/src/machine/commands.rs
@@ -82,7 +82,8 @@
         let in_batch = |task: &&mut TaskOnMachine| task.direct_batch == Some(batch);
         for task in self.tasks.values_mut().filter(in_batch) {
             task.direct_batch = None;
-            task.start_uncertain |= end == BatchEnd::Unknown && is_enforced(Guard::UnansweredStartRemembered);
+            task.start_uncertain |=
+                end == BatchEnd::Unknown && is_enforced(Guard::UnansweredStartRemembered);
         }
     }
 }
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -111,7 +111,10 @@
         // When a worker shows our token for the first time, they counted until now, whatever we
         // granted. (Found by the simulator, seed 173: a late copy of a heartbeat brought the new
         // owner to command a worker that an older one, cut off with it, still answered.)
-        if confirmed && !self.token_confirmed && is_enforced(Guard::LeaseCountedFromTokenConfirmation) {
+        if confirmed
+            && !self.token_confirmed
+            && is_enforced(Guard::LeaseCountedFromTokenConfirmation)
+        {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
         self.token_confirmed = confirmed;
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -125,7 +125,16 @@
     assert_fails_without(Guard::LeasePerIncarnation, a_new_session_has_a_lease_of_its_own);
     assert_fails_without(Guard::StartNeedsValidLease, in_doubt_nothing_is_started_and_stops_go_on);
     assert_fails_without(Guard::StopIgnoresLease, in_doubt_nothing_is_started_and_stops_go_on);
-    assert_fails_without(Guard::AdoptedTaskNotStarted, only_what_was_decided_here_for_this_session_is_started);
-    assert_fails_without(Guard::StartBoundToIncarnation, only_what_was_decided_here_for_this_session_is_started);
-    assert_fails_without(Guard::StartInFlightRemembered, nothing_is_forgotten_while_its_start_is_under_way);
+    assert_fails_without(
+        Guard::AdoptedTaskNotStarted,
+        only_what_was_decided_here_for_this_session_is_started,
+    );
+    assert_fails_without(
+        Guard::StartBoundToIncarnation,
+        only_what_was_decided_here_for_this_session_is_started,
+    );
+    assert_fails_without(
+        Guard::StartInFlightRemembered,
+        nothing_is_forgotten_while_its_start_is_under_way,
+    );
 }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -121,7 +121,8 @@
     ) {
         let JobQuery { id, cancel } = query;
         let shard = shard_of_job(id, self.shared.shard_count());
-        let valid = self.shared.lease.valid(effects.now) || !is_enforced(Guard::UserAnswerNeedsValidLease);
+        let valid =
+            self.shared.lease.valid(effects.now) || !is_enforced(Guard::UserAnswerNeedsValidLease);
         let slot = self.owned[shard.0 as usize].as_mut();
         let refusal = |answer| {
             let msg = NodeMessage::JobAnswer { call, answer };
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -50,7 +50,12 @@
     /// Stops everywhere here the tasks of jobs that were learned to be over.
     fn stop_terminal_jobs(&mut self, effects: &mut Effects) {
         for job in self.shared.horizons.take_newly_terminal() {
-            for active in self.owned.iter_mut().flatten().filter(|_| is_enforced(Guard::TerminalJobStoppedByParticipant)) {
+            for active in self
+                .owned
+                .iter_mut()
+                .flatten()
+                .filter(|_| is_enforced(Guard::TerminalJobStoppedByParticipant))
+            {
                 active.participant.stop_job(&mut self.shared.context(effects), job);
             }
         }
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -25,10 +25,14 @@
         let id = lease.id;
         let mut context = self.shared.context(effects);
         match id {
-            Some(lease) => context
-                .call_store(Operation::RenewLease { sent: now, lease }, StoreCall::RenewLease { lease }),
-            None => context
-                .call_store(Operation::NewLease { sent: now }, StoreCall::NewLease { ttl_ms: LEASE_MS }),
+            Some(lease) => context.call_store(
+                Operation::RenewLease { sent: now, lease },
+                StoreCall::RenewLease { lease },
+            ),
+            None => context.call_store(
+                Operation::NewLease { sent: now },
+                StoreCall::NewLease { ttl_ms: LEASE_MS },
+            ),
         }
     }
 
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -58,7 +58,8 @@
         let relinquished = self.acquisitions[index].relinquished;
         // The second condition: the store's answer came late, and a newer owner is known.
         if self.active_epoch(shard).is_some_and(|active| active >= epoch)
-            || (is_enforced(Guard::OlderEpochNotOwned) && owner.is_some_and(|owner| owner.epoch > epoch))
+            || (is_enforced(Guard::OlderEpochNotOwned)
+                && owner.is_some_and(|owner| owner.epoch > epoch))
             || (is_enforced(Guard::RelinquishedEpochRejected) && epoch <= relinquished)
         {
             return;
@@ -220,7 +221,8 @@
         self.shared.shard_views[shard.0 as usize].acquiring = false;
         match result {
             StoreResult::Committed(revision)
-                if self.shared.lease.valid(effects.now) || !is_enforced(Guard::AcquisitionNeedsValidLease) =>
+                if self.shared.lease.valid(effects.now)
+                    || !is_enforced(Guard::AcquisitionNeedsValidLease) =>
             {
                 self.begin_ownership(effects, shard, Epoch(*revision));
             }
@@ -259,7 +261,8 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.call_store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
+        context
+            .call_store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
     }
 
     /// The answer to the transaction that gives a shard back.
@@ -282,7 +285,9 @@
             }
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
             // It may be released already: stop acting, and wait for the lease or the watch to show.
-            StoreResult::Unknown if is_enforced(Guard::UncertainReleaseEndsOwnership) => self.drop_shard(effects, shard),
+            StoreResult::Unknown if is_enforced(Guard::UncertainReleaseEndsOwnership) => {
+                self.drop_shard(effects, shard)
+            }
             _ => {
                 if let Some(active) = &mut self.owned[index] {
                     active.releasing = false;
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -88,8 +88,11 @@
             && is_enforced(Guard::SilentOwnerReadFromStore);
         // Cancellations before the horizon may have been sent to another owner of our machines, which
         // did not come to act on them.
-        let back_ms =
-            if is_enforced(Guard::TerminalStatesReadWithMargin) { OVERLAP_MS + self.shared.config.cancel_ms } else { 0 };
+        let back_ms = if is_enforced(Guard::TerminalStatesReadWithMargin) {
+            OVERLAP_MS + self.shared.config.cancel_ms
+        } else {
+            0
+        };
         for shard in self.shared.shards() {
             let read_from = self.shared.horizons.read_store_from(shard, back_ms, now);
             match read_from.filter(|_| acts) {
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -188,6 +188,12 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::RelinquishedEpochRejected, an_epoch_that_was_given_up_is_never_acted_under_again);
-    assert_fails_without(Guard::LateSubmissionResponseIgnored, a_submission_answered_after_its_job_was_over_brings_nothing_back);
+    assert_fails_without(
+        Guard::RelinquishedEpochRejected,
+        an_epoch_that_was_given_up_is_never_acted_under_again,
+    );
+    assert_fails_without(
+        Guard::LateSubmissionResponseIgnored,
+        a_submission_answered_after_its_job_was_over_brings_nothing_back,
+    );
 }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -79,7 +79,9 @@
         let changes = vec![Change::Put { key, value: value.clone(), lease: None }];
         self.shared.budget.spend(WriteClass::Submission, 1);
         let call = StoreCall::Transaction(Transaction { conditions, changes });
-        self.shared.context(effects).call_store(Operation::WriteSubmission { req, id, value }, call);
+        self.shared
+            .context(effects)
+            .call_store(Operation::WriteSubmission { req, id, value }, call);
     }
 
     /// Whether a machine type could take a task of the job, and its team's limit the whole job.
@@ -187,7 +189,9 @@
             StoreResult::Item(Some(_)) if lookup.purpose == LookupPurpose::Cancellation => {
                 context.reply_later(lookup.req, 503, UNKNOWN_RETRY_S);
             }
-            StoreResult::Item(Some(_)) => context.reply_state(lookup.req, 200, queued_state(lookup.id)),
+            StoreResult::Item(Some(_)) => {
+                context.reply_state(lookup.req, 200, queued_state(lookup.id))
+            }
             StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.read_terminal_state(lookup);
             }
@@ -259,7 +263,8 @@
         // While it loads, the list brings it. And if the list is newer than the creation but lacks
         // the job, then it is over already: this answer is a late one. (Found by the simulator: a
         // done job went back to running.)
-        let newer = revision > active.coordinator.jobs_loaded_revision || !is_enforced(Guard::LateSubmissionResponseIgnored);
+        let newer = revision > active.coordinator.jobs_loaded_revision
+            || !is_enforced(Guard::LateSubmissionResponseIgnored);
         if active.coordinator.ready() && newer {
             let mut context = self.shared.context(effects);
             active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -120,7 +120,11 @@
         shards: usize,
         patience_ms: u64,
     ) -> Participant {
-        let patience_ends = if is_enforced(Guard::PreviousOwnersTimedOut) { now + at_least(patience_ms) } else { now };
+        let patience_ends = if is_enforced(Guard::PreviousOwnersTimedOut) {
+            now + at_least(patience_ms)
+        } else {
+            now
+        };
         Participant {
             shard,
             epoch,
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -57,7 +57,8 @@
         self.holds.use_one(idx, order.from, job);
         self.reservations.remove_one(job, idx);
         let machine = self.machine(idx);
-        let outdated = incarnation < machine.incarnation && is_enforced(Guard::StartBoundToIncarnation);
+        let outdated =
+            incarnation < machine.incarnation && is_enforced(Guard::StartBoundToIncarnation);
         let expired = machine.lease_expired && incarnation <= machine.incarnation;
         let gone = machine.released || outdated || expired;
         let fenced = is_fenced(machine);
@@ -167,7 +168,8 @@
         let mut any_stopped = false;
         let tasks = machine.tasks.iter_mut();
         for (key, task) in tasks.filter(|(_, task)| task.stop.is_none() && !task.is_over()) {
-            if horizons.is_terminal(key.job) && is_enforced(Guard::TerminalJobStoppedByParticipant) {
+            if horizons.is_terminal(key.job) && is_enforced(Guard::TerminalJobStoppedByParticipant)
+            {
                 task.stop = Some(StopRequest { grace_s: 0.0, since: now });
                 any_stopped = true;
             }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -340,7 +340,13 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::LateHeartbeatGrantsNoLease, late_copies_of_reports_keep_nobody_alive);
-    assert_fails_without(Guard::PreviousOwnersTimedOut, a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go);
+    assert_fails_without(
+        Guard::LateHeartbeatGrantsNoLease,
+        late_copies_of_reports_keep_nobody_alive,
+    );
+    assert_fails_without(
+        Guard::PreviousOwnersTimedOut,
+        a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go,
+    );
     assert_fails_without(Guard::LateAssignmentStopped, a_yes_after_its_jobs_end_starts_nothing);
 }
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -121,7 +121,13 @@
     /// Creates the admission before the first job.
     pub fn new(status: QuotaStatus) -> Admission {
         let none = QuotaAmount::default();
-        Admission { status, now: none, after_preemption: none, launchable: none, phase: QuotaPhase::default() }
+        Admission {
+            status,
+            now: none,
+            after_preemption: none,
+            launchable: none,
+            phase: QuotaPhase::default(),
+        }
     }
 
     /// Returns the same admission for this phase.
@@ -147,10 +153,12 @@
     pub fn admit_claim(&mut self, job: &AdmissionRequest, claim: QuotaClaim) -> Admitted {
         let free = self.status.free().minus(self.now);
         let now = covered(free, job);
-        let after_preemption = covered(self.free_after_preemption(job.priority, self.after_preemption), job).max(now);
+        let after_preemption =
+            covered(self.free_after_preemption(job.priority, self.after_preemption), job).max(now);
         let mut launchable = covered(self.status.free().minus(self.launchable), job);
         if claim == QuotaClaim::Nothing {
-            launchable = launchable.max(covered(self.free_after_preemption(job.priority, self.launchable), job));
+            launchable = launchable
+                .max(covered(self.free_after_preemption(job.priority, self.launchable), job));
         }
         let next = job.next_count();
         // What is free is kept for the next task or gang even if it does not suffice, since smaller
@@ -167,9 +175,13 @@
             QuotaClaim::Next => after_preemption.min(next),
             QuotaClaim::All => after_preemption,
         };
-        self.after_preemption = self.after_preemption.plus(job.amount_per_task.times(kept_after_preemption));
+        self.after_preemption =
+            self.after_preemption.plus(job.amount_per_task.times(kept_after_preemption));
         self.launchable = self.launchable.plus(job.amount_per_task.times(launchable));
-        debug_assert!(job.amount_per_task.times(now).within(free), "more is admitted than the grant covers");
+        debug_assert!(
+            job.amount_per_task.times(now).within(free),
+            "more is admitted than the grant covers"
+        );
         Admitted { now, after_preemption, launchable }
     }
 }
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -51,7 +51,8 @@
     let mut now = 0;
     let mut granted = |from: u8, epoch: u64, serial: u64, used, wanted| {
         now += 100;
-        let g = manager.report(now, Shard(from), Epoch(epoch), serial, &[team_usage(used, wanted)])?;
+        let g =
+            manager.report(now, Shard(from), Epoch(epoch), serial, &[team_usage(used, wanted)])?;
         Some(g.first().map_or(0, |g| g.may.cpu))
     };
     assert_eq!(granted(0, 5, 1, 0, 9000), Some(0), "the other coordinators have not reported yet");
@@ -61,7 +62,10 @@
     assert_eq!(granted(2, 7, 2, 1000, 0), Some(1000), "unused quota is freed");
     assert_eq!(granted(0, 5, 3, 0, 9000), Some(5000));
     let granted_to_successor = granted(1, 9, 1, 9000, 0).expect("a newer epoch");
-    assert!(granted_to_successor <= 10_000 - 5000, "a grant stays within the quota, whatever is in use");
+    assert!(
+        granted_to_successor <= 10_000 - 5000,
+        "a grant stays within the quota, whatever is in use"
+    );
     assert_eq!(granted(1, 3, 9, 0, 0), None, "a report of an old epoch is ignored");
     assert_eq!(granted(1, 9, 1, 0, 0), None, "a late copy is ignored");
 }
@@ -165,7 +169,9 @@
     let gang = AdmissionRequest { all_or_nothing: true, ..request(Priority::High, 2000, 2) };
     let task = request(Priority::Low, 1000, 1);
     let status = quota_status(1000, 1000, [0; 4]);
-    for (phase, admitted) in [(phase::QuotaPhase::Reserving, 0), (phase::QuotaPhase::Backfilling, 1)] {
+    for (phase, admitted) in
+        [(phase::QuotaPhase::Reserving, 0), (phase::QuotaPhase::Backfilling, 1)]
+    {
         let mut admission = Admission::new(status).in_phase(phase);
         assert_eq!(admission.admit(&gang).now, 0);
         assert_eq!(admission.admit(&task).now, admitted, "{phase:?}");
@@ -186,7 +192,11 @@
     shard.report(1, busy);
     shard.report(2, team_usage(0, 9000));
     assert_eq!(shard.granted(0, gpus), NONE, "one GPU is free");
-    assert_eq!(shard.granted(2, team_usage(0, 9000)), cpus(6000), "all but what is reserved for the first job");
+    assert_eq!(
+        shard.granted(2, team_usage(0, 9000)),
+        cpus(6000),
+        "all but what is reserved for the first job"
+    );
 }
 
 /// Reports with impossible values, or of coordinators that don't exist.
@@ -200,7 +210,11 @@
     let mut other = team_usage(0, 2000);
     other.team = 200;
     assert!(shard.report(0, other).is_none());
-    assert_eq!(shard.granted(1, team_usage(2000, 1000)), cpus(3000), "no report of a missing coordinator is waited for");
+    assert_eq!(
+        shard.granted(1, team_usage(2000, 1000)),
+        cpus(3000),
+        "no report of a missing coordinator is waited for"
+    );
     assert!(shard.granted(1, team_usage(u64::MAX, u64::MAX)).within(cpus(10_000)));
     shard.report(0, TeamUsage::of(0));
     assert_eq!(shard.granted(2, team_usage(0, 2000)), NONE, "the reported usage counts");
@@ -219,7 +233,11 @@
 }
 
 fn quota_status(granted: u64, granted_after_preemption: u64, used: [u64; 4]) -> QuotaStatus {
-    QuotaStatus { granted: cpus(granted), granted_after_preemption: cpus(granted_after_preemption), used: used.map(cpus) }
+    QuotaStatus {
+        granted: cpus(granted),
+        granted_after_preemption: cpus(granted_after_preemption),
+        used: used.map(cpus),
+    }
 }
 
 fn request(priority: Priority, cpu: u64, count: u32) -> AdmissionRequest {
@@ -339,7 +357,13 @@
 impl Model {
     fn new(quota: u64) -> Model {
         let manager = Model::fresh(quota);
-        Model { quota, manager, owner: 1, now: 0, coordinators: vec![ModelCoordinator::default(); 3] }
+        Model {
+            quota,
+            manager,
+            owner: 1,
+            now: 0,
+            coordinators: vec![ModelCoordinator::default(); 3],
+        }
     }
 
     fn fresh(quota: u64) -> QuotaManager {
--- a/crates/core/src/reachability/tests.rs
+++ b/crates/core/src/reachability/tests.rs
@@ -9,7 +9,12 @@
     for (i, &via) in paths.iter().cycle().take(9).enumerate() {
         let now = 1000 + 5000 * i as u64;
         reachability.record_heartbeat(via, DUE_MS, now);
-        assert_eq!(reachability.unreachable_since().is_some(), i >= 1, "after {} heartbeats", i + 1);
+        assert_eq!(
+            reachability.unreachable_since().is_some(),
+            i >= 1,
+            "after {} heartbeats",
+            i + 1
+        );
     }
     assert_eq!(
         reachability.unreachable_since(),
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -38,5 +38,8 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::ClockDriftAllowance, a_lease_is_judged_with_the_drift_of_both_clocks);
+    assert_fails_without(
+        Guard::ClockDriftAllowance,
+        a_lease_is_judged_with_the_drift_of_both_clocks,
+    );
 }
--- a/crates/core/src/writes.rs
+++ b/crates/core/src/writes.rs
@@ -66,7 +66,8 @@
         changes: Vec<Change>,
     ) -> PendingWrite {
         let fence = Condition { key: keys::shard_key(shard), version: epoch.0 };
-        let conditions = if is_enforced(Guard::WritesFencedByEpoch) { vec![fence] } else { Vec::new() };
+        let conditions =
+            if is_enforced(Guard::WritesFencedByEpoch) { vec![fence] } else { Vec::new() };
         PendingWrite {
             costs: vec![WriteCost { class, changes: changes.len() }],
             shard,
@@ -136,7 +137,8 @@
             StoreResult::Item(None) if self.executed => WriteOutcome::Fenced,
             StoreResult::Conflict(failed_keys) => self.on_conflict(now, failed_keys),
             StoreResult::Refused | StoreResult::RateLimited
-                if !self.earlier_try_uncertain || !is_enforced(Guard::RefusalInconclusiveAfterUnknownTry) =>
+                if !self.earlier_try_uncertain
+                    || !is_enforced(Guard::RefusalInconclusiveAfterUnknownTry) =>
             {
                 WriteOutcome::NotDone
             }
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -69,6 +69,12 @@
 #[test]
 fn tests_fail_without_their_guards() {
     use crate::guards::{assert_fails_without, Guard};
-    assert_fails_without(Guard::WritesFencedByEpoch, a_new_owner_fences_and_a_first_refusal_is_final);
-    assert_fails_without(Guard::RefusalInconclusiveAfterUnknownTry, the_idempotency_key_proves_the_outcome_of_an_earlier_try);
+    assert_fails_without(
+        Guard::WritesFencedByEpoch,
+        a_new_owner_fences_and_a_first_refusal_is_final,
+    );
+    assert_fails_without(
+        Guard::RefusalInconclusiveAfterUnknownTry,
+        the_idempotency_key_proves_the_outcome_of_an_earlier_try,
+    );
 }
--- a/crates/testkit/tests/guards.rs
+++ b/crates/testkit/tests/guards.rs
@@ -27,7 +27,11 @@
     (&[Guard::JobReadBeforeTerminalState], ApartLate, "forgotten"),
     (&[Guard::AnswersStopAfterGracePeriod], GapForgotten, "ran_cancelled"),
     // If the store is not read for a silent owner, its horizon does not advance and workers get no answers.
-    (&[Guard::SilentOwnerReadFromStore, Guard::AnswersStopAfterGracePeriod], Apart, "ran_cancelled"),
+    (
+        &[Guard::SilentOwnerReadFromStore, Guard::AnswersStopAfterGracePeriod],
+        Apart,
+        "ran_cancelled",
+    ),
     (&[Guard::OlderStatusIgnored], OldReports, "ran_twice"),
     (&[Guard::AbsenceNeedsConfirmedToken], OldReports, "ran_twice"),
     (&[Guard::PreviousOwnersTimedOut], AloneThenCut, "ran_twice"),
@@ -96,7 +100,9 @@
         let broken = with_guards_disabled(guards, || Sim::new(history.plan(seed)).run()).err()?;
         let (at, what) = broken.strip_prefix("at ")?.split_once(" ms: ")?;
         let at = at.parse().ok().filter(|_| what.starts_with(rule))?;
-        let alone = |g: &[Guard]| with_guards_disabled(g, || Sim::new(history.plan(seed)).run_to(at)).is_ok();
+        let alone = |g: &[Guard]| {
+            with_guards_disabled(g, || Sim::new(history.plan(seed)).run_to(at)).is_ok()
+        };
         (guards.len() == 1 || guards.chunks(1).all(alone)).then_some((seed, at))
     })
 }
