--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -134,7 +134,7 @@
         job
     }
 
-    /// Whether the job was submitted_at by [`Job::tombstone`]. Submitted jobs always have a class.
+    /// Whether the job was created by [`Job::tombstone`]. Submitted jobs always have a class.
     pub fn is_tombstone(&self) -> bool {
         self.spec.class.is_empty()
     }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -286,7 +286,7 @@
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
             // It may be released already: stop acting, and wait for the lease or the watch to show.
             StoreResult::Unknown if is_enforced(Guard::UncertainReleaseEndsOwnership) => {
-                self.drop_shard(effects, shard)
+                self.drop_shard(effects, shard);
             }
             _ => {
                 if let Some(active) = &mut self.owned[index] {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -190,7 +190,7 @@
                 context.reply_later(lookup.req, 503, UNKNOWN_RETRY_S);
             }
             StoreResult::Item(Some(_)) => {
-                context.reply_state(lookup.req, 200, queued_state(lookup.id))
+                context.reply_state(lookup.req, 200, queued_state(lookup.id));
             }
             StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.read_terminal_state(lookup);
