--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -10,10 +10,10 @@
     WriteClass::Deferrable,
 ];
 
-/// Floods drawn at random: which classes ask, in which order, how much each takes at once,
-/// when the service refuses. Checked against the simplest model: what was credited and what was written.
+/// Random load: which classes write, in which order, how much each takes at once, and when the
+/// store refuses. Checks the totals of credited tokens and of written changes.
 #[test]
-fn each_class_gets_its_floor_and_all_together_no_more_than_the_rate() {
+fn guarantees_class_floors_within_total_rate() {
     for seed in 0..300 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let limit = [25.0, 50.0, 100.0, 600.0][rng.random_range(0..4)];
@@ -29,7 +29,7 @@
             let step = rng.random_range(20..120);
             now += step;
             budget.refill(now);
-            // All floors together, where that of terminal states does not go down with the rate.
+            // The sum of all floors; that of terminal states does not shrink with the rate.
             let floor = |class: WriteClass| class.policy().floor;
             let others = floor(WriteClass::Decision)
                 + floor(WriteClass::Submission)
@@ -39,8 +39,9 @@
             credited += budget.rate().max(floors) * step as f64 / 1000.0;
             lowest_rate = if now < from { f64::MAX } else { budget.rate().min(lowest_rate) };
             assert!(
-                budget.rate() >= limit / 3.0 * USED_PART_OF_LIMIT * MIN_PART_OF_FAIR_RATE - 1e-9
-                    && budget.rate() <= limit * USED_PART_OF_LIMIT
+                budget.rate()
+                    >= limit / 3.0 * USABLE_LIMIT_FRACTION * MIN_FAIR_RATE_FRACTION - 1e-9
+                    && budget.rate() <= limit * USABLE_LIMIT_FRACTION
             );
             if refuses && rng.random_bool(0.05) {
                 budget.on_refusal(now);
@@ -51,7 +52,7 @@
             }
             for class in order {
                 if asks(class, &mut rng) {
-                    // Submissions would be unlimited while the service takes them: here they are not.
+                    // Submissions are unlimited while the store is not throttling; bound them here.
                     let is_free = class == WriteClass::Submission && !budget.is_throttled();
                     let most = if is_free { 40 } else { budget.available(class) };
                     let changes =
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn endless_decisions_leave_terminal_states_their_floor() {
+fn decision_load_leaves_terminal_states_their_floor() {
     let mut budget = WriteBudget::new(120.0, 3, 0);
     let mut terminal_states = 0;
     for now in (100..20_000).step_by(100) {
@@ -81,7 +82,7 @@
         budget.on_refusal(now);
         budget.spend(
             WriteClass::Decision,
-            budget.reserved[WriteClass::Decision as usize].max(4.0) as usize,
+            budget.reserved_tokens[WriteClass::Decision as usize].max(4.0) as usize,
         );
         let available = budget.available(WriteClass::TerminalState);
         budget.spend(WriteClass::TerminalState, available);
@@ -89,12 +90,12 @@
     }
     assert!(
         terminal_states >= 35,
-        "{terminal_states} terminal states in 20 s of a service that refuses"
+        "{terminal_states} terminal states in 20 s while the store refuses writes"
     );
 }
 
 #[test]
-fn the_rate_follows_refusals_and_unused_capacity() {
+fn rate_follows_refusals_and_demand() {
     let mut budget = WriteBudget::new(120.0, 3, 0);
     let fair = budget.rate();
     for now in (0..30_000).step_by(100) {
@@ -106,7 +107,7 @@
     assert!(budget.rate() > 2.0 * fair, "nothing was refused: {}", budget.rate());
     budget.on_refusal(30_000);
     budget.on_refusal(30_010);
-    assert!(budget.rate() > 1.5 * fair, "one cut a second");
+    assert!(budget.rate() > 1.5 * fair, "more than one cut in a second");
     for now in (31_000..45_000).step_by(1000) {
         budget.on_refusal(now);
     }
@@ -116,12 +117,12 @@
     }
     assert!(
         (budget.rate() - fair).abs() < 0.01,
-        "back to the fair rate, and not beyond it while no more is wanted"
+        "rate does not return to the fair rate while the budget is not exhausted"
     );
 }
 
 #[test]
-fn submissions_are_limited_only_while_the_service_refuses() {
+fn limits_submissions_only_while_throttled() {
     let mut budget = WriteBudget::new(120.0, 3, 0);
     budget.spend(WriteClass::Submission, 500);
     assert_eq!(budget.available(WriteClass::Submission), usize::MAX);
@@ -129,22 +130,22 @@
     assert_eq!(budget.available(WriteClass::Submission), 0);
     assert!(budget.submission_retry_after_s() >= 1);
     budget.refill(1000);
-    assert!(budget.available(WriteClass::Submission) >= 6, "some are accepted even so");
-    budget.refill(THROTTLED_MS);
+    assert!(budget.available(WriteClass::Submission) >= 6, "throttling stops all submissions");
+    budget.refill(INITIAL_THROTTLED_MS);
     assert_eq!(budget.available(WriteClass::Submission), usize::MAX);
 }
 
 #[test]
-fn submissions_are_limited_while_terminal_states_wait() {
+fn limits_submissions_while_terminal_states_delayed() {
     let mut budget = WriteBudget::new(120.0, 3, 0);
-    budget.terminal_states_delayed(0);
+    budget.on_terminal_states_delayed(0);
     assert!(budget.available(WriteClass::Submission) < 60);
     budget.refill(TERMINAL_STATES_DELAYED_MS);
     assert_eq!(budget.available(WriteClass::Submission), usize::MAX);
 }
 
 #[test]
-fn an_owner_of_all_shards_gets_the_whole_limit() {
+fn rate_scales_with_owned_shards() {
     let mut budget = WriteBudget::new(120.0, 3, 0);
     let third = budget.rate();
     budget.set_owned_shards(3, 3);
--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations: written, tried again until their outcome is known, then answered.
+//! Cancellations: each is written to the store, retried until its outcome is known, then answered.
 use super::terminal_state::defer_requests;
 use super::{Coordinator, Ownership};
 use crate::budget::WriteClass;
@@ -12,12 +12,12 @@
 use crate::writes::{PendingWrite, WriteOutcome};
 use leaddeal_wire::user::Status;
 
-/// Before a cancellation that the state service refused is tried again.
+/// Delay before a cancellation that the store refused is retried.
 const RETRY_DELAY_MS: u64 = 500;
-/// A cancellation of a job for which more wait than this is refused.
+/// Further requests to cancel a job are refused while more than this many wait.
 const MAX_WAITING_REQUESTS: usize = 100;
 
-/// What the variant without the guard `CancelledDurable` does: answers before the write.
+/// Answers before the write, as the code would without the guard `CancelledDurable`.
 fn answer_before_durable(ctx: &mut Context, id: JobId, job: &mut Job) {
     let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
     for request in std::mem::take(&mut job.termination.requests) {
@@ -26,10 +26,10 @@
 }
 
 impl Coordinator {
-    /// A user cancels a job. Returns true if the job is known here; it is answered once the
-    /// cancellation is durable.
+    /// Cancels a job for a user, who is answered once the cancellation is durable. Returns false if
+    /// the job is not known here.
     pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: JobId) -> bool {
-        if let Some(terminal) = self.closed.get(&id) {
+        if let Some(terminal) = self.terminal_jobs.get(&id) {
             ctx.reply_state(request, 200, job_state(id, *terminal));
             return true;
         }
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Writes the cancellations that it is time for: a first time, or again.
+    /// Sends the cancellations for which a first try or a retry is due to the store.
     pub(super) fn write_cancellations(&mut self, ctx: &mut Context) {
         if !ctx.lease_valid {
             return;
@@ -85,7 +85,7 @@
 
     fn new_cancellation(&self, id: JobId) -> PendingWrite {
         let changes = self.terminal_changes(id, Status::Cancelled);
-        let write = self.write(WriteClass::Cancellation, changes);
+        let write = self.fenced_write(WriteClass::Cancellation, changes);
         if holds(Guard::CancelVersion) {
             write.with_idempotency_key(keys::terminal_state_key(self.shard, id), 0)
         } else {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The result of the transaction that cancels a job.
+    /// Handles the result of the transaction that cancels a job.
     pub fn cancellation_written(
         &mut self,
         ctx: &mut Context,
@@ -102,8 +102,9 @@
     ) -> Ownership {
         let Some(job) = self.jobs.get_mut(&id) else { return Ownership::Kept };
         let Some(write) = job.termination.write.as_mut() else { return Ownership::Kept };
-        // Without a commit the transaction may have been executed all the same: until that is known,
-        // the job is neither started further nor is its state told. Tried again by the tick.
+        // A transaction without an answer may have been executed all the same. Until its outcome is
+        // known, no further task of the job is started and its state is not reported. The tick
+        // retries the write.
         match write.on_result(ctx.now, result) {
             WriteOutcome::Done(_) => self.cancellation_committed(ctx, id),
             WriteOutcome::Fenced => return Ownership::Lost,
@@ -122,7 +123,7 @@
         job.termination.status = None;
         job.termination.write = None;
         job.cancelled = true;
-        // Its completions don't count any more; its machines may forget them.
+        // Completions of a cancelled job do not count any more, so participants may forget them.
         let completed = std::mem::take(&mut job.completion.uncompacted);
         job.placed.stop_all();
         self.unsettled_jobs.insert(id);
@@ -135,7 +136,7 @@
         if nothing_placed {
             self.drop_cancelled(id);
         }
-        self.next_resend = 0;
+        self.next_resend_at = 0;
         self.resend(ctx);
     }
 }
--- a/crates/core/src/coordinator/compaction.rs
+++ b/crates/core/src/coordinator/compaction.rs
@@ -1,8 +1,9 @@
 //! Compactions: transactions that make completions and terminal states durable.
 //!
-//! A compaction has up to three parts, each paid for from its own class of the write budget:
+//! A compaction has up to three parts, each counted against its own class of the write budget:
 //! terminal states of jobs whose tasks are all done, bitmaps of the completed tasks of other jobs,
-//! and deletions of decision records that no task depends on any more. At most one is in flight.
+//! and deletions of decision records that no placement depends on any more. At most one compaction
+//! is in flight.
 use super::Coordinator;
 use crate::context::{Context, Operation};
 use crate::ids::{Attempt, JobId, Timestamp};
@@ -13,19 +14,20 @@
 mod draft;
 mod outcome;
 
-/// What is to be compacted, and the compaction in flight.
+/// The jobs to compact, and the compaction in flight.
 #[derive(Debug, Default)]
 pub(super) struct CompactionState {
-    /// Jobs whose tasks are all done and whose terminal state is not written, since when.
+    /// Jobs whose tasks are all done but whose terminal state is not written, with the time since
+    /// when they wait.
     pub(super) complete_jobs: BTreeMap<JobId, Timestamp>,
-    /// Jobs that go on with completions that are not in the store.
+    /// Jobs with tasks left that have completions which are not in the store.
     pub(super) dirty_jobs: BTreeSet<JobId>,
     in_flight: Option<Compaction>,
     next_terminal_states_at: Timestamp,
     next_completions_at: Timestamp,
 }
 
-/// A compaction whose outcome is not known.
+/// A compaction whose outcome is not known yet.
 #[derive(Debug)]
 struct Compaction {
     write: PendingWrite,
@@ -35,13 +37,13 @@
 /// What a compaction makes durable.
 #[derive(Debug, Default)]
 struct CompactionContents {
-    /// Jobs whose terminal state it writes.
+    /// Jobs whose terminal state is written.
     complete_jobs: Vec<JobId>,
-    /// Chunks of completed tasks that it writes.
+    /// Chunks of the bitmap of completed tasks that are written, by job.
     chunks: Vec<(JobId, Vec<u32>)>,
-    /// Attempts that may be acknowledged once it is durable.
+    /// Attempts to acknowledge to participants once the compaction is durable.
     completed: Vec<(JobId, Vec<CompletedAttempt>)>,
-    /// Keys of decision records that it deletes.
+    /// Keys of decision records that are deleted.
     deleted_decisions: Vec<String>,
 }
 
@@ -50,7 +52,7 @@
         self.in_flight.is_some()
     }
 
-    /// The compaction in flight makes this attempt's completion durable.
+    /// Whether the compaction in flight makes this attempt's completion durable.
     pub(super) fn is_compacting(&self, id: JobId, task: u32, attempt: Attempt) -> bool {
         let Some(compaction) = &self.in_flight else { return false };
         let of_job = compaction.contents.completed.iter().filter(|(job, _)| *job == id);
@@ -67,7 +69,7 @@
 }
 
 impl Coordinator {
-    /// Starts the next compaction, or sends the one in flight again if it is time to.
+    /// Starts the next compaction, or retries the one in flight if a retry is due.
     pub(super) fn compact(&mut self, ctx: &mut Context) {
         if !self.ready() || !ctx.lease_valid {
             return;
--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -1,4 +1,4 @@
-//! What the next compaction writes.
+//! Puts together the next compaction.
 use super::{Compaction, CompactionContents};
 use crate::budget::WriteClass;
 use crate::context::Context;
@@ -13,22 +13,23 @@
 use leaddeal_wire::user::Status;
 use std::cmp::Reverse;
 
-/// Users expect to be told of a completed job within this time; beyond it, the write budget is told
-/// that terminal states are behind.
+/// Users expect to see a job's terminal state within this time of its completion. If one waits for
+/// longer, the write budget limits submissions in favor of terminal states.
 const MAX_TERMINAL_STATE_DELAY_MS: u64 = 3000;
-/// Between two compactions with terminal states.
+/// Minimum time between two compactions with terminal states.
 const TERMINAL_STATES_INTERVAL_MS: u64 = 300;
-/// Between two compactions with completions of jobs that go on.
+/// Minimum time between two compactions with completions of jobs that have tasks left.
 const COMPLETIONS_INTERVAL_MS: u64 = 1200;
-/// Completions of a job that goes on are written after this time,
+/// Completions of a job that has tasks left are due for compaction after this time.
 const MAX_UNCOMPACTED_MS: u64 = 2500;
-/// or when this many attempts wait for it.
+/// Completions of a job that has tasks left are due at once if there are this many.
 const MAX_UNCOMPACTED_ATTEMPTS: usize = 60;
-/// A job that fits in no transaction is written alone if there is budget for this many changes.
+/// A job with more changes than fit into a transaction is written in a transaction of its own if
+/// the write budget has at least this many changes available.
 const MIN_CHANGES_OF_LARGE_JOB: usize = 2;
-/// This many deletions are worth a transaction of their own.
+/// Fewer deletions than this wait for a compaction that has other changes.
 const MIN_DELETIONS_ALONE: usize = 8;
-/// No further job is added to a compaction with more bytes of bitmaps than this.
+/// No further job is added to a compaction with more than this many bytes of bitmaps.
 const MAX_COMPLETION_BYTES: usize = 40_000;
 
 /// A compaction that is being put together.
@@ -39,7 +40,7 @@
 }
 
 impl Draft {
-    /// A job's terminal state with the changes that write it.
+    /// Adds the terminal state of a complete job; `changes` write it.
     fn add_terminal_state(&mut self, job: &mut Job, changes: Vec<Change>) {
         job.termination.status = Some(Status::Done);
         let completed = std::mem::take(&mut job.completion.uncompacted);
@@ -48,7 +49,8 @@
         self.changes.extend(changes);
     }
 
-    /// Completions of a job that goes on; returns the bytes of their bitmaps.
+    /// Adds the completions of a job that has tasks left; returns the size of their bitmaps in
+    /// bytes.
     fn add_completions(&mut self, shard: Shard, job: &mut Job) -> usize {
         let mut bytes = 0;
         job.completion.uncompacted_since = None;
@@ -70,7 +72,7 @@
 }
 
 impl Coordinator {
-    /// The next compaction; none if there is nothing to write, or it is not time to.
+    /// Returns the next compaction; `None`: there is nothing to write, or it is not due yet.
     pub(super) fn next_compaction(&mut self, ctx: &mut Context) -> Option<Compaction> {
         let mut draft = Draft::default();
         self.draft_terminal_states(ctx, &mut draft);
@@ -86,17 +88,21 @@
             self.compaction.next_terminal_states_at = ctx.now + TERMINAL_STATES_INTERVAL_MS;
         }
         let write = self
-            .write(WriteClass::TerminalState, changes)
+            .fenced_write(WriteClass::TerminalState, changes)
             .with_changes_of_class(WriteClass::Completion, completion_changes)
             .with_changes_of_class(WriteClass::Deferrable, contents.deleted_decisions.len());
-        Some(Compaction { write: self.once(write, &contents), contents })
+        Some(Compaction { write: self.with_idempotency_key(write, &contents), contents })
     }
 
     /// Makes the write conditional on the version of the first record that it writes, so that it is
-    /// executed once at most. A late copy must not write completions over newer ones, nor create a
-    /// record that was deleted. (Found by the simulator's check of each write: compactions without an
-    /// answer were given up for newer ones, and a late copy undid those.)
-    fn once(&self, write: PendingWrite, contents: &CompactionContents) -> PendingWrite {
+    /// executed at most once. A late copy must neither overwrite newer completions nor create a
+    /// record that was deleted: without the condition, compactions without an answer were abandoned
+    /// for newer ones, and a late copy of them undid the newer ones.
+    fn with_idempotency_key(
+        &self,
+        write: PendingWrite,
+        contents: &CompactionContents,
+    ) -> PendingWrite {
         let (key, version) = if let Some(id) = contents.complete_jobs.first() {
             (keys::terminal_state_key(self.shard, *id), 0)
         } else if let Some((id, chunk)) = contents.first_chunk() {
@@ -113,11 +119,11 @@
         }
     }
 
-    /// Terminal states, of the jobs first that have been complete for longest.
+    /// Adds terminal states, of the jobs that have been complete for the longest first.
     fn draft_terminal_states(&mut self, ctx: &mut Context, draft: &mut Draft) {
-        // The budget counts who asks: it is asked only if there is something to write.
-        let none = self.compaction.complete_jobs.is_empty();
-        if none || ctx.now < self.compaction.next_terminal_states_at {
+        // The budget counts each query as demand, so query it only if there is something to write.
+        let has_none = self.compaction.complete_jobs.is_empty();
+        if has_none || ctx.now < self.compaction.next_terminal_states_at {
             return;
         }
         let max_changes = ctx.config.txn_ops.min(ctx.budget.available(WriteClass::TerminalState));
@@ -126,21 +132,21 @@
         complete.sort_unstable();
         let oldest = complete.first();
         if oldest.is_some_and(|(since, _)| ctx.now >= since + MAX_TERMINAL_STATE_DELAY_MS) {
-            ctx.budget.terminal_states_delayed(ctx.now);
+            ctx.budget.on_terminal_states_delayed(ctx.now);
         }
         for (_, id) in complete {
             let changes = self.terminal_changes(id, Status::Done);
-            // The largest job has more chunks than the smallest store takes changes at once: alone
-            // it may go beyond what there is budget for.
+            // The largest job has more chunks than the smallest transaction limit allows changes,
+            // so it would never fit. Written alone, a job may exceed the available changes.
             let fits = draft.changes.len() + changes.len() <= max_changes;
-            let alone = draft.changes.is_empty() && max_changes >= MIN_CHANGES_OF_LARGE_JOB;
-            if !fits && !alone {
+            let may_exceed = draft.changes.is_empty() && max_changes >= MIN_CHANGES_OF_LARGE_JOB;
+            if !fits && !may_exceed {
                 break;
             }
             self.compaction.complete_jobs.remove(&id);
             self.compaction.dirty_jobs.remove(&id);
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            // Cancelled meanwhile: that is its terminal state.
+            // The job was cancelled in the meantime, and `Cancelled` is its terminal state.
             if job.cancelled || job.termination.status == Some(Status::Cancelled) {
                 continue;
             }
@@ -148,10 +154,11 @@
         }
     }
 
-    /// Completions of jobs that go on, of the jobs first with the most attempts to acknowledge.
+    /// Adds completions of jobs that have tasks left, of the jobs with the most attempts to
+    /// acknowledge first.
     fn draft_completions(&mut self, ctx: &mut Context, draft: &mut Draft) {
         if ctx.now < self.compaction.next_completions_at
-            || (self.compaction.dirty_jobs.is_empty() && self.decision_log.waiting() == 0)
+            || (self.compaction.dirty_jobs.is_empty() && self.decision_log.pending_deletions() == 0)
         {
             return;
         }
@@ -171,8 +178,8 @@
         }
     }
 
-    /// Jobs whose completions have waited long enough, or are many enough, to be written; those with
-    /// the most attempts to acknowledge first.
+    /// Returns the jobs whose completions are due, those with the most attempts to acknowledge
+    /// first.
     fn jobs_to_compact(&mut self, now: Timestamp) -> Vec<JobId> {
         let mut due: Vec<(Reverse<usize>, JobId)> = Vec::new();
         let jobs = &self.jobs;
@@ -183,10 +190,10 @@
             let Some(job) = job else { return false };
             let waiting = job.completion.uncompacted.len();
             let since = job.completion.uncompacted_since;
-            let late = since.is_some_and(|since| now >= since + MAX_UNCOMPACTED_MS);
-            // Soon over, perhaps: its terminal state makes this write needless.
-            let goes_on = job.termination.status.is_none() && !job.complete();
-            if (late || waiting >= MAX_UNCOMPACTED_ATTEMPTS) && goes_on {
+            let is_late = since.is_some_and(|since| now >= since + MAX_UNCOMPACTED_MS);
+            // The terminal state of a job that is ending makes this write unnecessary.
+            let is_unfinished = job.termination.status.is_none() && !job.complete();
+            if (is_late || waiting >= MAX_UNCOMPACTED_ATTEMPTS) && is_unfinished {
                 due.push((Reverse(waiting), *id));
             }
             true
@@ -195,16 +202,18 @@
         due.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Deletions of decision records that no task depends on. A few of them alone wait for other
-    /// changes.
+    /// Adds deletions of decision records that no placement depends on. Without other changes in
+    /// the draft, fewer than [`MIN_DELETIONS_ALONE`] are left for a later compaction.
     fn draft_deletions(&mut self, ctx: &mut Context, draft: &mut Draft) {
         let left = ctx.config.txn_ops.saturating_sub(draft.changes.len());
         let max_deletions = left.min(ctx.budget.available(WriteClass::Deferrable));
-        let alone = draft.changes.is_empty();
-        if alone && self.decision_log.waiting().min(max_deletions) < MIN_DELETIONS_ALONE {
+        let is_alone = draft.changes.is_empty();
+        if is_alone
+            && self.decision_log.pending_deletions().min(max_deletions) < MIN_DELETIONS_ALONE
+        {
             return;
         }
-        let keys = self.decision_log.take_unneeded(max_deletions);
+        let keys = self.decision_log.take_deletions(max_deletions);
         draft.changes.extend(keys.iter().map(|key| Change::Delete { key: key.clone() }));
         draft.contents.deleted_decisions = keys;
     }
--- a/crates/core/src/coordinator/compaction/outcome.rs
+++ b/crates/core/src/coordinator/compaction/outcome.rs
@@ -1,4 +1,5 @@
-//! The outcome of a compaction: what is acknowledged, answered, or written anew.
+//! Handles the outcome of a compaction: acknowledges attempts and answers users if it was executed,
+//! and queues its contents again if it was not.
 use super::CompactionContents;
 use crate::context::Context;
 use crate::coordinator::terminal_state::defer_requests;
@@ -12,13 +13,13 @@
 use leaddeal_wire::user::Status;
 use std::collections::BTreeMap;
 
-/// Before a compaction that the state service refused is tried again.
+/// Delay before the contents of a compaction that the store refused are written again.
 const RETRY_DELAY_MS: u64 = 500;
-/// Attempts that one message acknowledges.
+/// Maximum number of attempts that one message acknowledges.
 const MAX_ATTEMPTS_PER_MESSAGE: usize = 200;
 
 impl Coordinator {
-    /// The result of the compaction's transaction.
+    /// Handles the result of the compaction's transaction.
     pub fn compaction_written(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
         let Some(mut compaction) = self.compaction.in_flight.take() else {
             return Ownership::Kept;
@@ -37,8 +38,8 @@
         Ownership::Kept
     }
 
-    /// Users that wait for a terminal state have to ask again: until its outcome is known may take
-    /// as long as the state service does.
+    /// Tells users that wait for one of these terminal states to try again later: the outcome is
+    /// unknown for as long as the store does not answer.
     fn defer_terminal_answers(&mut self, ctx: &mut Context, contents: &CompactionContents) {
         for id in &contents.complete_jobs {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -68,11 +69,11 @@
             for request in job.termination.requests {
                 ctx.reply_state(request, 200, job_state(id, terminal));
             }
-            self.closed.insert(id, terminal);
+            self.terminal_jobs.insert(id, terminal);
         }
     }
 
-    /// The compaction was certainly not executed: all of it is to be written anew.
+    /// Queues the contents of a compaction that was certainly not executed to be written again.
     fn compaction_refused(&mut self, ctx: &mut Context, contents: CompactionContents) {
         self.compaction.next_completions_at = ctx.now + RETRY_DELAY_MS;
         self.compaction.next_terminal_states_at = ctx.now + RETRY_DELAY_MS;
@@ -89,13 +90,13 @@
                 job.completion.uncompacted.extend(completed);
             }
         }
-        // Their terminal states stay in the making.
+        // `termination.status` stays set: the terminal state of these jobs is still to be written.
         let complete = contents.complete_jobs.into_iter().map(|id| (id, ctx.now));
         self.compaction.complete_jobs.extend(complete);
     }
 
-    /// Completions that are durable, or don't count any more: their machines may forget the attempts,
-    /// and the decisions that placed them may be deleted.
+    /// Acknowledges attempts whose completions are durable or do not count any more: participants
+    /// may forget them, and the records of the decisions that placed them may be deleted.
     pub(in crate::coordinator) fn acknowledge(
         &mut self,
         ctx: &mut Context,
@@ -104,7 +105,7 @@
     ) {
         let mut by_shard: BTreeMap<Shard, Vec<AttemptRef>> = BTreeMap::new();
         for CompletedAttempt { task, attempt, machine, round } in completed {
-            self.decision_log.placement_over(round);
+            self.decision_log.end_placement(round);
             let machine = ctx.names.machine_name(machine).to_string();
             let shard = ctx.shard_of_machine(&machine);
             let what =
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -1,5 +1,5 @@
-//! The second half of a round: the decision is written under the epoch, then the participants whose
-//! offers were selected are told to place the tasks, and all are told that the negotiation is closed.
+//! The second half of a round: writes the decision under the coordinator's epoch, then tells the
+//! participants whose offers were selected to place the tasks, and closes the negotiation.
 use super::negotiation::{PendingDecision, SelectedOffer};
 use super::place_batch::{PlaceBatch, PlaceTarget};
 use super::Coordinator;
@@ -18,11 +18,11 @@
 use leaddeal_wire::mesh::{Assignment, ShardMessage, TaskPhase};
 use leaddeal_wire::state::{Change, Condition};
 
-/// Tasks of a decision that was not written are requested again after this time.
+/// Delay before the tasks of a decision that was not written are requested again.
 const DECISION_RETRY_INTERVAL_MS: u64 = 500;
 
 impl Coordinator {
-    /// Writes what was selected as the decision of a new round.
+    /// Starts to write the decision of a new round with the selected offers.
     pub(super) fn begin_decision(
         &mut self,
         ctx: &mut Context,
@@ -38,7 +38,7 @@
         self.decision_counts.add(selected.len());
         let value = self.decision_record(ctx, attempt, &selected);
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
-        let mut write = self.write(WriteClass::Decision, vec![put]);
+        let mut write = self.fenced_write(WriteClass::Decision, vec![put]);
         if holds(Guard::DecisionVersion) {
             write = write.with_idempotency_key(slot.key.clone(), slot.version);
         }
@@ -48,7 +48,7 @@
         self.write_decision(ctx);
     }
 
-    /// The stored value of a decision.
+    /// Returns the stored value of a decision.
     fn decision_record(
         &self,
         ctx: &Context,
@@ -66,8 +66,9 @@
         DecisionRecord { attempt: attempt.0, placements: placements.collect() }.encode()
     }
 
-    /// A grant of a team's shard ends with the owner that gave it: what is decided under it is written
-    /// only if that owner's epoch is the present one.
+    /// Makes the write conditional on the epochs of the quota managers whose grants it uses. A
+    /// grant ends with the owner of the team's shard that gave it: a new owner grants the quota
+    /// anew, so a decision under the old grant could exceed it.
     fn conditional_on_grants(
         &self,
         ctx: &Context,
@@ -89,7 +90,7 @@
         write
     }
 
-    /// Sends the decision to the store if it is time to: a first time, or again.
+    /// Sends the pending decision to the store if a first try or a retry is due.
     pub(super) fn write_decision(&mut self, ctx: &mut Context) {
         let Some(decision) = self.pending_decision.as_mut().filter(|_| ctx.lease_valid) else {
             return;
@@ -111,21 +112,22 @@
                 let slot = decision.slot.clone();
                 let slot_changed =
                     matches!(result, StoreResult::Conflict(failed) if failed.contains(&slot.key));
-                // Somebody else wrote to it, which nobody does: it is left alone.
+                // Only this coordinator writes to the slot. If its version changed all the same,
+                // the slot is not reused.
                 if !slot_changed {
-                    self.decision_log.not_written(slot);
+                    self.decision_log.return_slot(slot);
                 }
                 self.give_selected_back(ctx);
             }
-            // Whether it was executed is not known: the tick sends it again.
+            // Unknown whether it was executed: the tick retries it.
             WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
             WriteOutcome::Open => self.place_selected(ctx, 0),
         }
         Ownership::Kept
     }
 
-    /// The decision is durable, in this version of its record: its tasks are placed, and their
-    /// participants told.
+    /// Places the tasks of the pending decision and tells their participants. The decision is
+    /// durable, and its record has this version.
     fn place_selected(&mut self, ctx: &mut Context, version: u64) {
         let Some(decision) = self.pending_decision.take() else { return };
         let (attempt, round) = (decision.attempt, decision.round);
@@ -134,7 +136,7 @@
         for choice in decision.selected {
             live += u32::from(self.place_task(ctx, attempt, round, choice, &mut batch));
         }
-        self.decision_log.open(round, decision.slot.key, Some(version), live);
+        self.decision_log.add(round, decision.slot.key, Some(version), live);
         for request in batch.into_requests() {
             ctx.send(self.shard, request.target.participant, request.into_message());
         }
@@ -142,8 +144,8 @@
         ctx.wake = true;
     }
 
-    /// Places one task and adds it to the batch. False if its job was cancelled while the decision was
-    /// being written: no participant has learned of the placement.
+    /// Places one task and adds it to the batch. Returns false if the job was cancelled while the
+    /// decision was being written: no participant has been told of the placement, so it is dropped.
     fn place_task(
         &mut self,
         ctx: &mut Context,
@@ -182,7 +184,7 @@
         true
     }
 
-    /// The decision was certainly not written: its tasks are to be placed anew.
+    /// Returns the tasks of the pending decision, which was certainly not written, to their jobs.
     fn give_selected_back(&mut self, ctx: &mut Context) {
         let Some(decision) = self.pending_decision.take() else { return };
         for choice in &decision.selected {
@@ -196,7 +198,7 @@
         self.close_negotiation(ctx, decision.negotiation, &decision.holders);
     }
 
-    /// Tells participants that a negotiation is over: what they hold for it is free again.
+    /// Tells participants that a negotiation is closed, so that they release their holds for it.
     pub(super) fn close_negotiation(
         &self,
         ctx: &mut Context,
--- a/crates/core/src/coordinator/decision_log/tests.rs
+++ b/crates/core/src/coordinator/decision_log/tests.rs
@@ -3,10 +3,10 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
 
-/// Against a store that executes deletions late: no live record is ever lost, and what is
-/// overwritten has the version that it was said to have.
+/// Runs against a store that executes copies of deletions late: no live record is ever lost, and an
+/// overwritten record has the version of its slot.
 #[test]
-fn no_late_deletion_takes_a_live_decision() {
+fn late_deletions_spare_live_decisions() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut log = DecisionLog::default();
@@ -18,23 +18,23 @@
             let slot = log.take_slot(|| format!("d/0/7-{round}"));
             assert_eq!(store.get(&slot.key).copied().unwrap_or(0), slot.version, "seed {seed}");
             if rng.random_bool(0.1) {
-                log.not_written(slot);
+                log.return_slot(slot);
                 continue;
             }
             version += 1;
             created += u32::from(slot.version == 0);
             store.insert(slot.key.clone(), version);
             let placements = rng.random_range(0..4);
-            // Its outcome was learned without its revision, now and then.
+            // Sometimes the outcome of the write is learned without its revision.
             let known = rng.random_bool(0.8).then_some(version);
-            log.open(round, slot.key.clone(), known, placements);
+            log.add(round, slot.key.clone(), known, placements);
             if placements > 0 {
                 live.insert(round, (slot.key, placements));
             }
             while live.len() > 40 || (!live.is_empty() && rng.random_bool(0.6)) {
                 let n = rng.random_range(0..live.len());
                 let (&at, _) = live.iter().nth(n).expect("one of them");
-                log.placement_over(at);
+                log.end_placement(at);
                 if let Some((_, left)) = live.get_mut(&at) {
                     *left -= 1;
                     if *left == 0 {
@@ -43,12 +43,12 @@
                 }
             }
             if rng.random_bool(0.3) {
-                let keys = log.take_unneeded(5);
+                let keys = log.take_deletions(5);
                 for key in &keys {
                     store.remove(key);
                 }
                 if rng.random_bool(0.5) {
-                    // No answer: a copy of it comes later.
+                    // The deletion gets no answer, and a copy of it is executed later.
                     late.push(keys.clone());
                     log.delete_again(keys);
                 }
@@ -60,7 +60,10 @@
             }
             let needed: BTreeSet<&String> = live.values().map(|(key, _)| key).collect();
             assert_eq!(needed.len(), live.len(), "a record holds one decision");
-            assert!(needed.iter().all(|key| store.contains_key(*key)), "seed {seed}: lost");
+            assert!(
+                needed.iter().all(|key| store.contains_key(*key)),
+                "seed {seed}: a live record was deleted"
+            );
             assert_eq!(log.counts().live, live.len());
         }
         assert!(created < 250, "seed {seed}: {created} records made for 400 decisions");
@@ -69,7 +72,7 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
+fn tests_fail_without_their_guards() {
     use crate::guards::{missed_by, Guard};
-    missed_by(Guard::RecordLive, no_late_deletion_takes_a_live_decision);
+    missed_by(Guard::RecordLive, late_deletions_spare_live_decisions);
 }
--- a/crates/core/src/coordinator/figures.rs
+++ b/crates/core/src/coordinator/figures.rs
@@ -1,8 +1,8 @@
-//! Figures of a coordinator for the operators' log.
+//! Statistics of a coordinator for the operators' log.
 use super::Coordinator;
 use crate::ids::Timestamp;
 
-/// Decisions, and placements in them, since the figures were last asked for.
+/// Decisions, and placements in them, since the statistics were last logged.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DecisionCounts {
     placements: u64,
@@ -18,21 +18,22 @@
 }
 
 impl Coordinator {
-    /// What is kept and what waits to be written; the counts of decisions start again at 0.
+    /// Returns the log details about jobs, unwritten state and decisions, and resets the counts of
+    /// decisions to 0.
     pub fn figures(&mut self, now: Timestamp) -> String {
-        let oldest =
+        let oldest_unwritten_ms =
             self.compaction.complete_jobs.values().min().map_or(0, |at| now.saturating_sub(*at));
         let uncompacted: usize = self
             .compaction
             .dirty_jobs
             .iter()
             .filter_map(|id| self.jobs.get(id))
-            .map(|j| j.completion.uncompacted.len())
+            .map(|job| job.completion.uncompacted.len())
             .sum();
         let records = self.decision_log.counts();
         let counts = std::mem::take(&mut self.decision_counts);
         format!(
-            "shard={} jobs={} pending={} unwritten={} oldest_unwritten_ms={oldest} uncompacted={uncompacted} \
+            "shard={} jobs={} pending={} unwritten={} oldest_unwritten_ms={oldest_unwritten_ms} uncompacted={uncompacted} \
              decisions={} spare={} rounds={} placements={}",
             self.shard.0,
             self.jobs.len(),
--- a/crates/core/src/coordinator/gpu_work.rs
+++ b/crates/core/src/coordinator/gpu_work.rs
@@ -1,17 +1,18 @@
-//! The kinds of GPU work that a coordinator has, as its requests for offers tell them.
+//! The kinds of GPU work that a coordinator has, as reported in its requests for offers.
 use crate::ids::Timestamp;
 use crate::jobs::Job;
 use leaddeal_wire::user::Priority;
 use std::collections::BTreeSet;
 
-/// A request names at most this many kinds of GPU work.
+/// Maximum number of kinds of GPU work in a request.
 const MAX_GPU_WORK_KINDS: usize = 16;
-/// Time between two walks over the jobs.
+/// Time between two scans of the jobs.
 const GPU_WORK_REFRESH_INTERVAL_MS: u64 = 500;
 
-/// What a task of GPU work takes, in thousandths of processors and GPUs and MB, and its priority.
+/// A kind of GPU work: what a task takes, in thousandths of cores and GPUs and in MB of memory, and
+/// its priority.
 ///
-/// Kinds are ordered by the fields in their order here.
+/// Kinds compare field by field, in the order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GpuWork {
     cpu: u64,
@@ -26,13 +27,13 @@
         GpuWork { cpu: need.cpu, gpu: need.gpu, mem: need.mem, priority: job.wire.priority }
     }
 
-    /// As `ShardMessage::RequestOffers` has it.
+    /// Returns the kind in the form of `ShardMessage::RequestOffers`.
     fn to_wire(self) -> (u64, u64, u64, Priority) {
         (self.cpu, self.gpu, self.mem, self.priority)
     }
 }
 
-/// The kinds of GPU work as of the last walk over the jobs.
+/// The kinds of GPU work as of the last scan of the jobs.
 #[derive(Debug, Default)]
 pub(super) struct GpuWorkCache {
     refresh_at: Timestamp,
@@ -40,9 +41,9 @@
 }
 
 impl GpuWorkCache {
-    /// The least kinds of GPU work among the jobs that are not cancelled, so that participants keep
-    /// services from taking the machines it needs before it is requested itself. `jobs` is looked at
-    /// only once in a refresh interval.
+    /// Returns the smallest kinds of GPU work among the jobs that are not cancelled. Participants
+    /// keep services off the machines that this work needs, also before offers are requested for
+    /// it. `jobs` is scanned only once per refresh interval.
     pub fn kinds<'a>(
         &mut self,
         now: Timestamp,
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -1,4 +1,5 @@
-//! Loading a shard: decisions, jobs and completions, in this order. Afterwards, jobs as they are created.
+//! Loads a shard from the store: decisions, jobs and completions, in this order. Afterwards,
+//! watches for new jobs.
 use super::Coordinator;
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
@@ -14,46 +15,47 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// How long a watch for new jobs waits at the store.
+/// How long the store holds a watch for new jobs open without an event.
 const JOB_WATCH_TIMEOUT_MS: u64 = 15_000;
 
-/// What is being loaded.
+/// The records that are being loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoadStage {
     Decisions,
     Jobs,
     Completions,
-    /// All is loaded; new jobs are watched for.
+    /// All records are loaded; new jobs are watched for.
     Ready,
 }
 
-/// What became of a placement from a decision that was loaded.
+/// The outcome of adopting a placement from a loaded decision.
 enum Adoption {
-    /// The task is done, or a newer attempt of it is known.
+    /// Not adopted: the task is done, or a newer attempt of it is known.
     Skipped,
-    /// It is the first known attempt of the task.
+    /// Adopted as the first known attempt of the task.
     New,
-    /// It took the place of an older attempt, of this round.
+    /// Adopted in place of an older attempt, which the decision with this number placed.
     Replaced { round: u64 },
 }
 
-/// A record that does not decode is logged and skipped: it affects only itself.
+/// Logs a record that can't be decoded. The caller skips the record, so that a bad record affects
+/// only itself.
 fn log_unreadable(ctx: &mut Context, key: &str) {
     ctx.effects.log(LogLevel::Error, "record_unreadable", || key.to_string());
 }
 
 impl Coordinator {
-    /// Reads on: the next page, or what is written.
-    pub(super) fn read_on(&mut self, ctx: &mut Context) {
-        if let Some(call) = self.reader.next_call(ctx.now) {
+    /// Requests the next page of records, or the next events of the watch, if no read is in flight.
+    pub(super) fn read_next(&mut self, ctx: &mut Context) {
+        if let Some(call) = self.record_reader.next_call(ctx.now) {
             ctx.store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
-    /// Handles the answer to a read of records.
+    /// Handles the result of a read of records.
     pub fn records_read(&mut self, ctx: &mut Context, result: StoreResult) {
         let is_answered = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
-        for record in self.reader.on_result(ctx.now, result) {
+        for record in self.record_reader.on_result(ctx.now, result) {
             match self.load_stage {
                 LoadStage::Decisions => self.loaded_decisions.push(record),
                 LoadStage::Jobs | LoadStage::Ready => {
@@ -63,49 +65,50 @@
             }
         }
         if !is_answered {
-            if let Some(what) = self.reader.failures_to_log() {
+            if let Some(what) = self.record_reader.failures_to_log() {
                 ctx.effects.log(LogLevel::Info, "records_refused", || what);
             }
             return;
         }
-        if self.reader.is_list_complete() && !self.ready() {
+        if self.record_reader.is_list_complete() && !self.ready() {
             self.next_load_stage(ctx);
             if self.ready() {
                 return;
             }
         }
-        self.read_on(ctx);
+        self.read_next(ctx);
     }
 
     fn next_load_stage(&mut self, ctx: &mut Context) {
         match self.load_stage {
             LoadStage::Decisions => {
                 self.load_stage = LoadStage::Jobs;
-                self.reader = RecordReader::list_and_watch(
+                self.record_reader = RecordReader::list_and_watch(
                     keys::job_prefix(self.shard),
                     JOB_WATCH_TIMEOUT_MS,
                 );
             }
             LoadStage::Jobs => {
                 self.load_stage = LoadStage::Completions;
-                self.jobs_loaded_revision = self.reader.revision();
+                self.jobs_loaded_revision = self.record_reader.revision();
                 let completions = RecordReader::list(keys::completion_prefix(self.shard));
-                self.jobs_reader = Some(std::mem::replace(&mut self.reader, completions));
+                self.paused_job_reader =
+                    Some(std::mem::replace(&mut self.record_reader, completions));
             }
             LoadStage::Completions => {
                 self.load_stage = LoadStage::Ready;
-                if let Some(jobs) = self.jobs_reader.take() {
-                    self.reader = jobs;
+                if let Some(jobs) = self.paused_job_reader.take() {
+                    self.record_reader = jobs;
                 }
-                self.loaded(ctx);
+                self.finish_loading(ctx);
             }
             LoadStage::Ready => {}
         }
     }
 
-    /// All records are read: puts together what they say of the jobs.
-    fn loaded(&mut self, ctx: &mut Context) {
-        self.take_decisions(ctx);
+    /// Derives the state of the jobs once all records are read.
+    fn finish_loading(&mut self, ctx: &mut Context) {
+        self.adopt_decisions(ctx);
         let done = self.jobs.values().filter(|job| job.complete() && !job.cancelled);
         let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
         self.unsettled_jobs = placed.map(|job| job.id).collect();
@@ -116,7 +119,8 @@
                 self.service_statistics.record_earlier_start(job);
             }
         }
-        // Their terminal states are written already: an earlier owner may have told nobody else.
+        // The terminal states of tombstones are in the store, but an earlier owner may have told no
+        // other node of the cancellations.
         for job in self.jobs.values().filter(|job| job.wire.class.is_empty()) {
             ctx.horizons.on_cancelled(self.shard, self.epoch, job.id, ctx.now);
         }
@@ -125,12 +129,12 @@
         ctx.effects.log(LogLevel::Info, "shard_loaded", || format!("shard={shard} jobs={jobs}"));
     }
 
-    /// A job's record was read or written; one that is known already changes nothing.
+    /// Adds a job whose record was read or written. Does nothing if the job is already known.
     pub fn job_created(&mut self, ctx: &mut Context, key: &str, value: &Value) {
         let Some(id) = keys::parse_job_key(key) else {
             return;
         };
-        if self.jobs.contains_key(&id) || self.closed.contains_key(&id) {
+        if self.jobs.contains_key(&id) || self.terminal_jobs.contains_key(&id) {
             return;
         }
         let Ok(JobRecord { accepted_at_ms, job: wire }) = JobRecord::decode(value) else {
@@ -147,13 +151,14 @@
         ctx.wake = true;
     }
 
-    /// One that can't be read counts as nothing done: its tasks run again, and exit with `done`.
+    /// Adds the completed tasks of a loaded record. The tasks of a record that can't be decoded
+    /// count as not done: they run again, and exit with `done`.
     fn completion_loaded(&mut self, ctx: &mut Context, record: &Record) {
         let Some((id, chunk)) = keys::parse_completion_key(&record.key) else {
             log_unreadable(ctx, &record.key);
             return;
         };
-        // None: the job is over.
+        // A record without a job belongs to a job that has ended.
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.completion.stored_chunks.insert(chunk, record.version);
         let is_read = CompletionRecord::decode(&record.value)
@@ -163,8 +168,8 @@
         }
     }
 
-    /// Decisions of older epochs: their placements may be on machines.
-    fn take_decisions(&mut self, ctx: &mut Context) {
+    /// Adopts the placements of decisions of older epochs, since their tasks may be on machines.
+    fn adopt_decisions(&mut self, ctx: &mut Context) {
         for Record { key, value, .. } in std::mem::take(&mut self.loaded_decisions) {
             let Ok((attempt, placements)) = DecisionRecord::decode(&value) else {
                 log_unreadable(ctx, &key);
@@ -185,15 +190,16 @@
                 }
                 live += 1;
             }
-            // Of an older epoch: its version is not known here.
-            self.decision_log.open(round, key, None, live);
+            // The version of an older epoch's record counts as unknown, so the record is later
+            // deleted instead of overwritten.
+            self.decision_log.add(round, key, None, live);
             for old_round in replaced {
-                self.decision_log.placement_over(old_round);
+                self.decision_log.end_placement(old_round);
             }
         }
     }
 
-    /// Takes a placement over. Of several attempts of a task only the newest counts; it was decided
+    /// Adopts a placement. Of several attempts of a task only the newest counts: it was decided
     /// after the older ones were proven gone.
     fn adopt_placement(
         &mut self,
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -1,8 +1,16 @@
-//! A shard's jobs: where their tasks are placed, what became of them, and what of it is written.
+//! The coordinator of a shard: places the tasks of the shard's jobs, tracks them to completion, and
+//! makes the results durable in the key-value store.
 //!
-//! Tasks are placed in rounds: offers are requested from all participants (`round`), some are selected
-//! (`selection`), the decision is written under the epoch, and then the participants are told
-//! (`decision`).
+//! Tasks are placed in rounds. A round is one negotiation: the coordinator requests offers from all
+//! participants (`round`), selects some of them (`selection`), writes the decision under its epoch,
+//! and then tells the participants (`decision`).
+//!
+//! - `load`: reads the shard's records after a failover, then watches for new jobs;
+//! - `resend`: resends placements and stops until participants report their effect;
+//! - `task_events`: handles what participants report of tasks;
+//! - `compaction`, `decision_log`: completions, terminal states and decision records in the store;
+//! - `cancellation`, `terminal_state`: the end of a job;
+//! - `quota_*`: admission, preemption and reports under the quotas of teams.
 use crate::budget::WriteClass;
 use crate::context::Context;
 use crate::ids::{Epoch, JobId, Shard, Timestamp};
@@ -50,78 +58,81 @@
 
 pub use ownership::Ownership;
 
-/// The owner of a shard's jobs.
+/// The part of a shard's owner that schedules the shard's jobs.
 ///
 /// Invariants:
-/// - at most one negotiation or decision is under way: `negotiation` or `pending_decision` is none;
-/// - a job that is not cancelled and has tasks to be placed is in `unplaced_jobs`;
-/// - a job with a placement that was not seen on its machine yet, or is to stop, is in
+/// - at most one negotiation or decision is in progress: `negotiation` or `pending_decision` is
+///   `None`;
+/// - every job that is not cancelled and has tasks to place is in `unplaced_jobs`;
+/// - every job with a placement that was not yet seen on its machine, or that is to stop, is in
 ///   `unsettled_jobs`.
 #[derive(Debug)]
 pub struct Coordinator {
-    /// The shard whose jobs these are.
+    /// The shard whose jobs this coordinator schedules.
     pub shard: Shard,
-    /// The epoch under which all is written: the fencing token of this owner.
+    /// The fencing token of this owner: every write is conditional on it.
     pub epoch: Epoch,
     load_stage: LoadStage,
-    /// Reads what is being loaded; afterwards, the jobs as they are created.
-    reader: RecordReader,
-    /// The reader of the jobs, while completions are loaded.
-    jobs_reader: Option<RecordReader>,
-    /// Records of decisions, until all is loaded.
+    /// Reads the records of the current load stage; once the shard is loaded, watches for new jobs.
+    record_reader: RecordReader,
+    /// The reader of job records, set aside while completions are loaded.
+    paused_job_reader: Option<RecordReader>,
+    /// Decision records, kept until all jobs and completions are loaded.
     loaded_decisions: Vec<Record>,
-    /// Jobs that are not over, and those that are while tasks of them may be on machines.
+    /// Jobs without a durable terminal state, and cancelled jobs with tasks that may be on
+    /// machines.
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that are over, with their terminal state.
-    closed: HashMap<JobId, TerminalState>,
+    /// Terminal states of the jobs that ended under this coordinator.
+    terminal_jobs: HashMap<JobId, TerminalState>,
     negotiation: Option<NegotiationState>,
     pending_decision: Option<PendingDecision>,
-    /// Counts the negotiations of this epoch.
-    next_negotiation: u64,
-    /// Counts the decisions of this epoch and those that were loaded.
-    round: u64,
+    /// Number of the last negotiation of this epoch; 0: there was none.
+    last_negotiation: u64,
+    /// Number of the last decision of this epoch, counting also the decisions that were loaded.
+    last_round: u64,
     decision_log: DecisionLog,
-    /// Jobs that may have tasks to be placed; one that has none any more is removed when looked at.
+    /// Jobs that may have tasks to place. A job without any is removed at the next round.
     unplaced_jobs: BTreeSet<JobId>,
-    /// Completions and terminal states that are to be written.
+    /// Completions and terminal states that are still to be written.
     compaction: CompactionState,
-    /// Jobs with a task that was not seen on its machine yet, or is to stop; one that has none any
-    /// more is removed when looked at.
+    /// Jobs that may have a task that was not yet seen on its machine, or that is to stop. A job
+    /// without any is removed at the next resend.
     unsettled_jobs: BTreeSet<JobId>,
     gpu_work: GpuWorkCache,
     service_statistics: ServiceStatistics,
-    /// Cancellations being written.
+    /// Jobs whose cancellation is being written.
     cancelling: BTreeSet<JobId>,
-    /// For the log.
+    /// Decisions since the last statistics line of the log.
     decision_counts: DecisionCounts,
-    /// Store revision of the list of jobs that was loaded.
+    /// Store revision at which the list of jobs was loaded.
     pub(crate) jobs_loaded_revision: u64,
-    /// Told to hand the shard over: no new rounds.
+    /// Whether the shard is to be handed over: no new round is started.
     pub(crate) relinquishing: bool,
-    /// By participant: the epoch of its owner when placements were last resent.
+    /// By participant: the epoch of its owner at the last resend.
     participant_epochs: Vec<Epoch>,
-    /// When placements and stops are looked at next.
-    next_resend: Timestamp,
-    /// Quotas of teams.
+    /// When placements and stops are next checked for a resend.
+    next_resend_at: Timestamp,
+    /// Quotas of teams, and what this coordinator was granted of them.
     quota: QuotaState,
 }
 
 impl Coordinator {
-    /// Nothing is loaded yet; `shards` is how many there are.
+    /// Creates a coordinator that has loaded nothing yet. `shards` is the number of shards in the
+    /// cluster.
     pub fn new(shard: Shard, epoch: Epoch, shards: usize) -> Coordinator {
         Coordinator {
             shard,
             epoch,
             load_stage: LoadStage::Decisions,
-            reader: RecordReader::list(keys::decision_prefix(shard)),
-            jobs_reader: None,
+            record_reader: RecordReader::list(keys::decision_prefix(shard)),
+            paused_job_reader: None,
             loaded_decisions: Vec::new(),
             jobs: BTreeMap::new(),
-            closed: HashMap::new(),
+            terminal_jobs: HashMap::new(),
             negotiation: None,
             pending_decision: None,
-            next_negotiation: 0,
-            round: 0,
+            last_negotiation: 0,
+            last_round: 0,
             decision_log: DecisionLog::default(),
             unplaced_jobs: BTreeSet::new(),
             compaction: CompactionState::default(),
@@ -133,17 +144,17 @@
             jobs_loaded_revision: 0,
             relinquishing: false,
             participant_epochs: vec![Epoch(0); shards],
-            next_resend: 0,
+            next_resend_at: 0,
             quota: QuotaState::default(),
         }
     }
 
-    /// Whether the shard is loaded.
+    /// Whether all records of the shard are loaded.
     pub fn ready(&self) -> bool {
         matches!(self.load_stage, LoadStage::Ready)
     }
 
-    /// Whether nothing is under way that a handover of the shard would cut off.
+    /// Whether nothing is in progress that a handover of the shard would interrupt.
     pub fn is_idle(&self) -> bool {
         self.negotiation.is_none()
             && self.pending_decision.is_none()
@@ -151,17 +162,17 @@
             && self.jobs.values().all(|job| job.termination.status.is_none())
     }
 
-    /// Changes of this shard, conditional on its epoch.
-    fn write(&self, class: WriteClass, changes: Vec<Change>) -> PendingWrite {
+    /// Returns a transaction of these changes that is conditional on this owner's epoch.
+    fn fenced_write(&self, class: WriteClass, changes: Vec<Change>) -> PendingWrite {
         PendingWrite::new(class, self.shard, self.epoch, changes)
     }
 
     fn next_round_id(&mut self) -> u64 {
-        self.round += 1;
-        self.round
+        self.last_round += 1;
+        self.last_round
     }
 
-    /// Handles a message of another shard.
+    /// Handles a message from a participant or a quota manager.
     pub fn handle(&mut self, ctx: &mut Context, from: Shard, message: ShardMessage) {
         match message {
             ShardMessage::Offers { negotiation, offers, preempting } => {
@@ -173,17 +184,17 @@
             ShardMessage::AskDecision { negotiation } => {
                 self.answer_decision(ctx, from, negotiation);
             }
-            ShardMessage::CapacityFreed { priority } => self.capacity_freed(ctx, priority),
+            ShardMessage::CapacityFreed { priority } => self.on_capacity_freed(ctx, priority),
             ShardMessage::TaskEvents { events } if self.ready() => {
-                self.task_events(ctx, from, events);
+                self.handle_task_events(ctx, from, events);
             }
             _ => {}
         }
     }
 
-    /// A participant has free capacity: jobs of at least this priority that were refused may be
-    /// requested again. Jobs whose tasks are all placed are not concerned.
-    fn capacity_freed(&mut self, ctx: &mut Context, priority: Priority) {
+    /// Lets refused jobs of at least this priority be requested again, since a participant has free
+    /// capacity. Jobs whose tasks are all placed are not affected.
+    fn on_capacity_freed(&mut self, ctx: &mut Context, priority: Priority) {
         for id in &self.unplaced_jobs {
             let job = self.jobs.get_mut(id).filter(|job| job.wire.priority >= priority);
             if let Some(job) = job {
@@ -193,10 +204,10 @@
         ctx.wake = true;
     }
 
-    /// Does what is due: loads, writes, resends, and starts a round.
+    /// Performs all due work: reads and writes records, resends messages, and starts a round.
     pub fn tick(&mut self, ctx: &mut Context) {
         if !self.ready() {
-            self.read_on(ctx);
+            self.read_next(ctx);
             return;
         }
         self.write_cancellations(ctx);
@@ -206,10 +217,10 @@
         self.compact(ctx);
         self.report_team_usage(ctx);
         self.start_round(ctx);
-        self.read_on(ctx);
+        self.read_next(ctx);
     }
 
-    /// The shard is lost: whoever waits for an answer has to ask again.
+    /// Answers all waiting requests with "try again later", since this node has lost the shard.
     pub fn abandon(&mut self, ctx: &mut Context) {
         for job in self.jobs.values_mut() {
             for request in std::mem::take(&mut job.termination.requests) {
--- a/crates/core/src/coordinator/ownership.rs
+++ b/crates/core/src/coordinator/ownership.rs
@@ -1,11 +1,11 @@
-//! What the outcome of a write says of the shard's ownership.
+//! What the outcome of a write reveals about the ownership of the shard.
 
-/// Whether this controller still owns the shard, as far as the outcome of a write says.
+/// Whether this coordinator still owns the shard, as far as the outcome of a write shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Ownership {
-    /// Nothing says otherwise.
+    /// The outcome does not show another owner.
     Kept,
-    /// The write was fenced: the shard has another owner, and nothing may be done for it any more.
+    /// The write was fenced: the shard has another owner, and this coordinator must stop acting.
     Lost,
 }
--- a/crates/core/src/coordinator/place_batch.rs
+++ b/crates/core/src/coordinator/place_batch.rs
@@ -1,15 +1,15 @@
-//! Tasks that participants are told to place, gathered into one message for each job and participant.
+//! Batches the tasks that participants are told to place into one message per job and participant.
 use crate::ids::{JobId, Shard};
 use leaddeal_wire::mesh::{Assignment, Shape, ShardMessage};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Whom to tell, and of which job. Messages are sent in the order of these.
+/// The key by which tasks are batched. Messages are sent in the order of their targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlaceTarget {
     pub participant: Shard,
     pub job: JobId,
-    /// Whether the placements are from a decision of an older epoch.
+    /// Whether the placements come from a decision of an older epoch.
     pub adopt: bool,
 }
 
@@ -22,13 +22,13 @@
 }
 
 impl PlaceRequest {
-    /// All of it in one message.
+    /// Converts the request into a single message.
     pub fn into_message(self) -> ShardMessage {
         let PlaceTarget { job, adopt, .. } = self.target;
         ShardMessage::Place { job: job.0, shape: self.shape, picks: self.assignments, adopt }
     }
 
-    /// Several messages, of at most `max_tasks` tasks each.
+    /// Splits the request into messages of at most `max_tasks` tasks each.
     pub fn messages(&self, max_tasks: usize) -> impl Iterator<Item = ShardMessage> + '_ {
         let PlaceTarget { job, adopt, .. } = self.target;
         self.assignments.chunks(max_tasks).map(move |part| {
@@ -38,14 +38,14 @@
     }
 }
 
-/// Requests by target; each is there at most once, and has at least one task.
+/// Requests by target. Each request has at least one task.
 #[derive(Debug, Default)]
 pub(super) struct PlaceBatch {
     requests: BTreeMap<PlaceTarget, PlaceRequest>,
 }
 
 impl PlaceBatch {
-    /// Adds a task of a job of this shape.
+    /// Adds a task of a job with this shape.
     pub fn add(&mut self, target: PlaceTarget, shape: &Arc<Shape>, assignment: Assignment) {
         let request = self.requests.entry(target).or_insert_with(|| PlaceRequest {
             target,
@@ -55,7 +55,7 @@
         request.assignments.push(assignment);
     }
 
-    /// In the order of the targets.
+    /// Returns the requests in the order of their targets.
     pub fn into_requests(self) -> impl Iterator<Item = PlaceRequest> {
         self.requests.into_values()
     }
--- a/crates/core/src/coordinator/queue_rank.rs
+++ b/crates/core/src/coordinator/queue_rank.rs
@@ -1,12 +1,12 @@
-//! The order of the jobs that wait to be placed.
+//! The order in which pending jobs are placed.
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::{Job, Urgency};
 use leaddeal_wire::user::Priority;
 use std::cmp::Reverse;
 
-/// A job's rank among those that wait: the least is served first.
+/// A job's rank among the pending jobs: the job with the lowest rank is placed first.
 ///
-/// Invariant: the order of the fields is the order of comparison.
+/// Ranks compare field by field, in the order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueRank {
     priority: Reverse<Priority>,
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -1,6 +1,6 @@
-//! Which pending jobs of teams with a limit may run.
+//! Admission of the pending jobs of teams with a quota.
 use super::queue_rank::QueueRank;
-use super::quota_state::{limited_teams, TeamQueue};
+use super::quota_state::{team_quotas, TeamQueue};
 use super::Coordinator;
 use crate::context::Context;
 use crate::ids::{JobId, Timestamp};
@@ -12,22 +12,23 @@
 use leaddeal_wire::user::Kind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A job that has found no machine during this time yields its quota: what it could take of its
-/// team's limit is left to others.
+/// A job whose demand for machines has been unmet for this time yields its quota to other jobs of
+/// its team.
 const YIELD_AFTER_MS: u64 = 3000;
-/// That it found none is forgotten after this time.
+/// An unmet demand counts for this time after the job's last request that was refused.
 const UNMET_EVIDENCE_MS: u64 = 10_000;
-/// When the first such job of a queue keeps its quota all the same: nothing would ever be preempted
-/// for it otherwise.
+/// When the first of a queue's yielding jobs keeps its quota all the same. Without this, no work
+/// would ever be preempted for it.
 const KEEP_QUOTA_CYCLE: DutyCycle = DutyCycle { period_ms: 20_000, active_ms: 10_000 };
-/// The same while a participant preempts for it.
+/// The same while a participant preempts for the job.
 const KEEP_QUOTA_PREEMPTING_CYCLE: DutyCycle = DutyCycle { period_ms: 60_000, active_ms: 40_000 };
-/// A participant that said that it preempts for a job counts as doing so for this time.
+/// A participant counts as preempting for a job for this time after it last reported so.
 const PREEMPTING_TIMEOUT_MS: u64 = 5000;
-/// A job for which lesser work of its team was preempted has this time to begin.
+/// A job for which lower-priority work of its team was preempted keeps the freed quota for this
+/// time, in which it is to start.
 const PREEMPTED_QUOTA_KEPT_MS: u64 = 15_000;
 
-/// Something that is active for the first part of each period.
+/// A schedule that is active for the first part of each period.
 ///
 /// Invariant: `active_ms` is at most `period_ms`, which is above zero.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +43,7 @@
     }
 }
 
-/// A pending job of a team with a limit, and how many of its tasks may run.
+/// A pending job of a team with a quota, and how many of its tasks are admitted.
 #[derive(Debug)]
 pub(super) struct WaitingJob {
     pub(super) id: JobId,
@@ -50,21 +51,21 @@
     pub(super) request: AdmissionRequest,
     pub(super) claim: QuotaClaim,
     pub(super) admitted: Admitted,
-    /// What its team's limit grants this coordinator is known.
-    pub(super) grant_known: bool,
+    /// Whether this coordinator's grant of the team's quota is known.
+    pub(super) is_grant_known: bool,
 }
 
-/// A pending job of a team with a limit, before admission.
-struct Pending<'a> {
+/// A pending job of a team with a quota, before admission.
+struct PendingJob<'a> {
     rank: QueueRank,
     job: &'a Job,
     team: u8,
-    /// What a task takes of the limit.
+    /// What one task takes of the quota.
     task: QuotaAmount,
 }
 
-impl Pending<'_> {
-    /// How many tasks ask for admission: of a suspected job one at a time.
+impl PendingJob<'_> {
+    /// Returns for how many tasks admission is requested: one at a time for a suspected job.
     fn count(&self) -> u32 {
         if self.job.failure_suspicion.is_suspected() {
             1
@@ -81,43 +82,45 @@
         (self.team, self.job.wire.priority)
     }
 
-    /// What its next task takes, or the gang as a whole.
+    /// Returns what the next task takes of the quota, or the gang as a whole.
     fn next_need(&self) -> QuotaAmount {
         self.task.times(if self.is_gang() { self.count() } else { 1 })
     }
 
-    /// A task of it, or the gang as a whole, is no larger than the limit.
-    fn can_fit(&self, limits: &BTreeMap<u8, QuotaAmount>) -> bool {
-        limits.get(&self.team).is_some_and(|limit| self.next_need().within(*limit))
+    /// Whether the next task, or the gang as a whole, fits within the team's total quota.
+    fn can_fit(&self, quotas: &BTreeMap<u8, QuotaAmount>) -> bool {
+        quotas.get(&self.team).is_some_and(|quota| self.next_need().within(*quota))
     }
 }
 
 impl Coordinator {
-    /// What may run of the pending jobs whose teams have limits; all others may.
+    /// Returns how many tasks of each pending job are admitted, for the jobs whose teams have a
+    /// quota. Jobs of other teams need no admission.
     pub(super) fn admitted(&self, ctx: &Context) -> HashMap<JobId, Admitted> {
         self.admit_waiting(ctx).into_iter().map(|job| (job.id, job.admitted)).collect()
     }
 
-    /// The pending jobs of teams with a limit by their rank, each with what may run of it.
+    /// Returns the pending jobs of teams with a quota in the order of their rank, each with its
+    /// admission.
     pub(super) fn admit_waiting(&self, ctx: &Context) -> Vec<WaitingJob> {
-        let limits = limited_teams(ctx);
-        if limits.is_empty() {
+        let quotas = team_quotas(ctx);
+        if quotas.is_empty() {
             return Vec::new();
         }
         let statuses = self.quota_statuses(ctx);
         let phase = LimitPhase::at(ctx.wall_clock_ms);
         let mut admissions: BTreeMap<u8, Admission> = BTreeMap::new();
-        let mut keeping = BTreeSet::new();
+        let mut queues_keeping = BTreeSet::new();
         let mut waiting = Vec::new();
-        for pending in self.pending_of_limited_teams(ctx) {
-            if !pending.can_fit(&limits) {
+        for pending in self.pending_jobs_with_quota(ctx) {
+            if !pending.can_fit(&quotas) {
                 continue;
             }
             let team = pending.team;
             let status = || statuses.get(&team).copied().unwrap_or_default();
             let admission =
                 admissions.entry(team).or_insert_with(|| Admission::new(status()).in_phase(phase));
-            let claim = self.quota_claim(&pending, phase, ctx.now, &mut keeping);
+            let claim = self.quota_claim(&pending, phase, ctx.now, &mut queues_keeping);
             let request = AdmissionRequest {
                 priority: pending.job.wire.priority,
                 task: pending.task,
@@ -126,67 +129,69 @@
                 yields_quota: claim == QuotaClaim::Nothing,
             };
             let admitted = admission.admit_claim(&request, claim);
-            let grant_known = statuses.contains_key(&team);
+            let is_grant_known = statuses.contains_key(&team);
             let id = pending.job.id;
-            waiting.push(WaitingJob { id, team, request, claim, admitted, grant_known });
+            waiting.push(WaitingJob { id, team, request, claim, admitted, is_grant_known });
         }
         waiting
     }
 
-    fn pending_of_limited_teams(&self, ctx: &Context) -> Vec<Pending<'_>> {
+    /// Returns the pending jobs of teams with a quota in the order of their rank.
+    fn pending_jobs_with_quota(&self, ctx: &Context) -> Vec<PendingJob<'_>> {
         let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
-        let mut pending: Vec<Pending> = jobs
+        let mut pending: Vec<PendingJob> = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| job.may_start())
             .filter_map(|job| {
                 let QuotaUse { team, amount: task } = ctx.team_use(job)?;
                 let rank = QueueRank::of(job, ctx.now);
-                Some(Pending { rank, job, team, task })
+                Some(PendingJob { rank, job, team, task })
             })
             .collect();
         pending.sort_unstable_by_key(|pending| pending.rank);
         pending
     }
 
-    /// What a job keeps of its team's limit from those after it. `keeping` are the queues whose first
-    /// job without a machine keeps its quota.
+    /// Returns how much of its team's quota a job keeps from the jobs after it. `queues_keeping`
+    /// collects the queues in which a job with unmet demand already keeps its quota.
     fn quota_claim(
         &self,
-        pending: &Pending,
+        pending: &PendingJob,
         phase: LimitPhase,
         now: Timestamp,
-        keeping: &mut BTreeSet<TeamQueue>,
+        queues_keeping: &mut BTreeSet<TeamQueue>,
     ) -> QuotaClaim {
         let job = pending.job;
         if job.failure_suspicion.is_suspected() {
             return QuotaClaim::Nothing;
         }
         let unmet_ms = job.demand_unmet_ms(now).filter(|unmet_ms| *unmet_ms > YIELD_AFTER_MS);
-        // What was true of a job that was not asked for lately may have changed.
+        // Without a recent request, there may be capacity for the job by now.
         let unmet_ms = unmet_ms.filter(|_| job.was_refused_within(UNMET_EVIDENCE_MS, now));
         let Some(unmet_ms) = unmet_ms else { return QuotaClaim::All };
-        let preempting = job.preempting_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
-        let cycle = if preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
-        let keeps = phase == LimitPhase::Keeping
+        let is_preempting = job.preempting_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
+        let cycle = if is_preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
+        let keeps_next = phase == LimitPhase::Keeping
             && cycle.is_active(unmet_ms)
-            && keeping.insert(pending.queue());
+            && queues_keeping.insert(pending.queue());
         if self.keeps_preempted_quota(job.id, now) {
             QuotaClaim::All
-        } else if keeps {
+        } else if keeps_next {
             QuotaClaim::Next
         } else {
             QuotaClaim::Nothing
         }
     }
 
-    /// Lesser work of its team was preempted for the job a short while ago.
+    /// Whether lower-priority work of the team was preempted for the job within
+    /// [`PREEMPTED_QUOTA_KEPT_MS`].
     fn keeps_preempted_quota(&self, job: JobId, now: Timestamp) -> bool {
         let since = self.quota.preempted_for.get(&job);
         since.is_some_and(|since| now < since + PREEMPTED_QUOTA_KEPT_MS)
     }
 
-    /// Forgets jobs for which work was preempted so long ago that it may be again: after twice the
-    /// time that a job has to begin.
+    /// Forgets the jobs for which work was preempted more than twice [`PREEMPTED_QUOTA_KEPT_MS`]
+    /// ago: work may be preempted for them again.
     pub(super) fn expire_preempted_quota(&mut self, now: Timestamp) {
         self.quota.preempted_for.retain(|_, since| now < *since + 2 * PREEMPTED_QUOTA_KEPT_MS);
     }
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption within a team: lesser work stops so that the team's limit lets in more important work.
+//! Preemption within a team: stops lower-priority work of a team whose quota is used up, so that
+//! higher-priority work of the same team can run.
 use super::Coordinator;
 use crate::context::Context;
 use crate::ids::{JobId, Timestamp};
@@ -10,29 +11,29 @@
 use crate::stored::QuotaUse;
 use leaddeal_wire::user::{Kind, Priority};
 
-/// Lesser work is preempted for this many tasks of a job at a time.
+/// Work is preempted for at most this many tasks of a job at a time.
 const MAX_TASKS_PREEMPTED_FOR: u32 = 16;
-/// What a GPU counts in the loss of work, in processors.
+/// Weight of a GPU against one core when lost work is estimated.
 const CORES_PER_GPU: u64 = 20;
-/// A task gets this much more than its time to save, in seconds.
+/// Grace that a stopped task gets beyond the time it needs to save its progress, in seconds.
 const SAVE_MARGIN_S: f64 = 2.0;
 
-/// What can be stopped.
+/// The unit of preemption: a task, or a gang as a whole.
 #[derive(Clone, Copy, Debug)]
 enum Victim {
     Task { job: JobId, task: u32 },
     Gang { job: JobId },
 }
 
-/// What a team's lesser work takes of its limit.
-struct LesserWork {
-    /// Taken by tasks that are stopping already.
+/// A team's lower-priority work that counts against the team's quota.
+struct PreemptibleWork {
+    /// Quota of tasks that are already stopping, which will be free without further preemption.
     stopping: Resources,
     candidates: Vec<Candidate<Victim>>,
 }
 
-/// Work that is lost by stopping a task now, in thousandths of core-seconds: what it did since its
-/// start, or what it takes to save if it saves its progress.
+/// Returns the work lost by stopping a task now, in thousandths of core-seconds: all work since its
+/// start, but for a task that saves its progress at most the time it needs to save.
 fn lost_work(job: &Job, placement: &Placement, need: Resources, now: Timestamp) -> u64 {
     let ran_s = now.saturating_sub(placement.placed_at) / 1000;
     let saves = job.wire.checkpoint_s > 0.0;
@@ -40,8 +41,8 @@
     lost_s * (need.cpu + CORES_PER_GPU * need.gpu)
 }
 
-impl LesserWork {
-    /// Adds the tasks of a job with a limit: one by one, or a gang as a whole.
+impl PreemptibleWork {
+    /// Adds the tasks of a job that count against a quota: one by one, or a gang as a whole.
     fn add(&mut self, job: &Job, now: Timestamp) {
         let priority = job.wire.priority;
         let key = Victim::Gang { job: job.id };
@@ -69,9 +70,11 @@
 }
 
 impl Coordinator {
-    /// Machines have capacity for `tasks` of the job, its team's limit has not: stops the cheapest
-    /// lesser work of the same team, if that lets it in. What was stopped ranks after the job, so it
-    /// is not started again before the job has begun, or the time for that is over.
+    /// Stops the cheapest lower-priority work of the same team if that frees enough quota for
+    /// `tasks` tasks of a job, or, if the job is no gang, for at least one. Call it if machines
+    /// have capacity for the tasks but the team's grant does not cover them. The stopped work ranks
+    /// after the job, so it does not start again before the job has started or its time to start
+    /// has passed.
     pub(super) fn preempt_within_team(
         &mut self,
         ctx: &Context,
@@ -89,38 +92,39 @@
         let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
         let fewest = if gang { wanted } else { 1 };
         let priority = job.wire.priority;
-        let lesser = self.lesser_work(ctx, team, priority);
+        let preemptible = self.preemptible_work(ctx, team, priority);
         let free = status.free();
         let mut free = Resources { cpu: free.cpu, gpu: free.gpu, mem: 0 };
-        free.add(lesser.stopping, 1);
+        free.add(preemptible.stopping, 1);
         let need = |count: u32| {
             let count = u64::from(count);
             Resources { cpu: amount.cpu * count, gpu: amount.gpu * count, mem: 0 }
         };
         let chosen = [wanted, fewest]
             .into_iter()
-            .find_map(|count| victims(free, need(count), priority, lesser.candidates.clone()));
+            .find_map(|count| victims(free, need(count), priority, preemptible.candidates.clone()));
         let Some((victims, _)) = chosen else { return };
         self.quota.preempted_for.insert(id, ctx.now);
         for victim in victims {
             self.stop_victim(victim);
         }
-        self.next_resend = ctx.now;
+        self.next_resend_at = ctx.now;
     }
 
-    /// Work of a team at lower priority. Replicas of services stay: what they are worth is not lost
-    /// work, and users notice at once. (The seeded runs of recovery did: a fifth of the replicas was
-    /// down for the sake of others.)
-    fn lesser_work(&self, ctx: &Context, team: u8, priority: Priority) -> LesserWork {
-        let mut lesser = LesserWork { stopping: Resources::default(), candidates: Vec::new() };
+    /// Returns the work of a team below this priority. Replicas of services are not preempted:
+    /// users notice a missing replica at once, and the estimate of lost work does not reflect that.
+    /// (With them as candidates, a fifth of all replicas was down in the recovery tests.)
+    fn preemptible_work(&self, ctx: &Context, team: u8, priority: Priority) -> PreemptibleWork {
+        let mut preemptible =
+            PreemptibleWork { stopping: Resources::default(), candidates: Vec::new() };
         let jobs = self.jobs.values();
         let of_team = jobs
             .filter(|job| job.wire.kind != Kind::Service && job.wire.priority < priority)
             .filter(|job| ctx.team_use(job).is_some_and(|usage| usage.team == team));
         for job in of_team {
-            lesser.add(job, ctx.now);
+            preemptible.add(job, ctx.now);
         }
-        lesser
+        preemptible
     }
 
     fn stop_victim(&mut self, victim: Victim) {
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -1,6 +1,7 @@
-//! Reports to the teams' shards of what is used and wanted of the limits, and figures for the log.
+//! Reports of the use of and demand for the teams' quotas, sent to the shards that manage them, and
+//! quota statistics for the log.
 use super::quota_admission::WaitingJob;
-use super::quota_state::limited_teams;
+use super::quota_state::team_quotas;
 use super::Coordinator;
 use crate::context::Context;
 use crate::ids::Timestamp;
@@ -9,23 +10,24 @@
 use leaddeal_wire::mesh::{FirstInQueue, QuotaAmount, ShardMessage, TeamUsage};
 use std::collections::BTreeMap;
 
-/// Between two reports.
+/// Time between two reports.
 const REPORT_INTERVAL_MS: u64 = 400;
 
-/// By what the least need is told: GPUs are scarcer than processors.
+/// Returns the key by which needs are compared: GPUs first, since they are scarcer than cores.
 fn size(need: QuotaAmount) -> (u64, u64) {
     (need.gpu, need.cpu)
 }
 
 impl Coordinator {
-    /// Reports to the teams' shards what is used and wanted, if it is time to.
+    /// Reports the use of and demand for the teams' quotas if a report is due.
     pub(super) fn report_team_usage(&mut self, ctx: &mut Context) {
-        // A report gives the grants back for a moment: not during a negotiation that ends soon.
+        // A report gives up the grants until it is answered, so it is delayed during a negotiation,
+        // which needs them and ends soon.
         let delay_ms = if self.negotiation.is_some() { REPORT_INTERVAL_MS } else { 0 };
         if !self.ready() || ctx.now < self.quota.next_report_at + delay_ms {
             return;
         }
-        if limited_teams(ctx).is_empty() {
+        if team_quotas(ctx).is_empty() {
             return;
         }
         self.quota.next_report_at = ctx.now + REPORT_INTERVAL_MS;
@@ -41,10 +43,11 @@
         }
     }
 
-    /// What is used and wanted of the limit of each team that has one, in the order of the settings.
+    /// Returns the use of and demand for each team's quota, in the order of the teams in the
+    /// settings.
     fn usage_report(&self, ctx: &Context, waiting: &[WaitingJob]) -> Vec<TeamUsage> {
         let mut report: BTreeMap<u8, TeamUsage> =
-            limited_teams(ctx).into_keys().map(|team| (team, TeamUsage::of(team))).collect();
+            team_quotas(ctx).into_keys().map(|team| (team, TeamUsage::of(team))).collect();
         for (team, used) in self.team_usage(ctx) {
             if let Some(usage) = report.get_mut(&team) {
                 usage.used = used;
@@ -61,9 +64,10 @@
         report.into_values().collect()
     }
 
-    /// Adds what a waiting job wants. The first of its priority is served whole: the first in turn, or
-    /// while gaps are filled the one that needs least, one that found no machine lately only if there is
-    /// no other.
+    /// Adds the demand of a waiting job. One job of each priority is reported as the first in the
+    /// queue, whose need is granted as a whole: in the phase `Keeping` the job that ranks first, in
+    /// the phase `Filling` the job with the smallest need. A job that claims nothing, since it
+    /// found no machine recently, is reported only in the phase `Filling`, if there is no other.
     fn add_wanted(
         &self,
         usage: &mut TeamUsage,
@@ -86,9 +90,9 @@
         let is_first = match phase {
             LimitPhase::Keeping => known.is_none() && waiting.claim != QuotaClaim::Nothing,
             LimitPhase::Filling => {
-                let least = known.is_none_or(|known| size(need) < size(known.need));
-                let only_choice = usage.wanted[priority] == QuotaAmount::default();
-                least && (waiting.claim != QuotaClaim::Nothing || only_choice)
+                let is_smallest = known.is_none_or(|known| size(need) < size(known.need));
+                let is_only_choice = usage.wanted[priority] == QuotaAmount::default();
+                is_smallest && (waiting.claim != QuotaClaim::Nothing || is_only_choice)
             }
         };
         if is_first {
@@ -98,25 +102,25 @@
         }
     }
 
-    /// For the operators' log, if there are teams with limits: how many jobs wait for one, how many
-    /// tasks were preempted for others of their team, and by team what its tasks take here and may
-    /// take, in cores and GPUs.
+    /// Returns the log details about quotas: how many jobs wait for quota, how many tasks were
+    /// preempted within their team since the last call, and by team what its tasks use here and
+    /// what this coordinator is granted, in cores and GPUs. `None`: no team has a quota.
     pub fn limit_figures(&mut self, ctx: &Context) -> Option<String> {
-        if limited_teams(ctx).is_empty() {
+        if team_quotas(ctx).is_empty() {
             return None;
         }
         let preempted = std::mem::take(&mut self.quota.preempted_tasks);
-        let over_quota = |job: &&WaitingJob| job.admitted.in_turn == 0;
-        let waiting = self.quota.waiting.iter().filter(over_quota).count();
-        let mut words = vec![format!(
-            "shard={} over_quota={waiting} preempted_in_team={preempted}",
+        let is_over_quota = |job: &&WaitingJob| job.admitted.in_turn == 0;
+        let over_quota = self.quota.waiting.iter().filter(is_over_quota).count();
+        let mut details = vec![format!(
+            "shard={} over_quota={over_quota} preempted_in_team={preempted}",
             self.shard.0
         )];
         for (team, status) in self.quota_statuses(ctx) {
             let name = &ctx.config.teams[team as usize].name;
             let (used, may) = (status.in_use(), status.may);
             let units = |thousandths: u64| thousandths as f64 / 1000.0;
-            words.push(format!(
+            details.push(format!(
                 "team.{name}={:.1}/{:.1} gpus={:.1}/{:.1}",
                 units(used.cpu),
                 units(may.cpu),
@@ -124,6 +128,6 @@
                 units(may.gpu)
             ));
         }
-        Some(words.join(" "))
+        Some(details.join(" "))
     }
 }
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -1,4 +1,4 @@
-//! What a coordinator keeps of the limits of teams between its rounds.
+//! What a coordinator knows of the quotas of teams: its grants, and what its tasks use of them.
 use super::quota_admission::WaitingJob;
 use super::Coordinator;
 use crate::context::Context;
@@ -11,41 +11,42 @@
 use leaddeal_wire::user::Priority;
 use std::collections::BTreeMap;
 
-/// The jobs of one team and one priority that wait: the team by its place in the settings.
+/// Identifies the queue of the pending jobs of one team and one priority; the team is given by its
+/// index in the settings.
 pub(super) type TeamQueue = (u8, Priority);
 
-/// The limits of teams as this coordinator knows them.
+/// The quotas of teams as this coordinator knows them.
 #[derive(Debug, Default)]
 pub(super) struct QuotaState {
-    /// Grants by team, received since the last report.
+    /// Grants received since the last report, by team.
     pub(super) grants: BTreeMap<u8, ReceivedGrant>,
-    /// Number of the last report; only grants that answer it count.
+    /// Number of the last report. Only grants that answer it are valid.
     pub(super) report_serial: u64,
     pub(super) next_report_at: Timestamp,
-    /// Pending jobs of teams with a limit, at the last report; for the log.
+    /// Pending jobs of teams with a quota as of the last report, for the log.
     pub(super) waiting: Vec<WaitingJob>,
-    /// Jobs for which lesser work of their team was preempted, since when.
+    /// Jobs for which lower-priority work of their team was preempted, with the time of that.
     pub(super) preempted_for: BTreeMap<JobId, Timestamp>,
-    /// Tasks that were preempted for others of their team since the last line of the log.
+    /// Number of tasks preempted within their team since the last statistics line of the log.
     pub(super) preempted_tasks: u64,
 }
 
-/// A grant, which ends with the owner of the team's shard that gave it.
+/// A grant of a team's quota. It ends with the owner of the team's shard that gave it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedGrant {
-    /// Epoch of the team's shard.
+    /// Epoch of the team's shard under which the grant was given.
     pub(super) epoch: Epoch,
     pub(super) grant: TeamGrant,
 }
 
-/// Teams with a limit, by their place in the settings.
-pub(super) fn limited_teams(ctx: &Context) -> BTreeMap<u8, QuotaAmount> {
+/// Returns the quotas of the teams that have one, by the team's index in the settings.
+pub(super) fn team_quotas(ctx: &Context) -> BTreeMap<u8, QuotaAmount> {
     let teams = ctx.config.teams.iter().enumerate();
     teams.filter_map(|(team, settings)| Some((team as u8, quota::limit(settings)?))).collect()
 }
 
 impl Coordinator {
-    /// A team's shard answers a report. Answers to older reports are ignored.
+    /// Handles the answer of a team's shard to a report. Answers to older reports are ignored.
     pub(super) fn receive_grants(
         &mut self,
         ctx: &mut Context,
@@ -63,12 +64,12 @@
         ctx.wake = true;
     }
 
-    /// What the tasks that are or may be on machines take of the teams' limits, by priority; what is
-    /// being decided counts.
+    /// Returns how much of each team's quota is used by the tasks that are or may be on machines,
+    /// by priority. The tasks of a pending decision count as used.
     pub(super) fn team_usage(&self, ctx: &Context) -> BTreeMap<u8, ByPriority> {
         let mut used: BTreeMap<u8, ByPriority> = BTreeMap::new();
-        // Each decision asks: without limits, all placements need not be gone through.
-        if limited_teams(ctx).is_empty() {
+        // Runs once per decision: skips the scan of all placements if no team has a quota.
+        if team_quotas(ctx).is_empty() {
             return used;
         }
         let mut count = |priority: Priority, QuotaUse { team, amount }: QuotaUse| {
@@ -89,13 +90,13 @@
         used
     }
 
-    /// The quota of each team with a limit whose shard has answered the last report and has the same
-    /// owner still.
+    /// Returns the quota status of each team whose shard has answered the last report and still has
+    /// the same owner.
     pub(super) fn quota_statuses(&self, ctx: &Context) -> BTreeMap<u8, QuotaStatus> {
         let mut used = self.team_usage(ctx);
         let shards = ctx.shards().count();
         let mut statuses = BTreeMap::new();
-        for team in limited_teams(ctx).into_keys() {
+        for team in team_quotas(ctx).into_keys() {
             let epoch = ctx.owner(shard_of_team(team, shards)).map(|owner| owner.epoch);
             let received = self.quota.grants.get(&team);
             let valid = received
--- a/crates/core/src/coordinator/resend.rs
+++ b/crates/core/src/coordinator/resend.rs
@@ -1,4 +1,4 @@
-//! Resends placements and stops until the participants show that they have received them.
+//! Resends placements and stops until participants report their effect.
 use super::place_batch::{PlaceBatch, PlaceTarget};
 use super::Coordinator;
 use crate::context::Context;
@@ -10,31 +10,31 @@
 use leaddeal_wire::mesh::{Assignment, AttemptRef, Shape, ShardMessage, TaskPhase};
 use std::sync::Arc;
 
-/// A message whose effect is not seen is sent again after this time.
+/// A message whose effect was not reported is sent again after this time.
 const RESEND_INTERVAL_MS: u64 = 2000;
-/// Time between two walks over the placements that are not settled.
+/// Time between two checks of the unsettled jobs.
 const RESEND_CHECK_INTERVAL_MS: u64 = 500;
-/// Tasks that one message tells a participant to place.
+/// Maximum number of tasks in one message that tells a participant to place them.
 const MAX_ASSIGNMENTS_PER_MESSAGE: usize = 200;
 
-/// A stop to be sent.
+/// A stop to send.
 struct StopMessage {
     participant: Shard,
     what: AttemptRef,
     grace_s: f64,
 }
 
-/// What one walk over the placements finds due.
+/// The messages that one check of the unsettled jobs finds due.
 struct ResendBatch<'a> {
     now: Timestamp,
-    /// By participant: whether it has a new owner, which knows nothing of what was sent before.
+    /// By participant: whether it has a new owner, which does not know the messages sent before.
     has_new_owner: &'a [bool],
     places: PlaceBatch,
     stops: Vec<StopMessage>,
 }
 
 impl ResendBatch<'_> {
-    /// Adds what is due of a job. False: all of its placements are settled.
+    /// Adds the messages due for a job. Returns false if all of its placements are settled.
     fn add_job(&mut self, names: &Names, job: &mut Job) -> bool {
         let mut is_unsettled = false;
         for (task, placement) in job.placed.iter_mut() {
@@ -51,11 +51,11 @@
         is_unsettled
     }
 
-    /// Adds a stop that was not sent yet, not lately, or not to this owner of the participant.
+    /// Adds the stop of a placement unless it was recently sent to the participant's present owner.
     fn add_stop(&mut self, names: &Names, job: JobId, task: u32, placement: &mut Placement) {
-        let renew = self.has_new_owner[placement.participant.0 as usize];
+        let has_new_owner = self.has_new_owner[placement.participant.0 as usize];
         let Some(stop) = &mut placement.stop else { return };
-        let is_due = renew || self.now >= stop.sent_at + RESEND_INTERVAL_MS;
+        let is_due = has_new_owner || self.now >= stop.sent_at + RESEND_INTERVAL_MS;
         if !is_due || (stop.sent_at != 0 && !holds(Guard::StopAgain)) {
             return;
         }
@@ -71,8 +71,8 @@
         self.stops.push(StopMessage { participant, what, grace_s });
     }
 
-    /// Adds a placement that was not seen on its machine for a while, or that a new owner of the
-    /// participant does not know.
+    /// Adds a placement that was sent a while ago and not seen on its machine since, or that a new
+    /// owner of the participant does not know.
     fn add_assignment(
         &mut self,
         names: &Names,
@@ -82,9 +82,10 @@
         placement: &mut Placement,
     ) {
         let participant = placement.participant;
-        let renew = self.has_new_owner[participant.0 as usize];
+        let has_new_owner = self.has_new_owner[participant.0 as usize];
         let is_unseen = placement.phase == TaskPhase::Decided;
-        let is_due = renew || (is_unseen && self.now >= placement.sent_at + RESEND_INTERVAL_MS);
+        let is_due =
+            has_new_owner || (is_unseen && self.now >= placement.sent_at + RESEND_INTERVAL_MS);
         if !is_due {
             return;
         }
@@ -113,15 +114,16 @@
 }
 
 impl Coordinator {
-    /// Resends what is due, if it is time for the next walk.
+    /// Sends all due placements and stops if the next check is due.
     pub(super) fn resend(&mut self, ctx: &mut Context) {
-        if !self.ready() || ctx.now < self.next_resend {
+        if !self.ready() || ctx.now < self.next_resend_at {
             return;
         }
-        self.next_resend = ctx.now + RESEND_CHECK_INTERVAL_MS;
-        let has_new_owner = self.see_participant_owners(ctx);
-        // A new owner of a participant knows nothing of what is on its machines. (Before, all placements
-        // were gone through twice a second.)
+        self.next_resend_at = ctx.now + RESEND_CHECK_INTERVAL_MS;
+        let has_new_owner = self.update_participant_epochs(ctx);
+        // A new owner of a participant does not know what is placed on its machines, so every job
+        // with placements counts as unsettled once. At other times only unsettled jobs are checked,
+        // so that a check does not go through all placements twice a second.
         if has_new_owner.contains(&true) {
             let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
             self.unsettled_jobs.extend(placed.map(|job| job.id));
@@ -138,8 +140,8 @@
         batch.send(ctx, self.shard);
     }
 
-    /// By participant: whether it has another owner than when this was called before.
-    fn see_participant_owners(&mut self, ctx: &Context) -> Vec<bool> {
+    /// Returns by participant whether its owner has changed since the last call.
+    fn update_participant_epochs(&mut self, ctx: &Context) -> Vec<bool> {
         let mut has_new_owner = Vec::new();
         for participant in ctx.shards() {
             let epoch = ctx.owner(participant).map_or(Epoch(0), |owner| owner.epoch);
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -1,4 +1,4 @@
-//! The first half of a round: chooses jobs in their order, requests offers for them from all
+//! The first half of a round: picks the jobs that rank first, requests offers for them from all
 //! participants, and collects the answers. The second half is in `selection` and `decision`.
 use super::negotiation::{NegotiationState, RequestedJob};
 use super::queue_rank::QueueRank;
@@ -12,27 +12,30 @@
 use leaddeal_wire::user::{Kind, Priority};
 use std::collections::{BTreeSet, HashMap};
 
-/// Answers to a request for offers are not waited for any longer than this.
+/// The coordinator decides without the participants that have not answered a request for offers
+/// within this time.
 const OFFER_TIMEOUT_MS: u64 = 2000;
-/// Jobs that one request for offers names.
+/// Maximum number of jobs in one request for offers.
 const MAX_REQUESTS_PER_ROUND: usize = 14;
 
-/// A job's request, before it is known which participant is to make room for it.
+/// A job's request for offers, as sent to all participants except for `OfferRequest::preempt`.
 struct RoundRequest {
     request: OfferRequest,
-    /// Counts on with each refusal: whose turn it is to make room by preemption. None: nobody's.
+    /// Selects the participant that may preempt for the job, modulo the number of shards; advances
+    /// with each refusal. `None`: no participant may preempt.
     preemption_turn: Option<u32>,
 }
 
 impl RoundRequest {
-    /// Room is made by one participant at a time: by three at once, thrice as much would be stopped.
+    /// Returns the request as sent to one participant. Only one participant at a time may preempt
+    /// for the job: three at once would stop three times as much work as needed.
     fn for_participant(&self, participant: Shard, shards: usize) -> OfferRequest {
         let is_turn = |turn: u32| turn as usize % shards == participant.0 as usize;
         OfferRequest { preempt: self.preemption_turn.is_some_and(is_turn), ..self.request.clone() }
     }
 }
 
-/// How many of a job's tasks its team's limit lets in; of a team without one, all.
+/// Returns how many of a job's tasks its team's quota admits; all tasks if the team has no quota.
 fn admitted_tasks(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> Admitted {
     match ctx.team_use(job) {
         Some(_) => admitted.get(&job.id).copied().unwrap_or_default(),
@@ -40,26 +43,27 @@
     }
 }
 
-/// For how many tasks to request offers, when the round has `left` of its `max` tasks left. None: a
-/// gang that does not fit in what is left.
+/// Returns for how many tasks of a job to request offers if `left` of the round's `max` tasks are
+/// left. `None`: the job is a gang with more tasks than are left.
 fn requested_count(job: &Job, admitted: Admitted, max: u32, left: u32) -> Option<u32> {
     if job.wire.kind == Kind::Gang {
         return (job.pending() <= left).then(|| job.pending());
     }
-    // What the grant covers; else what would be let in if lesser work of the team gave way.
-    let may_run = if admitted.now > 0 { admitted.now } else { admitted.in_turn };
-    // No job takes the whole round: others may fit where it does not.
-    let count = may_run.min(left).min(max / 3 + 1);
-    let limit = if job.failure_suspicion.is_suspected() { 1 } else { u32::MAX };
-    Some(count.min(limit))
+    // The tasks that the grant covers; if none, those that it would cover after lower-priority work
+    // of the team was preempted.
+    let admitted_count = if admitted.now > 0 { admitted.now } else { admitted.in_turn };
+    // A single job must not fill the round: other jobs may fit where this one does not.
+    let count = admitted_count.min(left).min(max / 3 + 1);
+    let max_count = if job.failure_suspicion.is_suspected() { 1 } else { u32::MAX };
+    Some(count.min(max_count))
 }
 
 fn build_request(ctx: &Context, job: &Job, admitted: Admitted, count: u32) -> RoundRequest {
-    let covered = admitted.now > 0;
-    let makes_room =
-        job.wire.priority > Priority::Low && !job.failure_suspicion.is_suspected() && covered;
+    let is_covered = admitted.now > 0;
+    let may_preempt =
+        job.wire.priority > Priority::Low && !job.failure_suspicion.is_suspected() && is_covered;
     let queue_position = job.queue_position(ctx.now).map(|position| QueuePosition {
-        holds_position: position.holds_position && covered,
+        holds_position: position.holds_position && is_covered,
         ..position
     });
     RoundRequest {
@@ -73,15 +77,15 @@
             may_use_gpu_machines: job.may_use_gpu_machines(ctx.now),
             queue_position,
         },
-        preemption_turn: job.preemption_turn.filter(|_| makes_room),
+        preemption_turn: job.preemption_turn.filter(|_| may_preempt),
     }
 }
 
 impl Coordinator {
-    /// Requests offers for the jobs that come first, if no negotiation is open and a decision could
-    /// be written.
+    /// Requests offers for the jobs that rank first, if no round is in progress and the write
+    /// budget allows a decision.
     pub fn start_round(&mut self, ctx: &mut Context) {
-        if !self.may_start_round(ctx) {
+        if !self.can_start_round(ctx) {
             return;
         }
         let admitted = self.admitted(ctx);
@@ -94,18 +98,18 @@
         self.check_negotiation(ctx);
     }
 
-    fn may_start_round(&self, ctx: &mut Context) -> bool {
+    fn can_start_round(&self, ctx: &mut Context) -> bool {
         self.ready()
             && self.negotiation.is_none()
             && self.pending_decision.is_none()
             && !self.relinquishing
             && ctx.lease_valid
             && !self.unplaced_jobs.is_empty()
-            // What waits for the next change that may be written makes for a larger round.
+            // While the write budget is exhausted, further jobs gather for a larger round.
             && ctx.budget.available(WriteClass::Decision) > 0
     }
 
-    /// Jobs that may have a task placed now, the most important first.
+    /// Returns the jobs that may have a task placed now, in the order of their rank.
     fn jobs_in_order(&mut self, ctx: &Context, admitted: &HashMap<JobId, Admitted>) -> Vec<JobId> {
         let now = ctx.now;
         let jobs = &self.jobs;
@@ -113,7 +117,7 @@
         self.unplaced_jobs.retain(|id| jobs.get(id).is_some_and(unplaced));
         debug_assert!(
             jobs.values().all(|job| !unplaced(job) || self.unplaced_jobs.contains(&job.id)),
-            "a job that wants tasks placed is not looked at"
+            "a job with tasks to place is missing from unplaced_jobs"
         );
         let mut ranks: Vec<_> = self
             .unplaced_jobs
@@ -132,7 +136,8 @@
         ranks.into_iter().map(|rank| rank.job).collect()
     }
 
-    /// Requests for these jobs, in their order, until the round has as many tasks as it may.
+    /// Returns the requests for these jobs, in the same order, up to the maximum number of tasks in
+    /// a round.
     fn build_requests(
         &self,
         ctx: &Context,
@@ -157,12 +162,12 @@
         requests
     }
 
-    /// Sends the requests to all participants that are reachable, and opens the negotiation.
+    /// Sends the requests to all reachable participants, and opens the negotiation.
     fn request_offers(&mut self, ctx: &mut Context, requests: &[RoundRequest]) {
         let id = self.next_negotiation_id();
         let gpu_work = self.gpu_work.kinds(ctx.now, self.jobs.values());
         let shards = ctx.shards().count();
-        // A shard known to be vacant is not waited for.
+        // A participant without a reachable owner would only delay the round until its timeout.
         let asked: Vec<Shard> = ctx.shards().filter(|shard| ctx.reachable(*shard)).collect();
         for &participant in &asked {
             let items = requests.iter().map(|r| r.for_participant(participant, shards)).collect();
@@ -185,12 +190,12 @@
     }
 
     fn next_negotiation_id(&mut self) -> Negotiation {
-        self.next_negotiation += 1;
-        Negotiation((self.epoch.0 << 24) | self.next_negotiation)
+        self.last_negotiation += 1;
+        Negotiation((self.epoch.0 << 24) | self.last_negotiation)
     }
 
-    /// Collects a participant's offers. One that answers too late is told that the negotiation is
-    /// closed, once it is.
+    /// Collects a participant's offers. If its answer comes too late, tells the participant that
+    /// the negotiation is closed.
     pub(super) fn receive_offers(
         &mut self,
         ctx: &mut Context,
@@ -208,8 +213,8 @@
         self.check_negotiation(ctx);
     }
 
-    /// Tells a participant that a negotiation is closed, unless it is open or its decision is being
-    /// written.
+    /// Tells a participant that a negotiation is closed, unless the negotiation is open or its
+    /// decision is being written.
     pub(super) fn answer_decision(
         &mut self,
         ctx: &mut Context,
@@ -225,7 +230,8 @@
         }
     }
 
-    /// Decides once all participants that are reachable have answered, or the time for it is over.
+    /// Ends the collection of offers once all reachable participants have answered or the timeout
+    /// has passed.
     pub(super) fn check_negotiation(&mut self, ctx: &mut Context) {
         let Some(open) = &mut self.negotiation else { return };
         open.unanswered.retain(|shard| ctx.reachable(*shard));
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -1,5 +1,6 @@
-//! Chooses among the offers of a negotiation: job by job in the order of the request, within the
-//! limits of teams and zones, replicas on different machines, gangs whole.
+//! Selects among the offers of a negotiation: job by job in the order of the request, within the
+//! quotas of teams and the zone rules of jobs, with replicas on different machines and gangs placed
+//! as a whole.
 use super::negotiation::{NegotiationState, ReceivedOffer, SelectedOffer};
 use super::Coordinator;
 use crate::context::Context;
@@ -10,14 +11,14 @@
 use leaddeal_wire::user::Kind;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that has found room, but is held back by its team's limit, asks again after this time.
+/// Delay before a job is requested again for which there was capacity but no quota.
 const QUOTA_RETRY_INTERVAL_MS: u64 = 400;
 
-/// A job that machines have room for, and its team's limit has not.
+/// A job for which machines have capacity, but which its team's quota does not cover.
 struct QuotaLimitedJob {
     job: JobId,
     team: u8,
-    /// Tasks that have found room.
+    /// Number of tasks for which capacity was offered.
     tasks: u32,
 }
 
@@ -25,18 +26,18 @@
 struct JobOffers(Vec<ReceivedOffer>);
 
 impl JobOffers {
-    /// Those with the image cached come first, then those with the higher score.
+    /// Sorts the offers: machines with a cached image come first, then those with a higher score.
     fn new(mut offers: Vec<ReceivedOffer>) -> JobOffers {
         offers.sort_by_key(|received| (!received.offer.cached, -received.offer.score));
         JobOffers(offers)
     }
 
-    /// Tasks that room is offered for, in all zones.
+    /// Returns for how many tasks capacity is offered, in all zones together.
     fn count(&self) -> u32 {
         self.0.iter().map(|received| received.offer.count).sum()
     }
 
-    /// Tasks that room is offered for, by zone.
+    /// Returns for how many tasks capacity is offered, by zone.
     fn count_by_zone(&self, zones: usize) -> Vec<u32> {
         let mut counts = vec![0u32; zones];
         for ReceivedOffer { offer, .. } in &self.0 {
@@ -47,13 +48,13 @@
         counts
     }
 
-    /// Takes offers for at most `wanted` tasks, each zone's within what is left in `zone_room`, and in
-    /// each turn through the offers at most `max_per_turn` of each machine.
+    /// Takes offers for at most `wanted` tasks, with at most `max_per_zone[zone]` tasks in each
+    /// zone. Goes round the offers and takes at most `max_per_pass` tasks of each in a pass.
     fn take(
         &mut self,
         wanted: u32,
-        mut zone_room: Vec<u32>,
-        max_per_turn: u32,
+        mut max_per_zone: Vec<u32>,
+        max_per_pass: u32,
     ) -> Vec<ReceivedOffer> {
         let mut taken = Vec::new();
         let mut progress = true;
@@ -61,13 +62,13 @@
             progress = false;
             for received in &mut self.0 {
                 let offer = &mut received.offer;
-                let Some(room) = zone_room.get_mut(offer.zone as usize) else {
+                let Some(zone_left) = max_per_zone.get_mut(offer.zone as usize) else {
                     continue;
                 };
                 let left = wanted - taken.len() as u32;
-                let count = offer.count.min(*room).min(max_per_turn).min(left);
+                let count = offer.count.min(*zone_left).min(max_per_pass).min(left);
                 offer.count -= count;
-                *room -= count;
+                *zone_left -= count;
                 taken.extend((0..count).map(|_| received.clone()));
                 progress |= count > 0;
             }
@@ -76,23 +77,25 @@
     }
 }
 
-/// What each zone may take of a job: all of it in one zone if it has to be, the one that takes the most.
-fn restrict_to_one_zone(job: &Job, room: &[u32], offered: &[u32]) -> Vec<u32> {
+/// Returns how many tasks of a job each zone may take. For a job that must stay in one zone, all
+/// but the zone that can take the most tasks are set to 0.
+fn restrict_to_one_zone(job: &Job, max_per_zone: &[u32], offered: &[u32]) -> Vec<u32> {
     if !job.wire.one_zone {
-        return room.to_vec();
+        return max_per_zone.to_vec();
     }
-    let best = (0..offered.len()).max_by_key(|&zone| offered[zone].min(room[zone]));
-    let keep = |(zone, &room): (usize, &u32)| if Some(zone) == best { room } else { 0 };
-    room.iter().enumerate().map(keep).collect()
+    let best = (0..offered.len()).max_by_key(|&zone| offered[zone].min(max_per_zone[zone]));
+    let keep = |(zone, &limit): (usize, &u32)| if Some(zone) == best { limit } else { 0 };
+    max_per_zone.iter().enumerate().map(keep).collect()
 }
 
-/// The choice of one round, as far as it is made.
+/// The selection of one round in progress.
 struct Selection {
     now: Timestamp,
     /// By item of the request.
     offers: Vec<Vec<ReceivedOffer>>,
+    /// Items for which a participant is freeing capacity by preemption.
     preempting: BTreeSet<u16>,
-    /// Of the teams with a limit whose grants are known; what is selected counts as used.
+    /// By team, for the teams with a quota whose grant is known. Selected tasks count as used.
     quotas: BTreeMap<u8, QuotaStatus>,
     selected: Vec<SelectedOffer>,
     quota_limited: Vec<QuotaLimitedJob>,
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Selects offers for the tasks of one job, or none.
+    /// Selects offers for the tasks of one job, as far as there are enough.
     fn select(&mut self, ctx: &Context, item: usize, requested: u32, job: &mut Job) {
         if self.is_preempting(item) {
             job.preempting_at = Some(self.now);
@@ -130,26 +133,28 @@
         let Some(wanted) = self.within_quota(ctx, job, &offers, wanted) else {
             return;
         };
-        let room = job.zone_room(&ctx.names.zones);
-        let offered = offers.count_by_zone(room.len());
-        // Replicas of a service go to different machines where they can.
-        let max_per_turn = if job.wire.kind == Kind::Service { 1 } else { u32::MAX };
-        let taken = offers.take(wanted, restrict_to_one_zone(job, &room, &offered), max_per_turn);
-        let whole = job.wire.kind != Kind::Gang || taken.len() as u32 == job.pending();
-        if taken.is_empty() || !whole {
-            self.refuse(item, job, &offered, &room);
+        let max_per_zone = job.zone_room(&ctx.names.zones);
+        let offered = offers.count_by_zone(max_per_zone.len());
+        // Spreads the replicas of a service over as many machines as possible.
+        let max_per_pass = if job.wire.kind == Kind::Service { 1 } else { u32::MAX };
+        let taken =
+            offers.take(wanted, restrict_to_one_zone(job, &max_per_zone, &offered), max_per_pass);
+        let is_whole = job.wire.kind != Kind::Gang || taken.len() as u32 == job.pending();
+        if taken.is_empty() || !is_whole {
+            self.refuse(item, job, &offered, &max_per_zone);
         } else {
             self.accept(ctx, item, job, wanted, taken);
         }
     }
 
-    /// Whether a participant is making room for the item.
+    /// Whether a participant is freeing capacity for the item by preemption.
     fn is_preempting(&self, item: usize) -> bool {
         self.preempting.contains(&(item as u16))
     }
 
-    /// How many of the wanted tasks the team's limit lets in. None: the job gets nothing in this round,
-    /// since the grant is not known, or covers none of the tasks that have found room.
+    /// Returns how many of the wanted tasks the team's quota covers. `None`: the job gets nothing
+    /// in this round, since the grant is not known, or since there is capacity for the next task or
+    /// the whole gang but the grant does not cover it.
     fn within_quota(
         &mut self,
         ctx: &Context,
@@ -160,42 +165,42 @@
         let Some(quota) = ctx.team_use(job) else {
             return Some(wanted);
         };
-        // What is granted is not known just now: it soon is.
+        // Without a known grant the job stays pending; the quota manager will answer soon.
         let free = self.quotas.get(&quota.team)?.free();
         let fits = free.fits(quota.amount).min(u64::from(wanted)) as u32;
         let covered = if holds(Guard::GrantKept) { fits } else { wanted };
-        let found_room = offers.count().min(wanted);
+        let offered = offers.count().min(wanted);
         let is_limited = match job.wire.kind {
-            Kind::Gang => covered < wanted && found_room == wanted,
+            Kind::Gang => covered < wanted && offered == wanted,
             _ => covered == 0,
         };
-        if found_room == 0 || !is_limited {
+        if offered == 0 || !is_limited {
             return Some(covered);
         }
         job.reset_backoff();
         job.last_request = Some(RequestOutcome::QuotaExceeded);
         job.preemption_turn = None;
         job.not_before = self.now + QUOTA_RETRY_INTERVAL_MS;
-        let limited = QuotaLimitedJob { job: job.id, team: quota.team, tasks: found_room };
+        let limited = QuotaLimitedJob { job: job.id, team: quota.team, tasks: offered };
         self.quota_limited.push(limited);
         None
     }
 
-    /// The job has found no room, or a gang not enough.
-    fn refuse(&self, item: usize, job: &mut Job, offered: &[u32], room: &[u32]) {
-        let found_some = offered.iter().any(|&count| count > 0);
-        job.last_request = Some(match found_some {
+    /// Records that there was no capacity for a job, or not enough for a gang.
+    fn refuse(&self, item: usize, job: &mut Job, offered: &[u32], max_per_zone: &[u32]) {
+        let has_offers = offered.iter().any(|&count| count > 0);
+        job.last_request = Some(match has_offers {
             true => RequestOutcome::GangIncomplete,
             false => RequestOutcome::NoOffer,
         });
-        let tried = job.record_unmet_demand(self.now);
-        job.choose_target_zone(offered, room);
-        // A participant that is making room keeps its turn; else it is the next one's.
-        let step = u32::from(tried && !self.is_preempting(item));
+        let is_timed_retry = job.record_unmet_demand(self.now);
+        job.choose_target_zone(offered, max_per_zone);
+        // A participant that is already preempting keeps its turn; otherwise the next one gets it.
+        let step = u32::from(is_timed_retry && !self.is_preempting(item));
         job.preemption_turn = Some(job.preemption_turn.map_or(0, |turn| turn + step));
     }
 
-    /// The job's next tasks get the offers that were taken.
+    /// Assigns the offers that were taken to the next tasks of the job.
     fn accept(
         &mut self,
         ctx: &Context,
@@ -225,7 +230,7 @@
 
 impl Coordinator {
     /// Ends the collection of offers: selects among them and writes the decision, or closes the
-    /// negotiation if there is nothing to decide.
+    /// negotiation if nothing was selected.
     pub(super) fn decide(&mut self, ctx: &mut Context) {
         let Some(negotiation) = self.negotiation.take() else { return };
         let (id, holders) = (negotiation.id, negotiation.holders());
--- a/crates/core/src/coordinator/service_statistics.rs
+++ b/crates/core/src/coordinator/service_statistics.rs
@@ -1,24 +1,25 @@
-//! Which jobs have begun, for the operators' log: by class, by team, and the largest that waits.
+//! How many jobs have started, for the operators' log: by class and by team, with the largest job
+//! that has not started.
 //!
-//! Counted over the jobs of one shard since it was loaded: how many were submitted, how many have
-//! begun, and the longest that one of these waited. A day on which less than half of a class or a
-//! team has begun counts as failed: this is where it shows first.
+//! The counts cover the jobs of one shard since it was loaded: submitted jobs, started jobs, and
+//! the longest time that one of these waited for its start. A day counts as failed if less than
+//! half of the jobs of a class or team have started; these statistics show it first.
 use super::Coordinator;
 use crate::ids::Timestamp;
 use crate::jobs::Job;
 use std::collections::BTreeMap;
 
-/// Classes and teams that are counted apart; all others are counted together.
+/// Number of classes and teams that are counted separately; all others are counted together.
 const MAX_GROUPS: usize = 60;
-/// The group of all others.
+/// The group in which all other classes and teams are counted.
 const OTHER_GROUPS: &str = "others";
 
-/// Jobs of one class or one team.
+/// Counts of the jobs of one class or one team.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupCounts {
     submitted: u64,
-    begun: u64,
-    /// The longest that one of them waited for its first start.
+    started: u64,
+    /// The longest time that one of the started jobs waited for its first start.
     longest_wait_ms: u64,
 }
 
@@ -30,26 +31,26 @@
 }
 
 impl ServiceStatistics {
-    /// A job was submitted, or was loaded with the shard.
+    /// Counts a job that was submitted or was loaded with the shard.
     pub(super) fn record_submission(&mut self, job: &Job) {
         self.update(job, |counts| counts.submitted += 1);
     }
 
-    /// A job had begun when the shard was loaded; how long it waited is not known here.
+    /// Counts a job that had started before the shard was loaded; how long it waited is not known.
     pub(super) fn record_earlier_start(&mut self, job: &Job) {
-        self.update(job, |counts| counts.begun += 1);
+        self.update(job, |counts| counts.started += 1);
     }
 
-    /// The first task of a job runs.
+    /// Counts a job whose first task has started.
     pub(super) fn record_start(&mut self, job: &Job, now: Timestamp) {
         let wait_ms = now.saturating_sub(job.created);
         self.update(job, |counts| {
-            counts.begun += 1;
+            counts.started += 1;
             counts.longest_wait_ms = counts.longest_wait_ms.max(wait_ms);
         });
     }
 
-    /// Changes the counts of the job's class and of its team.
+    /// Applies a change to the counts of the job's class and to those of its team.
     fn update(&mut self, job: &Job, change: impl Fn(&mut GroupCounts)) {
         for (kind, name) in [("class", &job.wire.class), ("team", &job.wire.team)] {
             change(self.group(format!("{kind}.{name}")));
@@ -57,21 +58,21 @@
     }
 
     fn group(&mut self, key: String) -> &mut GroupCounts {
-        let apart = self.groups.contains_key(&key) || self.groups.len() < MAX_GROUPS;
-        let key = if apart { key } else { OTHER_GROUPS.to_string() };
+        let is_separate = self.groups.contains_key(&key) || self.groups.len() < MAX_GROUPS;
+        let key = if is_separate { key } else { OTHER_GROUPS.to_string() };
         self.groups.entry(key).or_default()
     }
 }
 
 impl Coordinator {
-    /// For the operators' log: groups as `class.x=begun/submitted/longest wait in seconds`, and the
-    /// largest of all jobs that have not begun, with how long it has waited.
+    /// Returns the log details of all groups, as `class.NAME=STARTED/SUBMITTED/LONGEST_WAIT_S`, and
+    /// the largest job that has not started, with the time it has waited.
     pub fn service_figures(&self, now: Timestamp) -> String {
         let groups = self.service_statistics.groups.iter().map(|(group, counts)| {
             let longest_wait_s = counts.longest_wait_ms.div_ceil(1000);
-            format!("{group}={}/{}/{longest_wait_s}", counts.begun, counts.submitted)
+            format!("{group}={}/{}/{longest_wait_s}", counts.started, counts.submitted)
         });
-        let mut words: Vec<String> = groups.collect();
+        let mut details: Vec<String> = groups.collect();
         let waiting = self
             .unplaced_jobs
             .iter()
@@ -80,8 +81,8 @@
         if let Some(job) = waiting.max_by_key(|job| job.wire.tasks) {
             let (id, tasks) = (&job.wire.id, job.wire.tasks);
             let waited_s = now.saturating_sub(job.created) / 1000;
-            words.push(format!("largest_waiting={id} tasks={tasks} for_s={waited_s}"));
+            details.push(format!("largest_waiting={id} tasks={tasks} for_s={waited_s}"));
         }
-        format!("shard={} {}", self.shard.0, words.join(" "))
+        format!("shard={} {}", self.shard.0, details.join(" "))
     }
 }
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -1,4 +1,5 @@
-//! What participants tell of tasks: phases of placed ones, exits, and what may be forgotten.
+//! Handles what participants report of tasks: the phases of placed tasks and the ends of attempts.
+//! Tells the participants which attempts they may forget.
 use super::Coordinator;
 use crate::context::Context;
 use crate::ids::{Attempt, JobId, Shard, Timestamp};
@@ -10,26 +11,31 @@
 use leaddeal_wire::user::Kind;
 use leaddeal_wire::worker::{ExitReason, TaskState};
 
-/// A task whose machine was full or busy is requested again after this time.
+/// Delay before a task whose machine was full or busy is requested again.
 const BUSY_RETRY_INTERVAL_MS: u64 = 300;
-/// Seconds that the rest of a gang gets beyond the time it takes to save.
+/// Grace that the rest of a gang gets beyond the time it needs to save its progress, in seconds.
 const SAVE_MARGIN_S: f64 = 2.0;
 
 impl Coordinator {
-    /// Handles the events, and tells the participant which attempts it may forget: it keeps telling
-    /// until then.
-    pub(super) fn task_events(&mut self, ctx: &mut Context, from: Shard, events: Vec<TaskEvent>) {
+    /// Handles the events, and tells the participant which attempts it may forget. The participant
+    /// repeats its report of an attempt until then.
+    pub(super) fn handle_task_events(
+        &mut self,
+        ctx: &mut Context,
+        from: Shard,
+        events: Vec<TaskEvent>,
+    ) {
         let mut forgettable = Vec::new();
         for event in events {
-            forgettable.extend(self.task_event(ctx, from, &event));
+            forgettable.extend(self.handle_task_event(ctx, from, &event));
         }
         if !forgettable.is_empty() {
             ctx.send(self.shard, from, ShardMessage::Forget { what: forgettable });
         }
     }
 
-    /// Returns the attempt if the participant may forget it.
-    fn task_event(
+    /// Handles one event. Returns the attempt if the participant may forget it.
+    fn handle_task_event(
         &mut self,
         ctx: &mut Context,
         from: Shard,
@@ -42,25 +48,27 @@
             machine: event.machine.clone(),
             incarnation: None,
         };
-        let is_over = matches!(event.phase, TaskPhase::Exited(..) | TaskPhase::Gone);
+        let has_ended = matches!(event.phase, TaskPhase::Exited(..) | TaskPhase::Gone);
         if !self.is_placed(ctx, event) {
-            if is_over {
-                // Already noted as done, but not durably yet: the worker must not forget it.
+            if has_ended {
+                // The worker must not forget an attempt whose completion is recorded here but not
+                // yet durable.
                 return (!self.is_uncompacted(event)).then_some(what);
             }
             ctx.send(self.shard, from, ShardMessage::Stop { what, grace_s: 0.0 });
             return None;
         }
-        self.note_first_start(ctx.now, event);
-        if is_over {
-            self.task_over(ctx, event).then_some(what)
+        self.record_first_start(ctx.now, event);
+        if has_ended {
+            self.end_placement(ctx, event).then_some(what)
         } else {
-            self.task_phase(ctx, event);
+            self.update_phase(ctx, event);
             None
         }
     }
 
-    /// Whether the attempt is the one that is placed, on this machine.
+    /// Whether the event is about the task's present placement: the same attempt on the same
+    /// machine.
     fn is_placed(&self, ctx: &Context, event: &TaskEvent) -> bool {
         let job = self.jobs.get(&JobId(event.job));
         let placement = job.and_then(|job| job.placed.get(event.task));
@@ -70,7 +78,7 @@
         })
     }
 
-    /// Whether the attempt is done, and its completion is not known to be in the store.
+    /// Whether the attempt is completed but its completion is not known to be in the store.
     fn is_uncompacted(&self, event: &TaskEvent) -> bool {
         let id = JobId(event.job);
         let mut of_job = self.jobs.get(&id).into_iter().flat_map(|job| &job.completion.uncompacted);
@@ -78,8 +86,8 @@
             || self.compaction.is_compacting(id, event.task, Attempt(event.attempt))
     }
 
-    /// Records when the job began, if this is the first that is known of a start.
-    fn note_first_start(&mut self, now: Timestamp, event: &TaskEvent) {
+    /// Records when the job started, if this is the first event that shows a start.
+    fn record_first_start(&mut self, now: Timestamp, event: &TaskEvent) {
         let has_run = matches!(
             event.phase,
             TaskPhase::On(TaskState::Running) | TaskPhase::Exited(ExitReason::Done, _)
@@ -91,36 +99,38 @@
         }
     }
 
-    /// A placed task goes on, in another phase perhaps.
-    fn task_phase(&mut self, ctx: &mut Context, event: &TaskEvent) {
+    /// Updates the phase of a placed task that has not ended.
+    fn update_phase(&mut self, ctx: &mut Context, event: &TaskEvent) {
         let id = JobId(event.job);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.placed.set_phase(event.task, event.phase);
-        // A gang that is to save must be stopped whole, and soon.
+        // If one task of a gang is saving its progress before it stops, the whole gang must save
+        // and stop, too, and soon.
         if event.phase == TaskPhase::On(TaskState::Saving) && job.wire.kind == Kind::Gang {
             job.placed.stop_rest(job.wire.save_s + SAVE_MARGIN_S);
             self.unsettled_jobs.insert(id);
-            self.next_resend = ctx.now;
+            self.next_resend_at = ctx.now;
             self.resend(ctx);
         }
     }
 
-    /// A placed task is not on its machine any more. True if the participant may forget the attempt.
-    fn task_over(&mut self, ctx: &mut Context, event: &TaskEvent) -> bool {
+    /// Removes the placement of a task that is no longer on its machine. Returns true if the
+    /// participant may forget the attempt.
+    fn end_placement(&mut self, ctx: &mut Context, event: &TaskEvent) -> bool {
         let id = JobId(event.job);
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let Some(placement) = job.placed.remove(event.task) else { return false };
         let is_done = matches!(event.phase, TaskPhase::Exited(ExitReason::Done, _));
         if is_done && job.wire.kind != Kind::Service && !job.cancelled {
-            self.task_done(ctx, id, event.task, &placement);
+            self.complete_task(ctx, id, event.task, &placement);
             return false;
         }
-        self.task_lost(ctx, id, event, &placement);
+        self.requeue_task(ctx, id, event, &placement);
         true
     }
 
-    /// The task is done: its completion is written before the participant may forget it.
-    fn task_done(&mut self, ctx: &mut Context, id: JobId, task: u32, placement: &Placement) {
+    /// Records the completion of a task, to be written before the participant may forget it.
+    fn complete_task(&mut self, ctx: &mut Context, id: JobId, task: u32, placement: &Placement) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.failure_suspicion.ran_well();
         job.set_done(task, ctx.now);
@@ -138,8 +148,8 @@
         ctx.wake = true;
     }
 
-    /// The task has to be placed again, unless its job is cancelled.
-    fn task_lost(
+    /// Queues a task that ended without completing to be placed again, unless its job is cancelled.
+    fn requeue_task(
         &mut self,
         ctx: &mut Context,
         id: JobId,
@@ -147,26 +157,26 @@
         placement: &Placement,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        delay_next_try(ctx, job, event.phase, placement);
+        delay_next_request(ctx, job, event.phase, placement);
         job.give_back(event.task);
         self.unplaced_jobs.insert(id);
         if job.wire.kind == Kind::Gang {
-            // Won whole or not at all: the rest of the attempt stops.
+            // A gang runs as a whole or not at all, so its other tasks stop.
             job.placed.stop_rest(0.0);
             self.unsettled_jobs.insert(id);
-            self.next_resend = ctx.now;
+            self.next_resend_at = ctx.now;
         }
-        let is_empty_leftover = job.cancelled && job.placed.is_empty();
-        self.decision_log.placement_over(placement.round);
-        if is_empty_leftover {
+        let is_fully_stopped = job.cancelled && job.placed.is_empty();
+        self.decision_log.end_placement(placement.round);
+        if is_fully_stopped {
             self.drop_cancelled(id);
         }
         ctx.wake = true;
     }
 }
 
-/// Sets when the job is requested again, by how its task ended.
-fn delay_next_try(ctx: &mut Context, job: &mut Job, phase: TaskPhase, placement: &Placement) {
+/// Sets when the job is requested again, depending on how its task ended.
+fn delay_next_request(ctx: &mut Context, job: &mut Job, phase: TaskPhase, placement: &Placement) {
     let now = ctx.now;
     let suspicion = &mut job.failure_suspicion;
     match phase {
--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -1,4 +1,4 @@
-//! Terminal states: what is written of a job that is over, and what users see of it.
+//! Terminal states: the changes that write them, and the job states that users see.
 use super::Coordinator;
 use crate::context::Context;
 use crate::guards::{holds, Guard};
@@ -10,8 +10,8 @@
 use leaddeal_wire::state::Change;
 use leaddeal_wire::user::{JobState, Status};
 
-/// Tells users that wait for a job's terminal state to ask again: the outcome of its write is not
-/// known yet.
+/// Tells users that wait for a job's terminal state to try again later, since the outcome of its
+/// write is not known yet.
 pub(super) fn defer_requests(ctx: &mut Context, job: &mut Job) {
     for request in std::mem::take(&mut job.termination.requests) {
         ctx.reply_later(request, 503, 1);
@@ -19,8 +19,8 @@
 }
 
 impl Coordinator {
-    /// The changes that write a job's terminal state and delete its other records; none if the job
-    /// is not known.
+    /// Returns the changes that write a job's terminal state and delete its other records; empty if
+    /// the job is not known.
     pub(super) fn terminal_changes(&self, id: JobId, status: Status) -> Vec<Change> {
         let Some(job) = self.jobs.get(&id) else {
             return Vec::new();
@@ -33,7 +33,7 @@
             },
             Change::Delete { key: keys::job_key(self.shard, id) },
         ];
-        // Most jobs are over before any completion of them was compacted: there is nothing to delete.
+        // Most jobs end before any of their completions was compacted, so no chunk needs deleting.
         if !job.completion.stored_chunks.is_empty() {
             for chunk in 0..job.wire.tasks.div_ceil(TASKS_PER_CHUNK) {
                 changes.push(Change::Delete { key: keys::completion_key(self.shard, id, chunk) });
@@ -42,22 +42,24 @@
         changes
     }
 
-    /// A cancelled job without tasks left: only its terminal state remains.
+    /// Drops a cancelled job that has no tasks left on machines; only its terminal state is kept.
     pub(super) fn drop_cancelled(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id).filter(|job| !job.is_tombstone()) else { return };
         let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
-        self.closed.insert(id, terminal);
+        self.terminal_jobs.insert(id, terminal);
     }
 
-    /// What users see of a job; none if it is not known here, or is just being terminated.
+    /// Returns the state of a job as users see it; `None` if the job is not known here or its
+    /// terminal state is being written.
     pub fn state(&self, id: JobId) -> Option<JobState> {
-        if let Some(terminal) = self.closed.get(&id) {
+        if let Some(terminal) = self.terminal_jobs.get(&id) {
             return Some(job_state(id, *terminal));
         }
         let job = self.jobs.get(&id)?;
-        // A tombstone stands for a job whose terminal state is in the store. And a terminal state that
-        // is being written may be there already, and a controller that read it may have told it.
-        let may_tell = job.termination.status.is_none() || !holds(Guard::Finishing);
-        (!job.is_tombstone() && may_tell).then(|| job.state())
+        // The terminal state of a tombstone is in the store. A terminal state that is being written
+        // may be in the store already, where another node may have read it and shown it to a user:
+        // an answer from memory would contradict it.
+        let is_current = job.termination.status.is_none() || !holds(Guard::Finishing);
+        (!job.is_tombstone() && is_current).then(|| job.state())
     }
 }
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Jobs that are reported to the provisioner, the most important ones.
+/// At most this many jobs are reported to the provisioner: the first in [`DemandOrder`].
 const MAX_UNMET_DEMANDS: usize = 60;
 
 /// The order in which jobs are reported: by priority, then by age.
@@ -19,8 +19,9 @@
     (Reverse(job.wire.priority), job.created, job.id)
 }
 
-/// How many tasks of the job are worth a machine.
-fn worth(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
+/// Returns for how many pending tasks of the job a machine is worth launching: all, or as many as
+/// its team's quota would cover.
+fn tasks_worth_machine(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
     match ctx.team_use(job) {
         Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.worth),
         None => job.pending(),
@@ -28,29 +29,31 @@
 }
 
 impl Coordinator {
-    /// Tasks without a machine, the most important jobs first; none before the shard is loaded.
+    /// Returns the demand of tasks without a machine, in the order of [`DemandOrder`]; empty until
+    /// the shard is loaded.
     pub fn unmet_demand(&self, ctx: &Context) -> Vec<UnmetDemand> {
         if !self.ready() {
             return Vec::new();
         }
         let admitted = self.admitted(ctx);
         let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
-        let mut lacking: Vec<&Job> = jobs
+        let mut unmet: Vec<&Job> = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| !job.failure_suspicion.is_suspected())
-            .filter(|job| worth(ctx, &admitted, job) > 0)
+            .filter(|job| tasks_worth_machine(ctx, &admitted, job) > 0)
             .collect();
-        // (Found at five times a fleet: the first by their names were reported, not the first in turn.)
-        lacking.sort_unstable_by_key(|job| demand_order(job));
-        lacking.truncate(MAX_UNMET_DEMANDS);
+        // Unsorted, the jobs with the lowest identifiers were reported instead of the first in this
+        // order (seen at five times the normal fleet size).
+        unmet.sort_unstable_by_key(|job| demand_order(job));
+        unmet.truncate(MAX_UNMET_DEMANDS);
         let demand = |job: &Job| UnmetDemand {
             job: job.id.0,
             shape: job.shape.wire.clone(),
-            count: worth(ctx, &admitted, job),
+            count: tasks_worth_machine(ctx, &admitted, job),
             zone_room: job.zone_room(&ctx.names.zones),
             waited_ms: ctx.now.saturating_sub(job.created),
             urgent: job.is_urgent(ctx.now),
         };
-        lacking.into_iter().map(demand).collect()
+        unmet.into_iter().map(demand).collect()
     }
 }
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -1,7 +1,7 @@
-//! Why jobs wait: the step that last held each of them back, counted for the operators' log.
+//! Why jobs are pending: the step at which each job is held back, counted for the operators' log.
 //!
-//! Nothing is kept for it but what became of a job's last request: the rest is worked out when the
-//! figures are asked for, once a minute.
+//! Only the outcome of a job's last request is stored. The rest is computed once a minute, when the
+//! statistics are logged.
 use super::quota_admission::WaitingJob;
 use super::Coordinator;
 use crate::context::Context;
@@ -10,29 +10,30 @@
 use leaddeal_wire::user;
 use std::collections::HashMap;
 
-/// Jobs that have waited for less are left out.
+/// Jobs that have been pending for less than this time are not counted.
 const MIN_WAIT_MS: u64 = 30_000;
 
-/// What holds a job back.
+/// Why a job is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitCause {
-    /// Tasks of it are still on machines: a gang starts whole, a suspected job in one place.
+    /// It must not start more tasks while earlier ones are on machines: a gang starts as a whole, a
+    /// suspected job on one machine at a time.
     TasksStillPlaced,
-    /// It failed wherever it was tried, and is retried later.
+    /// It is suspected of failing on any machine, and its back-off has not passed yet.
     FailureBackoff,
-    /// Its team's limit is used up, or left to jobs before it.
+    /// Its team's quota is used up or kept for jobs that rank before it.
     Quota,
-    /// What its team's limit grants this coordinator is not known.
+    /// This coordinator's grant of the team's quota is not known.
     GrantUnknown,
-    /// Participants had capacity for it, its team's limit had not.
+    /// Participants had capacity for it, but its team's quota did not cover it.
     QuotaAfterOffer,
     /// No participant had capacity for any of its tasks.
     NoOffer,
-    /// There was capacity for some tasks of the gang, not for all.
+    /// There was capacity for some tasks of the gang, but not for all.
     GangIncomplete,
     /// The decision to place its tasks was not written.
     DecisionNotWritten,
-    /// It is requested, or will be once those before it were.
+    /// Offers are being requested for it, or it waits for its turn in a round.
     Queued,
 }
 
@@ -50,7 +51,7 @@
         WaitCause::Queued,
     ];
 
-    /// Its name in the log.
+    /// Returns the name of the cause in the log.
     pub fn name(self) -> &'static str {
         match self {
             WaitCause::TasksStillPlaced => "tasks_still_placed",
@@ -65,8 +66,9 @@
         }
     }
 
-    /// Of a job whose last request ended like this, or that was not requested yet.
-    fn of_request(outcome: Option<RequestOutcome>) -> WaitCause {
+    /// Returns the cause for a job whose last request had this outcome; `None`: the last request
+    /// placed tasks, or there was none yet.
+    fn from_request_outcome(outcome: Option<RequestOutcome>) -> WaitCause {
         match outcome {
             None => WaitCause::Queued,
             Some(RequestOutcome::NoOffer) => WaitCause::NoOffer,
@@ -77,11 +79,11 @@
     }
 }
 
-/// Jobs by what holds them back.
+/// Pending jobs counted by cause.
 #[derive(Debug, Default)]
 struct WaitCounts {
     by_cause: [u32; WaitCause::ALL.len()],
-    /// The one that was submitted first.
+    /// Submission time, cause and identifier of the job that was submitted first.
     oldest: Option<(Timestamp, WaitCause, String)>,
 }
 
@@ -96,18 +98,20 @@
 
     fn figures(&self, shard: u8, now: Timestamp) -> Option<String> {
         let (created, cause, job) = self.oldest.as_ref()?;
-        let mut words = vec![format!("shard={shard}")];
-        let met = WaitCause::ALL.into_iter().filter(|cause| self.by_cause[*cause as usize] > 0);
-        words.extend(met.map(|met| format!("{}={}", met.name(), self.by_cause[met as usize])));
+        let mut details = vec![format!("shard={shard}")];
+        let counted = WaitCause::ALL.into_iter().filter(|cause| self.by_cause[*cause as usize] > 0);
+        details.extend(
+            counted.map(|cause| format!("{}={}", cause.name(), self.by_cause[cause as usize])),
+        );
         let waited_s = now.saturating_sub(*created) / 1000;
-        words.push(format!("oldest={job} oldest_s={waited_s} oldest_cause={}", cause.name()));
-        Some(words.join(" "))
+        details.push(format!("oldest={job} oldest_s={waited_s} oldest_cause={}", cause.name()));
+        Some(details.join(" "))
     }
 }
 
 impl Coordinator {
-    /// For the operators' log: pending jobs that have waited for long, by what holds them back, and
-    /// the oldest of them. None: there are none.
+    /// Returns the log details of the jobs that have been pending for [`MIN_WAIT_MS`]: their number
+    /// by cause, and the oldest of them. `None`: there are no such jobs.
     pub fn wait_figures(&self, ctx: &Context) -> Option<String> {
         let mut counts = WaitCounts::default();
         for (job, cause) in self.wait_causes(ctx) {
@@ -116,31 +120,32 @@
         counts.figures(self.shard.0, ctx.now)
     }
 
-    /// Pending jobs that have waited for long, each with what holds it back.
+    /// Returns the jobs that have been pending for [`MIN_WAIT_MS`], each with its cause.
     fn wait_causes<'a>(&'a self, ctx: &Context) -> Vec<(&'a Job, WaitCause)> {
-        let limited = self.quota.waiting.iter().map(|waiting| (waiting.id, waiting));
-        let limited: HashMap<JobId, &WaitingJob> = limited.collect();
+        let admissions = self.quota.waiting.iter().map(|waiting| (waiting.id, waiting));
+        let admissions: HashMap<JobId, &WaitingJob> = admissions.collect();
         let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
         let waiting = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| ctx.now >= job.created + MIN_WAIT_MS);
         let with_cause =
-            waiting.map(|job| (job, wait_cause(job, limited.get(&job.id).copied(), ctx.now)));
+            waiting.map(|job| (job, wait_cause(job, admissions.get(&job.id).copied(), ctx.now)));
         with_cause.collect()
     }
 }
 
-/// `limited`: what the last report said of the job, if its team has a limit.
-fn wait_cause(job: &Job, limited: Option<&WaitingJob>, now: Timestamp) -> WaitCause {
+/// Returns why a job is pending. `admission` is the job's admission at the last quota report;
+/// `None`: the team has no quota, or the job was not pending then.
+fn wait_cause(job: &Job, admission: Option<&WaitingJob>, now: Timestamp) -> WaitCause {
     if !job.may_start() {
         WaitCause::TasksStillPlaced
     } else if job.failure_suspicion.is_suspected() && job.not_before > now {
         WaitCause::FailureBackoff
-    } else if limited.is_some_and(|waiting| !waiting.grant_known) {
+    } else if admission.is_some_and(|waiting| !waiting.is_grant_known) {
         WaitCause::GrantUnknown
-    } else if limited.is_some_and(|waiting| waiting.admitted.in_turn == 0) {
+    } else if admission.is_some_and(|waiting| waiting.admitted.in_turn == 0) {
         WaitCause::Quota
     } else {
-        WaitCause::of_request(job.last_request)
+        WaitCause::from_request_outcome(job.last_request)
     }
 }
