--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -59,30 +59,20 @@
     /// Tokens of the shared bucket that this class leaves to other classes, in seconds of the
     /// node's limit. Decisions leave more than completions, since twice as many decisions, each
     /// half as large, would place tasks no sooner.
-    shared_reserve_s: f64,
+    reserve_s: f64,
 }
 
 impl WriteClass {
     const fn policy(self) -> ClassPolicy {
         match self {
             WriteClass::Ownership | WriteClass::Cancellation => {
-                ClassPolicy { floor: 0.0, burst_s: 0.0, shared_reserve_s: 0.0 }
-            }
-            WriteClass::TerminalState => {
-                ClassPolicy { floor: 0.4, burst_s: 2.0, shared_reserve_s: 0.0 }
-            }
-            WriteClass::Decision => {
-                ClassPolicy { floor: 0.25, burst_s: 6.0, shared_reserve_s: 0.3 }
-            }
-            WriteClass::Submission => {
-                ClassPolicy { floor: 0.2, burst_s: 1.0, shared_reserve_s: 0.1 }
-            }
-            WriteClass::Completion => {
-                ClassPolicy { floor: 0.05, burst_s: 1.0, shared_reserve_s: 0.2 }
-            }
-            WriteClass::Deferrable => {
-                ClassPolicy { floor: 0.0, burst_s: 0.0, shared_reserve_s: 0.5 }
+                ClassPolicy { floor: 0.0, burst_s: 0.0, reserve_s: 0.0 }
             }
+            WriteClass::TerminalState => ClassPolicy { floor: 0.4, burst_s: 2.0, reserve_s: 0.0 },
+            WriteClass::Decision => ClassPolicy { floor: 0.25, burst_s: 6.0, reserve_s: 0.3 },
+            WriteClass::Submission => ClassPolicy { floor: 0.2, burst_s: 1.0, reserve_s: 0.1 },
+            WriteClass::Completion => ClassPolicy { floor: 0.05, burst_s: 1.0, reserve_s: 0.2 },
+            WriteClass::Deferrable => ClassPolicy { floor: 0.0, burst_s: 0.0, reserve_s: 0.5 },
         }
     }
 
@@ -265,7 +255,7 @@
             // The other nodes may use less than their share. With a limit at this node's share
             // alone, one submission in eight was refused although the store had capacity for it.
             WriteClass::Submission if self.are_submissions_unlimited() => return usize::MAX,
-            _ => self.shared_tokens - class.policy().shared_reserve_s * self.node_limit(),
+            _ => self.shared_tokens - class.policy().reserve_s * self.node_limit(),
         };
         let available = (reserved + shared.max(0.0)) as usize;
         self.is_exhausted |= available == 0;
