--- a/crates/core/src/coordinator/compaction.rs
+++ b/crates/core/src/coordinator/compaction.rs
@@ -71,7 +71,7 @@
 impl Coordinator {
     /// Starts the next compaction, or retries the one in flight if a retry is due.
     pub(super) fn compact(&mut self, ctx: &mut Context) {
-        if !self.ready() || !ctx.lease_valid {
+        if !self.is_ready() || !ctx.lease_valid {
             return;
         }
         if !self.compaction.is_in_flight() {
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -70,9 +70,9 @@
             }
             return;
         }
-        if self.record_reader.is_list_complete() && !self.ready() {
+        if self.record_reader.is_list_complete() && !self.is_ready() {
             self.next_load_stage(ctx);
-            if self.ready() {
+            if self.is_ready() {
                 return;
             }
         }
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether all records of the shard are loaded.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         matches!(self.load_stage, LoadStage::Ready)
     }
 
@@ -185,7 +185,7 @@
                 self.answer_decision(ctx, from, negotiation);
             }
             ShardMessage::CapacityFreed { priority } => self.on_capacity_freed(ctx, priority),
-            ShardMessage::TaskEvents { events } if self.ready() => {
+            ShardMessage::TaskEvents { events } if self.is_ready() => {
                 self.handle_task_events(ctx, from, events);
             }
             _ => {}
@@ -206,7 +206,7 @@
 
     /// Performs all due work: reads and writes records, resends messages, and starts a round.
     pub fn tick(&mut self, ctx: &mut Context) {
-        if !self.ready() {
+        if !self.is_ready() {
             self.read_next(ctx);
             return;
         }
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -24,7 +24,7 @@
         // A report gives up the grants until it is answered, so it is delayed during a negotiation,
         // which needs them and ends soon.
         let delay_ms = if self.negotiation.is_some() { REPORT_INTERVAL_MS } else { 0 };
-        if !self.ready() || ctx.now < self.quota.next_report_at + delay_ms {
+        if !self.is_ready() || ctx.now < self.quota.next_report_at + delay_ms {
             return;
         }
         if team_quotas(ctx).is_empty() {
--- a/crates/core/src/coordinator/resend.rs
+++ b/crates/core/src/coordinator/resend.rs
@@ -116,7 +116,7 @@
 impl Coordinator {
     /// Sends all due placements and stops if the next check is due.
     pub(super) fn resend(&mut self, ctx: &mut Context) {
-        if !self.ready() || ctx.now < self.next_resend_at {
+        if !self.is_ready() || ctx.now < self.next_resend_at {
             return;
         }
         self.next_resend_at = ctx.now + RESEND_CHECK_INTERVAL_MS;
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -99,7 +99,7 @@
     }
 
     fn can_start_round(&self, ctx: &mut Context) -> bool {
-        self.ready()
+        self.is_ready()
             && self.negotiation.is_none()
             && self.pending_decision.is_none()
             && !self.relinquishing
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -32,7 +32,7 @@
     /// Returns the demand of tasks without a machine, in the order of [`DemandOrder`]; empty until
     /// the shard is loaded.
     pub fn unmet_demand(&self, ctx: &Context) -> Vec<UnmetDemand> {
-        if !self.ready() {
+        if !self.is_ready() {
             return Vec::new();
         }
         let admitted = self.admitted(ctx);
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -127,7 +127,7 @@
             let msg = NodeMessage::JobAnswer { call, answer };
             Effect::Mesh { to: from.to_string(), msg }
         };
-        let Some(active) = slot.filter(|active| valid && active.coordinator.ready()) else {
+        let Some(active) = slot.filter(|active| valid && active.coordinator.is_ready()) else {
             return effects.push(refusal(JobAnswer::NotMine));
         };
         if self.shared.relayed_requests.len() > MAX_OPEN_QUERIES {
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -45,7 +45,7 @@
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let lease_uncertain_ms = self.shared.lease.in_doubt_ms(now);
         let assertion = |active: &ActiveShard| {
-            let complete = active.coordinator.ready() && !active.releasing;
+            let complete = active.coordinator.is_ready() && !active.releasing;
             complete.then_some(OwnedShard { epoch: active.epoch, lease_uncertain_ms })
         };
         self.owned.iter().map(|active| active.as_ref().and_then(assertion)).collect()
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -135,7 +135,7 @@
             let mut context = self.shared.context(effects);
             let lacks = active.coordinator.unmet_demand(&context);
             let inventory = active.participant.inventory(&context);
-            if active.coordinator.ready() {
+            if active.coordinator.is_ready() {
                 context.send(shard, PROVISIONER_SHARD, ShardMessage::UnmetDemand { lacks });
             }
             for message in inventory {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -135,7 +135,7 @@
     fn speaks_for(&self, shard: Shard, now: Timestamp) -> bool {
         let valid = self.shared.lease.valid(now) || !holds(Guard::DoubtTells);
         let active = self.owned[shard.0 as usize].as_ref();
-        active.is_some_and(|active| valid && active.coordinator.ready())
+        active.is_some_and(|active| valid && active.coordinator.is_ready())
     }
 
     /// Answers for a shard of ours. False: the job is not known here.
@@ -260,7 +260,7 @@
         // the job, then it is over already: this answer is a late one. (Found by the simulator: a
         // done job went back to running.)
         let newer = revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
-        if active.coordinator.ready() && newer {
+        if active.coordinator.is_ready() && newer {
             let mut context = self.shared.context(effects);
             active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
             self.wake |= context.wake;
