--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -107,7 +107,7 @@
     /// Store revision at which the list of jobs was loaded.
     pub(crate) jobs_loaded_revision: u64,
     /// Whether the shard is to be handed over: no new round is started.
-    pub(crate) relinquishing: bool,
+    pub(crate) is_relinquishing: bool,
     /// By participant: the epoch of its owner at the last resend.
     participant_epochs: Vec<Epoch>,
     /// When placements and stops are next checked for a resend.
@@ -142,7 +142,7 @@
             cancelling: BTreeSet::new(),
             decision_counts: DecisionCounts::default(),
             jobs_loaded_revision: 0,
-            relinquishing: false,
+            is_relinquishing: false,
             participant_epochs: vec![Epoch(0); shards],
             next_resend_at: 0,
             quota: QuotaState::default(),
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -102,7 +102,7 @@
         self.is_ready()
             && self.negotiation.is_none()
             && self.pending_decision.is_none()
-            && !self.relinquishing
+            && !self.is_relinquishing
             && ctx.lease_valid
             && !self.unplaced_jobs.is_empty()
             // While the write budget is exhausted, further jobs gather for a larger round.
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -232,7 +232,7 @@
     /// The home node of a shard asks for it: its coordinator begins nothing new.
     pub(super) fn begin_handover(&mut self, shard: Shard, now: Timestamp) {
         if let Some(active) = self.active(shard) {
-            active.coordinator.relinquishing = true;
+            active.coordinator.is_relinquishing = true;
             active.handover_until = now + HANDOVER_TIMEOUT_MS;
         }
     }
@@ -240,11 +240,11 @@
     /// Orderly handover to the shard's home: gives the shard back once nothing of it is in flight.
     fn tick_handover(&mut self, effects: &mut Effects, shard: Shard) {
         let Some(active) = self.active(shard) else { return };
-        if !active.coordinator.relinquishing || active.releasing {
+        if !active.coordinator.is_relinquishing || active.releasing {
             return;
         }
         if effects.now > active.handover_until {
-            active.coordinator.relinquishing = false;
+            active.coordinator.is_relinquishing = false;
             return;
         }
         if !active.coordinator.is_idle() {
