--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -94,7 +94,7 @@
     }
 
     /// Handles the result of the transaction that cancels a job.
-    pub fn cancellation_written(
+    pub fn on_cancellation_result(
         &mut self,
         ctx: &mut Context,
         id: JobId,
--- a/crates/core/src/coordinator/compaction/outcome.rs
+++ b/crates/core/src/coordinator/compaction/outcome.rs
@@ -20,7 +20,7 @@
 
 impl Coordinator {
     /// Handles the result of the compaction's transaction.
-    pub fn compaction_written(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
+    pub fn on_compaction_result(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
         let Some(mut compaction) = self.compaction.in_flight.take() else {
             return Ownership::Kept;
         };
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -101,7 +101,7 @@
     }
 
     /// Handles the result of the decision's transaction.
-    pub fn decision_written(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
+    pub fn on_decision_result(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
         let Some(decision) = &mut self.pending_decision else {
             return Ownership::Kept;
         };
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -53,7 +53,7 @@
     }
 
     /// Handles the result of a read of records.
-    pub fn records_read(&mut self, ctx: &mut Context, result: StoreResult) {
+    pub fn on_records_result(&mut self, ctx: &mut Context, result: StoreResult) {
         let is_answered = matches!(result, StoreResult::Page(_) | StoreResult::Events(_));
         for record in self.record_reader.on_result(ctx.now, result) {
             match self.load_stage {
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -70,7 +70,7 @@
         let slot = &mut self.owned[shard.0 as usize];
         let Some(active) = slot.as_mut().filter(|active| active.epoch == epoch) else { return };
         let mut context = self.shared.context(effects);
-        active.coordinator.records_read(&mut context, result);
+        active.coordinator.on_records_result(&mut context, result);
         self.wake |= context.wake;
     }
 
@@ -89,10 +89,10 @@
         let mut context = self.shared.context(effects);
         let coordinator = &mut active.coordinator;
         let ownership = match write {
-            CoordinatorWrite::Decision => coordinator.decision_written(&mut context, result),
-            CoordinatorWrite::Compaction => coordinator.compaction_written(&mut context, result),
+            CoordinatorWrite::Decision => coordinator.on_decision_result(&mut context, result),
+            CoordinatorWrite::Compaction => coordinator.on_compaction_result(&mut context, result),
             CoordinatorWrite::Finish(job) => {
-                coordinator.cancellation_written(&mut context, job, result)
+                coordinator.on_cancellation_result(&mut context, job, result)
             }
         };
         self.wake |= context.wake;
