--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -59,7 +59,7 @@
             match self.load_stage {
                 LoadStage::Decisions => self.loaded_decisions.push(record),
                 LoadStage::Jobs | LoadStage::Ready => {
-                    self.job_created(ctx, &record.key, &record.value);
+                    self.add_job_record(ctx, &record.key, &record.value);
                 }
                 LoadStage::Completions => self.completion_loaded(ctx, &record),
             }
@@ -130,7 +130,7 @@
     }
 
     /// Adds a job whose record was read or written. Does nothing if the job is already known.
-    pub fn job_created(&mut self, ctx: &mut Context, key: &str, value: &Value) {
+    pub fn add_job_record(&mut self, ctx: &mut Context, key: &str, value: &Value) {
         let Some(id) = keys::parse_job_key(key) else {
             return;
         };
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -262,7 +262,7 @@
         let newer = revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
         if active.coordinator.is_ready() && newer {
             let mut context = self.shared.context(effects);
-            active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
+            active.coordinator.add_job_record(&mut context, &keys::job_key(shard, id), value);
             self.wake |= context.wake;
         }
     }
