--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -36,7 +36,7 @@
 }
 
 /// All classes, most important first.
-pub const CLASSES: [WriteClass; 7] = [
+pub const WRITE_CLASSES: [WriteClass; 7] = [
     WriteClass::Ownership,
     WriteClass::Cancellation,
     WriteClass::TerminalState,
@@ -127,10 +127,10 @@
     /// Tokens for any class; negative while there is a debt.
     shared_tokens: f64,
     /// Tokens that only one class can use, by class.
-    reserved_tokens: [f64; CLASSES.len()],
+    reserved_tokens: [f64; WRITE_CLASSES.len()],
     refilled_at: Timestamp,
     /// Changes written so far, by class.
-    spent: [u64; CLASSES.len()],
+    spent: [u64; WRITE_CLASSES.len()],
     /// The store counts as throttling until this time.
     throttled_until: Timestamp,
     /// For how long the last refusal made the store count as throttling; 0: nothing was refused
@@ -155,9 +155,9 @@
             node_share,
             rate: 0.0,
             shared_tokens: cluster_limit * node_share,
-            reserved_tokens: [0.0; CLASSES.len()],
+            reserved_tokens: [0.0; WRITE_CLASSES.len()],
             refilled_at: now,
-            spent: [0; CLASSES.len()],
+            spent: [0; WRITE_CLASSES.len()],
             throttled_until: 0,
             throttled_ms: 0,
             terminal_states_delayed_until: 0,
@@ -167,7 +167,7 @@
         };
         budget.rate = budget.fair_rate();
         budget.reserved_tokens =
-            CLASSES.map(|class| class.max_reserved_tokens(budget.node_limit()));
+            WRITE_CLASSES.map(|class| class.max_reserved_tokens(budget.node_limit()));
         budget
     }
 
@@ -220,7 +220,7 @@
         let changes_per_s = self.node_limit().max(self.rate);
         let fair_credit = self.fair_rate().max(self.rate) * elapsed_s;
         let mut shared = credited;
-        for class in CLASSES {
+        for class in WRITE_CLASSES {
             let reserved = &mut self.reserved_tokens[class as usize];
             // The floor of terminal states does not shrink when refusals cut the rate, so that they
             // still come first when the store accepts less than its limit.
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -1,6 +1,6 @@
 //! Periodic statistics for the log.
 use super::Node;
-use crate::budget::CLASSES;
+use crate::budget::WRITE_CLASSES;
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel};
 
@@ -14,7 +14,7 @@
     pub(super) machines_evaluated: u64,
     next_log: Timestamp,
     /// Changes by class that were logged already.
-    logged_changes: [u64; CLASSES.len()],
+    logged_changes: [u64; WRITE_CLASSES.len()],
 }
 
 impl Statistics {
@@ -22,7 +22,7 @@
         Statistics {
             machines_evaluated: 0,
             next_log: now + STATISTICS_INTERVAL_MS,
-            logged_changes: [0; CLASSES.len()],
+            logged_changes: [0; WRITE_CLASSES.len()],
         }
     }
 }
@@ -45,11 +45,11 @@
     /// The changes written since the last time, by class.
     fn log_changes(&mut self, effects: &mut Effects) {
         let budget = &self.shared.budget;
-        let spent = CLASSES.map(|class| budget.spent(class));
+        let spent = WRITE_CLASSES.map(|class| budget.spent(class));
         let (rate, refusals) = (budget.rate(), budget.refusals());
         let logged = std::mem::replace(&mut self.statistics.logged_changes, spent);
         effects.log(LogLevel::Info, "writes", || {
-            let by_class = CLASSES.iter().zip(spent.iter().zip(logged));
+            let by_class = WRITE_CLASSES.iter().zip(spent.iter().zip(logged));
             let by_class: Vec<String> =
                 by_class.map(|(class, (now, was))| format!("{class:?}={}", now - was)).collect();
             format!("{} rate={rate:.1}/s refused={refusals}", by_class.join(" ").to_lowercase())
