--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -105,7 +105,7 @@
     /// Returns the log details about quotas: how many jobs wait for quota, how many tasks were
     /// preempted within their team since the last call, and by team what its tasks use here and
     /// what this coordinator is granted, in cores and GPUs. `None`: no team has a quota.
-    pub fn limit_figures(&mut self, ctx: &Context) -> Option<String> {
+    pub fn quota_statistics(&mut self, ctx: &Context) -> Option<String> {
         if team_quotas(ctx).is_empty() {
             return None;
         }
--- a/crates/core/src/coordinator/service_statistics.rs
+++ b/crates/core/src/coordinator/service_statistics.rs
@@ -67,7 +67,7 @@
 impl Coordinator {
     /// Returns the log details of all groups, as `class.NAME=STARTED/SUBMITTED/LONGEST_WAIT_S`, and
     /// the largest job that has not started, with the time it has waited.
-    pub fn service_figures(&self, now: Timestamp) -> String {
+    pub fn start_statistics(&self, now: Timestamp) -> String {
         let groups = self.service_statistics.groups.iter().map(|(group, counts)| {
             let longest_wait_s = counts.longest_wait_ms.div_ceil(1000);
             format!("{group}={}/{}/{longest_wait_s}", counts.started, counts.submitted)
--- a/crates/core/src/coordinator/figures.rs
+++ b/crates/core/src/coordinator/statistics.rs
@@ -20,7 +20,7 @@
 impl Coordinator {
     /// Returns the log details about jobs, unwritten state and decisions, and resets the counts of
     /// decisions to 0.
-    pub fn figures(&mut self, now: Timestamp) -> String {
+    pub fn statistics(&mut self, now: Timestamp) -> String {
         let oldest_unwritten_ms =
             self.compaction.complete_jobs.values().min().map_or(0, |at| now.saturating_sub(*at));
         let uncompacted: usize = self
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    fn figures(&self, shard: u8, now: Timestamp) -> Option<String> {
+    fn statistics(&self, shard: u8, now: Timestamp) -> Option<String> {
         let (created, cause, job) = self.oldest.as_ref()?;
         let mut details = vec![format!("shard={shard}")];
         let counted = WaitCause::ALL.into_iter().filter(|cause| self.by_cause[*cause as usize] > 0);
@@ -112,12 +112,12 @@
 impl Coordinator {
     /// Returns the log details of the jobs that have been pending for [`MIN_WAIT_MS`]: their number
     /// by cause, and the oldest of them. `None`: there are no such jobs.
-    pub fn wait_figures(&self, ctx: &Context) -> Option<String> {
+    pub fn wait_statistics(&self, ctx: &Context) -> Option<String> {
         let mut counts = WaitCounts::default();
         for (job, cause) in self.wait_causes(ctx) {
             counts.add(job, cause);
         }
-        counts.figures(self.shard.0, ctx.now)
+        counts.statistics(self.shard.0, ctx.now)
     }
 
     /// Returns the jobs that have been pending for [`MIN_WAIT_MS`], each with its cause.
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -59,12 +59,12 @@
     fn log_owned_shards(&mut self, effects: &mut Effects) {
         for active in self.owned.iter_mut().flatten() {
             let context = self.shared.context(effects);
-            let coordinator = active.coordinator.figures(context.now);
+            let coordinator = active.coordinator.statistics(context.now);
             let participant = active.participant.figures(&context);
-            let served = active.coordinator.service_figures(context.now);
+            let served = active.coordinator.start_statistics(context.now);
             let obstacles = active.participant.obstacle_figures();
-            let waiting = active.coordinator.wait_figures(&context);
-            let limits = active.coordinator.limit_figures(&context);
+            let waiting = active.coordinator.wait_statistics(&context);
+            let limits = active.coordinator.quota_statistics(&context);
             effects.log(LogLevel::Info, "service_levels", || served);
             effects.log(LogLevel::Info, "coordinator", || coordinator);
             effects.log(LogLevel::Info, "participant", || participant);
