--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -51,7 +51,7 @@
 
     /// Returns the state of a job as users see it; `None` if the job is not known here or its
     /// terminal state is being written.
-    pub fn state(&self, id: JobId) -> Option<JobState> {
+    pub fn job_state(&self, id: JobId) -> Option<JobState> {
         if let Some(terminal) = self.terminal_jobs.get(&id) {
             return Some(job_state(id, *terminal));
         }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -143,7 +143,7 @@
             }
             return;
         }
-        match active.coordinator.state(id) {
+        match active.coordinator.job_state(id) {
             Some(state) => context.reply_state(req, 200, state),
             None => context.reply_error(req, 404, "unknown", None),
         }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -145,7 +145,7 @@
         if lookup.purpose == LookupPurpose::Cancellation {
             return active.coordinator.cancel(&mut context, lookup.req, lookup.id);
         }
-        let state = active.coordinator.state(lookup.id);
+        let state = active.coordinator.job_state(lookup.id);
         let found = state.is_some();
         if let Some(state) = state {
             context.reply_state(lookup.req, 200, state);
