--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -128,7 +128,7 @@
             let msg = NodeMessage::JobAnswer { call, answer };
             Effect::Mesh { to: from.to_string(), msg }
         };
-        let Some(active) = slot.filter(|active| valid && active.coordinator.ready()) else {
+        let Some(active) = slot.filter(|active| valid && active.coordinator.is_ready()) else {
             return effects.push(refusal(JobAnswer::NotMine));
         };
         if self.shared.relayed_requests.len() > MAX_OPEN_QUERIES {
@@ -144,7 +144,7 @@
             }
             return;
         }
-        match active.coordinator.state(id) {
+        match active.coordinator.job_state(id) {
             Some(state) => context.reply_state(req, 200, state),
             None => context.reply_error(req, 404, "unknown", None),
         }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -45,7 +45,7 @@
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let lease_uncertain_ms = self.shared.lease.in_doubt_ms(now);
         let assertion = |active: &ActiveShard| {
-            let complete = active.coordinator.ready() && !active.releasing;
+            let complete = active.coordinator.is_ready() && !active.releasing;
             complete.then_some(OwnedShard { epoch: active.epoch, lease_uncertain_ms })
         };
         self.owned.iter().map(|active| active.as_ref().and_then(assertion)).collect()
@@ -234,7 +234,7 @@
     /// The home node of a shard asks for it: its coordinator begins nothing new.
     pub(super) fn begin_handover(&mut self, shard: Shard, now: Timestamp) {
         if let Some(active) = self.active(shard) {
-            active.coordinator.relinquishing = true;
+            active.coordinator.is_relinquishing = true;
             active.handover_until = now + HANDOVER_TIMEOUT_MS;
         }
     }
@@ -242,11 +242,11 @@
     /// Orderly handover to the shard's home: gives the shard back once nothing of it is in flight.
     fn tick_handover(&mut self, effects: &mut Effects, shard: Shard) {
         let Some(active) = self.active(shard) else { return };
-        if !active.coordinator.relinquishing || active.releasing {
+        if !active.coordinator.is_relinquishing || active.releasing {
             return;
         }
         if effects.now > active.handover_until {
-            active.coordinator.relinquishing = false;
+            active.coordinator.is_relinquishing = false;
             return;
         }
         if !active.coordinator.is_idle() {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -137,7 +137,7 @@
     fn speaks_for(&self, shard: Shard, now: Timestamp) -> bool {
         let valid = self.shared.lease.valid(now) || !is_enforced(Guard::UserAnswerNeedsValidLease);
         let active = self.owned[shard.0 as usize].as_ref();
-        active.is_some_and(|active| valid && active.coordinator.ready())
+        active.is_some_and(|active| valid && active.coordinator.is_ready())
     }
 
     /// Answers for a shard of ours. False: the job is not known here.
@@ -147,7 +147,7 @@
         if lookup.purpose == LookupPurpose::Cancellation {
             return active.coordinator.cancel(&mut context, lookup.req, lookup.id);
         }
-        let state = active.coordinator.state(lookup.id);
+        let state = active.coordinator.job_state(lookup.id);
         let found = state.is_some();
         if let Some(state) = state {
             context.reply_state(lookup.req, 200, state);
@@ -265,9 +265,9 @@
         // done job went back to running.)
         let newer = revision > active.coordinator.jobs_loaded_revision
             || !is_enforced(Guard::LateSubmissionResponseIgnored);
-        if active.coordinator.ready() && newer {
+        if active.coordinator.is_ready() && newer {
             let mut context = self.shared.context(effects);
-            active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
+            active.coordinator.add_job_record(&mut context, &keys::job_key(shard, id), value);
             self.wake |= context.needs_round;
         }
     }
