--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Identifiers and counters as types of their own, so that one can't be taken for another.
+//! Identifiers and counters as distinct types, so that the compiler catches a mix-up.
 //!
-//! Those that end in `Idx` are indices into tables of one process: they mean nothing elsewhere, and
-//! are sent and stored by name.
+//! Types that end in `Idx` are indices into tables of this process and are valid only in it. On the
+//! wire and in the store, the name stands in place of the index.
 
 macro_rules! id {
     ($(#[$m:meta])* $name:ident, $t:ty) => {
@@ -12,7 +12,7 @@
 }
 
 id!(
-    /// The number in a job's name, which is given to it when it is submitted.
+    /// Number of a job: the numeric part of the name that its submission gives it.
     JobId, u64);
 id!(
     /// Index of a machine in [`crate::names::Names`].
@@ -27,42 +27,46 @@
     /// Index of a zone: its position in the settings.
     ZoneIdx, u8);
 id!(
-    /// Index of a controller: its position in the settings, the same on all controllers.
+    /// Index of a controller: its position in the settings, which is the same on all controllers.
     NodeIdx, u8);
 id!(
-    /// A partition of the machines and of the jobs, from 0; there are as many as controllers.
+    /// Number of a shard, from 0. Jobs and machines are partitioned into as many shards as there
+    /// are controllers.
     Shard, u8);
 id!(
-    /// Store revision at which a shard was acquired: the condition of its owner's writes and the
-    /// fencing token of its commands to workers.
+    /// Store revision at which a shard was acquired. The owner's writes are conditional on it, and
+    /// it is the fencing token of the owner's commands to workers.
     Epoch, u64);
 id!(
-    /// One start of a task. No number is used twice for a task: it is made of the epoch and of the
-    /// decision round.
+    /// Number of one attempt to run a task. It combines the epoch and the decision round, so a task
+    /// never gets the same number twice.
     Attempt, u64);
 id!(
-    /// One exchange of offers between a coordinator and the participants, numbered by the
-    /// coordinator.
+    /// Number of one negotiation (an exchange of requests and offers between a coordinator and the
+    /// participants), assigned by the coordinator.
     Negotiation, u64);
 
-/// The shard whose owner scales the fleet for all of them.
+/// The shard whose owner runs the provisioner, which scales the whole fleet.
 pub const PROVISIONER_SHARD: Shard = Shard(0);
 
-/// Milliseconds of this process's monotonic clock.
+/// Time on this process's monotonic clock, in milliseconds.
 pub type Timestamp = u64;
 
-/// Low bits of an [`Attempt`] that hold the decision round within its epoch; the epoch is above them.
+/// Number of low bits of an [`Attempt`] that hold the decision round within its epoch; the epoch is
+/// in the bits above.
 pub const ROUND_BITS: u32 = 20;
 const ROUND_MASK: u64 = (1 << ROUND_BITS) - 1;
 
 impl Attempt {
-    /// The attempt that a decision starts. Only the low [`ROUND_BITS`] bits of the round are kept.
+    /// Returns the number of the attempts that a decision round under this epoch starts. Only the
+    /// low [`ROUND_BITS`] bits of the round are kept.
     pub fn new(epoch: Epoch, round: u64) -> Attempt {
         Attempt((epoch.0 << ROUND_BITS) | (round & ROUND_MASK))
     }
 }
 
-/// A hash (the finalizer of `MurmurHash3`) that is the same on every node and in every version.
+/// Hashes a number with the finalizer of `MurmurHash3`. The result must be the same on every node
+/// and in every version, because it determines the shard of a job.
 fn mix(mut value: u64) -> u64 {
     value ^= value >> 33;
     value = value.wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -71,19 +75,19 @@
     value ^ (value >> 33)
 }
 
-/// The shard that coordinates a job. `shards` must not be 0.
+/// Returns the shard whose coordinator schedules the job. `shards` must not be 0.
 pub fn shard_of_job(job: JobId, shards: usize) -> Shard {
     Shard((mix(job.0) % shards as u64) as u8)
 }
 
-/// The shard whose participant a machine belongs to. `shards` must not be 0.
+/// Returns the shard whose participant manages the machine. `shards` must not be 0.
 pub fn shard_of_machine(name: &str, shards: usize) -> Shard {
-    // Machines are numbered in order: the remainder spreads them evenly.
+    // Machines are numbered consecutively, so the remainder distributes them evenly over the shards.
     let number = number_in_name(name).unwrap_or_else(|| mix(hash_of_name(name)));
     Shard((number % shards as u64) as u8)
 }
 
-/// All digits of a name as one number; `None` if there are none, or too many for 64 bits.
+/// Returns all digits of a name as one number; `None` if there are none, or too many for 64 bits.
 fn number_in_name(name: &str) -> Option<u64> {
     let digits = name.bytes().filter(u8::is_ascii_digit).map(|digit| u64::from(digit - b'0'));
     let mut digits = digits.peekable();
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out.
+//! Inputs and effects of the core, and the calls that it makes to outside services.
 use crate::ids::{JobId, Timestamp};
 use leaddeal_wire::mesh::NodeMessage;
 use leaddeal_wire::state::{Events, Item, Page, Transaction};
@@ -6,56 +6,56 @@
 use leaddeal_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
 use leaddeal_wire::{cloud, mesh};
 
-/// Ties a reply to its request at the gateway.
+/// Correlates a reply with its request at the gateway.
 pub type RequestId = u64;
-/// Ties an answer of an outside service to the core's call.
+/// Correlates the answer of an outside service with the core's call.
 pub type OperationId = u64;
 
-/// What happens to the core, one at a time.
+/// An event that the core handles. Inputs are handled one at a time.
 #[derive(Debug)]
 pub enum Input {
-    /// Some time has passed.
+    /// Time has passed: due timers run.
     Tick,
-    /// A user submits a job; `id` is none if it can't be read.
+    /// A user submits a job.
     Submit {
-        /// The request that is to be answered.
+        /// The request to answer.
         req: RequestId,
-        /// The job's number.
+        /// The job's number; `None` if its name can't be parsed.
         id: Option<JobId>,
-        /// The job, or why it can't be read.
+        /// The job, or why it can't be parsed.
         job: Result<Box<Job>, BadJob>,
     },
     /// A user asks for a job's state.
     Get {
-        /// The request that is to be answered.
+        /// The request to answer.
         req: RequestId,
         /// The job.
         id: JobId,
     },
     /// A user cancels a job.
     Cancel {
-        /// The request that is to be answered.
+        /// The request to answer.
         req: RequestId,
         /// The job.
         id: JobId,
     },
-    /// A worker's heartbeat.
+    /// A heartbeat that a worker sent to this node.
     WorkerHeartbeat {
-        /// The request that is to be answered.
+        /// The request to answer.
         req: RequestId,
         /// The heartbeat.
         report: Box<WorkerHeartbeat>,
     },
-    /// What became of a batch of direct commands to a worker.
+    /// The outcome of [`Effect::Commands`].
     CommandOutcome {
         /// The machine's name.
         machine: String,
         /// The number of the batch.
         batch: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: CommandOutcome,
     },
-    /// A message of the sibling of that name.
+    /// A message from a sibling, which is another controller.
     Mesh {
         /// The sibling's name.
         from: String,
@@ -78,45 +78,47 @@
     },
 }
 
-/// What became of a batch of direct commands.
+/// The outcome of a batch of commands sent directly to a worker.
 #[derive(Debug)]
 pub enum CommandOutcome {
-    /// 200, with the worker's report.
+    /// 200: the commands were executed; with the worker's status.
     Executed(Box<WorkerHeartbeat>),
-    /// 409: not executed, with the worker's report.
+    /// 409: the commands were not executed; with the worker's status.
     Refused(Box<WorkerHeartbeat>),
-    /// The connection never came about: nothing will be executed.
+    /// No connection was established, so the commands will never be executed.
     NotSent,
-    /// No answer: the commands may still be executed, even minutes later.
+    /// No answer was received: the commands may have been executed, or may still be, even minutes
+    /// later.
     Unknown,
 }
 
-/// The state service's answer. Revisions count all changes of the store.
+/// The state service's answer. A revision is a counter of all changes to the store.
 #[derive(Debug)]
 pub enum StoreResult {
-    /// A new lease, with its number.
+    /// The number of a new lease.
     Lease(u64),
     /// The lease was renewed.
     LeaseRenewed,
-    /// The lease is over, or never was.
+    /// The lease has expired or never existed.
     NoLease,
-    /// The transaction was executed, at this revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
-    /// The transaction was not executed: these keys did not have the versions of its conditions.
+    /// The transaction was not committed: these keys did not have the versions that its conditions
+    /// require.
     Conflict(Vec<String>),
-    /// The value of a key, if it is there.
+    /// The item of a key; `None` if the key does not exist.
     Item(Option<Item>),
-    /// A page of a list.
+    /// One page of a list.
     Page(Page),
-    /// What a watch has seen.
+    /// The changes that a watch received.
     Events(Events),
-    /// The watch is too far behind.
+    /// The revision after which to watch is older than the history that the store keeps.
     Compacted,
-    /// Certainly not executed (503).
+    /// 503: the call was not executed and will not be.
     Refused,
-    /// Certainly not executed: over the service's limits (429).
+    /// 429: the call exceeds the service's rate limits; it was not executed and will not be.
     RateLimited,
-    /// May have been executed, or may yet be.
+    /// The call may have been executed, or may still be.
     Unknown,
 }
 
@@ -125,26 +127,26 @@
 pub enum CloudResult {
     /// The machine types.
     Catalog(cloud::Catalog),
-    /// Instances were launched, with these names.
+    /// The names of the instances that were launched.
     Launched(Vec<String>),
-    /// Not launched: the cloud has no such instances now.
+    /// Nothing was launched: the cloud has no such instances at present.
     NoCapacity,
     /// The instances were released.
     Released,
-    /// A page of the list of instances.
+    /// One page of the list of instances.
     InstanceList(cloud::InstanceList),
-    /// Not executed: over the limit, or an outage.
+    /// The call was not executed because of the rate limit or an outage.
     Refused,
-    /// May have been executed, or may yet be.
+    /// The call may have been executed, or may still be.
     Unknown,
 }
 
 /// A call to the state service.
 #[derive(Debug)]
 pub enum StoreCall {
-    /// A new lease.
+    /// Creates a lease.
     NewLease {
-        /// Its life after a renewal, in ms.
+        /// Time from the grant or a renewal to the lease's expiry, in ms.
         ttl_ms: u64,
     },
     /// Renews the lease.
@@ -152,33 +154,32 @@
         /// The lease's number.
         lease: u64,
     },
-    /// Ends the lease, and deletes its keys.
+    /// Ends the lease and deletes the keys bound to it.
     EndLease {
         /// The lease's number.
         lease: u64,
     },
-    /// Makes the changes together, if all conditions hold.
+    /// Commits the changes atomically if all conditions hold.
     Transaction(Transaction),
     /// Reads one key.
     Get {
         /// The key.
         key: String,
     },
-    /// A page of the keys with that prefix, after that key if one is given.
+    /// Reads one page of the items whose keys have the prefix.
     List {
         /// The prefix of the keys.
         prefix: String,
-        /// The last one of the page before; none: the first page.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// Changes of keys with that prefix, after that revision; answered after `wait_ms` if there
-    /// are none.
+    /// Waits for changes of keys with the prefix.
     Watch {
         /// The prefix of the keys.
         prefix: String,
-        /// Changes after this revision.
+        /// Only changes after this revision are returned.
         after: u64,
-        /// For how long to wait for a change, in ms.
+        /// How long the service waits for a change before it answers with none, in ms.
         wait_ms: u64,
     },
 }
@@ -186,84 +187,85 @@
 /// A call to the cloud service.
 #[derive(Debug)]
 pub enum CloudCall {
-    /// The machine types.
+    /// Reads the machine types.
     Catalog,
     /// Launches instances.
     Launch(cloud::InstanceRequest),
-    /// Releases the instances of these names.
+    /// Releases the instances with these names.
     Release(Vec<String>),
-    /// A page of the instances, after that name if one is given.
+    /// Reads one page of the list of instances.
     List {
-        /// The last one of the page before; none: the first page.
+        /// The last name of the previous page; `None` for the first page.
         after: Option<String>,
     },
 }
 
-/// An answer to a user.
+/// The reply to a user's request.
 #[derive(Debug, Clone)]
 pub struct UserReply {
     /// The HTTP status.
     pub status: u16,
     /// The job's state, if the request succeeded.
     pub state: Option<JobState>,
-    /// Why the request was refused, for people.
+    /// Why the request was refused, as text for the user.
     pub error: Option<String>,
-    /// After how many seconds to ask again (`Retry-After`).
+    /// The user should retry after this many seconds (`Retry-After`).
     pub retry_after_s: Option<u32>,
 }
 
 impl UserReply {
-    /// 200: the job is known, and this is its state.
+    /// Returns the reply for a known job with this state (200).
     pub fn found(state: JobState) -> UserReply {
         UserReply { status: 200, state: Some(state), error: None, retry_after_s: None }
     }
 
-    /// 201: the request created the job.
+    /// Returns the reply for a request that created the job (201).
     pub fn created(state: JobState) -> UserReply {
         UserReply { status: 201, ..UserReply::found(state) }
     }
 }
 
-/// An answer to a worker's heartbeat.
+/// The reply to a worker's heartbeat.
 #[derive(Debug, Clone)]
 pub enum WorkerReply {
-    /// The answer of its machine's participant, which renews its lease.
+    /// The response of the machine's participant, which renews the worker's lease.
     HeartbeatResponse(HeartbeatResponse),
-    /// To be asked instead: the node of that name, or the next one.
+    /// The worker should send its heartbeat to the node of this name; `None`: to the next node.
     Redirect(Option<String>),
-    /// No owner of its machine's shard is known, or this node may not answer for it now.
+    /// The owner of the machine's shard is unknown, or this node owns the shard but may not answer
+    /// at present.
     Unavailable,
 }
 
-/// How important a line of the log is.
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Something is wrong that people should look into.
+    /// A fault that an operator should look into.
     Error = 0,
-    /// What operators want to see of normal work.
+    /// Normal operation that operators want to follow.
     Info = 1,
-    /// For the search for faults.
+    /// Details for debugging.
     Debug = 2,
 }
 
-/// What the core wants done, after one input.
+/// An action that the core requests after an input.
 #[derive(Debug)]
 pub enum Effect {
-    /// An answer to a user.
+    /// A reply to a user.
     User {
         /// The request that this answers.
         req: RequestId,
-        /// The answer.
+        /// The reply.
         reply: UserReply,
     },
-    /// An answer to a worker's heartbeat.
+    /// A reply to a worker's heartbeat.
     Worker {
         /// The request that this answers.
         req: RequestId,
-        /// The answer.
+        /// The reply.
         reply: WorkerReply,
     },
-    /// A message to the sibling of that name.
+    /// A message to a sibling.
     Mesh {
         /// The sibling's name.
         to: String,
@@ -284,50 +286,50 @@
         /// The call.
         call: CloudCall,
     },
-    /// Direct commands to a worker at that address.
+    /// A batch of commands sent directly to a worker, outside of its heartbeats.
     Commands {
         /// The machine's name.
         machine: String,
-        /// Where its worker listens.
+        /// The address at which the worker listens.
         addr: String,
-        /// The number of the batch.
+        /// The number of the batch, which [`Input::CommandOutcome`] repeats.
         batch: u64,
         /// The commands.
         direct: CommandBatch,
     },
-    /// A line of the log; the events are listed in `docs/operations.md`.
+    /// A log line; the events are listed in `docs/operations.md`.
     Log {
-        /// How important it is.
+        /// The severity.
         level: LogLevel,
         /// The name of the event.
         event: &'static str,
-        /// Its fields, as `name=value`, or a name.
+        /// The event's fields as `name=value`, or a single name.
         details: String,
     },
 }
 
-/// Where the core puts its outputs while it handles one input.
+/// Collects the effects of one input while the core handles it.
 pub struct Effects {
-    /// When the input is handled, by the steady clock.
+    /// Time at which the input is handled, on the monotonic clock.
     pub now: Timestamp,
-    /// In the order in which they are to be done.
+    /// The effects, in the order in which they must be carried out.
     pub list: Vec<Effect>,
-    /// How often a machine was evaluated for a job.
+    /// Number of times that a machine was evaluated for a job.
     pub machines_evaluated: u64,
 }
 
 impl Effects {
-    /// No outputs yet.
+    /// Returns an empty collection for an input that is handled at `now`.
     pub fn new(now: Timestamp) -> Effects {
         Effects { now, list: Vec::new(), machines_evaluated: 0 }
     }
 
-    /// One more output.
+    /// Appends an effect.
     pub fn push(&mut self, effect: Effect) {
         self.list.push(effect);
     }
 
-    /// One more line of the log.
+    /// Appends a log line.
     pub fn log(&mut self, level: LogLevel, event: &'static str, details: impl FnOnce() -> String) {
         self.push(Effect::Log { level, event, details: details() });
     }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to siblings that wait for an answer: queries about jobs, and relayed heartbeats.
+//! Calls to siblings that await an answer: job queries and relayed heartbeats.
 use super::{Node, MAX_OPEN_QUERIES, MAX_OPEN_RELAYS};
 use crate::context::{JobLookup, LookupPurpose, RelayedRequest};
 use crate::guards::{holds, Guard};
@@ -8,34 +8,37 @@
 use leaddeal_wire::worker::{HeartbeatResponse, WorkerHeartbeat};
 use std::collections::BTreeMap;
 
-/// A sibling that has not answered a query about a job, or a relayed heartbeat, within this time is
-/// not waited for.
+/// Timeout of a job query, or of a relayed heartbeat, in ms.
 const CALL_TIMEOUT_MS: u64 = 700;
-/// The same for a cancellation, which its owner first writes to the store.
+/// Timeout of a cancellation in ms. It is longer because the job's owner writes the cancellation to
+/// the store before it answers.
 const CANCELLATION_TIMEOUT_MS: u64 = 2500;
-/// Set in the numbers of siblings' requests, which keeps them apart from those of the gateway.
+/// Set in the request numbers of siblings' queries, which keeps them distinct from the gateway's
+/// request numbers.
 const SIBLING_REQUEST_BIT: RequestId = 1 << 62;
-/// The upper bits of a call's number are of the process's `boot`; this many count its calls.
+/// Number of low bits of a call's number that count the calls of a process; the bits above hold the
+/// process's `boot`.
 const BOOT_SHIFT: u32 = 20;
 
-/// A query about a job, to the owner of its shard.
+/// A job query sent to the owner of the job's shard.
 #[derive(Debug)]
 struct PendingJobQuery {
     lookup: JobLookup,
     timeout_at: Timestamp,
 }
 
-/// A worker's heartbeat that was passed on to the owner of its machine's shard.
+/// A worker's heartbeat that was relayed to the owner of its machine's shard.
 #[derive(Debug)]
 struct PendingRelay {
+    /// The worker's request.
     req: RequestId,
     timeout_at: Timestamp,
 }
 
-/// Calls to siblings by their numbers.
+/// Calls to siblings that await an answer, by number.
 ///
-/// Invariant: a process gives no number twice, and begins elsewhere than the ones before it, so that a
-/// late answer is taken for no other call's.
+/// Invariant: a process never uses a number twice, and starts at another number than the node's
+/// earlier processes, so a late answer is never matched to another call.
 #[derive(Debug)]
 pub(super) struct SiblingCalls {
     last_number: u64,
@@ -61,13 +64,13 @@
         self.job_queries.len() > MAX_OPEN_QUERIES
     }
 
-    pub(super) fn may_relay(&self) -> bool {
+    pub(super) fn can_relay(&self) -> bool {
         self.relays.len() < MAX_OPEN_RELAYS
     }
 }
 
 impl Node {
-    /// Asks the owner of the job's shard.
+    /// Sends a job query to the owner of the job's shard.
     pub(super) fn query_job(&mut self, effects: &mut Effects, owner: NodeIdx, lookup: JobLookup) {
         let call = self.calls.next_number();
         let cancel = lookup.purpose == LookupPurpose::Cancellation;
@@ -79,19 +82,20 @@
         self.calls.job_queries.insert(call, PendingJobQuery { lookup, timeout_at });
     }
 
-    /// Queries that got no answer in time: the store knows.
+    /// Handles the queries that were not answered in time.
     pub(super) fn expire_job_queries(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let queries = self.calls.job_queries.iter();
         let expired = queries.filter(|(_, query)| now >= query.timeout_at).map(|(call, _)| *call);
         for call in expired.collect::<Vec<u64>>() {
             let Some(query) = self.calls.job_queries.remove(&call) else { continue };
-            self.sibling_can_not_answer(effects, query.lookup);
+            self.answer_without_owner(effects, query.lookup);
         }
     }
 
-    /// No answer about a job, or a refusal: what can be read is read from the store.
-    fn sibling_can_not_answer(&mut self, effects: &mut Effects, lookup: JobLookup) {
+    /// Answers a lookup whose job's owner did not answer, or refused. The store can answer a question
+    /// about the job's state, but only the owner can cancel the job.
+    fn answer_without_owner(&mut self, effects: &mut Effects, lookup: JobLookup) {
         if lookup.purpose == LookupPurpose::Cancellation {
             self.reply_later(effects, lookup.req, 1);
         } else {
@@ -99,19 +103,20 @@
         }
     }
 
-    /// A sibling's answer. One that comes after the timeout is ignored.
-    pub(super) fn job_answered(&mut self, effects: &mut Effects, call: u64, answer: JobAnswer) {
+    /// Handles a sibling's answer to a job query. An answer after the timeout is ignored.
+    pub(super) fn on_job_answer(&mut self, effects: &mut Effects, call: u64, answer: JobAnswer) {
         let Some(query) = self.calls.job_queries.remove(&call) else { return };
         match answer {
             JobAnswer::State(state) => {
                 self.shared.context(effects).reply_state(query.lookup.req, 200, state);
             }
-            JobAnswer::Later => self.sibling_can_not_answer(effects, query.lookup),
+            JobAnswer::Later => self.answer_without_owner(effects, query.lookup),
             JobAnswer::NotMine | JobAnswer::Unknown => self.read_job(effects, query.lookup),
         }
     }
 
-    /// A sibling asks about a job of a shard that is ours, as far as it knows.
+    /// Answers a sibling's query about a job of a shard that, as far as the sibling knows, this node
+    /// owns.
     pub(super) fn answer_job_query(
         &mut self,
         effects: &mut Effects,
@@ -149,7 +154,7 @@
         }
     }
 
-    /// Passes a worker's heartbeat on to the owner of its machine's shard.
+    /// Relays a worker's heartbeat to the owner of its machine's shard.
     pub(super) fn relay_heartbeat(
         &mut self,
         effects: &mut Effects,
@@ -164,9 +169,9 @@
         effects.push(Effect::Mesh { to, msg: NodeMessage::RelayedHeartbeat { call, report } });
     }
 
-    /// The owner's answer to a relayed heartbeat; if it has none to give, the worker asks the next
-    /// node.
-    pub(super) fn relay_answered(
+    /// Passes the owner's answer to a relayed heartbeat to the worker. If the owner has none, the
+    /// worker is told to ask the next node.
+    pub(super) fn on_relay_answer(
         &mut self,
         effects: &mut Effects,
         call: u64,
@@ -177,7 +182,7 @@
         effects.push(Effect::Worker { req: relay.req, reply });
     }
 
-    /// The owner has not answered in time: the worker asks the next node.
+    /// Tells each worker whose relayed heartbeat was not answered in time to ask the next node.
     pub(super) fn expire_relays(&mut self, effects: &mut Effects) {
         let now = effects.now;
         while let Some(entry) = self.calls.relays.first_entry() {
@@ -190,10 +195,10 @@
     }
 }
 
-/// What a sibling wants of a job.
+/// A sibling's query about a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobQuery {
     pub(super) id: JobId,
-    /// It is to be cancelled; otherwise its state is wanted.
+    /// Whether the sibling wants the job cancelled; otherwise it asks for the job's state.
     pub(super) cancel: bool,
 }
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of messages between shards, on this node and on siblings.
+//! Delivery of messages between shards, within this node and to siblings.
 use super::{ActiveShard, Node};
 use crate::context::{Context, OutgoingMessage};
 use crate::guards::{holds, Guard};
@@ -7,21 +7,23 @@
 use crate::quota::phase::LimitPhase;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
-/// Rounds of delivery after one input; what is left then is delivered after the next one.
+/// Upper bound of delivery rounds after one input. Messages left after it are delivered after the
+/// next input.
 const MAX_DELIVERY_ROUNDS: usize = 50;
 
-/// A message to a shard of this node.
+/// A message to a shard that this node owns.
 pub(super) struct IncomingMessage {
     pub(super) from: Shard,
-    /// The epoch under which the sender's node acts for its shard.
+    /// The epoch under which the sending node owns the shard `from`.
     pub(super) from_epoch: Epoch,
     pub(super) to: Shard,
     pub(super) message: ShardMessage,
 }
 
 impl Node {
-    /// Delivers messages between shards, and starts decision rounds, until there are none.
-    pub(super) fn settle(&mut self, effects: &mut Effects) {
+    /// Delivers messages between shards and starts decision rounds until neither is left, for at most
+    /// [`MAX_DELIVERY_ROUNDS`].
+    pub(super) fn deliver_messages(&mut self, effects: &mut Effects) {
         for _ in 0..MAX_DELIVERY_ROUNDS {
             if std::mem::take(&mut self.wake) {
                 self.start_rounds(effects);
@@ -47,7 +49,8 @@
         }
     }
 
-    /// Stops everywhere here the tasks of jobs that were learned to be over.
+    /// Stops the tasks, on all machines of the owned shards, of jobs that became known to be in a
+    /// terminal state.
     fn stop_terminal_jobs(&mut self, effects: &mut Effects) {
         for job in self.shared.horizons.take_newly_terminal() {
             for active in self.owned.iter_mut().flatten().filter(|_| holds(Guard::StopOver)) {
@@ -56,8 +59,9 @@
         }
     }
 
-    /// Delivers a message here or sends it to the owner of its shard. It is lost if the sender's shard
-    /// was lost meanwhile, or if the other one has no owner that is known.
+    /// Delivers a message on this node or sends it to the node that owns the receiving shard. The
+    /// message is dropped if this node has lost the sending shard in the meantime, or if no owner of
+    /// the receiving shard is known.
     fn dispatch(&mut self, effects: &mut Effects, outgoing: OutgoingMessage) {
         let OutgoingMessage { from, to, message } = outgoing;
         let Some(from_epoch) = self.active_epoch(from) else { return };
@@ -65,7 +69,7 @@
         else {
             return;
         };
-        if owner.node == self.shared.me {
+        if owner.node == self.shared.this_node {
             if self.active_epoch(to) == Some(owner.epoch) {
                 self.deliver(effects, IncomingMessage { from, from_epoch, to, message });
             }
@@ -81,7 +85,7 @@
         effects.push(Effect::Mesh { to: self.shared.node_name(owner.node), msg });
     }
 
-    /// Hands a message to the part of the shard that it is for.
+    /// Passes a message to the component of the shard that handles it.
     pub(super) fn deliver(&mut self, effects: &mut Effects, incoming: IncomingMessage) {
         let IncomingMessage { from, from_epoch, to, message } = incoming;
         let mut context = self.shared.context(effects);
@@ -106,7 +110,7 @@
             | ShardMessage::ResendInventory
             | ShardMessage::Released { .. } => {
                 if from == PROVISIONER_SHARD {
-                    active.handle_provisioner(&mut context, to, message);
+                    active.on_provisioner_message(&mut context, to, message);
                 }
             }
             ShardMessage::UnmetDemand { .. }
@@ -129,8 +133,13 @@
 }
 
 impl ActiveShard {
-    /// A message of the provisioner to this shard's participant.
-    fn handle_provisioner(&mut self, context: &mut Context, shard: Shard, message: ShardMessage) {
+    /// Handles a message from the provisioner to this shard's participant.
+    fn on_provisioner_message(
+        &mut self,
+        context: &mut Context,
+        shard: Shard,
+        message: ShardMessage,
+    ) {
         match message {
             ShardMessage::Drain { machine } => self.drain(context, shard, machine),
             ShardMessage::OperatorMachines { newest } => self.participant.base = Some(newest),
@@ -144,7 +153,9 @@
             _ => {}
         }
     }
-    /// Drains an idle machine and confirms it to the provisioner; a machine with work is left as it is.
+
+    /// Drains an idle machine and confirms this to the provisioner. A machine that has work, or may
+    /// get some, is left unchanged.
     fn drain(&mut self, context: &mut Context, shard: Shard, machine: String) {
         if self.participant.drain(context, &machine) {
             context.send(shard, PROVISIONER_SHARD, ShardMessage::Drained { machine });
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -1,4 +1,4 @@
-//! Keeping this node's lease at the state service.
+//! Requests and renews this node's lease at the state service.
 use super::Node;
 use crate::context::Operation;
 use crate::guards::{holds, Guard};
@@ -6,13 +6,13 @@
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
 use crate::shard::{Lease, LEASE_MS, RENEW_MS};
 
-/// A call for the lease that got no answer for longer than this is taken for lost.
+/// A lease request or renewal without an answer for longer than this counts as lost, in ms.
 const LEASE_CALL_TIMEOUT_MS: u64 = 2500;
-/// After a renewal that failed.
+/// Delay of the next renewal after one that failed, in ms.
 const LEASE_RETRY_DELAY_MS: u64 = 300;
 
 impl Node {
-    /// Asks for a lease, or for a renewal of it, when that is due.
+    /// Requests a lease, or renews the present one, when that is due.
     pub(super) fn tick_lease(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let lease = &mut self.shared.lease;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The answer to a request for a lease that was sent at `sent`.
-    pub(super) fn lease_answered(
+    /// Handles the answer to a lease request that was sent at `sent`.
+    pub(super) fn on_lease_result(
         &mut self,
         effects: &mut Effects,
         sent: Timestamp,
@@ -41,7 +41,7 @@
     ) {
         let lease = &mut self.shared.lease;
         lease.sent = None;
-        // Counted from when this very request was sent, not a later try.
+        // The lease counts from when this request was sent, not from when a later one was.
         if let (StoreResult::Lease(id), None) = (result, lease.id) {
             lease.id = Some(*id);
             lease.renewed = sent;
@@ -49,8 +49,9 @@
         }
     }
 
-    /// The answer to a renewal of that lease, sent at `sent`. Ignored if it is of an earlier lease.
-    pub(super) fn renewal_answered(
+    /// Handles the answer to a renewal of the lease `id` that was sent at `sent`. The answer is
+    /// ignored if `id` is an earlier lease.
+    pub(super) fn on_renewal_result(
         &mut self,
         effects: &mut Effects,
         id: u64,
@@ -77,7 +78,8 @@
         }
     }
 
-    /// The state service knows the lease no more: a new one is asked for, and all shards are lost.
+    /// Handles the loss of the lease, which the state service no longer knows: drops all shards, and
+    /// makes the request for a new lease due.
     pub(super) fn lose_lease(&mut self, effects: &mut Effects) {
         self.shared.lease = Lease { next: effects.now, ..Lease::default() };
         self.drop_all(effects);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! One controller: the shards it owns, and what each input means for them.
+//! One controller: the shards that it owns, and the routing of inputs to their components.
 //!
-//! The node itself only routes. Each module below has one job; what they share is in
-//! `shared::SharedState`, so that a part of an owned shard can be borrowed beside it.
+//! Each submodule handles one concern of the node. The state that they share is in
+//! `shared::SharedState`, a field of its own beside the owned shards, so that a component of a shard
+//! and the shared state can be borrowed at the same time.
 use crate::coordinator::Coordinator;
 use crate::ids::{Epoch, Shard, Timestamp};
 use crate::io::{Effects, RequestId};
@@ -9,19 +10,22 @@
 use crate::quota::QuotaManager;
 use leaddeal_wire::settings::Settings;
 
-/// Calls to the state service in flight beyond which requests of users are refused at once. They grow
-/// with submissions and not with machines, and each may take a socket: at 500 requests a second, 300 are
-/// what the service answers in 0.6 s.
-const MAX_OPEN_STORE_CALLS: usize = 300;
-/// Queries of jobs to siblings, and of siblings, in flight beyond which further ones are refused at once.
-/// With 4,500 machines some 3,000 jobs are polled every 5 s: 280 are in flight while a sibling is silent.
+/// Users' requests are refused at once while more calls than this to outside services are in flight.
+/// Their number grows with submissions, not with machines, and each may take a socket. At 500
+/// requests per second, the state service answers 300 in 0.6 s.
+const MAX_OPEN_CALLS: usize = 300;
+/// Further job queries are refused at once while more than this are in flight; queries to siblings
+/// and queries from siblings are counted separately. With 4,500 machines some 3,000 jobs are polled
+/// every 5 s, and 280 queries are in flight while a sibling does not answer.
 const MAX_OPEN_QUERIES: usize = 2000;
-/// Heartbeats being relayed beyond which workers are redirected instead: more than all workers of a
-/// sibling's shard in a fleet of 4,500 machines.
+/// Workers are redirected while this many heartbeats are being relayed. The bound exceeds the number
+/// of workers of one sibling's shard in a fleet of 4,500 machines.
 const MAX_OPEN_RELAYS: usize = 5000;
-/// The state service has refused or not answered anything for this long: a sibling may do better.
+/// The state service counts as unavailable to this node after this time without an answer other than
+/// a refusal, in ms. Another controller may still reach it.
 const STORE_UNAVAILABLE_AFTER_MS: u64 = 5000;
-/// A new process listens to its siblings for this long before it takes itself for the best there is.
+/// For this long after its start, a process waits for its siblings' heartbeats before it may conclude
+/// that no sibling is ready, in ms.
 const STARTUP_LISTEN_MS: u64 = 1500;
 
 mod calls;
@@ -53,9 +57,9 @@
 use terminal_states::TerminalStates;
 use timers::Timers;
 
-/// A shard that this node acts for, with the parts that do so.
+/// A shard that this node owns, with the components that act for it.
 ///
-/// Invariant: its epoch is newer than every epoch of the shard that this process gave up
+/// Invariant: its epoch is newer than every epoch of the shard that this process relinquished
 /// ([`AcquisitionState::relinquished`]).
 #[derive(Debug)]
 struct ActiveShard {
@@ -63,38 +67,40 @@
     coordinator: Coordinator,
     participant: Participant,
     quota: QuotaManager,
-    /// The transaction that gives the shard back is in flight.
+    /// Whether the transaction that releases the shard is in flight.
     releasing: bool,
-    /// The handover that its home node asked for is called off after this time.
+    /// Deadline of the handover that the home node requested: after it the handover is abandoned.
     handover_until: Timestamp,
 }
 
 /// A controller's core: a state machine without I/O (see the crate's documentation).
 pub struct Node {
     shared: SharedState,
-    /// By shard: the parts that act for it, if this node owns it.
+    /// By shard: the components that act for it; `None` if this node does not own it.
     owned: Vec<Option<ActiveShard>>,
+    /// `None` unless this node owns `PROVISIONER_SHARD`.
     provisioner: Option<ActiveProvisioner>,
     shard_list: ShardListState,
     /// By shard.
     acquisitions: Vec<AcquisitionState>,
     calls: SiblingCalls,
-    /// Workers that don't reach their owners.
+    /// Workers that reach this node but may not reach the owner of their machine's shard.
     relay_table: RelayTable,
     terminal_states: TerminalStates,
     timers: Timers,
     statistics: Statistics,
-    /// When the state service last answered a call with more than a refusal.
+    /// When the state service last answered a call with anything but a refusal.
     store_answered_at: Timestamp,
-    /// Workers of a shard are relinquished, since what was cancelled is not known.
-    workers_relinquished: bool,
-    /// A coordinator may have work for a decision round.
+    /// Whether heartbeats are refused at present because cancellations may be unknown here.
+    heartbeats_refused: bool,
+    /// Whether a coordinator may have work for a decision round.
     wake: bool,
 }
 
 impl Node {
-    /// The node that the settings name. `boot` distinguishes this process from earlier ones of the
-    /// node and grows from one to the next; `now` is the present time of the steady clock.
+    /// Creates the node that the settings name. `boot` distinguishes this process from earlier ones
+    /// of the node and increases from one process to the next; `now` is the present time on the
+    /// monotonic clock.
     pub fn new(settings: &Settings, boot: u64, now: Timestamp) -> Node {
         let shared = SharedState::new(settings, boot, now);
         let shards = shared.shard_count();
@@ -110,31 +116,32 @@
             timers: Timers::new(now),
             statistics: Statistics::new(now),
             store_answered_at: now,
-            workers_relinquished: false,
+            heartbeats_refused: false,
             wake: false,
         }
     }
 
-    /// Whether this node can do what users ask for.
-    fn ready(&self, now: Timestamp) -> bool {
+    /// Whether this node can process users' requests.
+    fn is_ready(&self, now: Timestamp) -> bool {
         let store_available = now < self.store_answered_at + STORE_UNAVAILABLE_AFTER_MS;
-        !self.shared.names.catalog.is_empty() && self.shard_list.known && store_available
+        !self.shared.names.catalog.is_empty() && self.shard_list.is_known && store_available
     }
 
-    /// Whether users' requests should be routed here: also while this node can only refuse them, if
-    /// no sibling could do better, since a refusal with `Retry-After` is better than no answer.
-    /// (Found on days of our own: after a crash of all in an outage users met no controller until its
-    /// end.)
+    /// Whether users' requests should be routed to this node. This also holds while the node can only
+    /// refuse them, if no sibling is known to be ready: a refusal with `Retry-After` is better than no
+    /// answer. Without this rule, after all controllers had crashed during an outage, users reached
+    /// none of them until the outage ended.
     ///
-    /// A node that reaches neither the state service nor any sibling can't know whether they could: it
-    /// is cut off, more likely than all of them.
+    /// A node that reaches neither the state service nor any sibling is not healthy. It can't know
+    /// whether a sibling is ready, and it is more likely that this node is partitioned from the others
+    /// than that all of them failed.
     pub fn healthy(&self, now: Timestamp) -> bool {
         let health = &self.shared.health;
-        let best = !health.another_is_ready(now) && health.hears_any_sibling(now);
-        self.ready(now) || (now >= self.timers.started + STARTUP_LISTEN_MS && best)
+        let is_best_available = !health.another_is_ready(now) && health.hears_any_sibling(now);
+        self.is_ready(now) || (now >= self.timers.started + STARTUP_LISTEN_MS && is_best_available)
     }
 
-    /// The shards that this node acts for, with the epochs under which it does.
+    /// Returns the shards that this node owns, with the epochs under which it owns them.
     pub fn owned_shards(&self) -> Vec<(Shard, Epoch)> {
         self.owned
             .iter()
@@ -143,22 +150,23 @@
             .collect()
     }
 
-    /// How often a machine was evaluated for a job since the start: the work that grows with the fleet.
+    /// Returns how often a machine was evaluated for a job since the start of the process. This is
+    /// the work that grows with the size of the fleet.
     pub fn machines_evaluated(&self) -> u64 {
         self.statistics.machines_evaluated
     }
 
-    /// The parts that act for the shard, if this node owns it.
-    fn active(&mut self, shard: Shard) -> Option<&mut ActiveShard> {
+    /// Returns the components that act for the shard, if this node owns it.
+    fn active_shard(&mut self, shard: Shard) -> Option<&mut ActiveShard> {
         self.owned.get_mut(shard.0 as usize).and_then(Option::as_mut)
     }
 
-    /// The epoch under which this node acts for the shard, if it owns it.
+    /// Returns the epoch under which this node owns the shard, if it does.
     fn active_epoch(&self, shard: Shard) -> Option<Epoch> {
         self.owned.get(shard.0 as usize)?.as_ref().map(|active| active.epoch)
     }
 
-    /// Refuses a user's request for now; it may be repeated after `after_s` seconds.
+    /// Refuses a user's request temporarily (503); the user may retry after `after_s` seconds.
     fn reply_later(&mut self, effects: &mut Effects, req: RequestId, after_s: u32) {
         self.shared.context(effects).reply_later(req, 503, after_s);
     }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -1,4 +1,4 @@
-//! Which shards this node acquires, keeps, hands over and loses.
+//! Ownership of shards: this node's acquisitions, releases, handovers and losses.
 use super::provisioning::ActiveProvisioner;
 use super::{ActiveShard, Node};
 use crate::budget::WriteClass;
@@ -16,32 +16,33 @@
 use crate::stored::OwnerRecord;
 use leaddeal_wire::state::{Change, Condition, Transaction};
 
-/// Between two tries to acquire the same shard.
+/// Interval between two tries to acquire the same shard, in ms.
 const ACQUIRE_INTERVAL_MS: u64 = 700;
-/// A shard whose home node is reachable is left to that node for this long.
+/// Delay before other nodes acquire a vacant shard whose home node is reachable, in ms.
 const HOME_PRECEDENCE_MS: u64 = 1500;
-/// Each reachable node between the shard's home and this one goes first by this much.
+/// Additional delay for each reachable node between the shard's home node and this one, in ms.
 const ACQUIRE_STAGGER_MS: u64 = 400;
-/// For each shard that a node owns already, it waits longer by this much.
+/// Additional delay for each shard that this node owns already, in ms.
 const ACQUIRE_LOAD_DELAY_MS: u64 = 50;
-/// A shard that was handed over is not acquired again for this long.
+/// Delay before this node may acquire a shard that it has released, in ms.
 const REACQUIRE_DELAY_MS: u64 = 2000;
-/// A handover that is not done after this time is called off.
+/// A handover that is not complete after this time is abandoned, in ms.
 const HANDOVER_TIMEOUT_MS: u64 = 5000;
 
-/// What this process did to acquire one shard.
+/// State of this process's acquisitions of one shard.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AcquisitionState {
-    /// The newest epoch that this process acted under and acts under no more; 0: none. Invariant:
-    /// it never acts under this one, or an older one, again.
+    /// The newest epoch that this process has owned the shard under and relinquished; 0: none.
+    /// Invariant: the process never again acts under this epoch or an older one.
     pub(super) relinquished: Epoch,
-    /// The next try is not made before this time.
+    /// The next acquisition is not tried before this time.
     next_try: Timestamp,
 }
 
 impl Node {
-    /// What this node asserts of the shards that it acts for and has loaded completely, by shard.
-    /// Nothing while a shard is being released: that may have been executed already.
+    /// Returns, by shard, what this node asserts to its siblings about the shards that it owns and
+    /// has loaded completely. It asserts nothing about a shard that is being released, because the
+    /// release may have been executed already.
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let lease_uncertain_ms = self.shared.lease.in_doubt_ms(now);
         let assertion = |active: &ActiveShard| {
@@ -51,12 +52,14 @@
         self.owned.iter().map(|active| active.as_ref().and_then(assertion)).collect()
     }
 
-    /// Begins to act for the shard under that epoch, unless it is older than what is known.
+    /// Begins to act for the shard under that epoch, unless the epoch is out of date: this node
+    /// already acts under it or a newer one, knows an owner with a newer one, or has relinquished it.
     pub(super) fn begin_ownership(&mut self, effects: &mut Effects, shard: Shard, epoch: Epoch) {
         let index = shard.0 as usize;
         let owner = self.shared.owner(shard);
         let relinquished = self.acquisitions[index].relinquished;
-        // The second condition: the store's answer came late, and a newer owner is known.
+        // The second condition guards against a late answer of the store, after this node has learned
+        // of a newer owner.
         if self.active_epoch(shard).is_some_and(|active| active >= epoch)
             || (holds(Guard::OlderEpoch) && owner.is_some_and(|owner| owner.epoch > epoch))
             || (holds(Guard::GivenUp) && epoch <= relinquished)
@@ -67,7 +70,7 @@
         effects.log(LogLevel::Info, "shard_acquired", || {
             format!("shard={} epoch={}", shard.0, epoch.0)
         });
-        let owner = Owner { node: self.shared.me, boot: self.shared.boot, epoch };
+        let owner = Owner { node: self.shared.this_node, boot: self.shared.boot, epoch };
         self.shared.shard_views[index].set_owner(owner, effects.now);
         self.owned[index] = Some(self.new_active_shard(shard, epoch, effects.now));
         if shard == PROVISIONER_SHARD {
@@ -95,11 +98,11 @@
         }
     }
 
-    /// Stops acting for the shard, if this node does.
+    /// Stops acting for the shard, if this node owns it.
     pub(super) fn drop_shard(&mut self, effects: &mut Effects, shard: Shard) {
         if let Some(mut active) = self.owned[shard.0 as usize].take() {
-            // Numbers of rounds and attempts of this epoch are used, and the transaction that released
-            // the shard may yet be executed: this process never acts under the epoch again.
+            // This process must never act under the epoch again: it would reuse numbers of rounds and
+            // attempts, and the transaction that releases the shard may still be executed.
             self.acquisitions[shard.0 as usize].relinquished = active.epoch;
             active.coordinator.abandon(&mut self.shared.context(effects));
             effects.log(LogLevel::Info, "shard_lost", || {
@@ -124,8 +127,9 @@
         }
     }
 
-    /// Informs the participants here of all owners: a newer epoch ends what coordinators left open under
-    /// older ones, whatever the source of the news.
+    /// Informs the participants on this node of the owners of all shards. A newer epoch ends the
+    /// negotiations that a coordinator left open under an older one, wherever this node learned of
+    /// the epoch.
     pub(super) fn propagate_owners(&mut self) {
         for (shard, view) in self.shared.shards().zip(&self.shared.shard_views) {
             let Some(owner) = view.owner else { continue };
@@ -135,10 +139,10 @@
         }
     }
 
-    /// Acquires shards that nobody owns, and hands over those that their home node asked for.
+    /// Acquires vacant shards, and hands over shards that their home nodes have requested.
     pub(super) fn tick_ownership(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        if !self.shard_list.known
+        if !self.shard_list.is_known
             || !self.shared.lease.valid(now)
             || self.shared.names.catalog.is_empty()
         {
@@ -160,46 +164,50 @@
         }
     }
 
-    /// The version that the key of the shard must have to be acquired now; none: it is not to be.
+    /// Returns the version that the shard's key must have for an acquisition now (0: the key does not
+    /// exist); `None`: the shard is not to be acquired now.
     fn acquirable_version(&self, shard: Shard, now: Timestamp) -> Option<u64> {
         let view = self.shared.shard_views[shard.0 as usize];
         let Some(owner) = view.owner else {
             let due = now >= view.vacant_since + self.acquisition_delay_ms(shard, now);
             return due.then_some(0);
         };
-        // Our own process before this one held it, and is dead; or this one gave that epoch up.
+        // This node owned the shard and no longer acts for it: either the owner was an earlier process
+        // of this node, which has ended, or this process has relinquished the epoch.
         let relinquished = self.acquisitions[shard.0 as usize].relinquished;
-        let ours_and_over = owner.node == self.shared.me
+        let is_own_former_epoch = owner.node == self.shared.this_node
             && (owner.boot != self.shared.boot || owner.epoch <= relinquished);
-        ours_and_over.then_some(owner.epoch.0)
+        is_own_former_epoch.then_some(owner.epoch.0)
     }
 
-    /// For how long, in ms, a vacant shard is left to others. A node acquires its home shard at once;
-    /// others follow in order of distance from it, and later if the home node is alive.
+    /// Returns the delay, in ms, before this node acquires a vacant shard. A node acquires its home
+    /// shard at once. Other nodes follow in order of their distance from the home node, and later if
+    /// the home node is reachable.
     fn acquisition_delay_ms(&self, shard: Shard, now: Timestamp) -> u64 {
         if shard == self.shared.home_shard() {
             return 0;
         }
         let count = self.shared.shard_count();
         let home = shard.0 as usize;
-        let is_alive = |node: usize| self.shared.health.hears(NodeIdx(node as u8), now);
+        let is_reachable = |node: usize| self.shared.health.hears(NodeIdx(node as u8), now);
         let nodes_ahead = (1..count)
             .map(|distance| (home + distance) % count)
-            .take_while(|&node| node != self.shared.me.0 as usize)
-            .filter(|&node| is_alive(node))
+            .take_while(|&node| node != self.shared.this_node.0 as usize)
+            .filter(|&node| is_reachable(node))
             .count() as u64;
         let owned = self.owned.iter().flatten().count() as u64;
-        let home_ms = if is_alive(home) { HOME_PRECEDENCE_MS } else { 0 };
+        let home_ms = if is_reachable(home) { HOME_PRECEDENCE_MS } else { 0 };
         home_ms + nodes_ahead * ACQUIRE_STAGGER_MS + owned * ACQUIRE_LOAD_DELAY_MS
     }
 
-    /// Writes this node into the shard's key, if that has the version.
+    /// Tries to acquire the shard: writes this node into the shard's key, on condition that the key
+    /// has this version.
     fn acquire(&mut self, effects: &mut Effects, shard: Shard, version: u64) {
         let index = shard.0 as usize;
         self.acquisitions[index].next_try = effects.now + ACQUIRE_INTERVAL_MS;
         self.shared.shard_views[index].acquiring = true;
         let key = keys::shard_key(shard);
-        let node = self.shared.node_name(self.shared.me);
+        let node = self.shared.node_name(self.shared.this_node);
         let value = OwnerRecord { boot: self.shared.boot, node }.encode();
         let transaction = Transaction {
             conditions: vec![Condition { key: key.clone(), version }],
@@ -210,8 +218,9 @@
         context.store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
     }
 
-    /// The answer to an acquisition. If another node owns the shard, the watch will report it.
-    pub(super) fn acquisition_answered(
+    /// Handles the answer to an acquisition. If another node has acquired the shard, the watch on the
+    /// shards' keys will report it.
+    pub(super) fn on_acquisition_result(
         &mut self,
         effects: &mut Effects,
         shard: Shard,
@@ -229,17 +238,19 @@
         }
     }
 
-    /// The home node of a shard asks for it: its coordinator begins nothing new.
+    /// Begins the handover of a shard to its home node, which has requested it: the coordinator starts
+    /// nothing new.
     pub(super) fn begin_handover(&mut self, shard: Shard, now: Timestamp) {
-        if let Some(active) = self.active(shard) {
+        if let Some(active) = self.active_shard(shard) {
             active.coordinator.relinquishing = true;
             active.handover_until = now + HANDOVER_TIMEOUT_MS;
         }
     }
 
-    /// Orderly handover to the shard's home: gives the shard back once nothing of it is in flight.
+    /// Continues a handover to the shard's home node: releases the shard once its coordinator is idle,
+    /// or abandons the handover after its deadline.
     fn tick_handover(&mut self, effects: &mut Effects, shard: Shard) {
-        let Some(active) = self.active(shard) else { return };
+        let Some(active) = self.active_shard(shard) else { return };
         if !active.coordinator.relinquishing || active.releasing {
             return;
         }
@@ -262,8 +273,8 @@
         context.store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
     }
 
-    /// The answer to the transaction that gives a shard back.
-    pub(super) fn release_answered(
+    /// Handles the answer to the transaction that releases a shard.
+    pub(super) fn on_release_result(
         &mut self,
         effects: &mut Effects,
         shard: Shard,
@@ -281,7 +292,8 @@
                 self.acquisitions[index].next_try = effects.now + REACQUIRE_DELAY_MS;
             }
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
-            // It may be released already: stop acting, and wait for the lease or the watch to show.
+            // The shard may have been released already, so this node stops acting for it. The lease or
+            // the watch on the shards' keys will show whether it was.
             StoreResult::Unknown if holds(Guard::ReleaseUnsure) => self.drop_shard(effects, shard),
             _ => {
                 if let Some(active) = &mut self.owned[index] {
--- a/crates/core/src/node/provisioning.rs
+++ b/crates/core/src/node/provisioning.rs
@@ -1,4 +1,4 @@
-//! The provisioner's calls and their answers, while this node owns its shard.
+//! Routes answers to the provisioner while this node owns its shard.
 use super::Node;
 use crate::context::{Operation, ProvisionerOperation};
 use crate::ids::Epoch;
@@ -7,17 +7,18 @@
 use crate::provisioner::Provisioner;
 use crate::stored::OperatorMachinesRecord;
 
-/// The provisioner, which is here while this node owns `PROVISIONER_SHARD`.
+/// The provisioner, which runs on this node while the node owns `PROVISIONER_SHARD`.
 #[derive(Debug)]
 pub(super) struct ActiveProvisioner {
-    /// The epoch of its shard: answers to calls under other epochs are not for it.
+    /// The epoch under which the shard is owned. Answers to calls under other epochs are ignored.
     pub(super) epoch: Epoch,
     pub(super) provisioner: Provisioner,
 }
 
 impl Node {
-    /// The cloud's answer to a call that the provisioner of that epoch made.
-    pub(super) fn provisioner_answered(
+    /// Handles the cloud's answer to a call of the provisioner. The answer is ignored unless the
+    /// provisioner still acts under the epoch of the call.
+    pub(super) fn on_provisioner_result(
         &mut self,
         effects: &mut Effects,
         epoch: Epoch,
@@ -28,8 +29,9 @@
         active.provisioner.on_cloud_result(&mut self.shared.context(effects), operation, result);
     }
 
-    /// The record of the newest machine of the operator was created, or was there: it is read back.
-    pub(super) fn operator_machines_put(&mut self, effects: &mut Effects, result: &StoreResult) {
+    /// Handles the answer to the creation of the record of the operator's newest machine. If the record
+    /// was created or existed already, it is read back.
+    pub(super) fn on_operator_machines_put(&mut self, effects: &mut Effects, result: &StoreResult) {
         match result {
             StoreResult::Committed(_) | StoreResult::Conflict(_) => {
                 let call = StoreCall::Get { key: keys::BASE_KEY.into() };
@@ -39,7 +41,8 @@
         }
     }
 
-    pub(super) fn operator_machines_read(&mut self, result: StoreResult) {
+    /// Handles the answer to the read of the record of the operator's newest machine.
+    pub(super) fn on_operator_machines_read(&mut self, result: StoreResult) {
         let newest = match result {
             StoreResult::Item(Some(item)) => {
                 let record = OperatorMachinesRecord::decode(&item.value);
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -1,109 +1,112 @@
-//! Workers that don't reach the owner of their machine's shard, though this node does: their
-//! heartbeats are relayed to it, and its answers back. (Found on incidents and hunts: a controller that
-//! lost its workers and nothing else kept its shard, all its siblings sent the workers back to it, and
-//! the leases of its whole part ran out.)
+//! Relays heartbeats of workers that can't reach the owner of their machine's shard while this node
+//! can. Without relaying, a controller that was unreachable for its workers, but for nothing else,
+//! kept its shard, all its siblings redirected the workers back to it, and the leases of all workers
+//! of the shard expired.
 //!
 //! Invariants:
-//! - an answer is the owner's own, under its epoch: the node that relays it grants and commands nothing;
-//! - a worker is redirected to its owner again at growing intervals, and only just after an answer, so
-//!   that its lease outlasts a failed attempt;
-//! - a worker that comes here because its owner is new is sent there at once: a takeover brings them
-//!   all.
+//! - An answer is always the owner's own, under its epoch. The relaying node grants and commands
+//!   nothing.
+//! - A relayed worker is redirected to the owner again at growing intervals, and only shortly after an
+//!   answer, so its lease outlasts a failed try to reach the owner.
+//! - A worker that sends its heartbeat here because its shard has a new owner is redirected at once,
+//!   because after a failover all workers of the shard do so.
 use crate::ids::{MachineIdx, Timestamp};
 use std::collections::HashMap;
 
-/// A worker that comes back within this time after it was sent to its owner did not reach it: a
-/// worker waits 4 s for an answer, and 1 s more.
+/// A redirected worker that sends a heartbeat here again within this time, in ms, did not reach the
+/// owner: a worker waits 4 s for an answer, and 1 s more before it asks the next node.
 const RETURN_WINDOW_MS: u64 = 12_000;
-/// A worker's heartbeats are relayed for this long before the worker is redirected again; twice as
-/// long after each failed attempt.
+/// Time for which a worker's heartbeats are relayed before the worker is redirected again, in ms. It
+/// doubles after each redirect that fails.
 const INITIAL_RELAY_MS: u64 = 15_000;
-/// Upper bound of that time.
+/// Upper bound of the time between two redirects of a worker, in ms.
 const MAX_RELAY_MS: u64 = 120_000;
-/// The worker's lease was renewed by a relayed heartbeat within this time: it outlasts an attempt.
+/// A worker's lease outlasts a failed redirect if a relayed heartbeat renewed it within this time, in
+/// ms.
 const FRESH_LEASE_MS: u64 = 8_000;
-/// A worker that has not come for this long starts anew.
+/// A worker that has sent no heartbeat here for this long is forgotten, in ms.
 const FORGET_AFTER_MS: u64 = 180_000;
-/// An owner is new for this long: workers are still on their way to it.
+/// An owner counts as new for this long, in ms: workers may not have switched to it yet.
 const NEW_OWNER_MS: u64 = 10_000;
 
-/// How a worker's heartbeat gets to the owner of its machine's shard.
+/// How a worker's heartbeat reaches the owner of its machine's shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// The worker is sent to the owner.
-    Direct,
-    /// Its heartbeat is passed on.
+    /// The worker is redirected to the owner.
+    Redirected,
+    /// This node relays the heartbeat.
     Relayed,
 }
 
-/// A heartbeat of a worker whose machine's shard is a sibling's.
+/// A heartbeat, received by this node, of a worker whose machine's shard a sibling owns.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WorkerVisit {
+pub(super) struct MisdirectedHeartbeat {
     pub(super) machine: MachineIdx,
-    /// It has tasks, which its lease keeps alive.
-    pub(super) busy: bool,
+    /// Whether the worker has tasks, which it stops when its lease expires.
+    pub(super) has_tasks: bool,
     /// For how long, in ms, the shard has had its present owner.
-    pub(super) owner_for_ms: u64,
+    pub(super) owner_age_ms: u64,
 }
 
-/// What is remembered of one such worker.
+/// What this node remembers of a worker that has sent it misdirected heartbeats.
 #[derive(Clone, Copy, Debug)]
-struct VisitHistory {
-    last_visit: Timestamp,
-    /// When it was last sent to the owner, and not come back yet.
+struct RoutingHistory {
+    last_heartbeat_at: Timestamp,
+    /// When the worker was redirected to the owner; `None` if its last heartbeat was relayed.
     redirected_at: Option<Timestamp>,
-    /// When a heartbeat of it was last relayed.
+    /// When a heartbeat of the worker was last relayed.
     relayed_at: Option<Timestamp>,
-    /// It is not redirected before this time.
-    retry_direct_at: Timestamp,
-    /// For how long, in ms, it is relayed after the next failed attempt. Invariant: at most
+    /// The worker is not redirected before this time.
+    retry_redirect_at: Timestamp,
+    /// For how long, in ms, the worker is relayed after the next failed redirect. Invariant: at most
     /// `MAX_RELAY_MS`.
     relay_ms: u64,
 }
 
-/// Workers that came here though their machines' shards are a sibling's.
+/// Workers that have sent heartbeats to this node although siblings own their machines' shards.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RelayTable {
-    visits: HashMap<MachineIdx, VisitHistory>,
+    workers: HashMap<MachineIdx, RoutingHistory>,
 }
 
 impl RelayTable {
-    /// A worker of a sibling's shard has come: decides how its heartbeat goes on.
-    pub(super) fn route(&mut self, visit: WorkerVisit, now: Timestamp) -> Route {
-        let history = self.visits.entry(visit.machine).or_insert(VisitHistory {
-            last_visit: now,
+    /// Decides how a misdirected heartbeat reaches the owner of its machine's shard.
+    pub(super) fn route(&mut self, heartbeat: MisdirectedHeartbeat, now: Timestamp) -> Route {
+        let history = self.workers.entry(heartbeat.machine).or_insert(RoutingHistory {
+            last_heartbeat_at: now,
             redirected_at: None,
             relayed_at: None,
-            retry_direct_at: now,
+            retry_redirect_at: now,
             relay_ms: INITIAL_RELAY_MS,
         });
-        history.last_visit = now;
+        history.last_heartbeat_at = now;
         let redirected_at = history.redirected_at.take();
         if redirected_at.is_some_and(|at| now < at + RETURN_WINDOW_MS) {
-            history.retry_direct_at = now + history.relay_ms;
+            history.retry_redirect_at = now + history.relay_ms;
             history.relay_ms = (history.relay_ms * 2).min(MAX_RELAY_MS);
         }
-        // By the time that it comes, most of its lease may be over: one more failed attempt, and
-        // its tasks are lost. (Found on a hunt: workers that had come by during a takeover, long before
-        // their owner lost them, were redirected first, and 169 leases ran out.)
-        let fresh = history.relayed_at.is_some_and(|at| now < at + FRESH_LEASE_MS);
-        let lease_at_risk = !fresh && visit.busy && visit.owner_for_ms >= NEW_OWNER_MS;
-        if lease_at_risk || now < history.retry_direct_at {
+        // When a worker turns to this node, most of its lease may have passed, and one more failed
+        // redirect would lose its tasks. 169 leases expired when workers were redirected first because
+        // they had sent heartbeats here during a failover, long before they lost their owner.
+        let is_lease_fresh = history.relayed_at.is_some_and(|at| now < at + FRESH_LEASE_MS);
+        let is_lease_at_risk =
+            !is_lease_fresh && heartbeat.has_tasks && heartbeat.owner_age_ms >= NEW_OWNER_MS;
+        if is_lease_at_risk || now < history.retry_redirect_at {
             history.relayed_at = Some(now);
             return Route::Relayed;
         }
         history.redirected_at = Some(now);
-        Route::Direct
+        Route::Redirected
     }
 
-    /// Forgets workers that have not come for long.
+    /// Forgets workers that have not sent a heartbeat here for [`FORGET_AFTER_MS`].
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.visits.retain(|_, history| now < history.last_visit + FORGET_AFTER_MS);
+        self.workers.retain(|_, history| now < history.last_heartbeat_at + FORGET_AFTER_MS);
     }
 
-    /// How many workers' heartbeats are relayed now.
+    /// Returns the number of workers whose heartbeats are being relayed.
     pub(super) fn relayed_workers(&self, now: Timestamp) -> usize {
-        self.visits.values().filter(|history| now < history.retry_direct_at).count()
+        self.workers.values().filter(|history| now < history.retry_redirect_at).count()
     }
 }
 
--- a/crates/core/src/node/relay/tests.rs
+++ b/crates/core/src/node/relay/tests.rs
@@ -1,107 +1,132 @@
 use super::*;
 
 const MACHINE: MachineIdx = MachineIdx(3);
-/// Of a worker: between two reports, until a report counts as lost, until it asks the next node,
-/// and its lease.
-const REPORT_MS: u64 = 2500;
-const TIMEOUT_MS: u64 = 4000;
-const NEXT_MS: u64 = 1000;
-const LEASE_MS: u64 = 12_000;
+/// Interval between two heartbeats of a worker.
+const HEARTBEAT_INTERVAL_MS: u64 = 2500;
+/// Time after which a worker gives up waiting for an answer.
+const ANSWER_TIMEOUT_MS: u64 = 4000;
+/// Time that a worker waits after that before it asks the next node.
+const NEXT_NODE_DELAY_MS: u64 = 1000;
+const WORKER_LEASE_MS: u64 = 12_000;
 
-fn visit(machine: MachineIdx, busy: bool, owner_for_ms: u64) -> WorkerVisit {
-    WorkerVisit { machine, busy, owner_for_ms }
+fn heartbeat(machine: MachineIdx, has_tasks: bool, owner_age_ms: u64) -> MisdirectedHeartbeat {
+    MisdirectedHeartbeat { machine, has_tasks, owner_age_ms }
 }
 
-/// Plays a worker that can't reach its owner; returns the longest time between two reports that
-/// were answered, and how many were sent on in vain.
-fn cut_off(table: &mut RelayTable, minutes: u64) -> (Timestamp, u32) {
-    // Its last report to the owner that was answered, then one that was not.
-    let mut granted = 100_000;
-    let mut now = granted + REPORT_MS + TIMEOUT_MS + NEXT_MS;
-    let (mut longest, mut vain) = (0, 0);
-    while now < granted + minutes * 60_000 && now < 100_000 + minutes * 60_000 {
-        match table.route(visit(MACHINE, true, 60_000), now) {
+/// Simulates a worker that can't reach its owner. Returns the longest time between two answered
+/// heartbeats, and the number of redirects that failed.
+fn simulate_unreachable_owner(table: &mut RelayTable, minutes: u64) -> (Timestamp, u32) {
+    // The owner answered one heartbeat and then no further one.
+    let mut answered_at = 100_000;
+    let mut now = answered_at + HEARTBEAT_INTERVAL_MS + ANSWER_TIMEOUT_MS + NEXT_NODE_DELAY_MS;
+    let (mut longest, mut failed) = (0, 0);
+    while now < answered_at + minutes * 60_000 && now < 100_000 + minutes * 60_000 {
+        match table.route(heartbeat(MACHINE, true, 60_000), now) {
             Route::Relayed => {
-                longest = longest.max(now - granted);
-                granted = now;
-                now += REPORT_MS;
+                longest = longest.max(now - answered_at);
+                answered_at = now;
+                now += HEARTBEAT_INTERVAL_MS;
             }
-            Route::Direct => {
-                vain += 1;
-                now += TIMEOUT_MS + NEXT_MS;
+            Route::Redirected => {
+                failed += 1;
+                now += ANSWER_TIMEOUT_MS + NEXT_NODE_DELAY_MS;
             }
         }
     }
-    (longest, vain)
+    (longest, failed)
 }
 
 #[test]
-fn a_lease_outlasts_every_try_of_the_direct_way() {
+fn lease_outlasts_failed_redirects() {
     let mut table = RelayTable::default();
-    let (longest, vain) = cut_off(&mut table, 10);
-    assert!(longest < LEASE_MS, "no answer for {longest} ms");
-    assert!((2..12).contains(&vain), "{vain} tries in ten minutes");
+    let (longest, failed) = simulate_unreachable_owner(&mut table, 10);
+    assert!(longest < WORKER_LEASE_MS, "no answer for {longest} ms");
+    assert!((2..12).contains(&failed), "{failed} redirects in ten minutes");
     assert_eq!(table.relayed_workers(100_000 + 600_000 + FORGET_AFTER_MS), 0);
 }
 
-/// A worker somewhere in a bounded search: where its next report goes, and when it was answered.
+/// A state of the bounded search.
 #[derive(Clone)]
-struct Step {
+struct SearchState {
     relay_table: RelayTable,
-    at_owner: bool,
-    granted: Timestamp,
+    /// Whether the worker sends its next heartbeat to the owner; otherwise to the relaying node.
+    to_owner: bool,
+    /// When the worker was last answered.
+    answered_at: Timestamp,
     now: Timestamp,
 }
 
-/// Every way in which the direct way can come and go over `depth` heartbeats: as long as the sibling
-/// can be reached, no lease runs out. Returns how many histories there were.
-fn search(step: &Step, depth: u32) -> u64 {
-    assert!(step.now - step.granted < LEASE_MS, "no answer since {} at {}", step.granted, step.now);
+/// Checks, for every sequence of `depth` heartbeats in which the owner is or is not reachable for the
+/// worker, that no lease expires while the relaying node is reachable. Returns the number of
+/// sequences.
+fn search(state: &SearchState, depth: u32) -> u64 {
+    assert!(
+        state.now - state.answered_at < WORKER_LEASE_MS,
+        "no answer since {} at {}",
+        state.answered_at,
+        state.now
+    );
     if depth == 0 {
         return 1;
     }
-    let mut next = step.clone();
-    if !step.at_owner {
-        match next.relay_table.route(visit(MACHINE, true, 60_000), step.now) {
+    let mut next = state.clone();
+    if !state.to_owner {
+        match next.relay_table.route(heartbeat(MACHINE, true, 60_000), state.now) {
             Route::Relayed => {
-                (next.granted, next.now) = (step.now, step.now + REPORT_MS);
+                (next.answered_at, next.now) = (state.now, state.now + HEARTBEAT_INTERVAL_MS);
             }
-            // At once or after up to half a second.
-            Route::Direct => (next.at_owner, next.now) = (true, step.now + 500),
+            // A redirected worker sends its heartbeat to the owner at once or within half a second.
+            Route::Redirected => (next.to_owner, next.now) = (true, state.now + 500),
         }
         return search(&next, depth - 1);
     }
-    let up = Step { granted: step.now, now: step.now + REPORT_MS, ..next.clone() };
-    let down = Step { at_owner: false, now: step.now + TIMEOUT_MS + NEXT_MS, ..next };
-    search(&up, depth - 1) + search(&down, depth - 1)
+    let reachable = SearchState {
+        answered_at: state.now,
+        now: state.now + HEARTBEAT_INTERVAL_MS,
+        ..next.clone()
+    };
+    let unreachable = SearchState {
+        to_owner: false,
+        now: state.now + ANSWER_TIMEOUT_MS + NEXT_NODE_DELAY_MS,
+        ..next
+    };
+    search(&reachable, depth - 1) + search(&unreachable, depth - 1)
 }
 
 #[test]
-fn no_history_of_a_direct_way_that_comes_and_goes_ends_a_lease() {
-    let (at_owner, granted) = (true, 100_000);
-    let first =
-        Step { relay_table: RelayTable::default(), at_owner, granted, now: granted + REPORT_MS };
-    let histories = search(&first, 32);
-    assert!(histories > 10_000, "{histories} histories");
+fn intermittent_path_to_owner_expires_no_lease() {
+    let (to_owner, answered_at) = (true, 100_000);
+    let first = SearchState {
+        relay_table: RelayTable::default(),
+        to_owner,
+        answered_at,
+        now: answered_at + HEARTBEAT_INTERVAL_MS,
+    };
+    let sequences = search(&first, 32);
+    assert!(sequences > 10_000, "{sequences} sequences");
 }
 
 #[test]
-fn who_can_reach_its_owner_is_sent_there() {
+fn redirects_worker_without_lease_at_risk() {
     let mut table = RelayTable::default();
-    assert_eq!(table.route(visit(MACHINE, false, 60_000), 1000), Route::Direct, "nothing to lose");
-    assert_eq!(table.route(visit(MACHINE, true, 500), 80_000), Route::Direct, "its owner is new");
+    assert_eq!(table.route(heartbeat(MACHINE, false, 60_000), 1000), Route::Redirected, "no tasks");
+    assert_eq!(
+        table.route(heartbeat(MACHINE, true, 500), 80_000),
+        Route::Redirected,
+        "its owner is new"
+    );
     let n = MachineIdx(4);
-    assert_eq!(table.route(visit(n, true, 60_000), 1000), Route::Relayed);
+    assert_eq!(table.route(heartbeat(n, true, 60_000), 1000), Route::Relayed);
     assert_eq!(
-        table.route(visit(n, true, 60_000), 3500),
-        Route::Direct,
-        "with a fresh lease it is tried"
+        table.route(heartbeat(n, true, 60_000), 3500),
+        Route::Redirected,
+        "its lease is fresh"
     );
     assert_eq!(
-        table.route(visit(n, true, 60_000), 90_000),
+        table.route(heartbeat(n, true, 60_000), 90_000),
         Route::Relayed,
-        "much later it is in need again"
+        "much later its lease is at risk again"
     );
     table.expire(90_000 + FORGET_AFTER_MS);
-    assert!(table.visits.is_empty());
+    assert!(table.workers.is_empty());
 }
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -1,4 +1,4 @@
-//! What the state service says of the shards' owners: the list, then a watch stream.
+//! Reads the shards' keys, and so their owners, from the state service: a list, then a watch stream.
 use super::Node;
 use crate::context::Operation;
 use crate::ids::{Epoch, NodeIdx, Shard, Timestamp};
@@ -8,42 +8,42 @@
 use crate::stored::OwnerRecord;
 use leaddeal_wire::state::Events;
 
-/// A watch without events is answered after this time.
+/// The state service answers a watch without events after this time, in ms.
 const WATCH_WAIT_MS: u64 = 15_000;
-/// After a list that failed.
+/// Delay before the next list after one that failed, in ms.
 const LIST_RETRY_DELAY_MS: u64 = 300;
-/// After a watch that failed; then the shards are listed anew.
+/// Delay before the shards' keys are listed again after a watch that failed, in ms.
 const RELIST_DELAY_MS: u64 = 200;
 
-/// Whether the shards' keys are known.
+/// Progress of reading the shards' keys.
 ///
 /// Invariant: while they are known, a watch is in flight.
 #[derive(Debug)]
 pub(super) struct ShardListState {
-    /// They were listed, and every change since then was watched.
-    pub(super) known: bool,
-    /// They are not listed before this time.
+    /// Whether the keys were listed and every change since then was watched.
+    pub(super) is_known: bool,
+    /// The keys are not listed before this time.
     next_list: Timestamp,
     list_in_flight: bool,
 }
 
 impl ShardListState {
     pub(super) fn new(now: Timestamp) -> ShardListState {
-        ShardListState { known: false, next_list: now, list_in_flight: false }
+        ShardListState { is_known: false, next_list: now, list_in_flight: false }
     }
 
-    /// The shards' keys are listed anew from that time on.
+    /// Schedules a new list of the shards' keys at that time.
     pub(super) fn relist_from(&mut self, at: Timestamp) {
-        self.known = false;
+        self.is_known = false;
         self.next_list = at;
     }
 }
 
 impl Node {
-    /// Lists the shards' keys, when that is due.
+    /// Lists the shards' keys when that is due.
     pub(super) fn tick_shard_list(&mut self, effects: &mut Effects) {
         let list = &mut self.shard_list;
-        if list.known || list.list_in_flight || effects.now < list.next_list {
+        if list.is_known || list.list_in_flight || effects.now < list.next_list {
             return;
         }
         list.list_in_flight = true;
@@ -51,7 +51,8 @@
         self.shared.context(effects).store(Operation::ListShards, call);
     }
 
-    pub(super) fn shards_listed(&mut self, effects: &mut Effects, result: &StoreResult) {
+    /// Handles the list of the shards' keys, and starts the watch.
+    pub(super) fn on_shard_list(&mut self, effects: &mut Effects, result: &StoreResult) {
         self.shard_list.list_in_flight = false;
         let StoreResult::Page(page) = result else {
             self.shard_list.next_list = effects.now + LIST_RETRY_DELAY_MS;
@@ -66,7 +67,7 @@
             };
             self.observe_shard_key(effects, &key, state);
         }
-        self.shard_list.known = true;
+        self.shard_list.is_known = true;
         self.watch_shards(effects, page.revision);
         self.tick_ownership(effects);
     }
@@ -77,7 +78,8 @@
         self.shared.context(effects).store(Operation::WatchShards, call);
     }
 
-    pub(super) fn shards_watched(&mut self, effects: &mut Effects, result: &StoreResult) {
+    /// Handles the events of the watch and continues it. After a failure the keys are listed again.
+    pub(super) fn on_shard_watch(&mut self, effects: &mut Effects, result: &StoreResult) {
         match result {
             StoreResult::Events(events) => {
                 self.observe_shard_events(effects, events);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Processes the state of one shard's key. A key or value that can't be read is ignored.
+    /// Processes the state of one shard's key. A key or value that can't be parsed is ignored.
     fn observe_shard_key(&mut self, effects: &mut Effects, key: &str, state: ShardKeyState) {
         let Some(shard) = keys::parse_shard_key(key)
             .filter(|shard| (shard.0 as usize) < self.shared.shard_count())
@@ -136,7 +138,7 @@
             return;
         }
         self.shared.shard_views[shard.0 as usize].set_owner(owner, effects.now);
-        let is_this_process = owner.node == self.shared.me && owner.boot == self.shared.boot;
+        let is_this_process = owner.node == self.shared.this_node && owner.boot == self.shared.boot;
         if is_this_process && self.shared.lease.valid(effects.now) {
             self.begin_ownership(effects, shard, owner.epoch);
         } else if !is_this_process && self.active_epoch(shard).is_some() {
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a node share, and the context of one input that is made of it.
+//! State that the components of a node share, from which the context of one input is built.
 use crate::budget::WriteBudget;
 use crate::context::{Config, Context, OutgoingMessage, PendingOperations, RelayedRequest};
 use crate::health::Health;
@@ -11,56 +11,60 @@
 use leaddeal_wire::settings::{Params, Settings};
 use std::collections::{HashMap, VecDeque};
 
-/// All that a [`Context`] borrows of the node. It is a struct of its own so that the parts of an
-/// owned shard, which are beside it in the node, can be called with the context.
+/// The fields of the node that a [`Context`] borrows. They are in a struct of their own so that the
+/// components of an owned shard, which are another field of the node, can be called with the context.
 pub(super) struct SharedState {
-    /// This node's place among the nodes, and the number of its home shard.
-    pub(super) me: NodeIdx,
+    /// This node's index, which is also the number of its home shard.
+    pub(super) this_node: NodeIdx,
     /// Distinguishes this process from earlier ones of the same node.
     pub(super) boot: u64,
-    /// Names of all nodes, in the order that the settings give to all of them alike.
+    /// Names of all nodes, in the order of the settings, which is the same on all nodes.
     pub(super) nodes: Vec<String>,
-    /// The wall clock at the input that is handled, in ms since 1970.
+    /// Wall-clock time of the input that is being handled, in ms since 1970.
     pub(super) wall_clock_ms: u64,
     pub(super) config: Config,
     pub(super) names: Names,
     pub(super) budget: WriteBudget,
     pub(super) lease: Lease,
-    /// By shard: its owner, as far as is known.
+    /// By shard: its owner, as far as this node knows.
     pub(super) shard_views: Vec<ShardView>,
     pub(super) health: Health,
-    /// What was cancelled, and up to when it is known.
+    /// The known cancellations, and up to which time all of them are known.
     pub(super) horizons: Horizons,
     /// Calls to outside services that are not answered yet.
     pub(super) operations: PendingOperations,
     /// Messages between shards that are not delivered yet.
     pub(super) outbox: VecDeque<OutgoingMessage>,
-    /// Siblings' requests that are not answered yet.
+    /// Siblings' job queries that are not answered yet, by the request numbers they have on this node.
     pub(super) relayed_requests: HashMap<RequestId, RelayedRequest>,
 }
 
-/// A decision's record: what it takes beside its placements, and for each of them, in bytes.
+/// Size of a decision's record without its placements, in bytes.
 const DECISION_OVERHEAD_BYTES: f64 = 200.0;
+/// Size of one placement in a decision's record, in bytes.
 const PLACEMENT_BYTES: f64 = 64.0;
-/// Placements in one decision, however large a record may be.
+/// Upper bound of the placements in one decision, whatever the size of a record.
 const MAX_PLACEMENTS: f64 = 150.0;
-/// A machine is quiet after 2.5 heartbeat intervals, in ms for each second of the interval, and some
-/// more ms.
+/// A machine counts as quiet after 2.5 heartbeat intervals and an extra time. This is the first part,
+/// in ms per second of the interval.
 const QUIET_MS_PER_INTERVAL_S: f64 = 2500.0;
+/// The extra time after which a machine counts as quiet, in ms.
 const QUIET_EXTRA_MS: u64 = 500;
-/// The next heartbeat of a worker that was answered is due within 1.25 intervals, in ms for each second
-/// of the interval, and some more ms.
+/// The next heartbeat of a worker that was answered is due within 1.25 heartbeat intervals and an extra
+/// time. This is the first part, in ms per second of the interval.
 const REPORT_DUE_MS_PER_INTERVAL_S: f64 = 1250.0;
+/// The extra time after which the next heartbeat of a worker is overdue, in ms.
 const REPORT_DUE_EXTRA_MS: u64 = 1500;
-/// Between calls to a cloud that allows one call in a second, in ms: a tenth more than needed.
+/// Interval between calls to a cloud service that allows one call per second, in ms: 10% more than its
+/// limit requires.
 const CLOUD_GAP_AT_1_RPS_MS: f64 = 1100.0;
 
-/// What the core needs of the settings of a cluster of `nodes` controllers.
+/// Derives the core's configuration from the settings of a cluster of `nodes` controllers.
 fn config(params: &Params, nodes: usize) -> Config {
     let record_bytes = params.state.value_kb * 1024.0 - DECISION_OVERHEAD_BYTES;
     let max_placements = (record_bytes / PLACEMENT_BYTES).clamp(1.0, MAX_PLACEMENTS) as usize;
-    // Tasks of one job that its shard may place in a second: half of the shard's changes go to
-    // decisions, and no job takes more than a third of one.
+    // Tasks of one job that its shard may place per second: half of the shard's changes go to
+    // decisions, and a job takes at most a third of a decision.
     let placed_per_s = params.state.write_rps / nodes as f64 * 0.5 * max_placements as f64 / 3.0;
     Config {
         worker_lease_ms: (params.workers.lease_s * 1000.0) as u64,
@@ -81,13 +85,13 @@
     pub(super) fn new(settings: &Settings, boot: u64, now: Timestamp) -> SharedState {
         let nodes = settings.nodes();
         let count = nodes.len();
-        let place = nodes.iter().position(|name| *name == settings.node).unwrap_or(0);
-        let me = NodeIdx(place as u8);
+        let index = nodes.iter().position(|name| *name == settings.node).unwrap_or(0);
+        let this_node = NodeIdx(index as u8);
         let config = config(&settings.params, count);
         let mut names = Names::default();
         names.zones.clone_from(&settings.params.zones);
         SharedState {
-            me,
+            this_node,
             boot,
             nodes,
             wall_clock_ms: 0,
@@ -95,8 +99,14 @@
             budget: WriteBudget::new(settings.params.state.write_rps, count, now),
             lease: Lease::default(),
             shard_views: vec![ShardView::default(); count],
-            health: Health::new(me, count),
-            horizons: Horizons::new(me, boot, count, config.cancel_ms, config.worker_lease_ms),
+            health: Health::new(this_node, count),
+            horizons: Horizons::new(
+                this_node,
+                boot,
+                count,
+                config.cancel_ms,
+                config.worker_lease_ms,
+            ),
             operations: PendingOperations::default(),
             outbox: VecDeque::new(),
             relayed_requests: HashMap::new(),
@@ -104,8 +114,8 @@
         }
     }
 
-    /// The context of one input. It is made anew for each call of a part, since its `valid` must be
-    /// true at that moment.
+    /// Returns the context in which a component handles an input. It is built anew for each call of a
+    /// component, so that its `lease_valid` is up to date.
     pub(super) fn context<'a>(&'a mut self, effects: &'a mut Effects) -> Context<'a> {
         Context {
             now: effects.now,
@@ -117,7 +127,7 @@
             config: &self.config,
             budget: &mut self.budget,
             horizons: &mut self.horizons,
-            me: self.me,
+            me: self.this_node,
             shard_views: &self.shard_views,
             heard_at: self.health.heard_at(),
             operations: &mut self.operations,
@@ -126,7 +136,7 @@
         }
     }
 
-    /// As many shards as nodes.
+    /// Returns the number of shards, which is the number of nodes.
     pub(super) fn shard_count(&self) -> usize {
         self.shard_views.len()
     }
@@ -135,9 +145,9 @@
         (0..self.shard_views.len()).map(|shard| Shard(shard as u8))
     }
 
-    /// The shard that this node acts for whenever it can.
+    /// Returns the shard that this node owns whenever it can.
     pub(super) fn home_shard(&self) -> Shard {
-        Shard(self.me.0)
+        Shard(self.this_node.0)
     }
 
     pub(super) fn owner(&self, shard: Shard) -> Option<Owner> {
@@ -148,8 +158,8 @@
         self.nodes[node.0 as usize].clone()
     }
 
-    /// Too many calls to outside services are in flight to begin another one for a user.
+    /// Whether so many calls to outside services are in flight that none is begun for a user.
     pub(super) fn too_many_operations(&self) -> bool {
-        self.operations.open.len() > super::MAX_OPEN_STORE_CALLS
+        self.operations.open.len() > super::MAX_OPEN_CALLS
     }
 }
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -1,4 +1,4 @@
-//! Messages of the other controllers, and the heartbeats to them.
+//! Messages from the sibling controllers, and heartbeats to them.
 use super::calls::JobQuery;
 use super::delivery::IncomingMessage;
 use super::Node;
@@ -10,14 +10,15 @@
 use leaddeal_wire::worker::WorkerHeartbeat;
 
 impl Node {
-    /// Sends heartbeats to siblings: which shards are owned here, and which owners of the others are
-    /// known. Also while our lease may be in doubt: an older owner's time is over all the same.
+    /// Sends heartbeats to the siblings that `to` selects: which shards this node owns, and the newest
+    /// owners of all shards that it knows. They are sent even while this node's lease is uncertain,
+    /// because an older owner's epoch is over in any case.
     pub(super) fn send_heartbeats(&self, effects: &mut Effects, to: impl Fn(NodeIdx) -> bool) {
         let own_assertions = self.own_assertions(effects.now);
         let heartbeat = self.heartbeat(effects.now);
         for (index, name) in self.shared.nodes.iter().enumerate() {
             let node = NodeIdx(index as u8);
-            if node == self.shared.me || !to(node) {
+            if node == self.shared.this_node || !to(node) {
                 continue;
             }
             let mut heartbeat = heartbeat.clone();
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The part of a heartbeat that is the same for all siblings.
+    /// Returns the part of a heartbeat that is the same for all siblings.
     fn heartbeat(&self, now: Timestamp) -> NodeHeartbeat {
         let owned = self.owned_shards().iter().map(|(shard, epoch)| (shard.0, epoch.0)).collect();
         let views = self.shared.shard_views.iter().enumerate();
@@ -45,13 +46,13 @@
         NodeHeartbeat {
             owned,
             known: known.collect(),
-            ready: self.ready(now),
+            ready: self.is_ready(now),
             ..NodeHeartbeat::default()
         }
     }
 
-    /// A sibling's heartbeat.
-    fn heartbeat_received(
+    /// Handles a sibling's heartbeat.
+    fn on_node_heartbeat(
         &mut self,
         effects: &mut Effects,
         from: NodeIdx,
@@ -60,7 +61,7 @@
         let owned = heartbeat.owned.iter().map(|&(shard, epoch)| (shard, from.0, epoch));
         for (shard, node, epoch) in owned.chain(heartbeat.known.iter().copied()) {
             let claimed = Owner { node: NodeIdx(node), boot: 0, epoch: Epoch(epoch) };
-            self.owner_claimed(effects, Shard(shard), claimed);
+            self.on_owner_claim(effects, Shard(shard), claimed);
         }
         self.shared.health.record_heartbeat(from, heartbeat);
         if self.shared.horizons.on_heartbeat(from, heartbeat, &self.shared.shard_views, effects.now)
@@ -76,19 +77,19 @@
         }
     }
 
-    /// A sibling says that a node owns a shard under that epoch.
+    /// Handles a sibling's claim that a node owns a shard under that epoch.
     ///
-    /// A node that does not reach the state service still learns that its time is over, from the
-    /// new owner or from a sibling that knows it, and sends the workers there. (Found by the
-    /// simulator, seed 1498: the new owner stood still and then lost its lease, so its heartbeats
-    /// named no shard of its own; the one before it went on answering workers with tasks that were
-    /// cancelled meanwhile.)
-    fn owner_claimed(&mut self, effects: &mut Effects, shard: Shard, claimed: Owner) {
+    /// An owner that can't reach the state service learns in this way that its epoch is over, from the
+    /// new owner or from any sibling that knows the new owner, and redirects the workers to it. The
+    /// claim of another sibling is needed because the new owner may name no shards (simulator seed
+    /// 1498): it had stalled and lost its lease, and the previous owner kept answering workers whose
+    /// tasks had been cancelled in the meantime.
+    fn on_owner_claim(&mut self, effects: &mut Effects, shard: Shard, claimed: Owner) {
         let known_node = (claimed.node.0 as usize) < self.shared.nodes.len();
         let view = self.shared.shard_views.get_mut(shard.0 as usize);
         let Some(view) = view.filter(|_| known_node) else { return };
-        // Of our own former epochs we know, and of our present ones.
-        if claimed.node == self.shared.me || !view.accept_claim(claimed, effects.now) {
+        // This node knows its own present and former epochs already.
+        if claimed.node == self.shared.this_node || !view.accept_claim(claimed, effects.now) {
             return;
         }
         if self.active_epoch(shard).is_some() && holds(Guard::BeatEnds) {
@@ -97,27 +98,28 @@
         self.propagate_owners();
     }
 
-    /// A message of another controller. One of a node that the settings don't name is ignored.
-    pub(super) fn mesh(&mut self, effects: &mut Effects, from: &str, msg: NodeMessage) {
+    /// Handles a message from another controller. A message from a node that the settings don't name is
+    /// ignored.
+    pub(super) fn on_mesh_message(&mut self, effects: &mut Effects, from: &str, msg: NodeMessage) {
         let Some(index) = self.shared.nodes.iter().position(|name| name == from) else { return };
         let node = NodeIdx(index as u8);
         self.shared.health.record_contact(node, effects.now);
         match msg {
-            NodeMessage::Heartbeat(heartbeat) => self.heartbeat_received(effects, node, &heartbeat),
+            NodeMessage::Heartbeat(heartbeat) => self.on_node_heartbeat(effects, node, &heartbeat),
             NodeMessage::Shard { from, from_epoch, to, to_epoch, msg } => {
                 let (from, to, from_epoch) = (Shard(from), Shard(to), Epoch(from_epoch));
                 let incoming = IncomingMessage { from, from_epoch, to, message: msg };
-                self.shard_message(effects, Epoch(to_epoch), incoming);
+                self.on_shard_message(effects, Epoch(to_epoch), incoming);
             }
             NodeMessage::QueryJob { call, job, cancel } => {
                 self.answer_job_query(effects, from, call, JobQuery { id: JobId(job), cancel });
             }
-            NodeMessage::JobAnswer { call, answer } => self.job_answered(effects, call, answer),
+            NodeMessage::JobAnswer { call, answer } => self.on_job_answer(effects, call, answer),
             NodeMessage::RelayedHeartbeat { call, report } => {
                 self.answer_relayed_heartbeat(effects, node, call, &report);
             }
             NodeMessage::RelayedResponse { call, answer } => {
-                self.relay_answered(effects, call, answer);
+                self.on_relay_answer(effects, call, answer);
             }
             NodeMessage::ReclaimShard { shard } => {
                 if shard as usize == index {
@@ -127,23 +129,28 @@
         }
     }
 
-    /// A message to a shard of ours. It is dropped if it was meant for another epoch of the shard, or
-    /// if the sender's epoch is not the newest any more.
-    fn shard_message(&mut self, effects: &mut Effects, to_epoch: Epoch, incoming: IncomingMessage) {
+    /// Handles a message to a shard that this node owns. It is dropped if it was sent to another epoch
+    /// of the shard, or if a newer epoch of the sending shard is known.
+    fn on_shard_message(
+        &mut self,
+        effects: &mut Effects,
+        to_epoch: Epoch,
+        incoming: IncomingMessage,
+    ) {
         let shards = self.shared.shard_count();
         if incoming.from.0 as usize >= shards || incoming.to.0 as usize >= shards {
             return;
         }
         let sender = self.shared.owner(incoming.from);
-        let outdated = sender.is_some_and(|owner| owner.epoch > incoming.from_epoch);
+        let is_outdated = sender.is_some_and(|owner| owner.epoch > incoming.from_epoch);
         if self.active_epoch(incoming.to) == Some(to_epoch)
-            && (!outdated || !holds(Guard::OldSender))
+            && (!is_outdated || !holds(Guard::OldSender))
         {
             self.deliver(effects, incoming);
         }
     }
 
-    /// A heartbeat that a sibling passes on, since its worker does not reach us.
+    /// Answers a heartbeat that a sibling relays because the worker does not reach this node.
     fn answer_relayed_heartbeat(
         &mut self,
         effects: &mut Effects,
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -1,19 +1,19 @@
-//! Periodic statistics for the log.
+//! Periodic statistics in the log.
 use super::Node;
 use crate::budget::CLASSES;
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel};
 
-/// The operators' figures are logged this often.
+/// Interval between two logs of the statistics, in ms.
 const STATISTICS_INTERVAL_MS: u64 = 60_000;
 
-/// What was counted, and what of it was logged.
+/// Counters, and the state of their logging.
 #[derive(Debug)]
 pub(super) struct Statistics {
-    /// How often a machine was evaluated for a job since the start.
+    /// How often a machine was evaluated for a job since the start of the process.
     pub(super) machines_evaluated: u64,
     next_log: Timestamp,
-    /// Changes by class that were logged already.
+    /// By class of the write budget: the number of changes at the last log.
     logged_changes: [u64; CLASSES.len()],
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Node {
-    /// What was written and what waits to be: in the log, once a minute.
+    /// Logs the statistics of this node and of the shards that it owns, when that is due.
     pub(super) fn tick_statistics(&mut self, effects: &mut Effects) {
         if effects.now < self.statistics.next_log {
             return;
@@ -42,7 +42,7 @@
         self.log_owned_shards(effects);
     }
 
-    /// The changes written since the last time, by class.
+    /// Logs the changes written since the last log, by class.
     fn log_changes(&mut self, effects: &mut Effects) {
         let budget = &self.shared.budget;
         let spent = CLASSES.map(|class| budget.spent(class));
@@ -50,8 +50,9 @@
         let logged = std::mem::replace(&mut self.statistics.logged_changes, spent);
         effects.log(LogLevel::Info, "writes", || {
             let by_class = CLASSES.iter().zip(spent.iter().zip(logged));
-            let by_class: Vec<String> =
-                by_class.map(|(class, (now, was))| format!("{class:?}={}", now - was)).collect();
+            let by_class: Vec<String> = by_class
+                .map(|(class, (total, logged))| format!("{class:?}={}", total - logged))
+                .collect();
             format!("{} rate={rate:.1}/s refused={refusals}", by_class.join(" ").to_lowercase())
         });
     }
--- a/crates/core/src/node/step.rs
+++ b/crates/core/src/node/step.rs
@@ -1,18 +1,18 @@
-//! Routing of one input to the part that it is for.
+//! Routes each input to the component that handles it.
 use super::Node;
 use crate::context::{LookupPurpose, Operation};
 use crate::ids::Timestamp;
 use crate::io::{CloudResult, Effect, Effects, Input, OperationId, StoreResult};
 
 impl Node {
-    /// Takes one input; returns what to send, write and answer, in this order. `now` is the steady
-    /// clock, which never goes back; `wall_clock_ms` is the time in ms since 1970.
+    /// Handles one input and returns the effects in the order in which they must be carried out. `now`
+    /// is the monotonic clock; `wall_clock_ms` is the time in ms since 1970.
     pub fn step(&mut self, now: Timestamp, wall_clock_ms: u64, input: Input) -> Vec<Effect> {
         self.shared.wall_clock_ms = wall_clock_ms;
         self.shared.budget.refill(now);
         let mut effects = Effects::new(now);
         self.route(&mut effects, input);
-        self.settle(&mut effects);
+        self.deliver_messages(&mut effects);
         self.statistics.machines_evaluated += effects.machines_evaluated;
         effects.list
     }
@@ -23,18 +23,19 @@
             Input::Submit { req, id, job } => self.submit(effects, req, id, job),
             Input::Get { req, id } => self.lookup(effects, req, id, LookupPurpose::GetState),
             Input::Cancel { req, id } => self.lookup(effects, req, id, LookupPurpose::Cancellation),
-            Input::WorkerHeartbeat { req, report } => self.worker_heartbeat(effects, req, report),
+            Input::WorkerHeartbeat { req, report } => self.on_heartbeat(effects, req, report),
             Input::CommandOutcome { machine, batch, outcome } => {
-                self.command_outcome(effects, &machine, batch, &outcome);
+                self.on_command_outcome(effects, &machine, batch, &outcome);
             }
-            Input::Mesh { from, msg } => self.mesh(effects, &from, *msg),
-            Input::Store { op, result } => self.store_result(effects, op, result),
-            Input::Cloud { op, result } => self.cloud_result(effects, op, result),
+            Input::Mesh { from, msg } => self.on_mesh_message(effects, &from, *msg),
+            Input::Store { op, result } => self.on_store_result(effects, op, result),
+            Input::Cloud { op, result } => self.on_cloud_result(effects, op, result),
         }
     }
 
-    /// An answer of the state service. An answer to no call of this process is ignored.
-    fn store_result(&mut self, effects: &mut Effects, op: OperationId, result: StoreResult) {
+    /// Handles an answer of the state service. It is ignored if this process made no such call, or if
+    /// the call was answered already.
+    fn on_store_result(&mut self, effects: &mut Effects, op: OperationId, result: StoreResult) {
         let Some(operation) = self.shared.operations.open.remove(&op) else { return };
         if !matches!(result, StoreResult::Refused | StoreResult::RateLimited | StoreResult::Unknown)
         {
@@ -49,11 +50,12 @@
             StoreResult::Events(events) => events.revision,
             _ => 0,
         });
-        self.stored(effects, operation, result);
+        self.route_store_result(effects, operation, result);
     }
 
-    /// An answer of the cloud service. An answer to no call of this process is ignored.
-    fn cloud_result(&mut self, effects: &mut Effects, op: OperationId, result: CloudResult) {
+    /// Handles an answer of the cloud service. It is ignored if this process made no such call, or if
+    /// the call was answered already.
+    fn on_cloud_result(&mut self, effects: &mut Effects, op: OperationId, result: CloudResult) {
         let Some(operation) = self.shared.operations.open.remove(&op) else { return };
         match (operation, result) {
             (Operation::Catalog, CloudResult::Catalog(catalog)) => {
@@ -61,7 +63,7 @@
                 self.tick_ownership(effects);
             }
             (Operation::Provisioner(epoch, operation), result) => {
-                self.provisioner_answered(effects, epoch, operation, result);
+                self.on_provisioner_result(effects, epoch, operation, result);
             }
             _ => {}
         }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -1,66 +1,86 @@
-//! Answers of the state service: each goes to the part that made the call.
+//! Routes each answer of the state service to the component that made the call.
 use super::Node;
 use crate::context::Operation;
 use crate::coordinator::Ownership;
 use crate::ids::{Epoch, JobId, Shard};
 use crate::io::{Effects, StoreResult};
 
-/// Which of a coordinator's writes an answer belongs to.
+/// The write of a coordinator to which an answer belongs.
 #[derive(Clone, Copy, Debug)]
 enum CoordinatorWrite {
     Decision,
     Compaction,
-    Finish(JobId),
+    /// The cancellation of this job.
+    Cancellation(JobId),
 }
 
 impl Node {
-    pub(super) fn stored(
+    /// Passes the result of a call to the component that made it.
+    pub(super) fn route_store_result(
         &mut self,
         effects: &mut Effects,
         operation: Operation,
         result: StoreResult,
     ) {
         match operation {
-            Operation::NewLease { sent } => self.lease_answered(effects, sent, &result),
+            Operation::NewLease { sent } => self.on_lease_result(effects, sent, &result),
             Operation::RenewLease { sent, lease } => {
-                self.renewal_answered(effects, lease, sent, &result);
+                self.on_renewal_result(effects, lease, sent, &result);
             }
-            Operation::ListShards => self.shards_listed(effects, &result),
-            Operation::WatchShards => self.shards_watched(effects, &result),
-            Operation::Acquire { shard } => self.acquisition_answered(effects, shard, &result),
+            Operation::ListShards => self.on_shard_list(effects, &result),
+            Operation::WatchShards => self.on_shard_watch(effects, &result),
+            Operation::Acquire { shard } => self.on_acquisition_result(effects, shard, &result),
             Operation::Release { shard, epoch } => {
-                self.release_answered(effects, shard, epoch, &result);
+                self.on_release_result(effects, shard, epoch, &result);
             }
             Operation::Records { shard, epoch } => {
-                self.records_read(effects, shard, epoch, result);
+                self.on_records_read(effects, shard, epoch, result);
             }
             Operation::Decide { shard, epoch } => {
-                self.written(effects, shard, epoch, CoordinatorWrite::Decision, &result);
+                self.on_coordinator_write(
+                    effects,
+                    shard,
+                    epoch,
+                    CoordinatorWrite::Decision,
+                    &result,
+                );
             }
             Operation::Compaction { shard, epoch } => {
-                self.written(effects, shard, epoch, CoordinatorWrite::Compaction, &result);
+                self.on_coordinator_write(
+                    effects,
+                    shard,
+                    epoch,
+                    CoordinatorWrite::Compaction,
+                    &result,
+                );
             }
             Operation::Finish { shard, epoch, job } => {
-                self.written(effects, shard, epoch, CoordinatorWrite::Finish(job), &result);
+                self.on_coordinator_write(
+                    effects,
+                    shard,
+                    epoch,
+                    CoordinatorWrite::Cancellation(job),
+                    &result,
+                );
             }
             Operation::Submit { req, id, value } => {
-                self.submitted(effects, req, id, &value, &result);
+                self.on_submission_result(effects, req, id, &value, &result);
             }
-            Operation::ReadJob { lookup } => self.job_read(effects, lookup, &result),
+            Operation::ReadJob { lookup } => self.on_job_read(effects, lookup, &result),
             Operation::ReadTerminalState { lookup } => {
-                self.terminal_state_read(effects, lookup, result);
+                self.on_terminal_state_read(effects, lookup, result);
             }
             Operation::TerminalStates { shard, asked } => {
-                self.terminal_states_read(effects.now, shard, asked, result);
+                self.on_terminal_states_read(effects.now, shard, asked, result);
             }
-            Operation::PutOperatorMachines => self.operator_machines_put(effects, &result),
-            Operation::GetOperatorMachines => self.operator_machines_read(result),
+            Operation::PutOperatorMachines => self.on_operator_machines_put(effects, &result),
+            Operation::GetOperatorMachines => self.on_operator_machines_read(result),
             Operation::Catalog | Operation::Provisioner(..) => {}
         }
     }
 
-    /// A page or an event of the records that a coordinator reads.
-    fn records_read(
+    /// Handles a page or the events of the records that a coordinator reads.
+    fn on_records_read(
         &mut self,
         effects: &mut Effects,
         shard: Shard,
@@ -74,9 +94,9 @@
         self.wake |= context.wake;
     }
 
-    /// The answer to a coordinator's write. If that was refused since the shard is another's, it is
-    /// lost, and the owners are listed anew.
-    fn written(
+    /// Handles the answer to a coordinator's write. If it shows that this node has lost the shard, the
+    /// shard is dropped and the shards' keys are listed again.
+    fn on_coordinator_write(
         &mut self,
         effects: &mut Effects,
         shard: Shard,
@@ -91,7 +111,7 @@
         let ownership = match write {
             CoordinatorWrite::Decision => coordinator.decision_written(&mut context, result),
             CoordinatorWrite::Compaction => coordinator.compaction_written(&mut context, result),
-            CoordinatorWrite::Finish(job) => {
+            CoordinatorWrite::Cancellation(job) => {
                 coordinator.cancellation_written(&mut context, job, result)
             }
         };
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -1,4 +1,4 @@
-//! A node by itself, fed by hand.
+//! Tests of a single node whose inputs are made by hand.
 use super::*;
 use crate::ids::JobId;
 use crate::io::{CloudCall, CloudResult, Effect, Input, StoreResult};
@@ -23,20 +23,21 @@
     Settings::parse(&v.to_string()).expect("settings")
 }
 
-/// One shard, alone; what it asked of the store last.
+/// A cluster of one node with one shard.
 struct World {
     node: Node,
     now: Timestamp,
-    asked: Vec<(u64, crate::io::StoreCall)>,
-    /// Requests that users were answered.
+    /// Calls to the store that are not answered yet.
+    pending_calls: Vec<(u64, crate::io::StoreCall)>,
+    /// Users' requests that were answered.
     answered: Vec<RequestId>,
 }
 
 impl World {
     fn step(&mut self, input: Input) {
-        for o in self.node.step(self.now, self.now, input) {
-            match o {
-                Effect::Store { op, call } => self.asked.push((op, call)),
+        for effect in self.node.step(self.now, self.now, input) {
+            match effect {
+                Effect::Store { op, call } => self.pending_calls.push((op, call)),
                 Effect::User { req, .. } => self.answered.push(req),
                 Effect::Cloud { op, call: CloudCall::Catalog } => {
                     let small = MachineType {
@@ -59,30 +60,32 @@
         }
     }
 
-    /// Answers all calls that `f` has an answer for, until there are no more; time passes.
-    fn answer(&mut self, f: impl Fn(&crate::io::StoreCall) -> Option<StoreResult>) {
+    /// Advances the time in steps, and answers the calls for which `f` returns a result.
+    fn run(&mut self, f: impl Fn(&crate::io::StoreCall) -> Option<StoreResult>) {
         for _ in 0..40 {
             self.now += 100;
             self.step(Input::Tick);
-            for (op, call) in std::mem::take(&mut self.asked) {
+            for (op, call) in std::mem::take(&mut self.pending_calls) {
                 match f(&call) {
                     Some(result) => self.step(Input::Store { op, result }),
-                    None => self.asked.push((op, call)),
+                    None => self.pending_calls.push((op, call)),
                 }
             }
         }
     }
 }
 
-/// The acquisitions of the shard that were asked for: the version that its key should have.
-fn acquires(call: &crate::io::StoreCall) -> Option<u64> {
+/// Returns the version that an acquisition requires the shard's key to have; `None` if the call is no
+/// acquisition.
+fn acquisition_version(call: &crate::io::StoreCall) -> Option<u64> {
     let crate::io::StoreCall::Transaction(t) = call else { return None };
     let puts = t.changes.iter().any(|c| matches!(c, Change::Put { key, .. } if key == "seat/0"));
     puts.then(|| t.conditions.iter().find(|c| c.key == "seat/0").map_or(0, |c| c.version))
 }
 
-/// The shard is listed as the node's own, and holds nothing; transactions are not answered.
-fn store(call: &crate::io::StoreCall) -> Option<StoreResult> {
+/// Answers for a store that lists the shard as owned by this process under epoch 7 and holds no other
+/// records. Transactions, reads and watches are not answered.
+fn store_result(call: &crate::io::StoreCall) -> Option<StoreResult> {
     use crate::io::StoreCall;
     let listed = |prefix: &str| {
         let value = serde_json::json!({"node": "n-0", "boot": 77});
@@ -101,22 +104,24 @@
     }
 }
 
-/// Rounds and attempts are numbered within an epoch, and what gave the shard back may be executed late: it
-/// was owned again under the same epoch once the store still listed it.
+/// Rounds and attempts are numbered within an epoch, and the transaction that releases a shard may be
+/// executed late. The node owned the shard again under the same epoch when the store still listed the
+/// node as the owner.
 #[test]
-fn an_epoch_that_was_given_up_is_never_acted_under_again() {
+fn never_reuses_relinquished_epoch() {
     let node = Node::new(&settings(), 77, 1000);
-    let mut world = World { node, now: 1000, asked: Vec::new(), answered: Vec::new() };
-    world.answer(store);
-    assert_eq!(world.node.owned_shards(), [(Shard(0), Epoch(7))], "its own, as listed");
+    let mut world = World { node, now: 1000, pending_calls: Vec::new(), answered: Vec::new() };
+    world.run(store_result);
+    assert_eq!(world.node.owned_shards(), [(Shard(0), Epoch(7))], "listed as the owner");
     let mut effects = Effects::new(world.now);
     world.node.drop_shard(&mut effects, Shard(0));
-    world.node.shard_list.known = false;
-    world.asked.clear();
-    world.answer(store);
-    assert!(world.node.owned_shards().is_empty(), "listed again, it was given up");
-    let asked: Vec<u64> = world.asked.iter().filter_map(|(_, c)| acquires(c)).collect();
-    assert_eq!(asked.first(), Some(&7), "it is acquired anew, under a new epoch");
+    world.node.shard_list.is_known = false;
+    world.pending_calls.clear();
+    world.run(store_result);
+    assert!(world.node.owned_shards().is_empty(), "listed again after it was relinquished");
+    let versions: Vec<u64> =
+        world.pending_calls.iter().filter_map(|(_, call)| acquisition_version(call)).collect();
+    assert_eq!(versions.first(), Some(&7), "it is acquired again, under a new epoch");
 }
 
 fn job(id: u64) -> leaddeal_wire::user::Job {
@@ -129,40 +134,43 @@
     leaddeal_wire::user::Job::parse(job.to_string().as_bytes()).expect("a job")
 }
 
-/// A job is created, seen at another node and called off there; then its shard comes here, and only then
-/// the answer to the submission. The list that was loaded is newer, and lacks the job.
+/// A job was submitted here and cancelled at another node, which owned its shard. Then this node acquired
+/// the shard, and the answer to the submission came last. The list of jobs that was loaded is newer than
+/// the job's creation and lacks the job.
 #[test]
-fn a_submission_answered_after_its_job_was_over_brings_nothing_back() {
+fn late_submission_result_revives_no_job() {
     let node = Node::new(&settings(), 77, 1000);
-    let mut world = World { node, now: 1000, asked: Vec::new(), answered: Vec::new() };
+    let mut world = World { node, now: 1000, pending_calls: Vec::new(), answered: Vec::new() };
     world.step(Input::Tick);
     let submit = |req, id| Input::Submit { req, id: Some(JobId(id)), job: Ok(Box::new(job(id))) };
     world.step(submit(1, 5));
     world.step(submit(2, 6));
-    let txns =
-        world.asked.iter().filter(|(_, c)| matches!(c, crate::io::StoreCall::Transaction(_)));
-    let ops: Vec<u64> = txns.map(|(op, _)| *op).collect();
+    let transactions = world
+        .pending_calls
+        .iter()
+        .filter(|(_, call)| matches!(call, crate::io::StoreCall::Transaction(_)));
+    let ops: Vec<u64> = transactions.map(|(op, _)| *op).collect();
     assert_eq!(ops.len(), 2, "{ops:?}");
-    world.answer(store);
+    world.run(store_result);
     assert_eq!(world.node.owned_shards(), [(Shard(0), Epoch(7))]);
-    // The list is of revision 9.
+    // The loaded list has revision 9.
     for (op, revision) in ops.into_iter().zip([8, 10]) {
         world.step(Input::Store { op, result: StoreResult::Committed(revision) });
     }
     world.step(Input::Get { req: 3, id: JobId(5) });
     world.step(Input::Get { req: 4, id: JobId(6) });
     assert!(world.answered.contains(&4), "created after the list: {:?}", world.answered);
-    assert!(!world.answered.contains(&3), "of the other one the store is asked");
+    assert!(!world.answered.contains(&3), "created before the list: the store is read");
 }
 
-/// While the shard is loaded, what is done of a job is not known: cancelled then, it would leave its records
-/// behind, here or for a sibling that asks.
+/// While the shard is being loaded, the completed tasks of a job are not known yet. A cancellation at that
+/// time, whether from a user or through a sibling, would leave their records behind.
 #[test]
-fn nothing_is_cancelled_before_all_of_it_is_loaded() {
+fn cancels_nothing_before_shard_is_loaded() {
     use crate::io::StoreCall;
     use crate::keys;
     let node = Node::new(&settings(), 77, 1000);
-    let mut world = World { node, now: 1000, asked: Vec::new(), answered: Vec::new() };
+    let mut world = World { node, now: 1000, pending_calls: Vec::new(), answered: Vec::new() };
     let (shard, id) = (Shard(0), JobId(5));
     let jobs = |call: &StoreCall| match call {
         StoreCall::List { prefix, .. } if *prefix == keys::job_prefix(shard) => {
@@ -171,23 +179,28 @@
             Some(StoreResult::Page(Page { items: vec![item], more: false, revision: 9 }))
         }
         StoreCall::List { prefix, .. } if *prefix == keys::completion_prefix(shard) => None,
-        call => store(call),
+        call => store_result(call),
     };
-    world.answer(jobs);
+    world.run(jobs);
     world.step(Input::Cancel { req: 1, id });
     let ask = NodeMessage::QueryJob { call: 2, job: id.0, cancel: true };
     world.step(Input::Mesh { from: "n-0".into(), msg: Box::new(ask) });
-    world.answer(jobs);
-    let runs = |c: &StoreCall| matches!(c, StoreCall::List { prefix, .. } if *prefix == keys::completion_prefix(shard));
-    assert!(world.asked.iter().any(|(_, c)| runs(c)), "it is being loaded: {:?}", world.asked);
-    let written = world.asked.iter().any(|(_, c)| matches!(c, StoreCall::Transaction(_)));
-    assert!(!written, "{:?}", world.asked);
+    world.run(jobs);
+    let lists_completions = |call: &StoreCall| matches!(call, StoreCall::List { prefix, .. } if *prefix == keys::completion_prefix(shard));
+    assert!(
+        world.pending_calls.iter().any(|(_, call)| lists_completions(call)),
+        "the shard is being loaded: {:?}",
+        world.pending_calls
+    );
+    let written =
+        world.pending_calls.iter().any(|(_, call)| matches!(call, StoreCall::Transaction(_)));
+    assert!(!written, "{:?}", world.pending_calls);
 }
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
+fn tests_fail_without_their_guards() {
     use crate::guards::{missed_by, Guard};
-    missed_by(Guard::GivenUp, an_epoch_that_was_given_up_is_never_acted_under_again);
-    missed_by(Guard::LoadedFrom, a_submission_answered_after_its_job_was_over_brings_nothing_back);
+    missed_by(Guard::GivenUp, never_reuses_relinquished_epoch);
+    missed_by(Guard::LoadedFrom, late_submission_result_revives_no_job);
 }
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -1,4 +1,4 @@
-//! What is done when time has passed.
+//! Periodic work of the node.
 use super::Node;
 use crate::context::Operation;
 use crate::ids::{Timestamp, PROVISIONER_SHARD};
@@ -6,26 +6,26 @@
 use crate::shard::at_least;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
-/// Between two slow ticks, in which heartbeats are sent.
+/// Interval between two slow ticks, which send heartbeats among other things, in ms.
 const SLOW_TICK_INTERVAL_MS: u64 = 1000;
-/// Between two requests for the catalog, until it is known.
+/// Interval between two requests for the cloud's catalog until it is known, in ms.
 const CATALOG_RETRY_INTERVAL_MS: u64 = 1000;
-/// A tick that comes this long after the last one means that the process stood still.
+/// A tick this long after the previous one means that the process has stalled, in ms.
 const STALL_THRESHOLD_MS: u64 = 1500;
-/// A new process does not ask for its home shard for this long.
+/// Delay after the start of a process before it reclaims its home shard, in ms.
 const HOME_RECLAIM_START_DELAY_MS: u64 = 2000;
-/// After a stall, or the loss of its lease, a node does not ask for its home shard for this long.
+/// Delay after a stall or the loss of the lease before the node reclaims its home shard, in ms.
 const HOME_RECLAIM_DELAY_MS: u64 = 20_000;
 
-/// When the node began, and when things are next due.
+/// When the process started, and when periodic work is next due.
 #[derive(Debug)]
 pub(super) struct Timers {
-    /// When this process began.
+    /// When this process started.
     pub(super) started: Timestamp,
     last_tick: Timestamp,
     next_slow_tick: Timestamp,
     next_catalog_request: Timestamp,
-    /// The home shard is not reclaimed until after this time.
+    /// The home shard is reclaimed only after this time.
     home_reclaim_from: Timestamp,
 }
 
@@ -40,16 +40,16 @@
         }
     }
 
-    /// A node that stood still or lost its lease may do so again: its home shard stays where it is
-    /// for a while. (Found on hunts: a controller that woke after 25 s was given its shard back a
-    /// second later, so that one freeze cost two takeovers.)
+    /// Delays reclaiming the home shard, because a node that has stalled or lost its lease may do so
+    /// again. Without the delay, a controller that resumed after a stall of 25 s got its home shard back
+    /// a second later, so one stall caused two changes of the owner.
     pub(super) fn delay_home_reclaim(&mut self, now: Timestamp) {
         self.home_reclaim_from = self.home_reclaim_from.max(now + HOME_RECLAIM_DELAY_MS);
     }
 }
 
 impl Node {
-    /// Does all that is due; called at short intervals.
+    /// Does the periodic work that is due. Must be called at short intervals.
     pub(super) fn tick(&mut self, effects: &mut Effects) {
         let now = effects.now;
         self.detect_stall(effects);
@@ -72,6 +72,7 @@
         }
     }
 
+    /// Logs a stall of this process, and delays reclaiming the home shard after it.
     fn detect_stall(&mut self, effects: &mut Effects) {
         let now = effects.now;
         if now >= self.timers.last_tick + STALL_THRESHOLD_MS {
@@ -82,7 +83,7 @@
         self.timers.last_tick = now;
     }
 
-    /// Asks the cloud for its machine types, until it has named them.
+    /// Requests the machine types from the cloud until they are known.
     fn request_catalog(&mut self, effects: &mut Effects) {
         if self.shared.names.catalog.is_empty() && effects.now >= self.timers.next_catalog_request {
             self.timers.next_catalog_request = effects.now + CATALOG_RETRY_INTERVAL_MS;
@@ -101,24 +102,24 @@
         }
     }
 
-    /// What is done once a second.
+    /// Does the work that is due once per second.
     fn slow_tick(&mut self, effects: &mut Effects) {
         let now = effects.now;
         self.tick_statistics(effects);
         self.terminal_states.revisions.sample(now, self.shared.config.cancel_ms);
         self.relay_table.expire(now);
         self.shared.horizons.expire(now);
-        self.log_relinquished_workers(effects);
+        self.log_refused_heartbeats(effects);
         self.send_heartbeats(effects, |_| true);
         self.reclaim_home_shard(effects);
         self.inform_provisioner(effects);
     }
 
-    /// Asks the present owner for the home shard, once this node is ready for it.
+    /// Asks the present owner to hand over the home shard, once this node can own it.
     fn reclaim_home_shard(&mut self, effects: &mut Effects) {
         let home = self.shared.home_shard();
         let Some(owner) = self.shared.owner(home) else { return };
-        if owner.node != self.shared.me
+        if owner.node != self.shared.this_node
             && self.shared.lease.valid(effects.now)
             && effects.now > self.timers.home_reclaim_from
             && !self.shared.names.catalog.is_empty()
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -1,4 +1,4 @@
-//! Requests of users: submissions, questions and cancellations, here or passed on by a sibling.
+//! Users' requests: submissions, queries of a job's state and cancellations.
 use super::Node;
 use crate::budget::WriteClass;
 use crate::context::{
@@ -14,15 +14,16 @@
 use leaddeal_wire::state::{Change, Condition, Transaction};
 use leaddeal_wire::user;
 
-/// After a refusal for too many requests in flight, a user asks again after this many seconds.
+/// A user may retry after this many seconds if too many requests are in flight.
 const OVERLOADED_RETRY_S: u32 = 2;
-/// After a terminal state that can't be read.
+/// A user may retry after this many seconds if the job's terminal state can't be parsed.
 const UNREADABLE_RETRY_S: u32 = 5;
-/// A job may exceed its team's limit by this much, in processors or GPUs: an error of rounding.
-const LIMIT_TOLERANCE: f64 = 1e-6;
+/// A job may exceed its team's quota by this much, in CPUs or GPUs, because of rounding errors.
+const QUOTA_TOLERANCE: f64 = 1e-6;
 
 impl Node {
-    /// A new job, or one that was submitted before; `id` is none if it can't be read.
+    /// Handles the submission of a job, which may have been submitted before. `id` is `None` if the
+    /// job's name can't be parsed.
     pub(super) fn submit(
         &mut self,
         effects: &mut Effects,
@@ -45,23 +46,25 @@
             let purpose = LookupPurpose::RejectedSubmission(SubmissionRejection::CanNeverRun);
             return self.lookup(effects, req, id, purpose);
         }
-        if self.overloaded() {
+        if self.is_overloaded() {
             return self.reply_later(effects, req, OVERLOADED_RETRY_S);
         }
         if self.shared.budget.available(WriteClass::Submission) == 0 {
-            // Retries of known jobs, too, are answered later: to look them up is a request as well.
+            // This also refuses repeated submissions of known jobs, because looking a job up costs a
+            // request as well.
             let after_s = self.shared.budget.submission_retry_after_s();
             return self.reply_later(effects, req, after_s);
         }
         self.write_submission(effects, req, id, *job);
     }
 
-    /// Too many requests are in flight to take another one of a user.
-    fn overloaded(&self) -> bool {
+    /// Whether too many requests are in flight to accept another one from a user.
+    fn is_overloaded(&self) -> bool {
         self.shared.too_many_operations() || self.calls.too_many_queries()
     }
 
-    /// Writes the job, unless it is known already.
+    /// Writes the job to the store, on condition that the store has neither the job nor its terminal
+    /// state.
     fn write_submission(
         &mut self,
         effects: &mut Effects,
@@ -82,18 +85,21 @@
         self.shared.context(effects).store(Operation::Submit { req, id, value }, call);
     }
 
-    /// Whether a machine type could take a task of the job, and its team's limit the whole job.
+    /// Whether the job can ever run: some machine type fits one of its tasks, and the team's quota fits
+    /// all tasks that must run at the same time.
     fn can_run(&self, job: &user::Job) -> bool {
         let Some(team) = self.shared.config.teams.iter().find(|team| team.name == job.team) else {
             return false;
         };
-        // An array may run task by task; all tasks of the others run at the same time.
-        let tasks = if job.kind == user::Kind::Array { 1.0 } else { f64::from(job.tasks) };
-        let within =
-            |max: f64, per_task: f64| max == 0.0 || per_task * tasks <= max + LIMIT_TOLERANCE;
+        // The tasks of an array may run one after another; all tasks of other kinds of jobs run at the
+        // same time.
+        let tasks_at_once = if job.kind == user::Kind::Array { 1.0 } else { f64::from(job.tasks) };
+        let is_within = |max: f64, per_task: f64| {
+            max == 0.0 || per_task * tasks_at_once <= max + QUOTA_TOLERANCE
+        };
         self.fits_a_machine_type(job)
-            && within(team.cpus_max, job.cpus)
-            && within(team.gpus_max, job.gpus)
+            && is_within(team.cpus_max, job.cpus)
+            && is_within(team.gpus_max, job.gpus)
     }
 
     fn fits_a_machine_type(&self, job: &user::Job) -> bool {
@@ -108,8 +114,8 @@
         })
     }
 
-    /// Looks a job up: here if its shard is ours, else at its owner if that can be reached, else in
-    /// the store.
+    /// Looks a job up: on this node if it owns the job's shard, else at the owner if that is reachable,
+    /// else in the store.
     pub(super) fn lookup(
         &mut self,
         effects: &mut Effects,
@@ -119,26 +125,27 @@
     ) {
         let lookup = JobLookup { req, id, purpose };
         let shard = shard_of_job(id, self.shared.shard_count());
-        if self.speaks_for(shard, effects.now) {
+        if self.can_answer_for(shard, effects.now) {
             if !self.answer_lookup(effects, shard, lookup) {
                 self.read_job(effects, lookup);
             }
             return;
         }
         match self.reachable_owner(shard, effects.now) {
-            Some(owner) if !self.overloaded() => self.query_job(effects, owner, lookup),
+            Some(owner) if !self.is_overloaded() => self.query_job(effects, owner, lookup),
             _ => self.read_job(effects, lookup),
         }
     }
 
-    /// Whether this node owns the shard, has loaded it, and may answer for it.
-    fn speaks_for(&self, shard: Shard, now: Timestamp) -> bool {
+    /// Whether this node owns the shard, has loaded it, and may answer for it under its lease.
+    fn can_answer_for(&self, shard: Shard, now: Timestamp) -> bool {
         let valid = self.shared.lease.valid(now) || !holds(Guard::DoubtTells);
         let active = self.owned[shard.0 as usize].as_ref();
         active.is_some_and(|active| valid && active.coordinator.ready())
     }
 
-    /// Answers for a shard of ours. False: the job is not known here.
+    /// Answers a lookup from a shard that this node owns. Returns `false`, without an answer, if the
+    /// shard's coordinator does not know the job.
     fn answer_lookup(&mut self, effects: &mut Effects, shard: Shard, lookup: JobLookup) -> bool {
         let Some(active) = &mut self.owned[shard.0 as usize] else { return false };
         let mut context = self.shared.context(effects);
@@ -153,15 +160,16 @@
         found
     }
 
-    /// The sibling that owns the shard, if it is reachable.
+    /// Returns the sibling that owns the shard, if it is reachable.
     fn reachable_owner(&self, shard: Shard, now: Timestamp) -> Option<NodeIdx> {
         let owner = self.shared.owner(shard)?.node;
-        let reachable = owner != self.shared.me && self.shared.health.hears(owner, now);
-        reachable.then_some(owner)
+        let is_reachable = owner != self.shared.this_node && self.shared.health.hears(owner, now);
+        is_reachable.then_some(owner)
     }
 
-    /// Reads the store: the job first, then its terminal state. That is written in the same
-    /// transaction that deletes the job, so one of the two is found if the job is known.
+    /// Answers a lookup from the store: reads the job and, if it is not there, its terminal state. The
+    /// transaction that writes the terminal state also deletes the job, so reading in this order finds
+    /// one of the two if the job is known.
     pub(super) fn read_job(&mut self, effects: &mut Effects, lookup: JobLookup) {
         if self.shared.too_many_operations() {
             return self.reply_later(effects, lookup.req, OVERLOADED_RETRY_S);
@@ -174,8 +182,8 @@
         }
     }
 
-    /// The store's answer to the read of a job.
-    pub(super) fn job_read(
+    /// Handles the store's answer to the read of a job.
+    pub(super) fn on_job_read(
         &mut self,
         effects: &mut Effects,
         lookup: JobLookup,
@@ -183,7 +191,7 @@
     ) {
         let mut context = self.shared.context(effects);
         match result {
-            // Its owner does not answer, so it can't be cancelled now.
+            // The owner of the job's shard does not answer, so the job can't be cancelled now.
             StoreResult::Item(Some(_)) if lookup.purpose == LookupPurpose::Cancellation => {
                 context.reply_later(lookup.req, 503, UNKNOWN_RETRY_S);
             }
@@ -196,8 +204,8 @@
         }
     }
 
-    /// The store's answer to the read of a job's terminal state.
-    pub(super) fn terminal_state_read(
+    /// Handles the store's answer to the read of a job's terminal state.
+    pub(super) fn on_terminal_state_read(
         &mut self,
         effects: &mut Effects,
         lookup: JobLookup,
@@ -222,8 +230,8 @@
         }
     }
 
-    /// The store's answer to the write of a new job.
-    pub(super) fn submitted(
+    /// Handles the store's answer to the write of a new job.
+    pub(super) fn on_submission_result(
         &mut self,
         effects: &mut Effects,
         req: RequestId,
@@ -246,7 +254,7 @@
         }
     }
 
-    /// Informs the job's coordinator, if it is here and its list of jobs is older than this job.
+    /// Informs the job's coordinator, if it is on this node and its list of jobs is older than the job.
     fn job_created(
         &mut self,
         effects: &mut Effects,
@@ -256,11 +264,12 @@
     ) {
         let shard = shard_of_job(id, self.shared.shard_count());
         let Some(active) = &mut self.owned[shard.0 as usize] else { return };
-        // While it loads, the list brings it. And if the list is newer than the creation but lacks
-        // the job, then it is over already: this answer is a late one. (Found by the simulator: a
-        // done job went back to running.)
-        let newer = revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
-        if active.coordinator.ready() && newer {
+        // While the coordinator loads its jobs, the list will contain this one. If the list is newer
+        // than the creation of the job but lacks it, then this answer came late and the job has already
+        // reached a terminal state. Informing the coordinator then returned a completed job to running.
+        let is_newer =
+            revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
+        if active.coordinator.ready() && is_newer {
             let mut context = self.shared.context(effects);
             active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
             self.wake |= context.wake;
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -1,55 +1,62 @@
-//! Workers: which of them may be answered, and what.
-use super::relay::{Route, WorkerVisit};
+//! Heartbeats of workers: which of them this node may answer, relay or redirect.
+use super::relay::{MisdirectedHeartbeat, Route};
 use super::Node;
 use crate::ids::{shard_of_job, shard_of_machine, JobId, NodeIdx, Shard, Timestamp};
 use crate::io::{CommandOutcome, Effect, Effects, LogLevel, RequestId, WorkerReply};
 use crate::reachability::HeartbeatPath;
 use leaddeal_wire::worker::WorkerHeartbeat;
 
-/// The first heartbeats of all owners are received within this time after a start.
+/// Time after the start of a process within which it receives the first heartbeats of all shard
+/// owners, in ms.
 const FIRST_HEARTBEATS_MS: u64 = 5000;
 
 impl Node {
-    /// Whether the worker may be answered: what was cancelled of its tasks' jobs is known here up to a
-    /// moment from which its lease is over in time (`horizon.rs`), and its machine's shard is still
-    /// ours by then. If not, it is relinquished, for the node that owns that shard by now.
+    /// Whether the worker may be answered. An answer renews the worker's lease, so the cancellations of
+    /// its tasks' jobs must be known here up to a time that is recent enough for the lease to expire
+    /// before a cancelled task must be gone (see `horizon.rs`). The same condition on the machine's own
+    /// shard ensures that this node still owned it at such a time. A worker that is not answered turns
+    /// to the node that owns its machine's shard by now.
     ///
-    /// (Found by the simulator: workers stayed with a node that heard no sibling for its whole grace;
-    /// and, seed 1498, with one that heard a sibling again which knew as little, while the third had
-    /// cancelled a job and was unreachable. Found by the operators: a store that refused one
-    /// controller and then all, while workers still reported to that one.)
-    fn may_answer(&self, report: &WorkerHeartbeat, now: Timestamp) -> bool {
+    /// Without this condition, workers that ran cancelled tasks stayed with a node that
+    /// - received nothing from any sibling for its whole grace period;
+    /// - received heartbeats again of a sibling that knew as little, while the third controller, which
+    ///   had cancelled a job, was unreachable (simulator seed 1498);
+    /// - still received heartbeats of workers while the store refused first this controller and then
+    ///   all of them.
+    fn can_answer_worker(&self, report: &WorkerHeartbeat, now: Timestamp) -> bool {
         let shards = self.shared.shard_count();
         let permits = |shard| self.shared.horizons.permits_answer(shard, now);
-        let home = shard_of_machine(&report.machine, shards);
+        let machine_shard = shard_of_machine(&report.machine, shards);
         if self.shared.shards().all(permits) {
             return true;
         }
-        let listed = report.tasks.iter().filter_map(|task| Some(JobId(task.task?.job)));
-        let participant = self.owned[home.0 as usize].as_ref().map(|active| &active.participant);
+        let reported = report.tasks.iter().filter_map(|task| Some(JobId(task.task?.job)));
+        let participant =
+            self.owned[machine_shard.0 as usize].as_ref().map(|active| &active.participant);
         let machine = self.shared.names.find_machine(&report.machine);
         let placed = participant
             .zip(machine)
             .map(|(participant, machine)| participant.jobs_on(machine))
             .into_iter()
             .flatten();
-        permits(home) && listed.chain(placed).all(|job| permits(shard_of_job(job, shards)))
+        permits(machine_shard)
+            && reported.chain(placed).all(|job| permits(shard_of_job(job, shards)))
     }
 
-    /// Logs once when workers are relinquished, and when they are answered again.
-    pub(super) fn log_relinquished_workers(&mut self, effects: &mut Effects) {
+    /// Logs once when this node begins to refuse heartbeats, and once when it answers all again.
+    pub(super) fn log_refused_heartbeats(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let horizons = &self.shared.horizons;
         let behind: Vec<Shard> =
             self.shared.shards().filter(|&shard| !horizons.permits_answer(shard, now)).collect();
-        // A process that has just begun has to receive heartbeats of all owners first.
-        let acts = self.owned.iter().any(Option::is_some)
+        // A process that has just started first has to receive heartbeats of all shard owners.
+        let is_active = self.owned.iter().any(Option::is_some)
             && now >= self.timers.started + FIRST_HEARTBEATS_MS;
-        let relinquished = !behind.is_empty() && acts;
-        if relinquished == std::mem::replace(&mut self.workers_relinquished, relinquished) {
+        let refused = !behind.is_empty() && is_active;
+        if refused == std::mem::replace(&mut self.heartbeats_refused, refused) {
             return;
         }
-        if !relinquished {
+        if !refused {
             return effects.log(LogLevel::Info, "heartbeats_answered", || {
                 "all cancellations are known again".into()
             });
@@ -63,8 +70,9 @@
         effects.log(LogLevel::Info, "heartbeats_refused", || details);
     }
 
-    /// A worker's heartbeat that came straight from it.
-    pub(super) fn worker_heartbeat(
+    /// Handles a heartbeat that a worker sent to this node. It is answered, relayed to the owner of
+    /// the machine's shard, or refused with a redirect.
+    pub(super) fn on_heartbeat(
         &mut self,
         effects: &mut Effects,
         req: RequestId,
@@ -79,23 +87,25 @@
         effects.push(Effect::Worker { req, reply });
     }
 
-    /// The sibling that a worker's heartbeat is to be passed on to, since the worker does not reach
-    /// it; none: the worker is sent there.
+    /// Returns the sibling to which the worker's heartbeat is to be relayed, because the worker does
+    /// not reach it; `None`: the worker is redirected instead.
     fn owner_to_relay_to(&mut self, report: &WorkerHeartbeat, now: Timestamp) -> Option<NodeIdx> {
         let shard = shard_of_machine(&report.machine, self.shared.shard_count());
         let view = self.shared.shard_views[shard.0 as usize];
         let heard = view.owner.filter(|owner| self.shared.health.hears(owner.node, now));
         let machine = self.shared.names.machine(&report.machine);
-        let owner = heard.filter(|_| self.calls.may_relay())?;
-        let visit = WorkerVisit {
+        let owner = heard.filter(|_| self.calls.can_relay())?;
+        let heartbeat = MisdirectedHeartbeat {
             machine,
-            busy: !report.tasks.is_empty(),
-            owner_for_ms: now.saturating_sub(view.owned_since),
+            has_tasks: !report.tasks.is_empty(),
+            owner_age_ms: now.saturating_sub(view.owned_since),
         };
-        (self.relay_table.route(visit, now) == Route::Relayed).then_some(owner.node)
+        (self.relay_table.route(heartbeat, now) == Route::Relayed).then_some(owner.node)
     }
 
-    /// The answer to a worker's heartbeat: the participant's, if its machine's shard is ours.
+    /// Returns the reply to a worker's heartbeat: the participant's response if this node owns the
+    /// machine's shard and may answer, else a redirect to the owner if it is known. `via` is the
+    /// sibling that relayed the heartbeat; `None`: it came directly.
     pub(super) fn answer_heartbeat(
         &mut self,
         effects: &mut Effects,
@@ -103,7 +113,7 @@
         via: HeartbeatPath,
     ) -> WorkerReply {
         let shard = shard_of_machine(&report.machine, self.shared.shard_count());
-        let may_answer = self.may_answer(report, effects.now);
+        let may_answer = self.can_answer_worker(report, effects.now);
         if let Some(active) = self.owned[shard.0 as usize].as_mut().filter(|_| may_answer) {
             let mut context = self.shared.context(effects);
             return match active.participant.report(&mut context, report, via) {
@@ -112,15 +122,15 @@
             };
         }
         match self.shared.owner(shard) {
-            Some(owner) if owner.node != self.shared.me => {
+            Some(owner) if owner.node != self.shared.this_node => {
                 WorkerReply::Redirect(Some(self.shared.node_name(owner.node)))
             }
             _ => WorkerReply::Unavailable,
         }
     }
 
-    /// What became of commands that were sent to a worker.
-    pub(super) fn command_outcome(
+    /// Handles the outcome of commands that were sent to a worker.
+    pub(super) fn on_command_outcome(
         &mut self,
         effects: &mut Effects,
         machine: &str,
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,57 +1,58 @@
 //! Reads all records under a key prefix: a paginated list, then a watch stream.
 //!
-//! Invariant: a caller that takes every [`Record`] that a [`RecordReader`] returns has seen each key
-//! that was there when the first page was read, and each change since then, some of them twice.
-//! If the state service has compacted the revision to go on from (410), everything is listed again
-//! from the beginning; a truncated page is followed by the next one; a call without an answer is
-//! retried.
+//! Invariant: the [`Record`]s that a [`RecordReader`] returns include each key that existed when the
+//! first page was read, and each write since then; some are returned twice. If the state service
+//! has compacted the revision from which to watch (410), the reader lists everything again from the
+//! beginning. It follows a truncated page with the next one, and retries a call that was refused or
+//! not answered.
 use crate::ids::Timestamp;
 use crate::io::{StoreCall, StoreResult};
 use leaddeal_wire::state::{Event, Item, Page};
 use serde_json::Value;
 
-/// Wait after the first call that was refused or not answered. Each further failure in a row
-/// doubles it.
+/// Back-off after the first call that was refused or not answered, in ms. Each further consecutive
+/// failure doubles it.
 const RETRY_INITIAL_MS: u64 = 300;
-/// The longest wait between two tries.
+/// Upper bound of the back-off, in ms.
 const RETRY_MAX_MS: u64 = 1200;
-/// Bounds the shift that doubles the wait.
+/// Upper bound of the shift that doubles the back-off, which keeps it from overflowing.
 const MAX_RETRY_DOUBLINGS: u32 = 8;
-/// From this number of failures in a row on, each power of two is worth a line in the log.
-const FAILURES_WORTH_LOGGING: u32 = 8;
+/// Consecutive failures are logged from this number on, at each power of two.
+const MIN_LOGGED_FAILURES: u32 = 8;
 
-/// How far a reader has come.
+/// How far a reader has progressed.
 #[derive(Clone, Debug, PartialEq)]
-enum ReadingState {
-    /// The next page is to be read: from the beginning, or after this key.
+enum ReaderState {
+    /// The next page is to be read: after this key, or from the beginning if `None`.
     Listing { after: Option<String> },
-    /// All pages are read, and changes are not watched.
+    /// All pages have been read, and changes are not watched.
     Finished,
-    /// All pages are read, and changes are watched.
+    /// All pages have been read, and changes are watched.
     Watching,
 }
 
 /// Reads the records under one prefix. It makes no calls itself: [`RecordReader::next_call`] returns
-/// the call that is due, and its result is handed back to [`RecordReader::on_result`].
+/// the call that is due, and the caller passes the result to [`RecordReader::on_result`].
 #[derive(Debug)]
 pub struct RecordReader {
     prefix: String,
-    state: ReadingState,
-    /// How long a watch call may wait for changes, in milliseconds; `None`: only the pages are read.
+    state: ReaderState,
+    /// How long a watch call may wait for changes, in ms; `None`: the reader stops after the list.
     watch_wait_ms: Option<u64>,
-    /// Revision of the first page, and then of the newest change.
+    /// Revision of the first page or, once changes are watched, of the newest change.
     revision: u64,
-    /// A call is in flight; there is one at a time.
+    /// Whether a call is in flight. There is at most one at a time.
     call_in_flight: bool,
+    /// No call is made before this time.
     retry_at: Timestamp,
-    /// Calls in a row that were refused or had no answer.
+    /// Consecutive calls that were refused or not answered.
     consecutive_failures: u32,
 }
 
-/// A key that was found in a page, or that was written.
+/// An item of a page, or a write that was watched.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The whole key, with its prefix.
+    /// The whole key, including the prefix.
     pub key: String,
     /// The value as it is stored.
     pub value: Value,
@@ -60,11 +61,11 @@
 }
 
 impl RecordReader {
-    /// Reads all records once.
+    /// Creates a reader that lists all records once.
     pub fn list(prefix: String) -> RecordReader {
         RecordReader {
             prefix,
-            state: ReadingState::Listing { after: None },
+            state: ReaderState::Listing { after: None },
             watch_wait_ms: None,
             revision: 0,
             call_in_flight: false,
@@ -73,54 +74,56 @@
         }
     }
 
-    /// Reads all records, and then what is written. A watch call waits up to `wait_ms`.
+    /// Creates a reader that lists all records and then watches for writes. A watch call waits up to
+    /// `wait_ms`.
     pub fn list_and_watch(prefix: String, wait_ms: u64) -> RecordReader {
         RecordReader { watch_wait_ms: Some(wait_ms), ..RecordReader::list(prefix) }
     }
 
-    /// Reads what is written after this revision. A watch call waits up to `wait_ms`.
+    /// Creates a reader that watches for writes after this revision, without a list. A watch call
+    /// waits up to `wait_ms`.
     pub fn watch_since(prefix: String, revision: u64, wait_ms: u64) -> RecordReader {
         let reader = RecordReader::list_and_watch(prefix, wait_ms);
-        RecordReader { state: ReadingState::Watching, revision, ..reader }
+        RecordReader { state: ReaderState::Watching, revision, ..reader }
     }
 
     /// Whether every page has been read.
     pub fn is_list_complete(&self) -> bool {
-        !matches!(self.state, ReadingState::Listing { .. })
+        !matches!(self.state, ReaderState::Listing { .. })
     }
 
-    /// Fields for the log, if the last failure in a row is one that is worth a line.
+    /// Returns the fields of a log line about consecutive failures if one is due: at each power of
+    /// two from the eighth failure on.
     pub fn failures_to_log(&self) -> Option<String> {
         let failures = self.consecutive_failures;
-        let worth_logging = failures >= FAILURES_WORTH_LOGGING && failures.is_power_of_two();
-        worth_logging.then(|| format!("prefix={} tries={failures}", self.prefix))
+        let is_due = failures >= MIN_LOGGED_FAILURES && failures.is_power_of_two();
+        is_due.then(|| format!("prefix={} tries={failures}", self.prefix))
     }
 
-    /// Revision of the first page or, once changes are watched, of the newest change.
+    /// Returns the revision of the first page or, once changes are watched, of the newest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The next call, if one is due; its result goes to [`RecordReader::on_result`].
+    /// Returns the next call if one is due. The caller passes its result to
+    /// [`RecordReader::on_result`].
     pub fn next_call(&mut self, now: Timestamp) -> Option<StoreCall> {
         if self.call_in_flight || now < self.retry_at {
             return None;
         }
         let prefix = self.prefix.clone();
         let call = match (&self.state, self.watch_wait_ms) {
-            (ReadingState::Listing { after }, _) => {
-                StoreCall::List { prefix, after: after.clone() }
-            }
-            (ReadingState::Watching, Some(wait_ms)) => {
+            (ReaderState::Listing { after }, _) => StoreCall::List { prefix, after: after.clone() },
+            (ReaderState::Watching, Some(wait_ms)) => {
                 StoreCall::Watch { prefix, after: self.revision, wait_ms }
             }
-            (ReadingState::Finished | ReadingState::Watching, _) => return None,
+            (ReaderState::Finished | ReaderState::Watching, _) => return None,
         };
         self.call_in_flight = true;
         Some(call)
     }
 
-    /// Takes the result of the last call; returns the records in it.
+    /// Processes the result of the last call and returns the records in it.
     pub fn on_result(&mut self, now: Timestamp, result: StoreResult) -> Vec<Record> {
         self.call_in_flight = false;
         let earlier_failures = std::mem::take(&mut self.consecutive_failures);
@@ -131,7 +134,7 @@
                 events.events.into_iter().filter_map(Record::from_event).collect()
             }
             StoreResult::Compacted => {
-                self.state = ReadingState::Listing { after: None };
+                self.state = ReaderState::Listing { after: None };
                 Vec::new()
             }
             _ => {
@@ -142,14 +145,14 @@
     }
 
     fn on_page(&mut self, page: Page) -> Vec<Record> {
-        if self.state == (ReadingState::Listing { after: None }) {
+        if self.state == (ReaderState::Listing { after: None }) {
             self.revision = page.revision;
         }
         let last_key = page.items.last().filter(|_| page.more).map(|item| item.key.clone());
         self.state = match (last_key, self.watch_wait_ms) {
-            (Some(key), _) => ReadingState::Listing { after: Some(key) },
-            (None, Some(_)) => ReadingState::Watching,
-            (None, None) => ReadingState::Finished,
+            (Some(key), _) => ReaderState::Listing { after: Some(key) },
+            (None, Some(_)) => ReaderState::Watching,
+            (None, None) => ReaderState::Finished,
         };
         page.items.into_iter().map(Record::from_item).collect()
     }
@@ -166,7 +169,7 @@
         Record { key: item.key, value: item.value, version: item.version }
     }
 
-    /// `None` for a deletion.
+    /// Returns the record of a write; `None` for a deletion.
     fn from_event(event: Event) -> Option<Record> {
         Some(Record { key: event.put?, value: event.value, version: event.version })
     }
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn truncated_pages_lost_answers_and_compacted_changes_lose_nothing() {
+fn returns_all_records_despite_retries_and_compaction() {
     let mut reader = RecordReader::list_and_watch("j/".into(), 9);
     assert!(matches!(reader.next_call(0), Some(StoreCall::List { after: None, .. })));
     assert!(reader.next_call(0).is_none(), "one call at a time");
@@ -26,7 +26,8 @@
         Some(StoreCall::List { after: Some(_), .. })
     ));
     reader.on_result(RETRY_INITIAL_MS, page(&["j/3"], false, 8));
-    // What changed while later pages were read is watched from the first page's revision on.
+    // The watch starts at the first page's revision, so it covers changes made while later pages
+    // were read.
     assert!(reader.is_list_complete() && reader.revision() == 5);
     assert!(matches!(reader.next_call(1000), Some(StoreCall::Watch { after: 5, .. })));
     let put = Event { put: Some("j/4".into()), delete: None, value: Value::Null, version: 9 };
@@ -40,9 +41,10 @@
     );
 }
 
-/// A page that is refused time and again is asked for more and more rarely, and logged.
+/// A call that is refused repeatedly is retried with exponential back-off, and the failures are
+/// logged.
 #[test]
-fn refused_calls_are_retried_with_longer_waits() {
+fn backs_off_after_refused_calls() {
     let mut reader = RecordReader::list("d/".into());
     let mut now = 0;
     let mut calls = Vec::new();
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn a_list_without_a_watch_finishes() {
+fn list_without_watch_finishes() {
     let mut reader = RecordReader::list("d/".into());
     reader.next_call(0);
     reader.on_result(0, page(&[], false, 3));
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,73 +1,76 @@
-//! The controllers' lease, and which node owns each shard of the jobs and machines.
+//! This controller's lease at the state service, and what it knows of the owner of each shard.
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, NodeIdx, Timestamp};
 
-/// A controller's lease at the state service is over this long after its last renewal.
+/// Time from the last renewal of a controller's lease at the state service to its expiry, in ms.
 pub const LEASE_MS: u64 = 4000;
-/// Between two renewals.
+/// Interval between two renewals of the lease, in ms.
 pub const RENEW_MS: u64 = 1000;
 
-/// An interval of our clock, in ms, within which `ms` are certainly not over by another clock. Clocks
-/// may differ by 0.05%; this is a safe factor, and the rounding of timers besides.
+/// Returns an interval of this node's clock, in ms, that is certainly not longer than `ms` on any
+/// other clock. Clock rates may differ by 0.05%; the margin is 0.1% and an additional 50 ms for the
+/// rounding of timers.
 pub fn at_most(ms: u64) -> u64 {
     ms.saturating_sub(if holds(Guard::Drift) { ms / 1000 + 50 } else { 0 })
 }
 
-/// An interval of our clock, in ms, after which `ms` are certainly over by another clock.
+/// Returns an interval of this node's clock, in ms, that is certainly not shorter than `ms` on any
+/// other clock.
 pub fn at_least(ms: u64) -> u64 {
     ms + if holds(Guard::Drift) { ms / 1000 + 250 } else { 0 }
 }
 
-/// A node that owns a shard, or owned it.
+/// A present or former owner of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// The node.
     pub node: NodeIdx,
-    /// Which process of it; 0 if that is not known, since a sibling named it.
+    /// Number of the process on that node; 0 if unknown, because the owner was learned from a
+    /// sibling's heartbeat.
     pub boot: u64,
-    /// The revision at which it acquired the shard.
+    /// The revision at which the node acquired the shard.
     pub epoch: Epoch,
 }
 
-/// What is known of the ownership of one shard.
+/// What this node knows of the ownership of one shard.
 ///
-/// Invariants: epochs of `newest_owner` never go back; `vacated` never goes back; an owner that only a
-/// sibling named has an epoch above `vacated`.
+/// Invariants: neither the epoch of `newest_owner` nor `vacated` ever decreases; an owner that is
+/// known only from a sibling's claim has an epoch above `vacated`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShardView {
-    /// The present owner, as far as is known.
+    /// The present owner as far as is known; `None`: the shard is vacant or its owner is unknown.
     pub owner: Option<Owner>,
-    /// The newest owner there ever was, as far as is known: `owner`, or one whose time is over.
+    /// The owner with the newest known epoch: the present owner, or a former one.
     pub newest_owner: Option<Owner>,
-    /// Whatever epoch is not above this revision is over.
+    /// Store revision at which the shard was last known to be vacant: all epochs up to it are over.
     pub vacated: u64,
-    /// When it was first known that the last owner's time is over.
+    /// When this node first learned that the shard is vacant.
     pub vacant_since: Timestamp,
-    /// When the present owner was first known of.
+    /// When this node first learned of the present owner.
     pub owned_since: Timestamp,
-    /// An acquisition by this node is in flight.
+    /// Whether an acquisition by this node is in flight.
     pub acquiring: bool,
 }
 
 /// The state of a shard's key in the state service.
 #[derive(Clone, Copy, Debug)]
 pub enum ShardKeyState<'a> {
-    /// It has this value, since that revision.
+    /// The key exists: the shard has an owner.
     Owned {
         /// The owner's record.
         value: &'a serde_json::Value,
         /// The revision at which it was written: the owner's epoch.
         version: u64,
     },
-    /// It is not there at this revision.
+    /// The key does not exist: the shard has no owner.
     Vacant {
-        /// The store's revision.
+        /// A revision of the store at which the key did not exist.
         revision: u64,
     },
 }
 
 impl ShardKeyState<'_> {
-    /// The revision at which the key had this state.
+    /// Returns the revision at which the key had this state.
     pub fn revision(&self) -> u64 {
         match *self {
             ShardKeyState::Owned { version, .. } => version,
@@ -77,7 +80,7 @@
 }
 
 impl ShardView {
-    /// Nobody owns it at that revision; the time is counted from when that was first seen.
+    /// Records that the shard had no owner at that revision. An owner with a newer epoch stays.
     pub fn vacate(&mut self, revision: u64, now: Timestamp) {
         self.vacated = self.vacated.max(revision);
         if self.owner.is_some_and(|owner| owner.epoch.0 <= revision) {
@@ -87,22 +90,23 @@
         }
     }
 
-    /// A sibling claims that this is the owner, whose lease may be in doubt. The claim is accepted
-    /// unless that owner or a newer one is known, or the store has shown that the shard was given up
-    /// since. Returns whether it is.
+    /// Processes a sibling's claim that this is the owner. The claim is accepted unless this owner
+    /// or a newer one is known already, or the store has shown that the shard was vacant since.
+    /// Returns whether the claim was accepted.
     ///
-    /// (Found by the simulator: heartbeats of an owner in doubt named none of its shards, and the
-    /// owner before, which the store refused, kept workers with cancelled tasks.)
+    /// A claim is also accepted of an owner whose lease is uncertain. When owners with an uncertain
+    /// lease named none of their shards in heartbeats, the previous owner, which the store refused,
+    /// kept answering workers that ran cancelled tasks.
     pub fn accept_claim(&mut self, claimed: Owner, now: Timestamp) -> bool {
         let is_newer = self.owner.is_none_or(|owner| owner.epoch < claimed.epoch);
-        let news = is_newer && claimed.epoch.0 > self.vacated;
-        if news {
+        let is_accepted = is_newer && claimed.epoch.0 > self.vacated;
+        if is_accepted {
             self.set_owner(claimed, now);
         }
-        news
+        is_accepted
     }
 
-    /// This is the owner, as shown by the store or by a claim that was accepted.
+    /// Sets the owner that the store, or an accepted claim, has shown.
     pub fn set_owner(&mut self, new: Owner, now: Timestamp) {
         if self.owner.is_none_or(|owner| owner.epoch != new.epoch) {
             self.owned_since = now;
@@ -116,27 +120,27 @@
 
 /// This node's lease at the state service.
 ///
-/// Invariant: `renewed` is never later than the renewal at the state service, so that the lease is
-/// over here before it is there.
+/// Invariant: `renewed` is never later than the renewal at the state service, so the lease ends for
+/// this node before it expires there.
 #[derive(Debug, Default)]
 pub struct Lease {
-    /// Its number; none: there is no lease.
+    /// The lease's number; `None`: this node has no lease.
     pub id: Option<u64>,
-    /// When the renewal last answered was sent.
+    /// When the last request or renewal that succeeded was sent.
     pub renewed: Timestamp,
-    /// When the call that is in flight was sent.
+    /// When the call in flight was sent; `None`: no call is in flight.
     pub sent: Option<Timestamp>,
     /// When the next call is due.
     pub next: Timestamp,
 }
 
 impl Lease {
-    /// Certainly not over yet.
+    /// Whether the lease has certainly not expired yet.
     pub fn valid(&self, now: Timestamp) -> bool {
         self.id.is_some() && now < self.renewed + at_most(LEASE_MS)
     }
 
-    /// For how long, in ms, it has been in doubt whether it is over.
+    /// Returns for how long, in ms, the lease may have been expired; 0 if it is valid.
     pub fn in_doubt_ms(&self, now: Timestamp) -> u64 {
         now.saturating_sub(self.renewed + at_most(LEASE_MS))
     }
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -1,42 +1,43 @@
 use super::*;
 
 #[test]
-fn a_claim_is_believed_unless_the_shard_was_given_up_since() {
+fn accepts_claim_unless_shard_vacated_since() {
     let by = |epoch| Owner { node: NodeIdx(1), boot: 0, epoch: Epoch(epoch) };
     let mut view = ShardView::default();
     assert!(
         view.accept_claim(by(7), 0) && !view.accept_claim(by(7), 9) && !view.accept_claim(by(5), 9)
     );
     view.vacate(6, 100);
-    assert!(view.owner.is_some(), "an older deletion says nothing of a newer owner");
+    assert!(view.owner.is_some(), "an older deletion does not remove a newer owner");
     view.vacate(9, 100);
     assert!(view.owner.is_none() && view.vacant_since == 100);
-    assert!(!view.accept_claim(by(7), 200), "it does not know yet that its lease is over");
+    assert!(!view.accept_claim(by(7), 200), "this owner's lease is over");
     assert_eq!(
         view.newest_owner.map(|o| o.epoch),
         Some(Epoch(7)),
-        "siblings that know less are told"
+        "kept, so that heartbeats can name it to siblings"
     );
     view.vacate(9, 300);
-    assert_eq!(view.vacant_since, 100, "counted from when it was first seen");
+    assert_eq!(view.vacant_since, 100, "counted from when the vacancy was first known");
     assert!(view.accept_claim(by(12), 400) && view.owned_since == 400);
 }
 
-/// A lease is over here before it is at the state service, and a worker's there before it is here, though
-/// one clock is slow by 0.05% and the other fast.
+/// Checks the order of lease expiries when one clock is 0.05% slow and the other 0.05% fast: a
+/// node's lease ends for the node before it expires at the state service, and a worker's lease
+/// expires at the worker before the node counts it as expired.
 #[test]
-fn a_lease_is_judged_with_the_drift_of_both_clocks() {
+fn lease_expiry_allows_for_clock_drift() {
     for ms in [LEASE_MS, 8000, 30_000] {
         let (slow, fast) = (ms - ms / 2000, ms + ms / 2000);
         let lease = Lease { id: Some(1), renewed: 0, ..Lease::default() };
-        assert!(ms > LEASE_MS || !lease.valid(slow), "over there, and valid here");
+        assert!(ms > LEASE_MS || !lease.valid(slow), "valid here after its expiry at the service");
         assert!(at_most(ms) < slow && at_least(ms) > fast);
     }
 }
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
+fn tests_fail_without_their_guards() {
     use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Drift, a_lease_is_judged_with_the_drift_of_both_clocks);
+    missed_by(Guard::Drift, lease_expiry_allows_for_clock_drift);
 }
--- a/crates/core/src/writes.rs
+++ b/crates/core/src/writes.rs
@@ -1,11 +1,12 @@
-//! A transaction that is conditional on a shard's epoch, and what is known of its outcome.
+//! Transactions that are conditional on a shard's epoch, and what is known of their outcome.
 //!
 //! Invariants:
-//! - An outcome is never guessed. Until it is known, nothing that depends on it is announced or
+//! - The outcome is never assumed. Until it is known, nothing that depends on it is announced or
 //!   done, and the same transaction is retried. Only the shard's epoch, or a key that no other
-//!   transaction writes (its idempotency key), proves what became of an earlier try.
-//! - A copy that is executed late does nothing: each transaction names a key that it writes and the
-//!   version that this key has before, so it is executed at most once, however often it is sent.
+//!   transaction writes (the idempotency key), proves whether an earlier try was executed.
+//! - A copy of the transaction that the store executes late changes nothing. Each transaction is
+//!   conditional on the version of a key that it writes, so it is committed at most once, however
+//!   often it is sent.
 use crate::budget::{WriteBudget, WriteClass};
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, Shard, Timestamp};
@@ -13,52 +14,56 @@
 use crate::keys;
 use leaddeal_wire::state::{Change, Condition, Transaction};
 
-/// Wait before the next try if there was no answer.
+/// Delay before the next try if the last one was not answered, in ms.
 const NO_ANSWER_RETRY_MS: u64 = 200;
-/// Wait before the next try if this one was refused and an earlier one may have been executed.
+/// Delay before the next try if the last one was refused and an earlier one may have been executed,
+/// in ms.
 const REFUSED_RETRY_MS: u64 = 300;
 
 /// What is known of a [`PendingWrite`] after a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Executed at this revision.
+    /// It was committed at this revision.
     Done(u64),
-    /// The shard has another owner: nothing may be written under this epoch any more.
+    /// The shard has another owner, or the outcome can't be found out any more: this owner must
+    /// write nothing more under its epoch.
     Fenced,
-    /// Certainly not executed, now or later.
+    /// It was not executed and never will be.
     NotDone,
-    /// Not known yet: it will be retried.
+    /// The outcome is not known yet, and the write will be retried.
     Open,
 }
 
-/// How many of a transaction's changes are counted to one class of the write budget.
+/// Number of a transaction's changes that count against one class of the write budget.
 #[derive(Clone, Copy, Debug)]
 struct WriteCost {
     class: WriteClass,
     changes: usize,
 }
 
-/// A transaction that is sent until its outcome is known. It makes no calls itself:
-/// [`PendingWrite::next_call`] returns the call that is due, and its result is handed back to
+/// A transaction that is retried until its outcome is known. It makes no calls itself:
+/// [`PendingWrite::next_call`] returns the call that is due, and the caller passes the result to
 /// [`PendingWrite::on_result`].
 #[derive(Debug)]
 pub struct PendingWrite {
     costs: Vec<WriteCost>,
     shard: Shard,
     transaction: Transaction,
-    /// A key that this transaction and no other creates, or writes over at that version.
+    /// A key that only this transaction creates, or only this one overwrites at the version in its
+    /// condition. `None`: the transaction has no such key.
     idempotency_key: Option<String>,
-    /// An earlier try may have been executed, or may still be.
+    /// Whether an earlier try may have been executed, or may still be.
     earlier_try_uncertain: bool,
-    /// It was executed; at which revision is being read.
+    /// Whether the transaction is known to have been executed; its revision is then read from the
+    /// idempotency key.
     executed: bool,
-    /// When to send it; `None`: a result is awaited.
+    /// When the next call is due; `None` while a result is awaited.
     send_at: Option<Timestamp>,
 }
 
 impl PendingWrite {
-    /// A transaction that is conditional on the epoch under which the shard is owned. All its
-    /// changes are counted to `class`.
+    /// Creates a transaction that is conditional on the epoch under which the shard is owned. All
+    /// its changes count against `class` of the write budget.
     pub fn new(
         class: WriteClass,
         shard: Shard,
@@ -78,15 +83,17 @@
         }
     }
 
-    /// States that it creates this key (version 0), or writes over that version of it, and that no
-    /// other transaction does.
+    /// Makes `key` the idempotency key and adds the condition that it has this version (0: it does
+    /// not exist). The caller guarantees that no other transaction creates the key, or overwrites
+    /// this version of it.
     pub fn with_idempotency_key(mut self, key: String, version: u64) -> PendingWrite {
         self.transaction.conditions.push(Condition { key: key.clone(), version });
         self.idempotency_key = Some(key);
         self
     }
 
-    /// Counts this number of its changes to another class than that given at first.
+    /// Counts this number of the changes against another class than the one given to
+    /// [`PendingWrite::new`].
     pub fn with_changes_of_class(mut self, class: WriteClass, changes: usize) -> PendingWrite {
         if let Some(first) = self.costs.first_mut() {
             first.changes -= changes.min(first.changes);
@@ -95,7 +102,7 @@
         self
     }
 
-    /// Adds a condition, unless it is there already.
+    /// Adds a condition, unless the transaction already has it.
     pub fn with_condition(mut self, condition: Condition) -> PendingWrite {
         if !self.transaction.conditions.contains(&condition) {
             self.transaction.conditions.push(condition);
@@ -103,13 +110,13 @@
         self
     }
 
-    /// Sends it once more at that time, after it was certainly not executed.
+    /// Schedules the transaction to be sent again at that time, after it was certainly not executed.
     pub fn resend_at(&mut self, at: Timestamp) {
         self.send_at = Some(at);
     }
 
-    /// The next call, if one is due; its result goes to [`PendingWrite::on_result`]. What it writes
-    /// is counted against the budget.
+    /// Returns the next call if one is due, and counts its changes against the budget. The caller
+    /// passes the result to [`PendingWrite::on_result`].
     pub fn next_call(&mut self, now: Timestamp, budget: &mut WriteBudget) -> Option<StoreCall> {
         if self.send_at.is_none_or(|at| at > now) {
             return None;
@@ -124,15 +131,16 @@
         Some(StoreCall::Transaction(self.transaction.clone()))
     }
 
-    /// Takes the result of the last call; returns what is known of the outcome.
+    /// Processes the result of the last call and returns what is known of the outcome.
     pub fn on_result(&mut self, now: Timestamp, result: &StoreResult) -> WriteOutcome {
         match result {
             StoreResult::Committed(revision) => WriteOutcome::Done(*revision),
-            // No other transaction writes that key: its version is the revision of this one.
+            // No other transaction writes the idempotency key, so its version is the revision at
+            // which this one was committed.
             StoreResult::Item(Some(item)) if self.executed => WriteOutcome::Done(item.version),
-            // Deleted in the meantime, by a cancellation of this owner: what became of it can't be
-            // found out any more. The shard is given up and loaded again; further retries would
-            // block all writes after this one.
+            // A cancellation by this owner has deleted the key in the meantime, so the outcome can't
+            // be found out any more. Further retries would block all later writes; instead the
+            // owner relinquishes the shard and it is loaded again.
             StoreResult::Item(None) if self.executed => WriteOutcome::Fenced,
             StoreResult::Conflict(failed_keys) => self.on_conflict(now, failed_keys),
             StoreResult::Refused | StoreResult::RateLimited
@@ -148,7 +156,8 @@
         }
     }
 
-    /// The transaction was not executed, since the conditions on these keys did not hold.
+    /// Handles a transaction that was not committed because the conditions on these keys did not
+    /// hold.
     fn on_conflict(&mut self, now: Timestamp, failed_keys: &[String]) -> WriteOutcome {
         if failed_keys.contains(&keys::shard_key(self.shard)) {
             return WriteOutcome::Fenced;
@@ -156,11 +165,11 @@
         let already_written =
             self.idempotency_key.as_ref().is_some_and(|key| failed_keys.contains(key));
         if self.earlier_try_uncertain && already_written {
-            // Only this transaction writes this key: an earlier try was executed after all.
+            // No other transaction writes this key, so the earlier try was executed.
             self.executed = true;
             return self.retry_at(now);
         }
-        // Whatever other condition failed will fail for a late copy of an earlier try, too.
+        // Whichever other condition failed also fails for a late copy of an earlier try.
         WriteOutcome::NotDone
     }
 
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -12,18 +12,18 @@
 }
 
 #[test]
-fn the_idempotency_key_proves_the_outcome_of_an_earlier_try() {
+fn idempotency_key_proves_earlier_commit() {
     let (mut write, mut budget) = pending();
     assert!(write.next_call(5, &mut budget).is_some() && write.next_call(5, &mut budget).is_none());
     assert_eq!(write.on_result(5, &StoreResult::Unknown), WriteOutcome::Open);
     assert!(write.next_call(5 + NO_ANSWER_RETRY_MS - 1, &mut budget).is_none());
     assert!(write.next_call(5 + NO_ANSWER_RETRY_MS, &mut budget).is_some());
-    // Refused now, but the first try may yet be executed.
+    // This try is refused, but the first one may still be executed.
     assert_eq!(write.on_result(300, &StoreResult::Refused), WriteOutcome::Open);
     assert_eq!(
         write.on_result(900, &conflict("d/0/7-1")),
         WriteOutcome::Open,
-        "executed, but when?"
+        "executed, at a revision that is not known yet"
     );
     assert!(
         matches!(write.next_call(900, &mut budget), Some(StoreCall::Get { key }) if key == "d/0/7-1")
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_new_owner_fences_and_a_first_refusal_is_final() {
+fn new_owner_fences_and_first_refusal_is_final() {
     let (mut write, mut budget) = pending();
     let fence = Condition { key: "seat/0".into(), version: 7 };
     assert!(
@@ -53,9 +53,10 @@
     assert_eq!(write.on_result(0, &both), WriteOutcome::Fenced);
 }
 
-/// Keeps a compaction, whose chunk a cancellation deleted in the meantime, from blocking the terminal states of a shard.
+/// A cancellation deleted the chunk that a compaction had written and whose outcome was unknown.
+/// Retrying the compaction forever would block the writes of the shard's terminal states.
 #[test]
-fn an_outcome_that_cannot_be_found_out_fences_instead_of_retrying_forever() {
+fn unknowable_outcome_fences() {
     let (mut write, mut budget) = pending();
     write.next_call(5, &mut budget);
     write.on_result(5, &StoreResult::Unknown);
@@ -67,8 +68,8 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
+fn tests_fail_without_their_guards() {
     use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Epoch, a_new_owner_fences_and_a_first_refusal_is_final);
-    missed_by(Guard::OutcomeKnown, the_idempotency_key_proves_the_outcome_of_an_earlier_try);
+    missed_by(Guard::Epoch, new_owner_fences_and_first_refusal_is_final);
+    missed_by(Guard::OutcomeKnown, idempotency_key_proves_earlier_commit);
 }
