--- a/crates/core/src/horizon.rs
+++ b/crates/core/src/horizon.rs
@@ -33,7 +33,7 @@
 
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, JobId, NodeIdx, Shard, Timestamp};
-use crate::shard::{at_least, at_most, ShardView};
+use crate::shard::{minus_clock_drift, plus_clock_drift, ShardView};
 use cancellations::{KnownCancellations, STORED};
 use heartbeats::PeerStatements;
 use shard_horizon::ShardHorizon;
@@ -68,7 +68,7 @@
 
 /// How long after a shard's horizon workers may be answered, for these settings in milliseconds.
 fn grace_period_ms(cancel_ms: u64, worker_lease_ms: u64) -> u64 {
-    at_most(cancel_ms).saturating_sub(at_least(worker_lease_ms))
+    minus_clock_drift(cancel_ms).saturating_sub(plus_clock_drift(worker_lease_ms))
 }
 
 impl Horizons {
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::{newest_epoch, Horizons, OwnedShard};
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, JobId, NodeIdx, Timestamp};
-use crate::shard::{at_least, ShardView};
+use crate::shard::{plus_clock_drift, ShardView};
 use leaddeal_wire::mesh::{NodeHeartbeat, ShardAssertion, Stamp};
 
 /// An assertion names at most this many cancellations; if there are more, it is not complete.
@@ -151,7 +151,7 @@
         self.owner_statement = Some(EpochStatement { epoch, made_after });
         // Until when its lease was certain, by a clock that may be slow.
         let lease_uncertain = assertion.doubt_ms > 0 && holds(Guard::HorizonDoubt);
-        let uncertain_ms = if lease_uncertain { at_least(assertion.doubt_ms) } else { 0 };
+        let uncertain_ms = if lease_uncertain { plus_clock_drift(assertion.doubt_ms) } else { 0 };
         let certain_until = made_after.checked_sub(uncertain_ms);
         self.horizon = self.horizon.max(certain_until);
         self.confirmed_at = self.confirmed_at.max(certain_until.filter(|_| uncertain_ms == 0));
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -2,7 +2,7 @@
 use super::{AttemptKey, Machine, TaskOnMachine};
 use crate::guards::{holds, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{ExitReason, TaskReport, TaskState, WorkerHeartbeat};
 
@@ -35,7 +35,7 @@
         } else {
             self.lease_granted_at.max(previous_owners_until)
         };
-        granted_at + at_least(lease_ms)
+        granted_at + plus_clock_drift(lease_ms)
     }
 
     /// Takes in a heartbeat. `epoch` is the owner's. False if it tells nothing new; then nothing
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -3,7 +3,7 @@
 use crate::context::Operation;
 use crate::ids::{Timestamp, PROVISIONER_SHARD};
 use crate::io::{CloudCall, Effect, Effects, LogLevel};
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
 /// Interval between two slow ticks, which send heartbeats among other things, in ms.
@@ -36,7 +36,7 @@
             last_tick: now,
             next_slow_tick: now,
             next_catalog_request: now,
-            home_reclaim_from: now + at_least(HOME_RECLAIM_START_DELAY_MS),
+            home_reclaim_from: now + plus_clock_drift(HOME_RECLAIM_START_DELAY_MS),
         }
     }
 
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -6,7 +6,7 @@
 use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
 use crate::machine::{Machine, TaskOnMachine};
 use crate::names::Names;
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -153,7 +153,7 @@
     /// What changed of the machines, for the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let now = ctx.now;
-        let lease_ms = at_least(ctx.config.worker_lease_ms);
+        let lease_ms = plus_clock_drift(ctx.config.worker_lease_ms);
         let present = self.machines.values().filter(|machine| !machine.released);
         let unreachable = present.filter(|machine| is_unreachable(machine, now)).count();
         let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -15,7 +15,7 @@
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::machine::Machine;
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::ShardMessage;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -120,7 +120,8 @@
         shards: usize,
         patience_ms: u64,
     ) -> Participant {
-        let patience_ends = if holds(Guard::Patience) { now + at_least(patience_ms) } else { now };
+        let patience_ends =
+            if holds(Guard::Patience) { now + plus_clock_drift(patience_ms) } else { now };
         Participant {
             shard,
             epoch,
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -10,13 +10,13 @@
 /// Returns an interval of this node's clock, in ms, that is certainly not longer than `ms` on any
 /// other clock. Clock rates may differ by 0.05%; the margin is 0.1% and an additional 50 ms for the
 /// rounding of timers.
-pub fn at_most(ms: u64) -> u64 {
+pub fn minus_clock_drift(ms: u64) -> u64 {
     ms.saturating_sub(if holds(Guard::Drift) { ms / 1000 + 50 } else { 0 })
 }
 
 /// Returns an interval of this node's clock, in ms, that is certainly not shorter than `ms` on any
 /// other clock.
-pub fn at_least(ms: u64) -> u64 {
+pub fn plus_clock_drift(ms: u64) -> u64 {
     ms + if holds(Guard::Drift) { ms / 1000 + 250 } else { 0 }
 }
 
@@ -137,12 +137,12 @@
 impl Lease {
     /// Whether the lease has certainly not expired yet.
     pub fn valid(&self, now: Timestamp) -> bool {
-        self.id.is_some() && now < self.renewed + at_most(LEASE_MS)
+        self.id.is_some() && now < self.renewed + minus_clock_drift(LEASE_MS)
     }
 
     /// Returns for how long, in ms, the lease may have been expired; 0 if it is valid.
     pub fn in_doubt_ms(&self, now: Timestamp) -> u64 {
-        now.saturating_sub(self.renewed + at_most(LEASE_MS))
+        now.saturating_sub(self.renewed + minus_clock_drift(LEASE_MS))
     }
 }
 
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -31,7 +31,7 @@
         let (slow, fast) = (ms - ms / 2000, ms + ms / 2000);
         let lease = Lease { id: Some(1), renewed: 0, ..Lease::default() };
         assert!(ms > LEASE_MS || !lease.valid(slow), "valid here after its expiry at the service");
-        assert!(at_most(ms) < slow && at_least(ms) > fast);
+        assert!(minus_clock_drift(ms) < slow && plus_clock_drift(ms) > fast);
     }
 }
 
