--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -1,7 +1,7 @@
 //! A bounded search: every history of up to a number of faults, at every step, of three controllers, a
 //! store, one machine and one cancelled job, over the real transition functions.
 use super::*;
-use crate::shard::{Lease, LEASE_MS};
+use crate::shard::{Lease, LEASE_TTL_MS};
 
 const STEP_MS: u64 = 1000;
 
@@ -198,11 +198,11 @@
         let live = node.lease.id.is_some() && self.leases[node.lease_id as usize] > now;
         if !live {
             node.owned_epochs = [None; NODES];
-            self.leases.push(now + LEASE_MS);
+            self.leases.push(now + LEASE_TTL_MS);
             node.lease_id = self.leases.len() as u64 - 1;
             node.lease = Lease { id: Some(node.lease_id), renewed: now, ..Lease::default() };
         }
-        self.leases[node.lease_id as usize] = now + LEASE_MS;
+        self.leases[node.lease_id as usize] = now + LEASE_TTL_MS;
         node.lease.renewed = now;
         for s in 0..NODES {
             let shard = Shard(s as u8);
@@ -244,7 +244,7 @@
 
     fn owned_shards(&self, n: usize) -> Vec<Option<OwnedShard>> {
         let node = &self.nodes[n];
-        let lease_uncertain_ms = node.lease.in_doubt_ms(self.now);
+        let lease_uncertain_ms = node.lease.uncertain_ms(self.now);
         node.owned_epochs
             .iter()
             .map(|e| e.map(|epoch| OwnedShard { epoch, lease_uncertain_ms }))
@@ -357,7 +357,7 @@
                 }
             } else {
                 for l in &mut self.leases {
-                    *l = (*l).max(now + LEASE_MS + STEP_MS).min(now + LEASE_MS + STEP_MS);
+                    *l = (*l).max(now + LEASE_TTL_MS + STEP_MS).min(now + LEASE_TTL_MS + STEP_MS);
                 }
             }
             for n in 0..NODES {
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -4,7 +4,7 @@
 use crate::guards::{holds, Guard};
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
-use crate::shard::{Lease, LEASE_MS, RENEW_MS};
+use crate::shard::{Lease, LEASE_RENEWAL_INTERVAL_MS, LEASE_TTL_MS};
 
 /// A lease request or renewal without an answer for longer than this counts as lost, in ms.
 const LEASE_CALL_TIMEOUT_MS: u64 = 2500;
@@ -21,14 +21,16 @@
             return;
         }
         lease.sent = Some(now);
-        lease.next = now + RENEW_MS;
+        lease.next = now + LEASE_RENEWAL_INTERVAL_MS;
         let id = lease.id;
         let mut context = self.shared.context(effects);
         match id {
             Some(lease) => context
                 .store(Operation::RenewLease { sent: now, lease }, StoreCall::RenewLease { lease }),
-            None => context
-                .store(Operation::NewLease { sent: now }, StoreCall::NewLease { ttl_ms: LEASE_MS }),
+            None => context.store(
+                Operation::NewLease { sent: now },
+                StoreCall::NewLease { ttl_ms: LEASE_TTL_MS },
+            ),
         }
     }
 
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -44,7 +44,7 @@
     /// has loaded completely. It asserts nothing about a shard that is being released, because the
     /// release may have been executed already.
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
-        let lease_uncertain_ms = self.shared.lease.in_doubt_ms(now);
+        let lease_uncertain_ms = self.shared.lease.uncertain_ms(now);
         let assertion = |active: &ActiveShard| {
             let complete = active.coordinator.ready() && !active.releasing;
             complete.then_some(OwnedShard { epoch: active.epoch, lease_uncertain_ms })
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -3,9 +3,9 @@
 use crate::ids::{Epoch, NodeIdx, Timestamp};
 
 /// Time from the last renewal of a controller's lease at the state service to its expiry, in ms.
-pub const LEASE_MS: u64 = 4000;
+pub const LEASE_TTL_MS: u64 = 4000;
 /// Interval between two renewals of the lease, in ms.
-pub const RENEW_MS: u64 = 1000;
+pub const LEASE_RENEWAL_INTERVAL_MS: u64 = 1000;
 
 /// Returns an interval of this node's clock, in ms, that is certainly not longer than `ms` on any
 /// other clock. Clock rates may differ by 0.05%; the margin is 0.1% and an additional 50 ms for the
@@ -137,12 +137,12 @@
 impl Lease {
     /// Whether the lease has certainly not expired yet.
     pub fn valid(&self, now: Timestamp) -> bool {
-        self.id.is_some() && now < self.renewed + minus_clock_drift(LEASE_MS)
+        self.id.is_some() && now < self.renewed + minus_clock_drift(LEASE_TTL_MS)
     }
 
     /// Returns for how long, in ms, the lease may have been expired; 0 if it is valid.
-    pub fn in_doubt_ms(&self, now: Timestamp) -> u64 {
-        now.saturating_sub(self.renewed + minus_clock_drift(LEASE_MS))
+    pub fn uncertain_ms(&self, now: Timestamp) -> u64 {
+        now.saturating_sub(self.renewed + minus_clock_drift(LEASE_TTL_MS))
     }
 }
 
