--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -200,10 +200,10 @@
             node.owned_epochs = [None; NODES];
             self.leases.push(now + LEASE_TTL_MS);
             node.lease_id = self.leases.len() as u64 - 1;
-            node.lease = Lease { id: Some(node.lease_id), renewed: now, ..Lease::default() };
+            node.lease = Lease { id: Some(node.lease_id), renewed_at: now, ..Lease::default() };
         }
         self.leases[node.lease_id as usize] = now + LEASE_TTL_MS;
-        node.lease.renewed = now;
+        node.lease.renewed_at = now;
         for s in 0..NODES {
             let shard = Shard(s as u8);
             match self.keys[s] {
@@ -304,7 +304,7 @@
         let n = key.node;
         let node = &mut self.nodes[n];
         let acts = node.owned_epochs[JOBS.0 as usize] == Some(Epoch(key.epoch));
-        if !acts || !node.lease.valid(self.now) {
+        if !acts || !node.lease.is_valid(self.now) {
             return;
         }
         node.horizons.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
@@ -322,7 +322,7 @@
         let node = &self.nodes[n];
         let all = (0..NODES).all(|k| k == n || now < node.heard_at[k] + 3000);
         let may = match self.bug {
-            SeededBug::Silence => all && now < node.lease.renewed + 45_000,
+            SeededBug::Silence => all && now < node.lease.renewed_at + 45_000,
             _ => {
                 node.horizons.permits_answer(MACHINES, now)
                     && node.horizons.permits_answer(JOBS, now)
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -126,7 +126,7 @@
     ) {
         let JobQuery { id, cancel } = query;
         let shard = shard_of_job(id, self.shared.shard_count());
-        let valid = self.shared.lease.valid(effects.now) || !holds(Guard::DoubtTells);
+        let valid = self.shared.lease.is_valid(effects.now) || !holds(Guard::DoubtTells);
         let slot = self.owned[shard.0 as usize].as_mut();
         let refusal = |answer| {
             let msg = NodeMessage::JobAnswer { call, answer };
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -16,12 +16,12 @@
     pub(super) fn tick_lease(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let lease = &mut self.shared.lease;
-        let in_flight = lease.sent.is_some_and(|sent| now <= sent + LEASE_CALL_TIMEOUT_MS);
-        if now < lease.next || in_flight {
+        let in_flight = lease.call_sent_at.is_some_and(|sent| now <= sent + LEASE_CALL_TIMEOUT_MS);
+        if now < lease.next_call_at || in_flight {
             return;
         }
-        lease.sent = Some(now);
-        lease.next = now + LEASE_RENEWAL_INTERVAL_MS;
+        lease.call_sent_at = Some(now);
+        lease.next_call_at = now + LEASE_RENEWAL_INTERVAL_MS;
         let id = lease.id;
         let mut context = self.shared.context(effects);
         match id {
@@ -42,11 +42,11 @@
         result: &StoreResult,
     ) {
         let lease = &mut self.shared.lease;
-        lease.sent = None;
+        lease.call_sent_at = None;
         // The lease counts from when this request was sent, not from when a later one was.
         if let (StoreResult::Lease(id), None) = (result, lease.id) {
             lease.id = Some(*id);
-            lease.renewed = sent;
+            lease.renewed_at = sent;
             self.tick_ownership(effects);
         }
     }
@@ -65,25 +65,25 @@
         if lease.id != Some(id) {
             return;
         }
-        lease.sent = None;
+        lease.call_sent_at = None;
         match result {
             StoreResult::LeaseRenewed => {
                 let from = if holds(Guard::LeaseFromSent) { sent } else { now };
-                lease.renewed = lease.renewed.max(from);
+                lease.renewed_at = lease.renewed_at.max(from);
             }
             StoreResult::NoLease => {
                 effects.log(LogLevel::Info, "lease_lost", String::new);
                 self.timers.delay_home_reclaim(now);
                 self.lose_lease(effects);
             }
-            _ => lease.next = now + LEASE_RETRY_DELAY_MS,
+            _ => lease.next_call_at = now + LEASE_RETRY_DELAY_MS,
         }
     }
 
     /// Handles the loss of the lease, which the state service no longer knows: drops all shards, and
     /// makes the request for a new lease due.
     pub(super) fn lose_lease(&mut self, effects: &mut Effects) {
-        self.shared.lease = Lease { next: effects.now, ..Lease::default() };
+        self.shared.lease = Lease { next_call_at: effects.now, ..Lease::default() };
         self.drop_all(effects);
     }
 }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -143,7 +143,7 @@
     pub(super) fn tick_ownership(&mut self, effects: &mut Effects) {
         let now = effects.now;
         if !self.shard_list.is_known
-            || !self.shared.lease.valid(now)
+            || !self.shared.lease.is_valid(now)
             || self.shared.names.catalog.is_empty()
         {
             return;
@@ -229,7 +229,7 @@
         self.shared.shard_views[shard.0 as usize].acquiring = false;
         match result {
             StoreResult::Committed(revision)
-                if self.shared.lease.valid(effects.now) || !holds(Guard::DoubtOwns) =>
+                if self.shared.lease.is_valid(effects.now) || !holds(Guard::DoubtOwns) =>
             {
                 self.begin_ownership(effects, shard, Epoch(*revision));
             }
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -120,7 +120,7 @@
         Context {
             now: effects.now,
             wall_clock_ms: self.wall_clock_ms,
-            lease_valid: self.lease.valid(effects.now),
+            lease_valid: self.lease.is_valid(effects.now),
             wake: false,
             effects,
             names: &mut self.names,
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -87,7 +87,7 @@
     /// tasks kept running.
     pub(super) fn tick_terminal_states(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        let is_active = self.shared.lease.valid(now)
+        let is_active = self.shared.lease.is_valid(now)
             && self.owned.iter().any(Option::is_some)
             && holds(Guard::SilentFinals);
         // Cancellations before the horizon may have been sent to a previous owner of this node's
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -120,7 +120,7 @@
         let home = self.shared.home_shard();
         let Some(owner) = self.shared.owner(home) else { return };
         if owner.node != self.shared.this_node
-            && self.shared.lease.valid(effects.now)
+            && self.shared.lease.is_valid(effects.now)
             && effects.now > self.timers.home_reclaim_from
             && !self.shared.names.catalog.is_empty()
         {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -139,7 +139,7 @@
 
     /// Whether this node owns the shard, has loaded it, and may answer for it under its lease.
     fn can_answer_for(&self, shard: Shard, now: Timestamp) -> bool {
-        let valid = self.shared.lease.valid(now) || !holds(Guard::DoubtTells);
+        let valid = self.shared.lease.is_valid(now) || !holds(Guard::DoubtTells);
         let active = self.owned[shard.0 as usize].as_ref();
         active.is_some_and(|active| valid && active.coordinator.ready())
     }
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -120,29 +120,29 @@
 
 /// This node's lease at the state service.
 ///
-/// Invariant: `renewed` is never later than the renewal at the state service, so the lease ends for
+/// Invariant: `renewed_at` is never later than the renewal at the state service, so the lease ends for
 /// this node before it expires there.
 #[derive(Debug, Default)]
 pub struct Lease {
     /// The lease's number; `None`: this node has no lease.
     pub id: Option<u64>,
     /// When the last request or renewal that succeeded was sent.
-    pub renewed: Timestamp,
+    pub renewed_at: Timestamp,
     /// When the call in flight was sent; `None`: no call is in flight.
-    pub sent: Option<Timestamp>,
+    pub call_sent_at: Option<Timestamp>,
     /// When the next call is due.
-    pub next: Timestamp,
+    pub next_call_at: Timestamp,
 }
 
 impl Lease {
     /// Whether the lease has certainly not expired yet.
-    pub fn valid(&self, now: Timestamp) -> bool {
-        self.id.is_some() && now < self.renewed + minus_clock_drift(LEASE_TTL_MS)
+    pub fn is_valid(&self, now: Timestamp) -> bool {
+        self.id.is_some() && now < self.renewed_at + minus_clock_drift(LEASE_TTL_MS)
     }
 
     /// Returns for how long, in ms, the lease may have been expired; 0 if it is valid.
     pub fn uncertain_ms(&self, now: Timestamp) -> u64 {
-        now.saturating_sub(self.renewed + minus_clock_drift(LEASE_TTL_MS))
+        now.saturating_sub(self.renewed_at + minus_clock_drift(LEASE_TTL_MS))
     }
 }
 
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -29,9 +29,9 @@
 fn lease_expiry_allows_for_clock_drift() {
     for ms in [LEASE_TTL_MS, 8000, 30_000] {
         let (slow, fast) = (ms - ms / 2000, ms + ms / 2000);
-        let lease = Lease { id: Some(1), renewed: 0, ..Lease::default() };
+        let lease = Lease { id: Some(1), renewed_at: 0, ..Lease::default() };
         assert!(
-            ms > LEASE_TTL_MS || !lease.valid(slow),
+            ms > LEASE_TTL_MS || !lease.is_valid(slow),
             "valid here after its expiry at the service"
         );
         assert!(minus_clock_drift(ms) < slow && plus_clock_drift(ms) > fast);
