--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -105,13 +105,13 @@
         // Without a commit the transaction may have been executed all the same: until that is known,
         // the job is neither started further nor is its state told. Tried again by the tick.
         match write.on_result(ctx.now, result) {
-            WriteOutcome::Done(_) => self.cancellation_committed(ctx, id),
+            WriteOutcome::Committed(_) => self.cancellation_committed(ctx, id),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 write.resend_at(ctx.now + RETRY_DELAY_MS);
                 defer_requests(ctx, job);
             }
-            WriteOutcome::Open => defer_requests(ctx, job),
+            WriteOutcome::Pending => defer_requests(ctx, job),
         }
         Ownership::Kept
     }
--- a/crates/core/src/coordinator/compaction/outcome.rs
+++ b/crates/core/src/coordinator/compaction/outcome.rs
@@ -24,11 +24,11 @@
             return Ownership::Kept;
         };
         match compaction.write.on_result(ctx.now, result) {
-            WriteOutcome::Done(revision) => {
+            WriteOutcome::Committed(revision) => {
                 self.compaction_committed(ctx, revision, compaction.contents);
             }
-            WriteOutcome::NotDone => self.compaction_refused(ctx, compaction.contents),
-            WriteOutcome::Open => {
+            WriteOutcome::NotCommitted => self.compaction_refused(ctx, compaction.contents),
+            WriteOutcome::Pending => {
                 self.defer_terminal_answers(ctx, &compaction.contents);
                 self.compaction.in_flight = Some(compaction);
             }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -105,9 +105,9 @@
             return Ownership::Kept;
         };
         match decision.write.on_result(ctx.now, result) {
-            WriteOutcome::Done(revision) => self.place_selected(ctx, revision),
+            WriteOutcome::Committed(revision) => self.place_selected(ctx, revision),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 let slot = decision.slot.clone();
                 let slot_changed =
                     matches!(result, StoreResult::Conflict(failed) if failed.contains(&slot.key));
@@ -118,8 +118,8 @@
                 self.give_selected_back(ctx);
             }
             // Whether it was executed is not known: the tick sends it again.
-            WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
-            WriteOutcome::Open => self.place_selected(ctx, 0),
+            WriteOutcome::Pending if holds(Guard::DecidedDurable) => {}
+            WriteOutcome::Pending => self.place_selected(ctx, 0),
         }
         Ownership::Kept
     }
--- a/crates/core/src/writes.rs
+++ b/crates/core/src/writes.rs
@@ -24,14 +24,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It was committed at this revision.
-    Done(u64),
+    Committed(u64),
     /// The shard has another owner, or the outcome can't be found out any more: this owner must
     /// write nothing more under its epoch.
     Fenced,
     /// It was not executed and never will be.
-    NotDone,
+    NotCommitted,
     /// The outcome is not known yet, and the write will be retried.
-    Open,
+    Pending,
 }
 
 /// Number of a transaction's changes that count against one class of the write budget.
@@ -134,10 +134,10 @@
     /// Processes the result of the last call and returns what is known of the outcome.
     pub fn on_result(&mut self, now: Timestamp, result: &StoreResult) -> WriteOutcome {
         match result {
-            StoreResult::Committed(revision) => WriteOutcome::Done(*revision),
+            StoreResult::Committed(revision) => WriteOutcome::Committed(*revision),
             // No other transaction writes the idempotency key, so its version is the revision at
             // which this one was committed.
-            StoreResult::Item(Some(item)) if self.executed => WriteOutcome::Done(item.version),
+            StoreResult::Item(Some(item)) if self.executed => WriteOutcome::Committed(item.version),
             // A cancellation by this owner has deleted the key in the meantime, so the outcome can't
             // be found out any more. Further retries would block all later writes; instead the
             // owner relinquishes the shard and it is loaded again.
@@ -146,7 +146,7 @@
             StoreResult::Refused | StoreResult::RateLimited
                 if !self.earlier_try_uncertain || !holds(Guard::OutcomeKnown) =>
             {
-                WriteOutcome::NotDone
+                WriteOutcome::NotCommitted
             }
             StoreResult::Unknown => {
                 self.earlier_try_uncertain = true;
@@ -170,12 +170,12 @@
             return self.retry_at(now);
         }
         // Whichever other condition failed also fails for a late copy of an earlier try.
-        WriteOutcome::NotDone
+        WriteOutcome::NotCommitted
     }
 
     fn retry_at(&mut self, at: Timestamp) -> WriteOutcome {
         self.send_at = Some(at);
-        WriteOutcome::Open
+        WriteOutcome::Pending
     }
 }
 
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -15,14 +15,14 @@
 fn idempotency_key_proves_earlier_commit() {
     let (mut write, mut budget) = pending();
     assert!(write.next_call(5, &mut budget).is_some() && write.next_call(5, &mut budget).is_none());
-    assert_eq!(write.on_result(5, &StoreResult::Unknown), WriteOutcome::Open);
+    assert_eq!(write.on_result(5, &StoreResult::Unknown), WriteOutcome::Pending);
     assert!(write.next_call(5 + NO_ANSWER_RETRY_MS - 1, &mut budget).is_none());
     assert!(write.next_call(5 + NO_ANSWER_RETRY_MS, &mut budget).is_some());
     // This try is refused, but the first one may still be executed.
-    assert_eq!(write.on_result(300, &StoreResult::Refused), WriteOutcome::Open);
+    assert_eq!(write.on_result(300, &StoreResult::Refused), WriteOutcome::Pending);
     assert_eq!(
         write.on_result(900, &conflict("d/0/7-1")),
-        WriteOutcome::Open,
+        WriteOutcome::Pending,
         "executed, at a revision that is not known yet"
     );
     assert!(
@@ -30,7 +30,7 @@
     );
     let value = serde_json::Value::Null;
     let item = Item { key: "d/0/7-1".into(), value, version: 12, lease: None };
-    assert_eq!(write.on_result(905, &StoreResult::Item(Some(item))), WriteOutcome::Done(12));
+    assert_eq!(write.on_result(905, &StoreResult::Item(Some(item))), WriteOutcome::Committed(12));
 }
 
 #[test]
@@ -40,11 +40,11 @@
     assert!(
         matches!(write.next_call(0, &mut budget), Some(StoreCall::Transaction(t)) if t.conditions.contains(&fence))
     );
-    assert_eq!(write.on_result(0, &StoreResult::Refused), WriteOutcome::NotDone);
+    assert_eq!(write.on_result(0, &StoreResult::Refused), WriteOutcome::NotCommitted);
     let (mut write, _) = pending();
     assert_eq!(
         write.on_result(0, &conflict("d/0/7-1")),
-        WriteOutcome::NotDone,
+        WriteOutcome::NotCommitted,
         "written by another transaction"
     );
     let (mut write, _) = pending();
@@ -61,7 +61,7 @@
     write.next_call(5, &mut budget);
     write.on_result(5, &StoreResult::Unknown);
     write.next_call(300, &mut budget);
-    assert_eq!(write.on_result(300, &conflict("d/0/7-1")), WriteOutcome::Open);
+    assert_eq!(write.on_result(300, &conflict("d/0/7-1")), WriteOutcome::Pending);
     assert!(matches!(write.next_call(300, &mut budget), Some(StoreCall::Get { .. })));
     assert_eq!(write.on_result(305, &StoreResult::Item(None)), WriteOutcome::Fenced);
 }
