--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -351,12 +351,12 @@
     /// Creates the record of the newest machine that was there before the service, or reads it.
     pub fn find_operator_machines(&mut self, newest: String) {
         let change = Change::Put {
-            key: keys::BASE_KEY.into(),
+            key: keys::OPERATOR_MACHINES_KEY.into(),
             value: OperatorMachinesRecord(&newest).encode(),
             lease: None,
         };
         let transaction = Transaction {
-            conditions: vec![Condition { key: keys::BASE_KEY.into(), version: 0 }],
+            conditions: vec![Condition { key: keys::OPERATOR_MACHINES_KEY.into(), version: 0 }],
             changes: vec![change],
         };
         self.budget.spend(WriteClass::Deferrable, 1);
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -16,7 +16,7 @@
 pub const SHARD_PREFIX: &str = "seat/";
 /// Key of the record of the newest machine that existed before the service was first started. That
 /// machine and older ones belong to the operator.
-pub const BASE_KEY: &str = "base";
+pub const OPERATOR_MACHINES_KEY: &str = "base";
 
 /// Returns the key of a shard's owner record. The version of the key is the owner's epoch.
 pub fn shard_key(shard: Shard) -> String {
--- a/crates/core/src/node/provisioning.rs
+++ b/crates/core/src/node/provisioning.rs
@@ -34,7 +34,7 @@
     pub(super) fn on_operator_machines_put(&mut self, effects: &mut Effects, result: &StoreResult) {
         match result {
             StoreResult::Committed(_) | StoreResult::Conflict(_) => {
-                let call = StoreCall::Get { key: keys::BASE_KEY.into() };
+                let call = StoreCall::Get { key: keys::OPERATOR_MACHINES_KEY.into() };
                 self.shared.context(effects).store(Operation::GetOperatorMachines, call);
             }
             _ => self.set_operator_machines(None),
