--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -7,7 +7,7 @@
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, Negotiation, Shard, ZoneIdx};
+use crate::ids::{Attempt, Epoch, NegotiationId, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::RequestOutcome;
 use crate::keys;
@@ -26,7 +26,7 @@
     pub(super) fn begin_decision(
         &mut self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: Vec<Shard>,
         selected: Vec<SelectedOffer>,
     ) {
@@ -200,7 +200,7 @@
     pub(super) fn close_negotiation(
         &self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: &[Shard],
     ) {
         for &participant in holders {
--- a/crates/core/src/coordinator/negotiation.rs
+++ b/crates/core/src/coordinator/negotiation.rs
@@ -1,6 +1,6 @@
 //! The states of a negotiation: offers are requested, some are selected, the decision is written.
 use super::decision_log::DecisionSlot;
-use crate::ids::{Attempt, JobId, Negotiation, Shard, Timestamp};
+use crate::ids::{Attempt, JobId, NegotiationId, Shard, Timestamp};
 use crate::writes::PendingWrite;
 use leaddeal_wire::mesh::Offer;
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
 /// Invariant: `unanswered` is a subset of `asked`.
 #[derive(Debug)]
 pub(super) struct NegotiationState {
-    pub id: Negotiation,
+    pub id: NegotiationId,
     /// In the order of the request: an offer names its item by the index in it.
     pub requested: Vec<RequestedJob>,
     /// Participants that the request was sent to.
@@ -81,6 +81,6 @@
     pub selected: Vec<SelectedOffer>,
     /// Participants to be told that the negotiation is closed.
     pub holders: Vec<Shard>,
-    pub negotiation: Negotiation,
+    pub negotiation: NegotiationId,
     pub write: PendingWrite,
 }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -5,7 +5,7 @@
 use super::Coordinator;
 use crate::budget::WriteClass;
 use crate::context::Context;
-use crate::ids::{JobId, Negotiation, Shard};
+use crate::ids::{JobId, NegotiationId, Shard};
 use crate::jobs::Job;
 use crate::quota::admission::Admitted;
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
@@ -184,9 +184,9 @@
         });
     }
 
-    fn next_negotiation_id(&mut self) -> Negotiation {
+    fn next_negotiation_id(&mut self) -> NegotiationId {
         self.next_negotiation += 1;
-        Negotiation((self.epoch.0 << 24) | self.next_negotiation)
+        NegotiationId((self.epoch.0 << 24) | self.next_negotiation)
     }
 
     /// Collects a participant's offers. One that answers too late is told that the negotiation is
@@ -218,7 +218,7 @@
     ) {
         let collecting = self.negotiation.as_ref().map(|open| open.id);
         let deciding = self.pending_decision.as_ref().map(|decision| decision.negotiation);
-        let is_open = [collecting, deciding].contains(&Some(Negotiation(negotiation)));
+        let is_open = [collecting, deciding].contains(&Some(NegotiationId(negotiation)));
         if !is_open {
             let message = ShardMessage::CloseNegotiation { negotiation };
             ctx.send(self.shard, participant, message);
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -22,7 +22,7 @@
     ImageIdx, u32);
 id!(
     /// Index of a machine type: its position in [`crate::names::Names::catalog`].
-    TypeIdx, u8);
+    MachineTypeIdx, u8);
 id!(
     /// Index of a zone: its position in the settings.
     ZoneIdx, u8);
@@ -44,7 +44,7 @@
 id!(
     /// Number of one negotiation (an exchange of requests and offers between a coordinator and the
     /// participants), assigned by the coordinator.
-    Negotiation, u64);
+    NegotiationId, u64);
 
 /// The shard whose owner runs the provisioner, which scales the whole fleet.
 pub const PROVISIONER_SHARD: Shard = Shard(0);
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -5,7 +5,7 @@
 //! - `heartbeat`: heartbeats taken in, step by step, and the worker's lease;
 //! - `commands`: the commands that the worker is to be sent;
 //! - `load`: the resources that the attempts take.
-use crate::ids::{ImageIdx, JobId, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{ImageIdx, JobId, MachineTypeIdx, Timestamp, ZoneIdx};
 use crate::reachability::Reachability;
 use load::Load;
 use std::collections::{BTreeMap, VecDeque};
@@ -49,7 +49,7 @@
     /// Address at which the worker takes command batches.
     pub addr: String,
     /// Type in the catalog; none: not reported yet, or not in the catalog.
-    pub machine_type: Option<TypeIdx>,
+    pub machine_type: Option<MachineTypeIdx>,
     /// Zone; none: not reported yet, or not known.
     pub zone: Option<ZoneIdx>,
     /// A spot instance.
--- a/crates/core/src/names/catalog.rs
+++ b/crates/core/src/names/catalog.rs
@@ -1,6 +1,6 @@
 //! The cloud's catalog: resources, prices and constraints of machine types.
 use super::{thousandths, Names, Resources};
-use crate::ids::TypeIdx;
+use crate::ids::MachineTypeIdx;
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh;
 use leaddeal_wire::user::Priority;
@@ -14,8 +14,8 @@
 
 impl Names {
     /// The index of a machine type; `None` if it is not in the catalog.
-    pub fn type_idx(&self, name: &str) -> Option<TypeIdx> {
-        self.catalog.iter().position(|known| known.name == name).map(|at| TypeIdx(at as u8))
+    pub fn type_idx(&self, name: &str) -> Option<MachineTypeIdx> {
+        self.catalog.iter().position(|known| known.name == name).map(|at| MachineTypeIdx(at as u8))
     }
 
     /// Takes a new catalog. Indices stay: known types keep their place, new ones come after them.
@@ -37,17 +37,17 @@
     }
 
     /// The resources of an empty machine of this type.
-    pub fn resources_of_type(&self, machine_type: TypeIdx) -> Resources {
+    pub fn resources_of_type(&self, machine_type: MachineTypeIdx) -> Resources {
         self.type_resources[usize::from(machine_type.0)]
     }
 
     /// How long a machine of this type fetches an image of that size, in seconds.
-    pub fn image_fetch_s(&self, machine_type: TypeIdx, image_gb: f64) -> f64 {
+    pub fn image_fetch_s(&self, machine_type: MachineTypeIdx, image_gb: f64) -> f64 {
         image_gb / self.type_info(machine_type).fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 
     /// Price of a machine per hour as it counts in comparisons, as a spot one or an ordinary one.
-    pub fn price(&self, machine_type: TypeIdx, spot: bool) -> f64 {
+    pub fn price(&self, machine_type: MachineTypeIdx, spot: bool) -> f64 {
         let info = self.type_info(machine_type);
         if spot {
             info.spot_price * SPOT_PRICE_FACTOR
@@ -61,11 +61,11 @@
     pub fn affordable(
         &self,
         shape: &mesh::Shape,
-        machine_type: TypeIdx,
+        machine_type: MachineTypeIdx,
         spot: bool,
         urgent: bool,
     ) -> bool {
-        let types = (0..self.catalog.len()).map(|index| TypeIdx(index as u8));
+        let types = (0..self.catalog.len()).map(|index| MachineTypeIdx(index as u8));
         let prices = types.filter_map(|any| self.price_per_task(shape, any, false));
         let lowest = prices.fold(f64::INFINITY, f64::min);
         let highest = lowest * max_price_factor(shape.priority, urgent);
@@ -76,7 +76,7 @@
     fn price_per_task(
         &self,
         shape: &mesh::Shape,
-        machine_type: TypeIdx,
+        machine_type: MachineTypeIdx,
         spot: bool,
     ) -> Option<f64> {
         let fits = self.resources_of_type(machine_type).fits(Resources::of(shape));
@@ -86,7 +86,7 @@
 
     /// Whether a task of this shape may run on this type of machine at all, as a spot one or an
     /// ordinary one.
-    pub fn allows(&self, shape: &mesh::Shape, machine_type: TypeIdx, spot: bool) -> bool {
+    pub fn allows(&self, shape: &mesh::Shape, machine_type: MachineTypeIdx, spot: bool) -> bool {
         if spot && !shape.spot {
             return false;
         }
@@ -94,7 +94,7 @@
         shape.types.as_ref().is_none_or(|allowed| allowed.iter().any(|other| other == name))
     }
 
-    fn type_info(&self, machine_type: TypeIdx) -> &MachineType {
+    fn type_info(&self, machine_type: MachineTypeIdx) -> &MachineType {
         &self.catalog[usize::from(machine_type.0)]
     }
 }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -5,7 +5,7 @@
     queued, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
 };
 use crate::guards::{holds, Guard};
-use crate::ids::{shard_of_job, JobId, NodeIdx, Shard, Timestamp, TypeIdx};
+use crate::ids::{shard_of_job, JobId, MachineTypeIdx, NodeIdx, Shard, Timestamp};
 use crate::io::{Effects, LogLevel, RequestId, StoreCall, StoreResult, UserReply};
 use crate::jobs::{job_state, wire_shape};
 use crate::keys;
@@ -107,7 +107,7 @@
         let shape = wire_shape(job);
         let need = Resources::of(&shape);
         names.catalog.iter().enumerate().any(|(index, machine_type)| {
-            let type_idx = TypeIdx(index as u8);
+            let type_idx = MachineTypeIdx(index as u8);
             names.allows(&shape, type_idx, false)
                 && names.resources_of_type(type_idx).fits(need) > 0
                 && job.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
--- a/crates/core/src/participant/capacity_index.rs
+++ b/crates/core/src/participant/capacity_index.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a machine has the entry that `Participant::reindex` last gave it, or none if no work
 //! may come to it for good (lease expired, released, of no known type or zone).
-use crate::ids::{ImageIdx, MachineIdx, TypeIdx, ZoneIdx};
+use crate::ids::{ImageIdx, MachineIdx, MachineTypeIdx, ZoneIdx};
 use crate::machine::Machine;
 use std::cmp::Reverse;
 use std::collections::hash_map::Entry;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct MachineGroup {
     /// Type in the catalog.
-    pub machine_type: TypeIdx,
+    pub machine_type: MachineTypeIdx,
     /// Zone.
     pub zone: ZoneIdx,
     /// Spot instances.
--- a/crates/core/src/participant/capacity_index/tests.rs
+++ b/crates/core/src/participant/capacity_index/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn only_machines_with_room_are_looked_at() {
     let mut index = FreeCapacityIndex::default();
-    let group = |spot| MachineGroup { machine_type: TypeIdx(0), zone: ZoneIdx(0), spot };
+    let group = |spot| MachineGroup { machine_type: MachineTypeIdx(0), zone: ZoneIdx(0), spot };
     let image = ImageIdx(4);
     let entry =
         |spot, free_cpu| Some(CapacityEntry { group: group(spot), free_cpu, images: vec![image] });
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -2,7 +2,7 @@
 use super::capacity_index::MachineGroup;
 use super::{Participant, FAILURE_EVIDENCE_MS};
 use crate::context::Context;
-use crate::ids::{MachineIdx, TypeIdx};
+use crate::ids::{MachineIdx, MachineTypeIdx};
 use crate::machine::Machine;
 use crate::names::{created_no_later_than, Names, Resources};
 use leaddeal_wire::mesh::OfferRequest;
@@ -34,7 +34,7 @@
     pub fn of(names: &Names, request: &OfferRequest) -> EligibilityTable {
         let (shape, urgent) = (&request.shape, request.urgent);
         let need = Resources::of(shape);
-        let eligibility = |machine_type: TypeIdx, spot: bool| {
+        let eligibility = |machine_type: MachineTypeIdx, spot: bool| {
             let whole = names.resources_of_type(machine_type);
             let wastes_gpus = shape.gpu == 0 && whole.gpu > 0;
             Eligibility {
@@ -42,7 +42,7 @@
                 too_expensive: wastes_gpus && !names.affordable(shape, machine_type, spot, urgent),
             }
         };
-        let types = (0..names.catalog.len() as u8).map(TypeIdx);
+        let types = (0..names.catalog.len() as u8).map(MachineTypeIdx);
         let by_type = types.map(|machine_type| TypeEligibility {
             ordinary: eligibility(machine_type, false),
             spot: eligibility(machine_type, true),
@@ -51,7 +51,7 @@
     }
 
     /// What holds for a type; none: it was added to the catalog after the request.
-    fn of_type(&self, machine_type: TypeIdx, spot: bool) -> Option<&Eligibility> {
+    fn of_type(&self, machine_type: MachineTypeIdx, spot: bool) -> Option<&Eligibility> {
         let of_type = self.by_type.get(machine_type.0 as usize)?;
         Some(if spot { &of_type.spot } else { &of_type.ordinary })
     }
--- a/crates/core/src/participant/holds.rs
+++ b/crates/core/src/participant/holds.rs
@@ -1,5 +1,5 @@
 //! Capacity that is kept for open negotiations.
-use crate::ids::{JobId, MachineIdx, Negotiation, Shard};
+use crate::ids::{JobId, MachineIdx, NegotiationId, Shard};
 use crate::names::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
     /// The coordinator's shard.
     pub shard: Shard,
     /// The negotiation that it ends with.
-    pub negotiation: Negotiation,
+    pub negotiation: NegotiationId,
     /// The job that it was offered to.
     pub job: JobId,
     /// What one task takes.
@@ -22,7 +22,7 @@
 
 impl Hold {
     /// Whether it ends with this negotiation.
-    pub fn belongs_to(&self, shard: Shard, negotiation: Negotiation) -> bool {
+    pub fn belongs_to(&self, shard: Shard, negotiation: NegotiationId) -> bool {
         self.shard == shard && self.negotiation.0 == negotiation.0
     }
 }
@@ -67,10 +67,10 @@
     }
 
     /// The negotiations that holds wait for, by coordinator's shard.
-    pub fn open_negotiations(&self) -> Vec<(Shard, Negotiation)> {
+    pub fn open_negotiations(&self) -> Vec<(Shard, NegotiationId)> {
         let holds = self.by_machine.values().flatten();
         let open: BTreeSet<(u8, u64)> =
             holds.map(|hold| (hold.shard.0, hold.negotiation.0)).collect();
-        open.into_iter().map(|(shard, number)| (Shard(shard), Negotiation(number))).collect()
+        open.into_iter().map(|(shard, number)| (Shard(shard), NegotiationId(number))).collect()
     }
 }
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -3,7 +3,7 @@
 //! grew with the fleet.)
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{MachineIdx, MachineTypeIdx, Timestamp, ZoneIdx};
 use crate::machine::{Machine, TaskOnMachine};
 use crate::names::Names;
 use crate::shard::plus_clock_drift;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MachineSummary {
     /// Its type in the catalog.
-    pub machine_type: TypeIdx,
+    pub machine_type: MachineTypeIdx,
     /// Its zone, if known.
     pub zone: Option<ZoneIdx>,
     /// A spot instance.
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -3,7 +3,7 @@
 
 fn summary() -> MachineSummary {
     MachineSummary {
-        machine_type: TypeIdx(0),
+        machine_type: MachineTypeIdx(0),
         zone: None,
         spot: false,
         idle_since: None,
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -13,7 +13,7 @@
 //! - `inventory`, `release`: what the provisioner is told, and what it asks for.
 use crate::context::Context;
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD};
+use crate::ids::{Epoch, JobId, MachineIdx, NegotiationId, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::machine::Machine;
 use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::ShardMessage;
@@ -160,10 +160,10 @@
                 for (cpu, gpu, mem, priority) in gpu_work {
                     self.gpu_demand.note(gpu_demand::GpuNeed { cpu, gpu, mem }, priority, ctx.now);
                 }
-                self.offer(ctx, from, Negotiation(negotiation), &items);
+                self.offer(ctx, from, NegotiationId(negotiation), &items);
             }
             ShardMessage::CloseNegotiation { negotiation } => {
-                self.holds.release(|hold| hold.belongs_to(from, Negotiation(negotiation)));
+                self.holds.release(|hold| hold.belongs_to(from, NegotiationId(negotiation)));
             }
             ShardMessage::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -7,7 +7,7 @@
 use super::queue_rank::QueueRank;
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{JobId, Negotiation, Shard, ZoneIdx};
+use crate::ids::{JobId, NegotiationId, Shard, ZoneIdx};
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
 use leaddeal_wire::user::{Kind, Priority};
@@ -15,7 +15,7 @@
 /// A negotiation's request while it is answered.
 struct OfferRound<'a> {
     from: Shard,
-    negotiation: Negotiation,
+    negotiation: NegotiationId,
     offers: Vec<Offer>,
     /// Items that tasks are preempted for.
     preempting: Vec<u16>,
@@ -77,7 +77,7 @@
         &mut self,
         ctx: &mut Context,
         from: Shard,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         requests: &[OfferRequest],
     ) {
         self.gpu_demand.expire(ctx.now);
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -6,7 +6,7 @@
 use super::boot_tracker::{BootTracker, BootingMachine};
 use super::instance_requests::{InstanceRequests, MAX_INSTANCES_PER_REQUEST};
 use crate::context::Context;
-use crate::ids::{Shard, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{MachineTypeIdx, Shard, Timestamp, ZoneIdx};
 use crate::names::Resources;
 use leaddeal_wire::cloud::InstanceRequest;
 use leaddeal_wire::mesh::UnmetDemand;
@@ -45,7 +45,7 @@
 /// Capacity that is coming up, or requested, and that no demand has taken.
 #[derive(Clone, Debug)]
 struct PendingInstance {
-    machine_type: TypeIdx,
+    machine_type: MachineTypeIdx,
     zone: Option<ZoneIdx>,
     spot: bool,
     free: Resources,
@@ -272,7 +272,7 @@
     ) -> Option<InstanceRequest> {
         let mut best: Option<PricedRequest> = None;
         for (index, machine_type) in ctx.names.catalog.iter().enumerate() {
-            let type_idx = TypeIdx(index as u8);
+            let type_idx = MachineTypeIdx(index as u8);
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let candidate = self.candidate(ctx, boots, open, type_idx, zone, spot);
@@ -294,7 +294,7 @@
         ctx: &Context,
         boots: &BootTracker,
         open: &OpenDemand,
-        type_idx: TypeIdx,
+        type_idx: MachineTypeIdx,
         zone: &str,
         spot: bool,
     ) -> Option<PricedRequest> {
