--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -135,7 +135,7 @@
     /// A node that reaches neither the state service nor any sibling is not healthy. It can't know
     /// whether a sibling is ready, and it is more likely that this node is partitioned from the others
     /// than that all of them failed.
-    pub fn healthy(&self, now: Timestamp) -> bool {
+    pub fn is_healthy(&self, now: Timestamp) -> bool {
         let health = &self.shared.health;
         let is_best_available = !health.another_is_ready(now) && health.hears_any_sibling(now);
         self.is_ready(now) || (now >= self.timers.started + STARTUP_LISTEN_MS && is_best_available)
--- a/crates/leaddeal/src/driver/event_loop.rs
+++ b/crates/leaddeal/src/driver/event_loop.rs
@@ -41,7 +41,7 @@
     }
 
     fn before_tick(&mut self) -> Input {
-        self.healthy.store(self.core.healthy(self.clock.now_ms()), Ordering::Relaxed);
+        self.healthy.store(self.core.is_healthy(self.clock.now_ms()), Ordering::Relaxed);
         self.effects.remove_expired();
         Input::Tick
     }
