--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -153,7 +153,7 @@
             let Some(version) = self.acquirable_version(shard, now) else { continue };
             if self.owned[index].is_some()
                 || now < self.acquisitions[index].next_try
-                || self.shared.shard_views[index].acquiring
+                || self.shared.shard_views[index].acquisition_in_flight
             {
                 continue;
             }
@@ -205,7 +205,7 @@
     fn acquire(&mut self, effects: &mut Effects, shard: Shard, version: u64) {
         let index = shard.0 as usize;
         self.acquisitions[index].next_try = effects.now + ACQUIRE_INTERVAL_MS;
-        self.shared.shard_views[index].acquiring = true;
+        self.shared.shard_views[index].acquisition_in_flight = true;
         let key = keys::shard_key(shard);
         let node = self.shared.node_name(self.shared.this_node);
         let value = OwnerRecord { boot: self.shared.boot, node }.encode();
@@ -226,7 +226,7 @@
         shard: Shard,
         result: &StoreResult,
     ) {
-        self.shared.shard_views[shard.0 as usize].acquiring = false;
+        self.shared.shard_views[shard.0 as usize].acquisition_in_flight = false;
         match result {
             StoreResult::Committed(revision)
                 if self.shared.lease.is_valid(effects.now) || !holds(Guard::DoubtOwns) =>
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -34,8 +34,8 @@
 
 /// What this node knows of the ownership of one shard.
 ///
-/// Invariants: neither the epoch of `newest_owner` nor `vacated` ever decreases; an owner that is
-/// known only from a sibling's claim has an epoch above `vacated`.
+/// Invariants: neither the epoch of `newest_owner` nor `vacated_revision` ever decreases; an owner that is
+/// known only from a sibling's claim has an epoch above `vacated_revision`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShardView {
     /// The present owner as far as is known; `None`: the shard is vacant or its owner is unknown.
@@ -43,13 +43,13 @@
     /// The owner with the newest known epoch: the present owner, or a former one.
     pub newest_owner: Option<Owner>,
     /// Store revision at which the shard was last known to be vacant: all epochs up to it are over.
-    pub vacated: u64,
+    pub vacated_revision: u64,
     /// When this node first learned that the shard is vacant.
     pub vacant_since: Timestamp,
     /// When this node first learned of the present owner.
     pub owned_since: Timestamp,
     /// Whether an acquisition by this node is in flight.
-    pub acquiring: bool,
+    pub acquisition_in_flight: bool,
 }
 
 /// The state of a shard's key in the state service.
@@ -82,11 +82,11 @@
 impl ShardView {
     /// Records that the shard had no owner at that revision. An owner with a newer epoch stays.
     pub fn vacate(&mut self, revision: u64, now: Timestamp) {
-        self.vacated = self.vacated.max(revision);
+        self.vacated_revision = self.vacated_revision.max(revision);
         if self.owner.is_some_and(|owner| owner.epoch.0 <= revision) {
             self.owner = None;
             self.vacant_since = now;
-            self.acquiring = false;
+            self.acquisition_in_flight = false;
         }
     }
 
@@ -99,7 +99,7 @@
     /// kept answering workers that ran cancelled tasks.
     pub fn accept_claim(&mut self, claimed: Owner, now: Timestamp) -> bool {
         let is_newer = self.owner.is_none_or(|owner| owner.epoch < claimed.epoch);
-        let is_accepted = is_newer && claimed.epoch.0 > self.vacated;
+        let is_accepted = is_newer && claimed.epoch.0 > self.vacated_revision;
         if is_accepted {
             self.set_owner(claimed, now);
         }
