--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -342,10 +342,10 @@
         machine: MachineIdx,
         addr: String,
         batch: u64,
-        direct: CommandBatch,
+        commands: CommandBatch,
     ) {
         let machine = self.names.machine_name(machine).to_string();
-        self.effects.push(Effect::Commands { machine, addr, batch, direct });
+        self.effects.push(Effect::Commands { machine, addr, batch, commands });
     }
 
     /// Creates the record of the newest machine that was there before the service, or reads it.
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -295,7 +295,7 @@
         /// The number of the batch, which [`Input::CommandOutcome`] repeats.
         batch: u64,
         /// The commands.
-        direct: CommandBatch,
+        commands: CommandBatch,
     },
     /// A log line; the events are listed in `docs/operations.md`.
     Log {
--- a/crates/leaddeal/src/driver/effects.rs
+++ b/crates/leaddeal/src/driver/effects.rs
@@ -58,10 +58,10 @@
                     Input::Cloud { op, result }
                 });
             }
-            Effect::Commands { machine, addr, batch, direct } => {
+            Effect::Commands { machine, addr, batch, commands } => {
                 let worker = self.workers.client(&addr);
                 self.spawn_call(async move {
-                    let outcome = worker.send(&direct).await;
+                    let outcome = worker.send(&commands).await;
                     Input::CommandOutcome { machine, batch, outcome }
                 });
             }
--- a/crates/testkit/src/fingerprint.rs
+++ b/crates/testkit/src/fingerprint.rs
@@ -57,9 +57,9 @@
                     CloudCall::List { after } => after.hash(&mut self.hasher),
                 }
             }
-            Effect::Commands { machine, addr, batch, direct } => {
+            Effect::Commands { machine, addr, batch, commands } => {
                 ("orders", machine, addr, batch).hash(&mut self.hasher);
-                self.json(direct);
+                self.json(commands);
             }
             Effect::Log { level, .. } => ("log", *level as u8).hash(&mut self.hasher),
         }
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -58,7 +58,7 @@
                 let input = Input::Cloud { op, result };
                 self.schedule_input(CLOUD_CALL_MS + latency_ms, self.process(node), input);
             }
-            Effect::Commands { machine, batch, direct, .. } => {
+            Effect::Commands { machine, batch, commands: direct, .. } => {
                 let process = self.process(node);
                 let commands = direct;
                 let answer_lost = false;
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -101,7 +101,7 @@
                 CloudCall::List { .. } => self.add("cloud list", 0),
                 _ => self.add("cloud request", 0),
             },
-            Effect::Commands { direct, .. } => self.add("worker commands", json(direct)),
+            Effect::Commands { commands, .. } => self.add("worker commands", json(commands)),
             Effect::User { .. } | Effect::Worker { .. } | Effect::Log { .. } => {}
         }
     }
