--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -46,7 +46,7 @@
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let lease_uncertain_ms = self.shared.lease.uncertain_ms(now);
         let assertion = |active: &ActiveShard| {
-            let complete = active.coordinator.ready() && !active.releasing;
+            let complete = active.coordinator.is_ready() && !active.releasing;
             complete.then_some(OwnedShard { epoch: active.epoch, lease_uncertain_ms })
         };
         self.owned.iter().map(|active| active.as_ref().and_then(assertion)).collect()
@@ -242,7 +242,7 @@
     /// nothing new.
     pub(super) fn begin_handover(&mut self, shard: Shard, now: Timestamp) {
         if let Some(active) = self.active_shard(shard) {
-            active.coordinator.relinquishing = true;
+            active.coordinator.is_relinquishing = true;
             active.handover_until = now + HANDOVER_TIMEOUT_MS;
         }
     }
@@ -251,11 +251,11 @@
     /// or abandons the handover after its deadline.
     fn tick_handover(&mut self, effects: &mut Effects, shard: Shard) {
         let Some(active) = self.active_shard(shard) else { return };
-        if !active.coordinator.relinquishing || active.releasing {
+        if !active.coordinator.is_relinquishing || active.releasing {
             return;
         }
         if effects.now > active.handover_until {
-            active.coordinator.relinquishing = false;
+            active.coordinator.is_relinquishing = false;
             return;
         }
         if !active.coordinator.is_idle() {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -141,7 +141,7 @@
     fn can_answer_for(&self, shard: Shard, now: Timestamp) -> bool {
         let valid = self.shared.lease.is_valid(now) || !holds(Guard::DoubtTells);
         let active = self.owned[shard.0 as usize].as_ref();
-        active.is_some_and(|active| valid && active.coordinator.ready())
+        active.is_some_and(|active| valid && active.coordinator.is_ready())
     }
 
     /// Answers a lookup from a shard that this node owns. Returns `false`, without an answer, if the
@@ -152,7 +152,7 @@
         if lookup.purpose == LookupPurpose::Cancellation {
             return active.coordinator.cancel(&mut context, lookup.req, lookup.id);
         }
-        let state = active.coordinator.state(lookup.id);
+        let state = active.coordinator.job_state(lookup.id);
         let found = state.is_some();
         if let Some(state) = state {
             context.reply_state(lookup.req, 200, state);
@@ -269,9 +269,9 @@
         // reached a terminal state. Informing the coordinator then returned a completed job to running.
         let is_newer =
             revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
-        if active.coordinator.ready() && is_newer {
+        if active.coordinator.is_ready() && is_newer {
             let mut context = self.shared.context(effects);
-            active.coordinator.job_created(&mut context, &keys::job_key(shard, id), value);
+            active.coordinator.add_job_record(&mut context, &keys::job_key(shard, id), value);
             self.wake |= context.wake;
         }
     }
