--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -350,22 +350,22 @@
         machine: MachineIdx,
         addr: String,
         batch: u64,
-        direct: CommandBatch,
+        commands: CommandBatch,
     ) {
         let machine = self.names.machine_name(machine).to_string();
-        self.effects.push(Effect::Commands { machine, addr, batch, direct });
+        self.effects.push(Effect::Commands { machine, addr, batch, commands });
     }
 
     /// Creates the record that names the newest machine which existed before the service. Whether
     /// it was created now or existed already, it is then read back.
     pub fn put_operator_machines(&mut self, newest: String) {
         let change = Change::Put {
-            key: keys::BASE_KEY.into(),
+            key: keys::OPERATOR_MACHINES_KEY.into(),
             value: OperatorMachinesRecord(&newest).encode(),
             lease: None,
         };
         let transaction = Transaction {
-            conditions: vec![Condition { key: keys::BASE_KEY.into(), version: 0 }],
+            conditions: vec![Condition { key: keys::OPERATOR_MACHINES_KEY.into(), version: 0 }],
             changes: vec![change],
         };
         self.budget.spend(WriteClass::Deferrable, 1);
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -7,7 +7,7 @@
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
 use crate::guards::{is_enforced, Guard};
-use crate::ids::{Attempt, Epoch, Negotiation, Shard, ZoneIdx};
+use crate::ids::{Attempt, Epoch, NegotiationId, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::RequestOutcome;
 use crate::keys;
@@ -26,7 +26,7 @@
     pub(super) fn begin_decision(
         &mut self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: Vec<Shard>,
         selected: Vec<SelectedOffer>,
     ) {
@@ -107,9 +107,9 @@
             return Ownership::Kept;
         };
         match decision.write.on_result(ctx.now, result) {
-            WriteOutcome::Done(revision) => self.place_selected(ctx, revision),
+            WriteOutcome::Committed(revision) => self.place_selected(ctx, revision),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 let slot = decision.slot.clone();
                 let slot_changed =
                     matches!(result, StoreResult::Conflict(failed) if failed.contains(&slot.key));
@@ -121,8 +121,8 @@
                 self.give_selected_back(ctx);
             }
             // Unknown whether it was executed: the tick retries it.
-            WriteOutcome::Open if is_enforced(Guard::DecisionDurableBeforeStart) => {}
-            WriteOutcome::Open => self.place_selected(ctx, 0),
+            WriteOutcome::Pending if is_enforced(Guard::DecisionDurableBeforeStart) => {}
+            WriteOutcome::Pending => self.place_selected(ctx, 0),
         }
         Ownership::Kept
     }
@@ -203,7 +203,7 @@
     pub(super) fn close_negotiation(
         &self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: &[Shard],
     ) {
         for &participant in holders {
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -5,7 +5,7 @@
 use super::Coordinator;
 use crate::budget::WriteClass;
 use crate::context::Context;
-use crate::ids::{JobId, Negotiation, Shard};
+use crate::ids::{JobId, NegotiationId, Shard};
 use crate::jobs::Job;
 use crate::quota::admission::Admitted;
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
@@ -189,9 +189,9 @@
         });
     }
 
-    fn next_negotiation_id(&mut self) -> Negotiation {
+    fn next_negotiation_id(&mut self) -> NegotiationId {
         self.last_negotiation += 1;
-        Negotiation((self.epoch.0 << 24) | self.last_negotiation)
+        NegotiationId((self.epoch.0 << 24) | self.last_negotiation)
     }
 
     /// Collects a participant's offers. If its answer comes too late, tells the participant that
@@ -223,7 +223,7 @@
     ) {
         let collecting = self.negotiation.as_ref().map(|open| open.id);
         let deciding = self.pending_decision.as_ref().map(|decision| decision.negotiation);
-        let is_open = [collecting, deciding].contains(&Some(Negotiation(negotiation)));
+        let is_open = [collecting, deciding].contains(&Some(NegotiationId(negotiation)));
         if !is_open {
             let message = ShardMessage::CloseNegotiation { negotiation };
             ctx.send(self.shard, participant, message);
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -1,27 +1,27 @@
-//! Keeping this node's lease at the state service.
+//! Requests and renews this node's lease at the state service.
 use super::Node;
 use crate::context::Operation;
 use crate::guards::{is_enforced, Guard};
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
-use crate::shard::{Lease, LEASE_MS, RENEW_MS};
+use crate::shard::{Lease, LEASE_RENEWAL_INTERVAL_MS, LEASE_TTL_MS};
 
-/// A call for the lease that got no answer for longer than this is taken for lost.
+/// A lease request or renewal without an answer for longer than this counts as lost, in ms.
 const LEASE_CALL_TIMEOUT_MS: u64 = 2500;
-/// After a renewal that failed.
+/// Delay of the next renewal after one that failed, in ms.
 const LEASE_RETRY_DELAY_MS: u64 = 300;
 
 impl Node {
-    /// Asks for a lease, or for a renewal of it, when that is due.
+    /// Requests a lease, or renews the present one, when that is due.
     pub(super) fn tick_lease(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let lease = &mut self.shared.lease;
-        let in_flight = lease.sent.is_some_and(|sent| now <= sent + LEASE_CALL_TIMEOUT_MS);
-        if now < lease.next || in_flight {
+        let in_flight = lease.call_sent_at.is_some_and(|sent| now <= sent + LEASE_CALL_TIMEOUT_MS);
+        if now < lease.next_call_at || in_flight {
             return;
         }
-        lease.sent = Some(now);
-        lease.next = now + RENEW_MS;
+        lease.call_sent_at = Some(now);
+        lease.next_call_at = now + LEASE_RENEWAL_INTERVAL_MS;
         let id = lease.id;
         let mut context = self.shared.context(effects);
         match id {
@@ -31,30 +31,31 @@
             ),
             None => context.call_store(
                 Operation::NewLease { sent: now },
-                StoreCall::NewLease { ttl_ms: LEASE_MS },
+                StoreCall::NewLease { ttl_ms: LEASE_TTL_MS },
             ),
         }
     }
 
-    /// The answer to a request for a lease that was sent at `sent`.
-    pub(super) fn lease_answered(
+    /// Handles the answer to a lease request that was sent at `sent`.
+    pub(super) fn on_lease_result(
         &mut self,
         effects: &mut Effects,
         sent: Timestamp,
         result: &StoreResult,
     ) {
         let lease = &mut self.shared.lease;
-        lease.sent = None;
-        // Counted from when this very request was sent, not a later try.
+        lease.call_sent_at = None;
+        // The lease counts from when this request was sent, not from when a later one was.
         if let (StoreResult::Lease(id), None) = (result, lease.id) {
             lease.id = Some(*id);
-            lease.renewed = sent;
+            lease.renewed_at = sent;
             self.tick_ownership(effects);
         }
     }
 
-    /// The answer to a renewal of that lease, sent at `sent`. Ignored if it is of an earlier lease.
-    pub(super) fn renewal_answered(
+    /// Handles the answer to a renewal of the lease `id` that was sent at `sent`. The answer is
+    /// ignored if `id` is an earlier lease.
+    pub(super) fn on_renewal_result(
         &mut self,
         effects: &mut Effects,
         id: u64,
@@ -66,24 +67,25 @@
         if lease.id != Some(id) {
             return;
         }
-        lease.sent = None;
+        lease.call_sent_at = None;
         match result {
             StoreResult::LeaseRenewed => {
                 let from = if is_enforced(Guard::LeaseCountedFromSend) { sent } else { now };
-                lease.renewed = lease.renewed.max(from);
+                lease.renewed_at = lease.renewed_at.max(from);
             }
             StoreResult::NoLease => {
                 effects.log(LogLevel::Info, "lease_lost", String::new);
                 self.timers.delay_home_reclaim(now);
                 self.lose_lease(effects);
             }
-            _ => lease.next = now + LEASE_RETRY_DELAY_MS,
+            _ => lease.next_call_at = now + LEASE_RETRY_DELAY_MS,
         }
     }
 
-    /// The state service knows the lease no more: a new one is asked for, and all shards are lost.
+    /// Handles the loss of the lease, which the state service no longer knows: drops all shards, and
+    /// makes the request for a new lease due.
     pub(super) fn lose_lease(&mut self, effects: &mut Effects) {
-        self.shared.lease = Lease { next: effects.now, ..Lease::default() };
+        self.shared.lease = Lease { next_call_at: effects.now, ..Lease::default() };
         self.drop_all(effects);
     }
 }
