--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -188,13 +188,13 @@
                 .get(id)
                 .filter(|job| !job.completion.dirty_chunks.is_empty() && !job.cancelled);
             let Some(job) = job else { return false };
-            let waiting = job.completion.uncompacted.len();
+            let attempts = job.completion.uncompacted.len();
             let since = job.completion.uncompacted_since;
             let is_late = since.is_some_and(|since| now >= since + MAX_UNCOMPACTED_MS);
             // The terminal state of a job that is ending makes this write unnecessary.
             let is_unfinished = job.termination.status.is_none() && !job.complete();
-            if (is_late || waiting >= MAX_UNCOMPACTED_ATTEMPTS) && is_unfinished {
-                due.push((Reverse(waiting), *id));
+            if (is_late || attempts >= MAX_UNCOMPACTED_ATTEMPTS) && is_unfinished {
+                due.push((Reverse(attempts), *id));
             }
             true
         });
--- a/crates/core/src/coordinator/negotiation.rs
+++ b/crates/core/src/coordinator/negotiation.rs
@@ -23,14 +23,14 @@
 
 /// A negotiation whose offers are being collected.
 ///
-/// Invariant: `unanswered` is a subset of `asked`.
+/// Invariant: `unanswered` is a subset of `participants`.
 #[derive(Debug)]
 pub(super) struct NegotiationState {
     pub id: Negotiation,
     /// The items of the request, in its order: an offer refers to its item by the index.
     pub requested: Vec<RequestedJob>,
     /// Participants that the request was sent to.
-    pub asked: Vec<Shard>,
+    pub participants: Vec<Shard>,
     /// Participants that have not answered yet.
     pub unanswered: BTreeSet<Shard>,
     /// The offers, in the order in which they were received.
@@ -58,7 +58,7 @@
     pub fn holders(&self) -> Vec<Shard> {
         let offered: BTreeSet<Shard> = self.offers.iter().map(|offer| offer.participant).collect();
         let may_hold = |shard: &Shard| self.unanswered.contains(shard) || offered.contains(shard);
-        self.asked.iter().copied().filter(may_hold).collect()
+        self.participants.iter().copied().filter(may_hold).collect()
     }
 }
 
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -45,7 +45,7 @@
 
 /// A pending job of a team with a quota, and how many of its tasks are admitted.
 #[derive(Debug)]
-pub(super) struct WaitingJob {
+pub(super) struct JobAdmission {
     pub(super) id: JobId,
     pub(super) team: u8,
     pub(super) request: AdmissionRequest,
@@ -97,12 +97,15 @@
     /// Returns how many tasks of each pending job are admitted, for the jobs whose teams have a
     /// quota. Jobs of other teams need no admission.
     pub(super) fn admitted(&self, ctx: &Context) -> HashMap<JobId, Admitted> {
-        self.admit_waiting(ctx).into_iter().map(|job| (job.id, job.admitted)).collect()
+        self.admit_pending(ctx)
+            .into_iter()
+            .map(|admission| (admission.id, admission.admitted))
+            .collect()
     }
 
     /// Returns the pending jobs of teams with a quota in the order of their rank, each with its
     /// admission.
-    pub(super) fn admit_waiting(&self, ctx: &Context) -> Vec<WaitingJob> {
+    pub(super) fn admit_pending(&self, ctx: &Context) -> Vec<JobAdmission> {
         let quotas = team_quotas(ctx);
         if quotas.is_empty() {
             return Vec::new();
@@ -111,7 +114,7 @@
         let phase = LimitPhase::at(ctx.wall_clock_ms);
         let mut admissions: BTreeMap<u8, Admission> = BTreeMap::new();
         let mut queues_keeping = BTreeSet::new();
-        let mut waiting = Vec::new();
+        let mut job_admissions = Vec::new();
         for pending in self.pending_jobs_with_quota(ctx) {
             if !pending.can_fit(&quotas) {
                 continue;
@@ -131,9 +134,16 @@
             let admitted = admission.admit_claim(&request, claim);
             let is_grant_known = statuses.contains_key(&team);
             let id = pending.job.id;
-            waiting.push(WaitingJob { id, team, request, claim, admitted, is_grant_known });
+            job_admissions.push(JobAdmission {
+                id,
+                team,
+                request,
+                claim,
+                admitted,
+                is_grant_known,
+            });
         }
-        waiting
+        job_admissions
     }
 
     /// Returns the pending jobs of teams with a quota in the order of their rank.
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -36,8 +36,8 @@
 /// start, but for a task that saves its progress at most the time it needs to save.
 fn lost_work(job: &Job, placement: &Placement, need: Resources, now: Timestamp) -> u64 {
     let ran_s = now.saturating_sub(placement.placed_at) / 1000;
-    let saves = job.wire.checkpoint_s > 0.0;
-    let lost_s = if saves { ran_s.min(job.wire.save_s as u64 + 1) } else { ran_s };
+    let saves_progress = job.wire.checkpoint_s > 0.0;
+    let lost_s = if saves_progress { ran_s.min(job.wire.save_s as u64 + 1) } else { ran_s };
     lost_s * (need.cpu + CORES_PER_GPU * need.gpu)
 }
 
@@ -88,9 +88,9 @@
         }
         let Some(job) = self.jobs.get(&id) else { return };
         let Some(QuotaUse { team, amount }) = ctx.team_use(job) else { return };
-        let gang = job.wire.kind == Kind::Gang;
-        let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
-        let fewest = if gang { wanted } else { 1 };
+        let is_gang = job.wire.kind == Kind::Gang;
+        let wanted = if is_gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
+        let min_wanted = if is_gang { wanted } else { 1 };
         let priority = job.wire.priority;
         let preemptible = self.preemptible_work(ctx, team, priority);
         let free = status.free();
@@ -100,7 +100,7 @@
             let count = u64::from(count);
             Resources { cpu: amount.cpu * count, gpu: amount.gpu * count, mem: 0 }
         };
-        let chosen = [wanted, fewest]
+        let chosen = [wanted, min_wanted]
             .into_iter()
             .find_map(|count| victims(free, need(count), priority, preemptible.candidates.clone()));
         let Some((victims, _)) = chosen else { return };
@@ -130,8 +130,8 @@
     fn stop_victim(&mut self, victim: Victim) {
         let (Victim::Task { job: id, .. } | Victim::Gang { job: id }) = victim;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let saves = job.wire.checkpoint_s > 0.0;
-        let grace_s = if saves { job.wire.save_s + SAVE_MARGIN_S } else { 0.0 };
+        let saves_progress = job.wire.checkpoint_s > 0.0;
+        let grace_s = if saves_progress { job.wire.save_s + SAVE_MARGIN_S } else { 0.0 };
         let before = job.placed.stopping();
         match victim {
             Victim::Task { task, .. } => job.placed.stop(task, grace_s),
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -1,6 +1,6 @@
 //! Reports of the use of and demand for the teams' quotas, sent to the shards that manage them, and
 //! quota statistics for the log.
-use super::quota_admission::WaitingJob;
+use super::quota_admission::JobAdmission;
 use super::quota_state::team_quotas;
 use super::Coordinator;
 use crate::context::Context;
@@ -31,12 +31,12 @@
             return;
         }
         self.quota.next_report_at = ctx.now + REPORT_INTERVAL_MS;
-        let waiting = self.admit_waiting(ctx);
+        let admissions = self.admit_pending(ctx);
         self.quota.report_serial += 1;
         self.quota.grants.clear();
         let serial = self.quota.report_serial;
-        let usage = self.usage_report(ctx, &waiting);
-        self.quota.waiting = waiting;
+        let usage = self.usage_report(ctx, &admissions);
+        self.quota.admissions = admissions;
         for shard in ctx.shards() {
             let message = ShardMessage::TeamUsage { serial, usage: usage.clone() };
             ctx.send(self.shard, shard, message);
@@ -45,7 +45,7 @@
 
     /// Returns the use of and demand for each team's quota, in the order of the teams in the
     /// settings.
-    fn usage_report(&self, ctx: &Context, waiting: &[WaitingJob]) -> Vec<TeamUsage> {
+    fn usage_report(&self, ctx: &Context, admissions: &[JobAdmission]) -> Vec<TeamUsage> {
         let mut report: BTreeMap<u8, TeamUsage> =
             team_quotas(ctx).into_keys().map(|team| (team, TeamUsage::of(team))).collect();
         for (team, used) in self.team_usage(ctx) {
@@ -55,31 +55,31 @@
         }
         let phase = LimitPhase::at(ctx.wall_clock_ms);
         let (unplaceable, placeable): (Vec<_>, Vec<_>) =
-            waiting.iter().partition(|job| job.claim == QuotaClaim::Nothing);
-        for job in placeable.into_iter().chain(unplaceable) {
-            if let Some(usage) = report.get_mut(&job.team) {
-                self.add_wanted(usage, job, phase, ctx.now);
+            admissions.iter().partition(|admission| admission.claim == QuotaClaim::Nothing);
+        for admission in placeable.into_iter().chain(unplaceable) {
+            if let Some(usage) = report.get_mut(&admission.team) {
+                self.add_demand(usage, admission, phase, ctx.now);
             }
         }
         report.into_values().collect()
     }
 
-    /// Adds the demand of a waiting job. One job of each priority is reported as the first in the
+    /// Adds the demand of a pending job. One job of each priority is reported as the first in the
     /// queue, whose need is granted as a whole: in the phase `Keeping` the job that ranks first, in
     /// the phase `Filling` the job with the smallest need. A job that claims nothing, since it
     /// found no machine recently, is reported only in the phase `Filling`, if there is no other.
-    fn add_wanted(
+    fn add_demand(
         &self,
         usage: &mut TeamUsage,
-        waiting: &WaitingJob,
+        admission: &JobAdmission,
         phase: LimitPhase,
         now: Timestamp,
     ) {
-        let request = waiting.request;
+        let request = admission.request;
         let priority = request.priority as usize;
         let all = request.task.times(request.count);
         let need = request.task.times(request.next_count());
-        let wanted = match waiting.claim {
+        let wanted = match admission.claim {
             QuotaClaim::All => all,
             QuotaClaim::Next => need,
             QuotaClaim::Nothing => QuotaAmount::default(),
@@ -88,15 +88,15 @@
         usage.unplaceable[priority] = usage.unplaceable[priority].plus(all.minus(wanted));
         let known = usage.first[priority];
         let is_first = match phase {
-            LimitPhase::Keeping => known.is_none() && waiting.claim != QuotaClaim::Nothing,
+            LimitPhase::Keeping => known.is_none() && admission.claim != QuotaClaim::Nothing,
             LimitPhase::Filling => {
                 let is_smallest = known.is_none_or(|known| size(need) < size(known.need));
                 let is_only_choice = usage.wanted[priority] == QuotaAmount::default();
-                is_smallest && (waiting.claim != QuotaClaim::Nothing || is_only_choice)
+                is_smallest && (admission.claim != QuotaClaim::Nothing || is_only_choice)
             }
         };
         if is_first {
-            let job = self.jobs.get(&waiting.id);
+            let job = self.jobs.get(&admission.id);
             let waited_ms = job.map_or(0, |job| now.saturating_sub(job.created));
             usage.first[priority] = Some(FirstInQueue { need, waited_ms });
         }
@@ -110,8 +110,8 @@
             return None;
         }
         let preempted = std::mem::take(&mut self.quota.preempted_tasks);
-        let is_over_quota = |job: &&WaitingJob| job.admitted.in_turn == 0;
-        let over_quota = self.quota.waiting.iter().filter(is_over_quota).count();
+        let is_over_quota = |admission: &&JobAdmission| admission.admitted.in_turn == 0;
+        let over_quota = self.quota.admissions.iter().filter(is_over_quota).count();
         let mut details = vec![format!(
             "shard={} over_quota={over_quota} preempted_in_team={preempted}",
             self.shard.0
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -1,5 +1,5 @@
 //! What a coordinator knows of the quotas of teams: its grants, and what its tasks use of them.
-use super::quota_admission::WaitingJob;
+use super::quota_admission::JobAdmission;
 use super::Coordinator;
 use crate::context::Context;
 use crate::guards::{holds, Guard};
@@ -23,8 +23,8 @@
     /// Number of the last report. Only grants that answer it are valid.
     pub(super) report_serial: u64,
     pub(super) next_report_at: Timestamp,
-    /// Pending jobs of teams with a quota as of the last report, for the log.
-    pub(super) waiting: Vec<WaitingJob>,
+    /// Admissions of the pending jobs of teams with a quota as of the last report, for the log.
+    pub(super) admissions: Vec<JobAdmission>,
     /// Jobs for which lower-priority work of their team was preempted, with the time of that.
     pub(super) preempted_for: BTreeMap<JobId, Timestamp>,
     /// Number of tasks preempted within their team since the last statistics line of the log.
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -168,8 +168,8 @@
         let gpu_work = self.gpu_work.kinds(ctx.now, self.jobs.values());
         let shards = ctx.shards().count();
         // A participant without a reachable owner would only delay the round until its timeout.
-        let asked: Vec<Shard> = ctx.shards().filter(|shard| ctx.reachable(*shard)).collect();
-        for &participant in &asked {
+        let participants: Vec<Shard> = ctx.shards().filter(|shard| ctx.reachable(*shard)).collect();
+        for &participant in &participants {
             let items = requests.iter().map(|r| r.for_participant(participant, shards)).collect();
             let gpu_work = gpu_work.clone();
             let message = ShardMessage::RequestOffers { negotiation: id.0, items, gpu_work };
@@ -181,8 +181,8 @@
         self.negotiation = Some(NegotiationState {
             id,
             requested: requested.collect(),
-            unanswered: asked.iter().copied().collect(),
-            asked,
+            unanswered: participants.iter().copied().collect(),
+            participants,
             offers: Vec::new(),
             preempting: BTreeSet::new(),
             started_at: ctx.now,
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -2,7 +2,7 @@
 //!
 //! Only the outcome of a job's last request is stored. The rest is computed once a minute, when the
 //! statistics are logged.
-use super::quota_admission::WaitingJob;
+use super::quota_admission::JobAdmission;
 use super::Coordinator;
 use crate::context::Context;
 use crate::ids::{JobId, Timestamp};
@@ -122,28 +122,28 @@
 
     /// Returns the jobs that have been pending for [`MIN_WAIT_MS`], each with its cause.
     fn wait_causes<'a>(&'a self, ctx: &Context) -> Vec<(&'a Job, WaitCause)> {
-        let admissions = self.quota.waiting.iter().map(|waiting| (waiting.id, waiting));
-        let admissions: HashMap<JobId, &WaitingJob> = admissions.collect();
+        let admissions = self.quota.admissions.iter().map(|admission| (admission.id, admission));
+        let admissions: HashMap<JobId, &JobAdmission> = admissions.collect();
         let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
-        let waiting = jobs
+        let pending = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| ctx.now >= job.created + MIN_WAIT_MS);
         let with_cause =
-            waiting.map(|job| (job, wait_cause(job, admissions.get(&job.id).copied(), ctx.now)));
+            pending.map(|job| (job, wait_cause(job, admissions.get(&job.id).copied(), ctx.now)));
         with_cause.collect()
     }
 }
 
 /// Returns why a job is pending. `admission` is the job's admission at the last quota report;
 /// `None`: the team has no quota, or the job was not pending then.
-fn wait_cause(job: &Job, admission: Option<&WaitingJob>, now: Timestamp) -> WaitCause {
+fn wait_cause(job: &Job, admission: Option<&JobAdmission>, now: Timestamp) -> WaitCause {
     if !job.may_start() {
         WaitCause::TasksStillPlaced
     } else if job.failure_suspicion.is_suspected() && job.not_before > now {
         WaitCause::FailureBackoff
-    } else if admission.is_some_and(|waiting| !waiting.is_grant_known) {
+    } else if admission.is_some_and(|admission| !admission.is_grant_known) {
         WaitCause::GrantUnknown
-    } else if admission.is_some_and(|waiting| waiting.admitted.in_turn == 0) {
+    } else if admission.is_some_and(|admission| admission.admitted.in_turn == 0) {
         WaitCause::Quota
     } else {
         WaitCause::from_request_outcome(job.last_request)
