--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -106,13 +106,13 @@
         // known, no further task of the job is started and its state is not reported. The tick
         // retries the write.
         match write.on_result(ctx.now, result) {
-            WriteOutcome::Done(_) => self.cancellation_committed(ctx, id),
+            WriteOutcome::Committed(_) => self.cancellation_committed(ctx, id),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 write.resend_at(ctx.now + RETRY_DELAY_MS);
                 defer_requests(ctx, job);
             }
-            WriteOutcome::Open => defer_requests(ctx, job),
+            WriteOutcome::Pending => defer_requests(ctx, job),
         }
         Ownership::Kept
     }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -7,7 +7,7 @@
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
 use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, Negotiation, Shard, ZoneIdx};
+use crate::ids::{Attempt, Epoch, NegotiationId, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::RequestOutcome;
 use crate::keys;
@@ -26,7 +26,7 @@
     pub(super) fn begin_decision(
         &mut self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: Vec<Shard>,
         selected: Vec<SelectedOffer>,
     ) {
@@ -106,9 +106,9 @@
             return Ownership::Kept;
         };
         match decision.write.on_result(ctx.now, result) {
-            WriteOutcome::Done(revision) => self.place_selected(ctx, revision),
+            WriteOutcome::Committed(revision) => self.place_selected(ctx, revision),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 let slot = decision.slot.clone();
                 let slot_changed =
                     matches!(result, StoreResult::Conflict(failed) if failed.contains(&slot.key));
@@ -120,8 +120,8 @@
                 self.give_selected_back(ctx);
             }
             // Unknown whether it was executed: the tick retries it.
-            WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
-            WriteOutcome::Open => self.place_selected(ctx, 0),
+            WriteOutcome::Pending if holds(Guard::DecidedDurable) => {}
+            WriteOutcome::Pending => self.place_selected(ctx, 0),
         }
         Ownership::Kept
     }
@@ -202,7 +202,7 @@
     pub(super) fn close_negotiation(
         &self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: &[Shard],
     ) {
         for &participant in holders {
--- a/crates/core/src/coordinator/negotiation.rs
+++ b/crates/core/src/coordinator/negotiation.rs
@@ -1,7 +1,7 @@
 //! The two states of a negotiation: offers are being collected ([`NegotiationState`]), then the
 //! decision is being written ([`PendingDecision`]).
 use super::decision_log::DecisionSlot;
-use crate::ids::{Attempt, JobId, Negotiation, Shard, Timestamp};
+use crate::ids::{Attempt, JobId, NegotiationId, Shard, Timestamp};
 use crate::writes::PendingWrite;
 use leaddeal_wire::mesh::Offer;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
 /// Invariant: `unanswered` is a subset of `participants`.
 #[derive(Debug)]
 pub(super) struct NegotiationState {
-    pub id: Negotiation,
+    pub id: NegotiationId,
     /// The items of the request, in its order: an offer refers to its item by the index.
     pub requested: Vec<RequestedJob>,
     /// Participants that the request was sent to.
@@ -82,6 +82,6 @@
     pub selected: Vec<SelectedOffer>,
     /// Participants to tell that the negotiation is closed.
     pub holders: Vec<Shard>,
-    pub negotiation: Negotiation,
+    pub negotiation: NegotiationId,
     pub write: PendingWrite,
 }
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -3,10 +3,10 @@
 //! grew with the fleet.)
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{MachineIdx, MachineTypeIdx, Timestamp, ZoneIdx};
 use crate::machine::{Machine, TaskOnMachine};
 use crate::names::Names;
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MachineSummary {
     /// Its type in the catalog.
-    pub machine_type: TypeIdx,
+    pub machine_type: MachineTypeIdx,
     /// Its zone, if known.
     pub zone: Option<ZoneIdx>,
     /// A spot instance.
@@ -153,7 +153,7 @@
     /// What changed of the machines, for the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let now = ctx.now;
-        let lease_ms = at_least(ctx.config.worker_lease_ms);
+        let lease_ms = plus_clock_drift(ctx.config.worker_lease_ms);
         let present = self.machines.values().filter(|machine| !machine.released);
         let unreachable = present.filter(|machine| is_unreachable(machine, now)).count();
         let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -12,39 +12,39 @@
 }
 
 #[test]
-fn the_idempotency_key_proves_the_outcome_of_an_earlier_try() {
+fn idempotency_key_proves_earlier_commit() {
     let (mut write, mut budget) = pending();
     assert!(write.next_call(5, &mut budget).is_some() && write.next_call(5, &mut budget).is_none());
-    assert_eq!(write.on_result(5, &StoreResult::Unknown), WriteOutcome::Open);
+    assert_eq!(write.on_result(5, &StoreResult::Unknown), WriteOutcome::Pending);
     assert!(write.next_call(5 + NO_ANSWER_RETRY_MS - 1, &mut budget).is_none());
     assert!(write.next_call(5 + NO_ANSWER_RETRY_MS, &mut budget).is_some());
-    // Refused now, but the first try may yet be executed.
-    assert_eq!(write.on_result(300, &StoreResult::Refused), WriteOutcome::Open);
+    // This try is refused, but the first one may still be executed.
+    assert_eq!(write.on_result(300, &StoreResult::Refused), WriteOutcome::Pending);
     assert_eq!(
         write.on_result(900, &conflict("d/0/7-1")),
-        WriteOutcome::Open,
-        "executed, but when?"
+        WriteOutcome::Pending,
+        "executed, at a revision that is not known yet"
     );
     assert!(
         matches!(write.next_call(900, &mut budget), Some(StoreCall::Get { key }) if key == "d/0/7-1")
     );
     let value = serde_json::Value::Null;
     let item = Item { key: "d/0/7-1".into(), value, version: 12, lease: None };
-    assert_eq!(write.on_result(905, &StoreResult::Item(Some(item))), WriteOutcome::Done(12));
+    assert_eq!(write.on_result(905, &StoreResult::Item(Some(item))), WriteOutcome::Committed(12));
 }
 
 #[test]
-fn a_new_owner_fences_and_a_first_refusal_is_final() {
+fn new_owner_fences_and_first_refusal_is_final() {
     let (mut write, mut budget) = pending();
     let fence = Condition { key: "seat/0".into(), version: 7 };
     assert!(
         matches!(write.next_call(0, &mut budget), Some(StoreCall::Transaction(t)) if t.conditions.contains(&fence))
     );
-    assert_eq!(write.on_result(0, &StoreResult::Refused), WriteOutcome::NotDone);
+    assert_eq!(write.on_result(0, &StoreResult::Refused), WriteOutcome::NotCommitted);
     let (mut write, _) = pending();
     assert_eq!(
         write.on_result(0, &conflict("d/0/7-1")),
-        WriteOutcome::NotDone,
+        WriteOutcome::NotCommitted,
         "written by another transaction"
     );
     let (mut write, _) = pending();
@@ -53,22 +53,23 @@
     assert_eq!(write.on_result(0, &both), WriteOutcome::Fenced);
 }
 
-/// Keeps a compaction, whose chunk a cancellation deleted in the meantime, from blocking the terminal states of a shard.
+/// A cancellation deleted the chunk that a compaction had written and whose outcome was unknown.
+/// Retrying the compaction forever would block the writes of the shard's terminal states.
 #[test]
-fn an_outcome_that_cannot_be_found_out_fences_instead_of_retrying_forever() {
+fn unknowable_outcome_fences() {
     let (mut write, mut budget) = pending();
     write.next_call(5, &mut budget);
     write.on_result(5, &StoreResult::Unknown);
     write.next_call(300, &mut budget);
-    assert_eq!(write.on_result(300, &conflict("d/0/7-1")), WriteOutcome::Open);
+    assert_eq!(write.on_result(300, &conflict("d/0/7-1")), WriteOutcome::Pending);
     assert!(matches!(write.next_call(300, &mut budget), Some(StoreCall::Get { .. })));
     assert_eq!(write.on_result(305, &StoreResult::Item(None)), WriteOutcome::Fenced);
 }
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
+fn tests_fail_without_their_guards() {
     use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Epoch, a_new_owner_fences_and_a_first_refusal_is_final);
-    missed_by(Guard::OutcomeKnown, the_idempotency_key_proves_the_outcome_of_an_earlier_try);
+    missed_by(Guard::Epoch, new_owner_fences_and_first_refusal_is_final);
+    missed_by(Guard::OutcomeKnown, idempotency_key_proves_earlier_commit);
 }
