--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -142,9 +142,9 @@
             return;
         };
         let age_ms = ctx.wall_clock_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.wall_clock_ms));
-        let created = ctx.now.saturating_sub(age_ms);
+        let submitted_at = ctx.now.saturating_sub(age_ms);
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
-        let job = Job::new(id, wire, shape, created, &ctx.config.objectives);
+        let job = Job::new(id, wire, shape, submitted_at, &ctx.config.objectives);
         self.start_statistics.record_submission(&job);
         self.jobs.insert(id, job);
         self.unplaced_jobs.insert(id);
--- a/crates/core/src/coordinator/queue_rank.rs
+++ b/crates/core/src/coordinator/queue_rank.rs
@@ -11,7 +11,7 @@
 pub(super) struct QueueRank {
     priority: Reverse<Priority>,
     urgency: Urgency,
-    created: Timestamp,
+    submitted_at: Timestamp,
     pub(super) job: JobId,
 }
 
@@ -20,7 +20,7 @@
         QueueRank {
             priority: Reverse(job.spec.priority),
             urgency: job.placement_urgency(now),
-            created: job.submitted_at,
+            submitted_at: job.submitted_at,
             job: job.id,
         }
     }
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -61,7 +61,7 @@
     job: &'a Job,
     team: u8,
     /// What one task takes of the quota.
-    task: QuotaAmount,
+    amount_per_task: QuotaAmount,
 }
 
 impl PendingJob<'_> {
@@ -84,7 +84,7 @@
 
     /// Returns what the next task takes of the quota, or the gang as a whole.
     fn next_need(&self) -> QuotaAmount {
-        self.task.times(if self.is_gang() { self.count() } else { 1 })
+        self.amount_per_task.times(if self.is_gang() { self.count() } else { 1 })
     }
 
     /// Whether the next task, or the gang as a whole, fits within the team's total quota.
@@ -126,7 +126,7 @@
             let claim = self.quota_claim(&pending, phase, ctx.now, &mut queues_keeping);
             let request = AdmissionRequest {
                 priority: pending.job.spec.priority,
-                amount_per_task: pending.task,
+                amount_per_task: pending.amount_per_task,
                 tasks: pending.count(),
                 all_or_nothing: pending.is_gang(),
                 yields_quota: claim == QuotaClaim::Nothing,
@@ -153,9 +153,9 @@
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| job.may_start())
             .filter_map(|job| {
-                let QuotaUse { team, amount: task } = ctx.quota_use(job)?;
+                let QuotaUse { team, amount: amount_per_task } = ctx.quota_use(job)?;
                 let rank = QueueRank::of(job, ctx.now);
-                Some(PendingJob { rank, job, team, task })
+                Some(PendingJob { rank, job, team, amount_per_task })
             })
             .collect();
         pending.sort_unstable_by_key(|pending| pending.rank);
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -65,9 +65,10 @@
     }
 
     /// Adds the demand of a pending job. One job of each priority is reported as the first in the
-    /// queue, whose need is granted as a whole: in the phase `Keeping` the job that ranks first, in
-    /// the phase `Filling` the job with the smallest need. A job that claims nothing, since it
-    /// found no machine recently, is reported only in the phase `Filling`, if there is no other.
+    /// queue, whose need is granted as a whole: in the phase `Reserving` the job that ranks first,
+    /// in the phase `Backfilling` the job with the smallest need. A job that claims nothing, since
+    /// it found no machine recently, is reported only in the phase `Backfilling`, if there is no
+    /// other.
     fn add_demand(
         &self,
         usage: &mut TeamUsage,
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -21,7 +21,7 @@
 
 /// Returns for how many pending tasks of the job a machine is worth launching: all, or as many as
 /// its team's quota would cover.
-fn tasks_worth_machine(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
+fn launchable_tasks(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
     match ctx.quota_use(job) {
         Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.launchable),
         None => job.pending(),
@@ -40,7 +40,7 @@
         let mut unmet: Vec<&Job> = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| !job.failure_suspicion.is_suspected())
-            .filter(|job| tasks_worth_machine(ctx, &admitted, job) > 0)
+            .filter(|job| launchable_tasks(ctx, &admitted, job) > 0)
             .collect();
         // Unsorted, the jobs with the lowest identifiers were reported instead of the first in this
         // order (seen at five times the normal fleet size).
@@ -49,7 +49,7 @@
         let demand = |job: &Job| UnmetDemand {
             job: job.id.0,
             shape: job.shape.wire.clone(),
-            count: tasks_worth_machine(ctx, &admitted, job),
+            count: launchable_tasks(ctx, &admitted, job),
             zone_room: job.max_per_zone(&ctx.names.zones),
             waited_ms: ctx.now.saturating_sub(job.submitted_at),
             urgent: job.is_urgent(ctx.now),
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -90,20 +90,20 @@
 impl WaitCounts {
     fn add(&mut self, job: &Job, cause: WaitCause) {
         self.by_cause[cause as usize] += 1;
-        let known = self.oldest.as_ref().map(|(created, ..)| *created);
-        if known.is_none_or(|created| job.submitted_at < created) {
+        let known = self.oldest.as_ref().map(|(submitted_at, ..)| *submitted_at);
+        if known.is_none_or(|submitted_at| job.submitted_at < submitted_at) {
             self.oldest = Some((job.submitted_at, cause, user::job_id(job.id.0)));
         }
     }
 
     fn statistics(&self, shard: u8, now: Timestamp) -> Option<String> {
-        let (created, cause, job) = self.oldest.as_ref()?;
+        let (submitted_at, cause, job) = self.oldest.as_ref()?;
         let mut details = vec![format!("shard={shard}")];
         let counted = WaitCause::ALL.into_iter().filter(|cause| self.by_cause[*cause as usize] > 0);
         details.extend(
             counted.map(|cause| format!("{}={}", cause.name(), self.by_cause[cause as usize])),
         );
-        let waited_s = now.saturating_sub(*created) / 1000;
+        let waited_s = now.saturating_sub(*submitted_at) / 1000;
         details.push(format!("oldest={job} oldest_s={waited_s} oldest_cause={}", cause.name()));
         Some(details.join(" "))
     }
