--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -116,7 +116,7 @@
         for job in self.jobs.values_mut().filter(|job| !job.spec.class.is_empty()) {
             if !job.placed.is_empty() || !job.done.is_empty() {
                 job.first_started_at = Some(ctx.now);
-                self.start_statistics.record_earlier_start(job);
+                self.service_statistics.record_earlier_start(job);
             }
         }
         // The terminal states of tombstones are in the store, but an earlier owner may have told no
@@ -145,7 +145,7 @@
         let submitted_at = ctx.now.saturating_sub(age_ms);
         let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
         let job = Job::new(id, wire, shape, submitted_at, &ctx.config.objectives);
-        self.start_statistics.record_submission(&job);
+        self.service_statistics.record_submission(&job);
         self.jobs.insert(id, job);
         self.unplaced_jobs.insert(id);
         ctx.needs_round = true;
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -28,7 +28,7 @@
 use load::LoadStage;
 use negotiation::{NegotiationState, PendingDecision};
 use quota_state::QuotaState;
-use start_statistics::StartStatistics;
+use service_statistics::ServiceStatistics;
 use statistics::DecisionCounts;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -49,7 +49,7 @@
 mod resend;
 mod round;
 mod selection;
-mod start_statistics;
+mod service_statistics;
 mod statistics;
 mod task_events;
 mod terminal_state;
@@ -99,7 +99,7 @@
     /// without any is removed at the next resend.
     unsettled_jobs: BTreeSet<JobId>,
     gpu_work: GpuWorkCache,
-    start_statistics: StartStatistics,
+    service_statistics: ServiceStatistics,
     /// Jobs whose cancellation is being written.
     cancelling: BTreeSet<JobId>,
     /// Decisions since the last statistics line of the log.
@@ -138,7 +138,7 @@
             compaction: CompactionState::default(),
             unsettled_jobs: BTreeSet::new(),
             gpu_work: GpuWorkCache::default(),
-            start_statistics: StartStatistics::default(),
+            service_statistics: ServiceStatistics::default(),
             cancelling: BTreeSet::new(),
             decision_counts: DecisionCounts::default(),
             jobs_loaded_revision: 0,
--- a/crates/core/src/coordinator/start_statistics.rs
+++ b/crates/core/src/coordinator/service_statistics.rs
@@ -25,12 +25,12 @@
 
 /// Counts of jobs by class and by team.
 #[derive(Debug, Default)]
-pub(super) struct StartStatistics {
+pub(super) struct ServiceStatistics {
     /// By `class.NAME` and `team.NAME`.
     groups: BTreeMap<String, GroupCounts>,
 }
 
-impl StartStatistics {
+impl ServiceStatistics {
     /// Counts a job that was submitted or was loaded with the shard.
     pub(super) fn record_submission(&mut self, job: &Job) {
         self.update(job, |counts| counts.submitted += 1);
@@ -67,8 +67,8 @@
 impl Coordinator {
     /// Returns the log details of all groups, as `class.NAME=STARTED/SUBMITTED/LONGEST_WAIT_S`, and
     /// the largest job that has not started, with the time it has waited.
-    pub fn start_statistics(&self, now: Timestamp) -> String {
-        let groups = self.start_statistics.groups.iter().map(|(group, counts)| {
+    pub fn service_statistics(&self, now: Timestamp) -> String {
+        let groups = self.service_statistics.groups.iter().map(|(group, counts)| {
             let longest_wait_s = counts.longest_wait_ms.div_ceil(1000);
             format!("{group}={}/{}/{longest_wait_s}", counts.started, counts.submitted)
         });
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -95,7 +95,7 @@
         let job = self.jobs.get_mut(&JobId(event.job)).filter(|_| has_run);
         if let Some(job) = job.filter(|job| job.first_started_at.is_none() && !job.cancelled) {
             job.first_started_at = Some(now);
-            self.start_statistics.record_start(job, now);
+            self.service_statistics.record_start(job, now);
         }
     }
 
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -62,7 +62,7 @@
             let context = self.shared.context(effects);
             let coordinator = active.coordinator.statistics(context.now);
             let participant = active.participant.figures(&context);
-            let served = active.coordinator.start_statistics(context.now);
+            let served = active.coordinator.service_statistics(context.now);
             let obstacles = active.participant.obstacle_figures();
             let waiting = active.coordinator.wait_statistics(&context);
             let limits = active.coordinator.quota_statistics(&context);
