--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -241,7 +241,7 @@
     }
 
     /// Records that terminal states are waiting too long to be written: for
-    /// [`TERMINAL_STATES_DELAYED_MS`], submissions are limited to the tokens available.
+    /// `TERMINAL_STATES_DELAYED_MS`, submissions are limited to the tokens available.
     pub fn on_terminal_states_delayed(&mut self, now: Timestamp) {
         self.terminal_states_delayed_until = now + TERMINAL_STATES_DELAYED_MS;
     }
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// At most this many jobs are reported to the provisioner: the first in [`DemandOrder`].
+/// At most this many jobs are reported to the provisioner: the first in `DemandOrder`.
 const MAX_UNMET_DEMANDS: usize = 60;
 
 /// The order in which jobs are reported: by priority, then by age.
@@ -29,7 +29,7 @@
 }
 
 impl Coordinator {
-    /// Returns the demand of tasks without a machine, in the order of [`DemandOrder`]; empty until
+    /// Returns the demand of tasks without a machine, in the order of `DemandOrder`; empty until
     /// the shard is loaded.
     pub fn unmet_demand(&self, ctx: &Context) -> Vec<UnmetDemand> {
         if !self.is_ready() {
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -110,7 +110,7 @@
 }
 
 impl Coordinator {
-    /// Returns the log details of the jobs that have been pending for [`MIN_WAIT_MS`]: their number
+    /// Returns the log details of the jobs that have been pending for `MIN_WAIT_MS`: their number
     /// by cause, and the oldest of them. `None`: there are no such jobs.
     pub fn wait_statistics(&self, ctx: &Context) -> Option<String> {
         let mut counts = WaitCounts::default();
@@ -120,7 +120,7 @@
         counts.statistics(self.shard.0, ctx.now)
     }
 
-    /// Returns the jobs that have been pending for [`MIN_WAIT_MS`], each with its cause.
+    /// Returns the jobs that have been pending for `MIN_WAIT_MS`, each with its cause.
     fn wait_causes<'a>(&'a self, ctx: &Context) -> Vec<(&'a Job, WaitCause)> {
         let admissions = self.quota.admissions.iter().map(|admission| (admission.id, admission));
         let admissions: HashMap<JobId, &JobAdmission> = admissions.collect();
