--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -17,7 +17,7 @@
 /// Further requests to cancel a job are refused while more than this many wait.
 const MAX_WAITING_REQUESTS: usize = 100;
 
-/// Answers before the write, as the code would without the guard `CancelledDurable`.
+/// Answers before the write, as the code would without the guard `CancellationDurableBeforeAck`.
 fn answer_before_durable(ctx: &mut Context, id: JobId, job: &mut Job) {
     let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
     for request in std::mem::take(&mut job.termination.requests) {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -129,20 +129,20 @@
         let others = self.shares_of_others(from, team);
         let (shards, usages): (Vec<Shard>, Vec<TeamUsage>) =
             self.current_usages(now, team).into_iter().unzip();
-        let asking = shards.iter().position(|shard| *shard == from)?;
-        let used = usages[asking].in_use();
+        let requester = shards.iter().position(|shard| *shard == from)?;
+        let used = usages[requester].in_use();
         // All that may be in use after a failover is counted, so the usage can exceed the quota. A
         // grant must not exceed it, as the simulator found.
         let uncovered_first = match self.phase {
             QuotaPhase::Reserving => UncoveredFirstJob::Waits,
             QuotaPhase::Backfilling => UncoveredFirstJob::Skipped,
         };
-        let additional = plan::additional_shares(quota, &usages, uncovered_first)[asking];
+        let additional = plan::additional_shares(quota, &usages, uncovered_first)[requester];
         let granted = used.plus(additional).least(quota.minus(others));
         let share = granted.most(used);
         debug_assert!(is_within_quota(quota, used, share, others), "the shares exceed the quota");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
-        let due = plan::shares_after_preemption(quota, &usages)[asking];
+        let due = plan::shares_after_preemption(quota, &usages)[requester];
         Some(TeamGrant { team, may: granted, due })
     }
 
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -288,7 +288,7 @@
     epoch: u64,
     serial: u64,
     used: [u64; 4],
-    wants: [u64; 4],
+    wanted: [u64; 4],
     /// The epoch of the team's shard under which the grant was made, and the granted amount.
     grant: Option<(u64, QuotaAmount)>,
     /// Earlier reports, which may arrive again.
@@ -303,10 +303,10 @@
     fn usage(&self) -> TeamUsage {
         let mut u = TeamUsage::of(0);
         u.used = self.used.map(cpus);
-        u.wanted = self.wants.map(cpus);
+        u.wanted = self.wanted.map(cpus);
         for (p, first) in u.first.iter_mut().enumerate() {
-            let need = cpus(self.wants[p].min(700));
-            *first = (self.wants[p] > 0).then_some(FirstInQueue { need, waited_ms: self.serial });
+            let need = cpus(self.wanted[p].min(700));
+            *first = (self.wanted[p] > 0).then_some(FirstInQueue { need, waited_ms: self.serial });
         }
         u
     }
@@ -321,13 +321,13 @@
     /// A coordinator starts as much as its grant allows at this priority.
     Start(usize, usize),
     /// A coordinator's usage at this priority decreases by this amount.
-    End(usize, usize, u64),
+    Release(usize, usize, u64),
     /// A coordinator's demand at this priority becomes this amount.
-    Want(usize, usize, u64),
+    SetDemand(usize, usize, u64),
     /// The coordinator's shard gets a new owner; its usage stays.
-    Moves(usize),
+    CoordinatorFailover(usize),
     /// The team's shard gets a new owner.
-    NewOwner,
+    TeamShardFailover,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -338,10 +338,10 @@
             .prop_map(|(c, a, b)| Step::Report(c, a, b)),
         1 => (c.clone(), 0..20usize).prop_map(|(c, n)| Step::Duplicate(c, n)),
         6 => (c.clone(), p.clone()).prop_map(|(c, p)| Step::Start(c, p)),
-        3 => (c.clone(), p.clone(), 0..900u64).prop_map(|(c, p, n)| Step::End(c, p, n)),
-        3 => (c.clone(), p, 0..1500u64).prop_map(|(c, p, n)| Step::Want(c, p, n)),
-        1 => c.prop_map(Step::Moves),
-        1 => Just(Step::NewOwner),
+        3 => (c.clone(), p.clone(), 0..900u64).prop_map(|(c, p, n)| Step::Release(c, p, n)),
+        3 => (c.clone(), p, 0..1500u64).prop_map(|(c, p, n)| Step::SetDemand(c, p, n)),
+        1 => c.prop_map(Step::CoordinatorFailover),
+        1 => Just(Step::TeamShardFailover),
     ]
 }
 
@@ -356,7 +356,7 @@
 
 impl Model {
     fn new(quota: u64) -> Model {
-        let manager = Model::fresh(quota);
+        let manager = Model::new_manager(quota);
         Model {
             quota,
             manager,
@@ -366,7 +366,7 @@
         }
     }
 
-    fn fresh(quota: u64) -> QuotaManager {
+    fn new_manager(quota: u64) -> QuotaManager {
         QuotaManager::new(Shard(0), &[team(quota as f64 / 1000.0, 0.0)], 3)
     }
 
@@ -389,9 +389,9 @@
         }
     }
 
-    fn apply(&mut self, s: &Step) {
+    fn apply(&mut self, step: &Step) {
         self.now += 100;
-        match *s {
+        match *step {
             Step::Report(c, arrives, answered) => self.report(c, arrives, answered),
             Step::Duplicate(c, n) => {
                 let sent = &self.coordinators[c].sent;
@@ -406,25 +406,25 @@
                 let owner = self.owner;
                 let coordinator = &mut self.coordinators[c];
                 if let Some((_, may)) = coordinator.grant.filter(|g| g.0 == owner) {
-                    let n = may.cpu.saturating_sub(coordinator.sum()).min(coordinator.wants[p]);
+                    let n = may.cpu.saturating_sub(coordinator.sum()).min(coordinator.wanted[p]);
                     coordinator.used[p] += n;
-                    coordinator.wants[p] -= n;
+                    coordinator.wanted[p] -= n;
                 }
             }
-            Step::End(c, p, n) => {
+            Step::Release(c, p, n) => {
                 let used = &mut self.coordinators[c].used[p];
                 *used = used.saturating_sub(n);
             }
-            Step::Want(c, p, n) => self.coordinators[c].wants[p] = n,
-            Step::Moves(c) => {
+            Step::SetDemand(c, p, n) => self.coordinators[c].wanted[p] = n,
+            Step::CoordinatorFailover(c) => {
                 let coordinator = &mut self.coordinators[c];
                 coordinator.epoch += 1;
                 coordinator.serial = 0;
                 coordinator.grant = None;
             }
-            Step::NewOwner => {
+            Step::TeamShardFailover => {
                 self.owner += 1;
-                self.manager = Model::fresh(self.quota);
+                self.manager = Model::new_manager(self.quota);
             }
         }
     }
@@ -460,7 +460,7 @@
         for step in &steps {
             model.apply(step);
         }
-        let asks: u64 = model.coordinators.iter().flat_map(|c| c.wants).sum();
+        let asks: u64 = model.coordinators.iter().flat_map(|c| c.wanted).sum();
         // Free quota is reserved until it covers a first job, which needs at most this much in the
         // model.
         prop_assume!(asks > 0 && quota - model.total() >= 700);
