--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -139,7 +139,7 @@
     };
     a.on_heartbeat(NodeIdx(1), &heartbeat, &view, 5000);
     a.on_heartbeat(NodeIdx(77), &heartbeat, &view, 5000);
-    // The lease has been uncertain for longer than the clock has run.
+    // An epoch of the future, and a lease that was uncertain for longer than the clock has run.
     let uncertain = ShardAssertion { shard: 1, doubt_ms: 1 << 60, ..assertion };
     let past = Some(Stamp { boot: 1, at: 4000 });
     a.on_heartbeat(
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -24,16 +24,16 @@
     assert_eq!(job.target_zone, Some(ZoneIdx(1)));
     job.choose_target_zone(&[3, 1, 0], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)), "reservations in the zone are not wasted");
-    assert!(job.queue_position(0).expect("a gang's").holds_position);
+    assert!(job.queue_position(0).expect("a gang has a position").holds_position);
     job.choose_target_zone(&[3, 0, 0], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
     job.spec.tasks = 1;
     job.choose_target_zone(&[0, 0, 0], &max_per_zone);
     assert_eq!(job.target_zone, None, "a single task needs no target zone");
-    assert!(!job.queue_position(0).expect("a gang's").holds_position);
+    assert!(!job.queue_position(0).expect("a gang has a position").holds_position);
 }
 
-/// While a fleet was booting, repeated requests without capacity took most of the processor time.
+/// While a fleet was booting, requests that found no capacity took most of the time.
 #[test]
 fn retries_unmet_demand_with_backoff() {
     let mut names = Names::default();
@@ -62,27 +62,27 @@
 #[test]
 fn backs_off_only_jobs_failing_on_several_machines() {
     let mut suspicion = FailureSuspicion::default();
-    let at = |suspicion: &mut FailureSuspicion, m, now, before| {
+    let record = |suspicion: &mut FailureSuspicion, m, now, before| {
         suspicion.record_failure(MachineIdx(m), now, before)
     };
     for _ in 0..50 {
-        assert_eq!(at(&mut suspicion, 1, 1000, 0), 1200, "all failures on one machine");
+        assert_eq!(record(&mut suspicion, 1, 1000, 0), 1200, "all failures on one machine");
     }
-    at(&mut suspicion, 2, 1000, 0);
-    let first = at(&mut suspicion, 3, 1000, 0);
+    record(&mut suspicion, 2, 1000, 0);
+    let first = record(&mut suspicion, 3, 1000, 0);
     assert!(suspicion.is_suspected() && first > 2000);
     assert_eq!(
-        at(&mut suspicion, 4, 1001, first),
+        record(&mut suspicion, 4, 1001, first),
         first.max(1001 + 2000),
         "tasks started together count as one retry"
     );
     let (mut now, mut retries) = (first, 0);
     while now < 600_000 {
-        (now, retries) = (at(&mut suspicion, 5, now, now), retries + 1);
+        (now, retries) = (record(&mut suspicion, 5, now, now), retries + 1);
     }
     assert!((10..20).contains(&retries), "{retries} retries in ten minutes, without an end");
     suspicion.record_good_run();
-    assert_eq!(at(&mut suspicion, 1, now, now), now + 200);
+    assert_eq!(record(&mut suspicion, 1, now, now), now + 200);
 }
 
 #[test]
@@ -123,16 +123,16 @@
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.spec.kind = Kind::Gang;
     // The due time as a participant computes it from the gang's queue position.
-    let turn = |job: &Job, now: Timestamp| {
-        let line = job.queue_position(now).expect("a gang's");
-        (line.late, now.saturating_add_signed(line.time_left_ms))
+    let late_and_due = |job: &Job, now: Timestamp| {
+        let position = job.queue_position(now).expect("a gang has a position");
+        (position.late, now.saturating_add_signed(position.time_left_ms))
     };
     let (older, younger) = (1_000_000, 1_005_000);
     for now in [1_100_000, 1_900_000, 3_000_000] {
         job.submitted_at = older;
-        let first = turn(&job, now);
+        let first = late_and_due(&job, now);
         job.submitted_at = younger;
-        assert!(first < turn(&job, now - 900), "requested earlier, but submitted later");
+        assert!(first < late_and_due(&job, now - 900), "requested earlier, but submitted later");
     }
 }
 
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -124,6 +124,7 @@
             .collect()
     }
 
+    /// Updates a coordinator's share of a team's quota and returns its grant.
     fn grant(&mut self, now: Timestamp, from: Shard, team: u8) -> Option<TeamGrant> {
         let quota = (*self.quotas.get(team as usize)?)?;
         let others = self.shares_of_others(from, team);
@@ -131,19 +132,19 @@
             self.current_usages(now, team).into_iter().unzip();
         let requester = shards.iter().position(|shard| *shard == from)?;
         let used = usages[requester].in_use();
-        // All that may be in use after a failover is counted, so the usage can exceed the quota. A
-        // grant must not exceed it, as the simulator found.
         let uncovered_first = match self.phase {
             QuotaPhase::Reserving => UncoveredFirstJob::Waits,
             QuotaPhase::Backfilling => UncoveredFirstJob::Skipped,
         };
         let additional = plan::additional_shares(quota, &usages, uncovered_first)[requester];
+        // All that may be in use after a failover is counted, so the usage can exceed the quota. A
+        // grant must not (seen in the simulator).
         let granted = used.plus(additional).least(quota.minus(others));
         let share = granted.most(used);
         debug_assert!(is_within_quota(quota, used, share, others), "the shares exceed the quota");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
-        let due = plan::shares_after_preemption(quota, &usages)[requester];
-        Some(TeamGrant { team, may: granted, due })
+        let after_preemption = plan::shares_after_preemption(quota, &usages)[requester];
+        Some(TeamGrant { team, may: granted, due: after_preemption })
     }
 
     /// Returns the sum of all other coordinators' shares of a team's quota.
