--- a/crates/core/src/participant/capacity_index.rs
+++ b/crates/core/src/participant/capacity_index.rs
@@ -1,47 +1,50 @@
-//! A participant's machines by what requests ask for: type, zone, spot or not, and free processors.
+//! An index of a participant's machines by what requests ask for: type, zone, spot or not, cached
+//! image, and free processors.
 //!
-//! Invariant: a machine has the entry that `Participant::reindex` last gave it, or none if no work
-//! may come to it for good (lease expired, released, of no known type or zone).
+//! Invariant: a machine has the entry that `Participant::reindex` last set. It has none if no work can
+//! be placed on it: its lease has expired, it was released, or its type or zone is not known.
 use crate::ids::{ImageIdx, MachineIdx, TypeIdx, ZoneIdx};
 use crate::machine::Machine;
 use std::cmp::Reverse;
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Machines that are alike for every job. Ordered by type, zone, and spot last.
+/// Key of the machines that differ for a job only in free resources and cached images. Ordered by type,
+/// then zone, then ordinary before spot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct MachineGroup {
     /// Type in the catalog.
     pub machine_type: TypeIdx,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: ZoneIdx,
-    /// Spot instances.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
 impl MachineGroup {
-    /// The machine's group; none: its type or zone is not known.
+    /// Returns the group of a machine; `None` if its type or zone is not known.
     pub fn of(machine: &Machine) -> Option<MachineGroup> {
         let (machine_type, zone) = machine.machine_type.zip(machine.zone)?;
         Some(MachineGroup { machine_type, zone, spot: machine.spot })
     }
 }
 
-/// What requests find a machine by.
+/// The indexed properties of a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct CapacityEntry {
-    /// Its group.
+    /// Group of the machine.
     pub group: MachineGroup,
-    /// Free processors in thousandths, holds and reservations not taken off; 0 if unknown.
+    /// Free processors in thousandths, before holds and reservations are subtracted; 0 if a task of
+    /// unknown shape is on the machine.
     pub free_cpu: u64,
-    /// Images in its cache.
+    /// Images in the machine's cache.
     pub images: Vec<ImageIdx>,
 }
 
-/// Machines by free processors, the most first.
+/// Machines by free processors, those with the most first.
 type ByFreeCpu = BTreeSet<(Reverse<u64>, MachineIdx)>;
 
-/// The index.
+/// The index. `by_image` has no empty sets; `by_group` keeps the groups of all machines that there were.
 #[derive(Debug, Default)]
 pub(super) struct FreeCapacityIndex {
     by_group: BTreeMap<MachineGroup, ByFreeCpu>,
@@ -50,7 +53,7 @@
 }
 
 impl FreeCapacityIndex {
-    /// Gives a machine this entry in place of the one it has.
+    /// Replaces the entry of a machine; `None` removes it.
     pub fn set(&mut self, machine: MachineIdx, entry: Option<CapacityEntry>) {
         if self.entries.get(&machine) == entry.as_ref() {
             return;
@@ -86,13 +89,13 @@
         self.entries.insert(machine, entry);
     }
 
-    /// The groups that there are, or were, machines of.
+    /// Returns the groups that have, or once had, a machine in the index.
     pub fn groups(&self) -> impl Iterator<Item = MachineGroup> + '_ {
         self.by_group.keys().copied()
     }
 
-    /// The machines of a group with at least `min_cpu` thousandths of free processors, the most
-    /// first.
+    /// Returns the machines of a group with at least `min_cpu` thousandths of free processors, those
+    /// with the most first.
     pub fn with_free(
         &self,
         group: MachineGroup,
@@ -101,7 +104,8 @@
         most_free_first(self.by_group.get(&group), min_cpu)
     }
 
-    /// Of those, the ones that have the image.
+    /// Returns the machines of a group that have the image in their cache and at least `min_cpu`
+    /// thousandths of free processors, those with the most first.
     pub fn with_image(
         &self,
         group: MachineGroup,
@@ -111,7 +115,7 @@
         most_free_first(self.by_image.get(&(group, image)), min_cpu)
     }
 
-    /// A machine's entry.
+    /// Returns the entry of a machine; `None` if it has none.
     pub fn entry(&self, machine: MachineIdx) -> Option<&CapacityEntry> {
         self.entries.get(&machine)
     }
--- a/crates/core/src/participant/capacity_notices.rs
+++ b/crates/core/src/participant/capacity_notices.rs
@@ -1,41 +1,45 @@
-//! Notices to coordinators that capacity became free.
+//! Notices to coordinators that capacity was freed.
 //!
-//! A coordinator that was offered too little need not ask again and again: it is notified when there
-//! is something to ask for. (Found by counting: with a fleet that was booting, requests took most of
-//! the time.) The coordinators with the most important shortage are notified first: when all were
-//! notified at once, arrays filled new machines before replicas that had waited longer were asked for.
+//! A coordinator that was offered less than it asked for need not poll: it is notified when capacity
+//! is freed. With polling, requests took most of the processing time while a fleet was booting.
+//! Coordinators with a shortage at the highest priority are notified first: when all were notified at
+//! once, arrays filled new machines before capacity was requested for replicas that had waited longer.
 use super::Participant;
 use crate::context::Context;
 use crate::ids::{Shard, Timestamp};
 use leaddeal_wire::mesh::ShardMessage;
 use leaddeal_wire::user::Priority;
 
-/// A coordinator is notified at most this often.
+/// Minimum time in ms between two notices to the same coordinator.
 const NOTICE_INTERVAL_MS: u64 = 800;
-/// How much earlier than the others those with the most important shortage are notified.
+/// Time in ms by which coordinators with a shortage at the highest priority are notified before the
+/// other coordinators.
 const TOP_PRIORITY_HEAD_START_MS: u64 = 300;
 
-/// A coordinator's shortage.
+/// The shortage of one coordinator.
 #[derive(Clone, Copy, Debug, Default)]
 struct Shortage {
-    /// The highest priority for which it was offered less than it asked for since it was notified.
+    /// Highest priority of a request that got less than it asked for since the last notice; `None` if
+    /// all got enough.
     priority: Option<Priority>,
+    /// When the coordinator was last notified; 0 if never.
     notified_at: Timestamp,
 }
 
-/// Who is short of capacity, and whether some became free.
+/// Which coordinators are short of capacity, and whether capacity was freed.
 #[derive(Debug)]
 pub(super) struct CapacityNotices {
-    /// By coordinator's shard.
+    /// Indexed by the coordinator's shard.
     shortages: Vec<Shortage>,
-    /// Capacity became free that not all who are short of it were notified of.
+    /// Whether capacity was freed of which not all coordinators with a shortage were notified yet.
     freed: bool,
-    /// When those with the most important shortage were notified; the others follow.
+    /// When the coordinators with a shortage at the highest priority were notified; `None` unless the
+    /// others are still to be notified.
     top_notified_at: Option<Timestamp>,
 }
 
 impl CapacityNotices {
-    /// No one of that many shards is short of anything.
+    /// Creates the state for `shards` coordinators, none of which is short of capacity.
     pub fn new(shards: usize) -> CapacityNotices {
         CapacityNotices {
             shortages: vec![Shortage::default(); shards],
@@ -44,25 +48,26 @@
         }
     }
 
-    /// A coordinator was offered less than it asked for.
+    /// Records that a request of this priority was offered less than it asked for.
     pub fn note_shortage(&mut self, coordinator: Shard, priority: Priority) {
         if let Some(shortage) = self.shortages.get_mut(coordinator.0 as usize) {
             shortage.priority = shortage.priority.max(Some(priority));
         }
     }
 
-    /// Capacity became free.
+    /// Records that capacity was freed.
     pub fn note_freed(&mut self) {
         self.freed = true;
     }
 
-    /// The coordinators to notify now, and of which priority. They count as notified.
+    /// Returns the coordinators to notify now, each with the priority of its shortage, and marks them as
+    /// notified.
     fn take_due(&mut self, now: Timestamp) -> Vec<(Shard, Priority)> {
         let mut due = Vec::new();
         if !self.freed {
             return due;
         }
-        // None: whatever their priority.
+        // The only priority to notify in this step; `None`: all priorities.
         let only = match self.top_notified_at {
             Some(at) if now < at + TOP_PRIORITY_HEAD_START_MS => return due,
             Some(_) => None,
@@ -83,7 +88,7 @@
 }
 
 impl Participant {
-    /// Notifies the coordinators that are short of capacity, if some became free.
+    /// Notifies the coordinators that are short of capacity, if capacity was freed.
     pub(super) fn send_capacity_notices(&mut self, ctx: &mut Context) {
         for (coordinator, priority) in self.capacity_notices.take_due(ctx.now) {
             ctx.send(self.shard, coordinator, ShardMessage::CapacityFreed { priority });
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which machines a request may have at all.
+//! Which machines the tasks of a request may be placed on, whatever is free there.
 use super::capacity_index::MachineGroup;
 use super::{Participant, FAILURE_EVIDENCE_MS};
 use crate::context::Context;
@@ -8,12 +8,12 @@
 use leaddeal_wire::mesh::OfferRequest;
 use leaddeal_wire::user::Kind;
 
-/// What holds for a job on a type of machine, ordinary or spot.
+/// Whether a job may use machines of one type, either ordinary or spot ones.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Eligibility {
-    /// The job allows it, and a whole machine has room for a task.
+    /// Whether the job permits the type, and a task fits on an empty machine of it.
     pub allowed: bool,
-    /// A GPU machine that costs too much for work without GPUs.
+    /// Whether it is a GPU machine that costs too much for this work, which needs no GPUs.
     too_expensive: bool,
 }
 
@@ -23,14 +23,14 @@
     spot: Eligibility,
 }
 
-/// The eligibility of all types for a job: worked out once for a request.
+/// The eligibility of all machine types for a job, computed once for a request.
 #[derive(Clone, Debug)]
 pub(super) struct EligibilityTable {
     by_type: Vec<TypeEligibility>,
 }
 
 impl EligibilityTable {
-    /// Works it out for the tasks that are asked for.
+    /// Computes the table for the tasks of a request.
     pub fn of(names: &Names, request: &OfferRequest) -> EligibilityTable {
         let (shape, urgent) = (&request.shape, request.urgent);
         let need = Resources::of(shape);
@@ -50,20 +50,21 @@
         EligibilityTable { by_type: by_type.collect() }
     }
 
-    /// What holds for a type; none: it was added to the catalog after the request.
+    /// Returns the eligibility of a type; `None` if the type was added to the catalog after the table was
+    /// computed.
     fn of_type(&self, machine_type: TypeIdx, spot: bool) -> Option<&Eligibility> {
         let of_type = self.by_type.get(machine_type.0 as usize)?;
         Some(if spot { &of_type.spot } else { &of_type.ordinary })
     }
 
-    /// Whether the job may have machines of the group.
+    /// Returns whether the job may use machines of the group.
     pub fn allows(&self, group: MachineGroup) -> bool {
         self.of_type(group.machine_type, group.spot).is_some_and(|eligibility| eligibility.allowed)
     }
 }
 
 impl Participant {
-    /// Whether a machine may get work of the request's job at all, now.
+    /// Returns whether tasks of the request's job may be placed on a machine now, whatever is free on it.
     pub(super) fn is_eligible(
         &self,
         ctx: &Context,
@@ -95,8 +96,8 @@
             && ctx.now < machine.last_heartbeat_at + ctx.config.quiet_ms
     }
 
-    /// Cheap work does not keep a machine that is too expensive for it, unless that is paid for
-    /// anyway: for the GPU work on it, or because it is never released.
+    /// Returns whether a machine that is too expensive for the request causes no additional cost: it is
+    /// kept for the GPU work on it, or it is never released.
     fn is_paid_anyway(
         &self,
         ctx: &Context,
@@ -104,7 +105,7 @@
         machine: &Machine,
         request: &OfferRequest,
     ) -> bool {
-        // Services run for a long time, and would keep it when that work is over.
+        // Services run for a long time and would keep the machine after the GPU work has ended.
         if request.shape.kind != Kind::Service && machine.has_gpu_work() {
             return true;
         }
@@ -113,7 +114,7 @@
     }
 }
 
-/// Whether a task of the job failed on the machine recently.
+/// Returns whether a task of the job failed on the machine within `FAILURE_EVIDENCE_MS`.
 fn has_failed_job(machine: &Machine, job: u64, ctx: &Context) -> bool {
     let mut failures = machine.recent_failures.iter();
     failures.any(|f| f.job.0 == job && f.first_at + FAILURE_EVIDENCE_MS > ctx.now)
--- a/crates/core/src/participant/failure_attribution.rs
+++ b/crates/core/src/participant/failure_attribution.rs
@@ -1,39 +1,43 @@
-//! Who is at fault when a task fails: its machine, or its job.
+//! Attribution of task failures to the machine or to the job.
 //!
-//! A faulty machine fails every task that it starts; a job with a mistake fails on every machine.
-//! A single failure fits both. What tells them apart is who succeeds elsewhere:
-//! - a job that has run well somewhere and fails here is evidence against the machine;
-//! - a job that has run well nowhere and fails on several machines is at fault itself, and while it
-//!   is, its failures are no evidence against machines;
-//! - of jobs that did neither yet, it takes several different ones to suspect a machine.
+//! A faulty machine fails every task that it starts; a faulty job fails on every machine. A single
+//! failure is consistent with both. They are distinguished by successes elsewhere:
+//! - a failure of a job that has run well somewhere is evidence against the machine;
+//! - a job that has run well nowhere and fails on several machines is at fault itself, and as long as
+//!   it is, its failures are no evidence against machines;
+//! - for other jobs, it takes failures of several different ones to suspect a machine.
 //!
-//! Invariants: a machine on which something ran well since is not suspected; a job that ran well
-//! anywhere in this participant is not at fault; both verdicts are worked out anew at each piece of
-//! evidence, so that a later one takes back what an earlier one suggested.
+//! Invariants: a machine on which a task ran well after the failures is not suspected; a job of which a
+//! task ran well on any machine of this participant is not at fault. Both verdicts are computed again
+//! from all evidence whenever they are needed, so that later evidence can reverse them.
 //!
-//! (On the operators' sites one job in 25 is submitted with a mistake. Any two of them on a machine
-//! had it quarantined for a minute, and nothing told it from a faulty one.)
+//! One job in 25 at the operators' sites is faulty as submitted. If failures of any two jobs are enough
+//! to suspect a machine, healthy machines are quarantined for a minute like faulty ones.
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that fails on this many machines and runs well on none is at fault itself.
+/// Number of machines on which a job has to fail, and run well on none, to be at fault itself.
 const MIN_MACHINES_TO_BLAME_JOB: usize = 3;
-/// Failures of this many different jobs of which nothing else is known make a machine suspected.
+/// Number of different jobs, neither at fault nor known to run well, that have to fail on a machine for
+/// it to be suspected.
 const MIN_UNKNOWN_JOBS_TO_SUSPECT: usize = 3;
-/// How long evidence is kept after the newest of a job.
+/// Time in ms for which the evidence about a job is kept after the newest piece.
 const EVIDENCE_RETENTION_MS: u64 = 180_000;
-/// Jobs of which evidence is kept, at most: the one without news for longest is dropped first.
+/// Maximum number of jobs whose evidence is kept. Beyond it, the job whose newest evidence is the oldest
+/// is removed first.
 const MAX_JOBS: usize = 20_000;
 
+/// Evidence about one job.
 #[derive(Clone, Debug, Default)]
 struct JobEvidence {
+    /// Whether a task of the job ran well on any machine.
     ran_well: bool,
-    /// Machines that it failed on since it last ran well, as many as matter.
+    /// Machines on which the job failed since it last ran well; at most `MIN_MACHINES_TO_BLAME_JOB`.
     failed_on: BTreeSet<MachineIdx>,
     newest_at: Timestamp,
 }
 
-/// What is known of jobs that failed or ran well recently.
+/// Evidence about the jobs that failed or ran well recently.
 #[derive(Debug, Default)]
 pub(super) struct FailureAttribution {
     jobs: BTreeMap<JobId, JobEvidence>,
@@ -46,7 +50,7 @@
         evidence
     }
 
-    /// A task of the job failed on this machine.
+    /// Records that a task of the job failed on this machine.
     pub fn note_failure(&mut self, job: JobId, machine: MachineIdx, now: Timestamp) {
         let evidence = self.evidence(job, now);
         if evidence.failed_on.len() < MIN_MACHINES_TO_BLAME_JOB {
@@ -54,22 +58,22 @@
         }
     }
 
-    /// A task of the job completed, or has run for a long time.
+    /// Records that a task of the job completed, or has run for a long time.
     pub fn note_success(&mut self, job: JobId, now: Timestamp) {
         let evidence = self.evidence(job, now);
         evidence.ran_well = true;
         evidence.failed_on.clear();
     }
 
-    /// Whether the job is at fault itself, as far as is known.
+    /// Returns whether the evidence shows that the job itself is at fault.
     fn is_job_at_fault(&self, job: JobId) -> bool {
         self.jobs.get(&job).is_some_and(|evidence| {
             !evidence.ran_well && evidence.failed_on.len() >= MIN_MACHINES_TO_BLAME_JOB
         })
     }
 
-    /// Whether a machine is suspected, given the jobs of which tasks failed there since anything ran
-    /// well there.
+    /// Returns whether a machine is suspected. `failed_jobs` are the jobs of which tasks failed there
+    /// since a task last ran well there.
     pub fn suspects_machine(&self, failed_jobs: impl Iterator<Item = JobId>) -> bool {
         let mut unknown_jobs = 0;
         for job in failed_jobs.filter(|job| !self.is_job_at_fault(*job)) {
@@ -81,7 +85,7 @@
         unknown_jobs >= MIN_UNKNOWN_JOBS_TO_SUSPECT
     }
 
-    /// Drops old evidence.
+    /// Removes evidence older than `EVIDENCE_RETENTION_MS`, and more if there are over `MAX_JOBS` jobs.
     pub fn expire(&mut self, now: Timestamp) {
         self.jobs.retain(|_, evidence| now < evidence.newest_at + EVIDENCE_RETENTION_MS);
         while self.jobs.len() > MAX_JOBS {
--- a/crates/core/src/participant/failure_attribution/tests.rs
+++ b/crates/core/src/participant/failure_attribution/tests.rs
@@ -2,9 +2,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A fleet with faulty machines and jobs with a mistake, tasks placed at random but on no machine
-/// that is suspected or that failed the same job: all faulty machines are found, and healthy ones
-/// are hardly ever shunned.
+/// A fleet has faulty machines and faulty jobs. Tasks are placed at random, but not on a machine that is
+/// suspected or on which the same job failed. All faulty machines must be suspected at some time, and
+/// healthy ones hardly ever.
 #[test]
 fn faulty_machines_are_found_among_jobs_with_mistakes() {
     let (mut healthy_shunned, mut found, mut faulty) = (0, 0, 0);
@@ -37,7 +37,7 @@
         healthy_shunned += ever.iter().filter(|&&i| i >= bad_machines).count();
     }
     assert_eq!(found, faulty, "faulty machines");
-    assert!(healthy_shunned <= 1, "{healthy_shunned} healthy machines of 2,000 were shunned");
+    assert!(healthy_shunned <= 1, "{healthy_shunned} healthy machines of 2,000 were suspected");
 }
 
 #[test]
@@ -46,16 +46,28 @@
     let machine = MachineIdx;
     let here = [JobId(1), JobId(2), JobId(3)];
     attribution.note_failure(JobId(1), machine(0), 0);
-    assert!(!attribution.suspects_machine(here[..1].iter().copied()), "it fits both");
+    assert!(
+        !attribution.suspects_machine(here[..1].iter().copied()),
+        "one failure is consistent with a faulty job"
+    );
     attribution.note_failure(JobId(2), machine(0), 1);
     attribution.note_failure(JobId(3), machine(0), 2);
-    assert!(attribution.suspects_machine(here.iter().copied()), "three strangers");
+    assert!(
+        attribution.suspects_machine(here.iter().copied()),
+        "three jobs of which nothing else is known"
+    );
     for other in [1, 2] {
         attribution.note_failure(JobId(1), machine(other), 3);
     }
-    assert!(!attribution.suspects_machine(here.iter().copied()), "one of them fails everywhere");
+    assert!(
+        !attribution.suspects_machine(here.iter().copied()),
+        "one of the jobs fails everywhere"
+    );
     attribution.note_success(JobId(2), 4);
-    assert!(attribution.suspects_machine(here.iter().copied()), "one of them ran well elsewhere");
+    assert!(
+        attribution.suspects_machine(here.iter().copied()),
+        "one of the jobs ran well elsewhere"
+    );
     attribution.expire(EVIDENCE_RETENTION_MS + 10);
     assert!(attribution.jobs.is_empty());
 }
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -1,24 +1,26 @@
-//! What stands in the way of GPU work on a participant's machines, for the operators' log.
+//! Lines for the operators' log about what keeps a participant's GPU machines from getting GPU work.
 use super::free_resources::GpuMachine;
 use super::Participant;
 use crate::context::Context;
 use crate::names::Resources;
 
-/// What a machine with GPUs is used for.
+/// How a machine with GPUs is used.
 enum GpuMachineUse {
-    /// Nothing may come to it now, or what is on it is not known.
+    /// The machine is silent or its worker has not confirmed the fencing token, or a task of unknown shape
+    /// is on it.
     Away,
-    /// GPU work.
+    /// GPU work is on the machine.
     Busy,
-    /// It has capacity for GPU work that was asked for recently.
+    /// The machine has enough free for recently requested GPU work.
     Open,
-    /// It has tasks on it that will end, and leave enough for GPU work.
+    /// The machine will have enough free for GPU work once its short tasks have ended.
     ShortTasks,
-    /// Services or holds that stay, so that there would not be enough even then.
+    /// Services or holds for long-running tasks leave too little for GPU work even after the short tasks
+    /// have ended.
     Blocked,
 }
 
-/// Machines with GPUs by what they are used for.
+/// Number of machines with GPUs by their use.
 #[derive(Debug, Default)]
 struct GpuMachineCounts {
     busy: u32,
@@ -26,7 +28,7 @@
     short_tasks: u32,
     blocked: u32,
     away: u32,
-    /// Those with reservations, whatever else they are used for.
+    /// Machines with reservations, whatever their use.
     reserved: u32,
 }
 
@@ -42,7 +44,8 @@
     }
 }
 
-/// `needs`: of the GPU work that was asked for recently.
+/// Classifies a machine with GPUs. `needs` are the resources of one task of each recently requested kind
+/// of GPU work.
 fn machine_use(ctx: &Context, gpu_machine: &GpuMachine, needs: &[Resources]) -> GpuMachineUse {
     let machine = gpu_machine.machine;
     let fits = |free: Resources| needs.iter().any(|&need| free.fits(need) > 0);
@@ -64,14 +67,14 @@
 }
 
 impl Participant {
-    /// A line of figures: what kept machines from being offered for jobs that got less than they asked
-    /// for, since it was last asked for. None: nothing did.
+    /// Returns a log line with the obstacles that kept machines from being offered to jobs which got less
+    /// than they asked for, and resets the counts. Returns `None` if there were none since the last call.
     pub fn obstacle_figures(&mut self) -> Option<String> {
         let counts = std::mem::take(&mut self.offer_obstacles);
         Some(format!("shard={} {}", self.shard.0, counts.figures()?))
     }
 
-    /// A line of figures: machines with GPUs by what they are used for, and the gangs that wait.
+    /// Returns a log line with the number of machines, of GPU machines by their use, and of waiting gangs.
     pub fn figures(&self, ctx: &Context) -> String {
         let needs: Vec<Resources> = self.gpu_demand.needs().collect();
         let mut counts = GpuMachineCounts::default();
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -1,4 +1,5 @@
-//! What is free on a machine for a job: now, soon, or once all that ends by itself has ended.
+//! Free resources of a machine, as seen by a job: now, after stops that are in progress, or after all
+//! tasks that end by themselves have ended.
 use super::capacity_index::MachineGroup;
 use super::queue_rank::QueueRank;
 use super::Participant;
@@ -7,19 +8,19 @@
 use crate::names::{Names, Resources};
 use leaddeal_wire::mesh::OfferRequest;
 
-/// What a service may use of machines with GPUs.
+/// How much of the machines with GPUs a service may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GpuMachineAccess {
-    /// Whatever is free.
+    /// All free resources.
     Unlimited,
-    /// What GPU work asked for recently cannot use; all, if there was none.
+    /// The free resources that recently requested GPU work cannot use; all if none was requested.
     BesideGpuWork,
-    /// The same; nothing, if there was none.
+    /// The same, but nothing if no GPU work was requested.
     BesideKnownGpuWork,
 }
 
 impl GpuMachineAccess {
-    /// What the request says of it.
+    /// Returns the access that a request permits.
     pub fn of(request: &OfferRequest) -> GpuMachineAccess {
         match (request.may_use_gpu_machines, request.urgent) {
             (true, _) => GpuMachineAccess::Unlimited,
@@ -29,21 +30,21 @@
     }
 }
 
-/// A machine with GPUs.
+/// A machine with GPUs, for iteration.
 pub(super) struct GpuMachine<'a> {
-    /// Its index.
+    /// Index of the machine.
     pub idx: MachineIdx,
-    /// What is known of it.
+    /// State of the machine.
     pub machine: &'a Machine,
-    /// Its group.
+    /// Group of the machine.
     pub group: MachineGroup,
-    /// What services and GPU work leave of it.
+    /// Resources that are not used by services or GPU work, as `Participant::lasting_free` returns.
     pub lasting_free: Resources,
 }
 
 impl Participant {
-    /// What is free on a machine for a job now. None: it has a task of unknown shape, or its type is
-    /// not known.
+    /// Returns the resources of a machine that are free now for a job of this rank. Returns `None` if a
+    /// task of unknown shape is on the machine or its type is not known.
     pub(super) fn free(
         &self,
         idx: MachineIdx,
@@ -55,9 +56,10 @@
         self.free_with(Resources::default(), idx, machine, names, job, rank)
     }
 
-    /// The same, once `freed` of what is used has become free. Holds and reservations count against
-    /// that as well. (Found by comparing traces: taken off before it was added, they stopped at
-    /// nothing, and the capacity of one stopped task was reserved over and over.)
+    /// Returns the same as `free`, counting `freed` of the used resources as free too. Holds and
+    /// reservations are subtracted after `freed` is added: subtraction stops at 0, so in the other order
+    /// they would not count against `freed`, and the capacity of one stopped task would be reserved
+    /// repeatedly.
     pub(super) fn free_with(
         &self,
         freed: Resources,
@@ -80,7 +82,8 @@
         Some(free)
     }
 
-    /// What services and GPU work, which run for a long time, leave of a machine that has `whole`.
+    /// Returns the part of a machine's total resources, `whole`, that is not used by services or GPU
+    /// work, which run for a long time.
     pub(super) fn lasting_free(
         &self,
         idx: MachineIdx,
@@ -95,7 +98,7 @@
         free
     }
 
-    /// The machines with GPUs.
+    /// Returns the machines with GPUs.
     pub(super) fn gpu_machines<'a>(
         &'a self,
         names: &'a Names,
@@ -111,10 +114,10 @@
         })
     }
 
-    /// What a service may use of a GPU machine that has this `lasting_free`: a service runs for a
-    /// long time, and leaves enough for the GPU work that is known. (Judged by what is free just
-    /// now, a machine full of short tasks looked lost to GPU work anyway, and services filled it for
-    /// good.)
+    /// Returns the resources that a service may use of a GPU machine with this `lasting_free`. A service
+    /// runs for a long time, so it has to leave enough for the GPU work that is known. This cannot be
+    /// judged by what is free now: a machine full of short tasks then seems unusable for GPU work
+    /// anyway, and services fill it for good.
     pub(super) fn spare_for_service(
         &self,
         lasting_free: Resources,
@@ -122,7 +125,7 @@
     ) -> Resources {
         match access {
             GpuMachineAccess::Unlimited => return lasting_free,
-            // Which GPU work there will be may not be known yet.
+            // The GPU work to leave capacity for may not have been requested yet.
             GpuMachineAccess::BesideKnownGpuWork if self.gpu_demand.is_empty() => {
                 return Resources::default();
             }
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -33,7 +33,8 @@
     Shape { need: Resources::of(&wire), image: ImageIdx(0), wire }
 }
 
-/// Found on a grown deployment: machines full of short tasks were filled with replicas.
+/// Guards against replicas that fill a GPU machine for good because short tasks leave too little free for
+/// GPU work at the moment.
 #[test]
 fn services_leave_gpu_room_whatever_short_tasks_run_now() {
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
@@ -43,7 +44,7 @@
             .spare_for_service(WHOLE, GpuMachineAccess::BesideKnownGpuWork)
             .fits(service.need),
         0,
-        "not known yet"
+        "no GPU work is known yet"
     );
     participant.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
     let mut machine = Machine::new(1);
@@ -58,7 +59,7 @@
             .spare_for_service(empty, GpuMachineAccess::BesideKnownGpuWork)
             .fits(service.need),
         1,
-        "one beside it"
+        "one replica fits beside the GPU task"
     );
     let later = participant.lasting_free(MachineIdx(0), &machine, WHOLE);
     assert_eq!(
@@ -69,11 +70,12 @@
     );
     assert!(
         participant.spare_for_service(later, GpuMachineAccess::Unlimited).fits(service.need) > 0,
-        "asked in vain for long"
+        "a service that waited for long may use all"
     );
 }
 
-/// Found by comparing traces: five reservations of the capacity of one task that was being stopped.
+/// Guards against several reservations of the same capacity: the capacity of one task that was being
+/// stopped was reserved five times.
 #[test]
 fn the_room_of_a_stopped_task_is_claimed_once() {
     let mut names = Names::default();
@@ -105,7 +107,7 @@
     let room = |participant: &Participant| {
         let soon =
             participant.free_with(machine.stopping(), idx, &machine, &names, JobId(u64::MAX), None);
-        soon.expect("known tasks").fits(need)
+        soon.expect("all shapes are known").fits(need)
     };
     assert_eq!(room(&participant), 1);
     let reservation =
--- a/crates/core/src/participant/gang_queue.rs
+++ b/crates/core/src/participant/gang_queue.rs
@@ -1,9 +1,8 @@
-//! Gangs of several tasks that wait for capacity, each in one zone: they are served in order, so
-//! that none holds some of what it needs while another holds the rest.
+//! The queue of gangs of several tasks that wait for capacity, each in one zone. Gangs are served in
+//! order, so that they do not deadlock with each holding a part of the capacity that another needs.
 //!
-//! Invariant: after `refresh`, `by_group` says of each group which gang is first in the queue for
-//! its machines and what the queued gangs need there; a change of the queue in between makes it
-//! stale.
+//! Invariant: after `refresh`, `by_group` holds for each group the rank of the first gang in the queue
+//! for its machines and what the queued gangs need there. A later change of the queue sets `stale`.
 use super::capacity_index::MachineGroup;
 use super::eligibility::EligibilityTable;
 use super::queue_rank::QueueRank;
@@ -14,21 +13,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A waiting gang that has not asked again for this long loses its place in the queue.
+/// Time in ms after which a waiting gang that has not sent another request is removed from the queue.
 const QUEUE_TIMEOUT_MS: u64 = 5000;
 
-/// A gang that waits.
+/// A gang in the queue.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingGang {
-    /// Its rank, which names the job too.
+    /// Rank in the queue; it contains the job.
     pub rank: QueueRank,
-    /// The zone that it waits for.
+    /// Zone in which the gang waits for capacity.
     pub zone: ZoneIdx,
-    /// How many tasks it waits with.
+    /// Number of tasks that the gang requests.
     pub tasks: u32,
-    /// What a task of it takes.
+    /// Priority and resources of each task.
     pub shape: Arc<WireShape>,
-    /// Which machines it may have.
+    /// Types of machines that the gang may use.
     pub eligibility: EligibilityTable,
 }
 
@@ -46,16 +45,17 @@
 
 #[derive(Clone, Copy, Debug)]
 struct GangNeed {
-    /// The highest priority of the gangs that need it.
+    /// Highest priority among the gangs with this need.
     priority: Priority,
     need: Resources,
 }
 
-/// The queue for the machines of a group.
+/// A summary of the queue for the machines of one group.
 #[derive(Debug, Default)]
 struct GroupQueue {
+    /// Rank of the gang that is served first; `None` if no gang waits for these machines.
     first: Option<QueueRank>,
-    /// Each need once.
+    /// Different needs of the waiting gangs, each once.
     needs: Vec<GangNeed>,
 }
 
@@ -71,8 +71,8 @@
     }
 }
 
-/// The queue. (Found by a profile at three times a fleet: every look at a machine went through the
-/// whole queue, which grows with the fleet as well.)
+/// The waiting gangs, and a summary by machine group. Without the summary, each evaluation of a machine
+/// searches the whole queue, which grows with the fleet as the number of machines does.
 #[derive(Debug, Default)]
 pub(super) struct GangQueue {
     waiting: BTreeMap<JobId, QueueEntry>,
@@ -81,34 +81,34 @@
 }
 
 impl GangQueue {
-    /// Whether no gang waits.
+    /// Returns whether no gang waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many gangs wait.
+    /// Returns the number of waiting gangs.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The rank of a gang that waits.
+    /// Returns the rank of a job's gang; `None` if it is not in the queue.
     pub fn rank(&self, job: JobId) -> Option<QueueRank> {
         self.waiting.get(&job).map(|entry| entry.gang.rank)
     }
 
-    /// The gang waits from now on, or still.
+    /// Adds a gang to the queue, or renews its entry.
     pub fn enter(&mut self, gang: WaitingGang, now: Timestamp) {
         let expires_at = now + QUEUE_TIMEOUT_MS;
         self.waiting.insert(gang.rank.job, QueueEntry { gang, expires_at });
         self.stale = true;
     }
 
-    /// The gang does not wait any more.
+    /// Removes a job's gang from the queue.
     pub fn remove(&mut self, job: JobId) {
         self.stale |= self.waiting.remove(&job).is_some();
     }
 
-    /// Drops the gangs that have not asked again, and sums the queue up by group.
+    /// Removes the gangs whose entries have expired, and brings the summary of each group up to date.
     pub fn refresh(&mut self, now: Timestamp, groups: impl Iterator<Item = MachineGroup>) {
         let before = self.waiting.len();
         self.waiting.retain(|_, entry| entry.expires_at > now);
@@ -129,14 +129,16 @@
         }
     }
 
-    /// Whether a gang that is to be served before this rank may use machines of the group and waits
-    /// for their zone. (When gangs each held some machines, waiting for the rest, all stood still.)
+    /// Returns whether a gang that is served before this rank may use machines of the group and waits
+    /// for their zone. Gangs behind it get none of them: when several gangs each hold some machines
+    /// and wait for the rest, none can start.
     pub fn is_behind(&self, rank: QueueRank, group: MachineGroup) -> bool {
         let first = self.by_group.get(&group).and_then(|queue| queue.first);
         first.is_some_and(|first| first < rank)
     }
 
-    /// What gangs of at least this priority need of a machine of the group.
+    /// Returns what a task of each waiting gang of at least this priority needs, for the gangs that can
+    /// use machines of the group.
     pub fn needs(
         &self,
         group: MachineGroup,
@@ -146,7 +148,7 @@
         needs.filter(move |known| known.priority >= min_priority).map(|known| known.need)
     }
 
-    /// Tasks of gangs of at least this priority, by the zone that they wait for.
+    /// Returns the number of tasks of waiting gangs of at least this priority, by zone.
     pub fn tasks_by_zone(&self, min_priority: Priority) -> BTreeMap<ZoneIdx, u32> {
         let mut by_zone = BTreeMap::new();
         let gangs = self.waiting.values().map(|entry| &entry.gang);
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of workers: leases granted, states of tasks taken in, machines suspected.
+//! Heartbeats of workers: grants leases, records the states of tasks, and suspects machines on which
+//! tasks fail.
 use super::{Participant, FAILURE_EVIDENCE_MS, MAX_COMMANDS};
 use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, Timestamp};
@@ -11,33 +12,35 @@
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{ExitReason, HeartbeatResponse, TaskState, WorkerHeartbeat};
 
-/// A service or GPU work counts as running well once it has run for this long.
+/// A task of a service or with GPUs counts as running well once it has run for this long, in ms.
 const RAN_WELL_AFTER_MS: u64 = 30_000;
-/// A machine whose disk was too full for a task is offered to no one for this long.
+/// Time in ms for which a machine is not offered after its disk was too full for a task.
 const FULL_QUARANTINE_MS: u64 = 2000;
-/// No command batch is sent to a worker for this long after one that it did not answer.
+/// Time in ms for which no command batch is sent to a worker after one that it did not answer.
 const BATCH_RETRY_DELAY_MS: u64 = 2000;
-/// Time in seconds that a task on a machine about to be interrupted gets beside the time that it
-/// needs to save its progress.
+/// Time in seconds that a task on a machine with an interruption notice gets in addition to the time
+/// that it needs to save its progress.
 const INTERRUPTION_GRACE_S: f64 = 5.0;
 
-/// What a heartbeat shows of the tasks on a machine.
+/// What a heartbeat shows about the tasks on a machine.
 #[derive(Debug, Default)]
 struct Observations {
-    /// Images of tasks that run, or completed just now.
+    /// Images of tasks that are waiting or running, or that completed since the previous heartbeat.
     images: Vec<CachedImage>,
-    /// Jobs of which a task failed just now.
+    /// Jobs of which a task failed since the previous heartbeat.
     failed: Vec<JobId>,
-    /// Jobs of which a task ran well.
+    /// Jobs of which a task completed since the previous heartbeat, or has run for
+    /// `RAN_WELL_AFTER_MS`.
     ran_well: Vec<JobId>,
-    /// An attempt ended just now.
+    /// Whether any attempt ended since the previous heartbeat.
     any_ended: bool,
-    /// A task found the machine's disk too full.
+    /// Whether a task exited because the machine's disk was too full.
     disk_full: bool,
 }
 
 impl Observations {
-    /// `ended_before`: the attempts that were over before the heartbeat, in order.
+    /// Collects the observations from a machine to which the heartbeat was applied. `ended_before`
+    /// lists the attempts that were over before the heartbeat, in ascending order.
     fn of(machine: &Machine, ended_before: &[AttemptKey], now: Timestamp) -> Observations {
         let mut observed = Observations::default();
         for (key, task) in &machine.tasks {
@@ -76,8 +79,8 @@
     CachedImage { image: shape.image, size_gb: shape.wire.image_gb }
 }
 
-/// The cloud gave notice: a task that can save its progress does so and moves; the rest may still
-/// complete.
+/// Stops the running tasks that can save their progress, so that they can restart elsewhere before the
+/// cloud interrupts the machine. The other tasks run on: they may still complete in time.
 fn save_before_interruption(machine: &mut Machine, now: Timestamp) {
     for task in machine.tasks.values_mut() {
         let running = matches!(task.phase, TaskPhase::On(TaskState::Running));
@@ -93,8 +96,9 @@
 }
 
 impl Participant {
-    /// Takes in a periodic heartbeat, and renews the worker's lease by a response. None: the worker
-    /// knows a newer owner, or waits for no response.
+    /// Handles a periodic heartbeat and returns the response that renews the worker's lease. Returns
+    /// `None` if the worker knows a newer owner or does not wait for a response to this heartbeat, or
+    /// if the machine was released or its lease has expired.
     pub fn report(
         &mut self,
         ctx: &mut Context,
@@ -113,7 +117,8 @@
         self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::Periodic);
         let token = self.epoch.0;
         let machine = self.machine(idx);
-        // A late heartbeat of an incarnation that is over by our count must not renew its lease.
+        // The worker's lease has expired and its tasks were declared gone. A late heartbeat of that
+        // incarnation must not renew the lease.
         if machine.lease_expired {
             return None;
         }
@@ -122,16 +127,16 @@
         if !newest {
             return Some(HeartbeatResponse { token, orders: Vec::new() });
         }
-        // Stops go on while our lease is uncertain: what was to stop is durable, and a stop is never
-        // wrong. (Found by the simulator: a cancelled task ran on with an owner that the store's
-        // outage had caught between the cancellation and the worker's first heartbeat to it.)
+        // Stops are still sent while this node's lease is uncertain: the decision to stop is durable
+        // and holds under any owner. Otherwise a cancelled task runs on if an outage of the store
+        // begins between the cancellation and the worker's first heartbeat to this owner.
         let lease = if ctx.lease_valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
         let orders = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
         Some(HeartbeatResponse { token, orders })
     }
 
-    /// The outcome of a command batch: the worker's answer, or none if it was not sent, or if it is
-    /// `unknown` whether it was executed.
+    /// Handles the outcome of a command batch. `answer` is the worker's heartbeat in response; it is
+    /// `None` if the batch was not sent, or, with `unknown`, if it may have been executed.
     pub fn direct_outcome(
         &mut self,
         ctx: &mut Context,
@@ -148,7 +153,7 @@
         };
         match answer {
             Some(heartbeat) => {
-                // What was executed is in this heartbeat or a newer one.
+                // The effect of the commands shows in this heartbeat and in all newer ones.
                 let known = (machine.incarnation, machine.seq);
                 if (heartbeat.incarnation, heartbeat.seq) > known {
                     self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::CommandResponse);
@@ -222,7 +227,8 @@
         self.check_by(idx, over_at);
     }
 
-    /// Takes what failed and what ran well on a machine as evidence for and against it.
+    /// Records the failures and successes on a machine as evidence, and updates whether the machine
+    /// is suspected.
     fn attribute_failures(&mut self, ctx: &mut Context, idx: MachineIdx, observed: &Observations) {
         for &job in &observed.failed {
             self.failure_attribution.note_failure(job, idx, ctx.now);
@@ -239,7 +245,8 @@
         machine.suspected = suspected;
     }
 
-    /// Whether the recent failures on a machine are attributed to it, by all that is known now.
+    /// Returns whether the recent failures on a machine are attributed to the machine, judged by all
+    /// evidence at `now`.
     pub(super) fn is_suspected(&self, idx: MachineIdx, now: Timestamp) -> bool {
         let Some(machine) = self.machines.get(&idx) else { return false };
         if machine.recent_failures.is_empty() {
--- a/crates/core/src/participant/holds.rs
+++ b/crates/core/src/participant/holds.rs
@@ -1,55 +1,55 @@
-//! Capacity that is kept for open negotiations.
+//! Holds: capacity of machines that is kept for open negotiations.
 use crate::ids::{JobId, MachineIdx, Negotiation, Shard};
 use crate::names::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Capacity of a machine that was offered to a coordinator, and that it has not decided on yet.
+/// Capacity of a machine that was offered to a coordinator which has not decided on the offer yet.
 #[derive(Clone, Debug)]
 pub(super) struct Hold {
-    /// The coordinator's shard.
+    /// Shard of the coordinator.
     pub shard: Shard,
-    /// The negotiation that it ends with.
+    /// Negotiation with whose end the hold ends.
     pub negotiation: Negotiation,
-    /// The job that it was offered to.
+    /// Job for which the capacity was offered.
     pub job: JobId,
-    /// What one task takes.
+    /// Resources of one task.
     pub need: Resources,
-    /// How many tasks it is for.
+    /// Number of tasks that the hold still covers.
     pub count: u64,
-    /// For a service or GPU work, which runs for a long time.
+    /// Whether the tasks run for a long time: those of a service, or with GPUs.
     pub lasting: bool,
 }
 
 impl Hold {
-    /// Whether it ends with this negotiation.
+    /// Returns whether the hold is part of this negotiation of this coordinator's shard.
     pub fn belongs_to(&self, shard: Shard, negotiation: Negotiation) -> bool {
         self.shard == shard && self.negotiation.0 == negotiation.0
     }
 }
 
-/// The holds of a participant, by machine. Invariant: no list is empty.
+/// The holds of a participant, by machine. Invariant: no list in `by_machine` is empty.
 #[derive(Debug, Default)]
 pub(super) struct Holds {
     by_machine: BTreeMap<MachineIdx, Vec<Hold>>,
 }
 
 impl Holds {
-    /// The holds on a machine.
+    /// Returns the holds on a machine.
     pub fn on(&self, machine: MachineIdx) -> &[Hold] {
         self.by_machine.get(&machine).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether anything is held on a machine.
+    /// Returns whether there is any hold on a machine.
     pub fn any_on(&self, machine: MachineIdx) -> bool {
         self.by_machine.contains_key(&machine)
     }
 
-    /// Adds a hold.
     pub fn add(&mut self, machine: MachineIdx, hold: Hold) {
         self.by_machine.entry(machine).or_default().push(hold);
     }
 
-    /// A task of the job was placed on the machine: it no longer needs a hold.
+    /// Reduces the coordinator's hold for the job on a machine by the one task that was placed there. Does
+    /// nothing if there is no such hold.
     pub fn use_one(&mut self, machine: MachineIdx, shard: Shard, job: JobId) {
         let mut holds = self.by_machine.get_mut(&machine).into_iter().flatten();
         let usable = |hold: &&mut Hold| hold.shard == shard && hold.job == job && hold.count > 0;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Ends the holds that `is_over` is true of.
+    /// Removes the holds for which `is_over` returns true.
     pub fn release(&mut self, is_over: impl Fn(&Hold) -> bool) {
         self.by_machine.retain(|_, holds| {
             holds.retain(|hold| !is_over(hold));
@@ -66,7 +66,7 @@
         });
     }
 
-    /// The negotiations that holds wait for, by coordinator's shard.
+    /// Returns the negotiations that have holds, ordered by the coordinator's shard and then by number.
     pub fn open_negotiations(&self) -> Vec<(Shard, Negotiation)> {
         let holds = self.by_machine.values().flatten();
         let open: BTreeSet<(u8, u64)> =
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -1,6 +1,6 @@
-//! What the provisioner is sent of a participant's machines: all of them once, then what changed.
-//! (When the full list was sent every second, it took a tenth of the bytes between controllers, and
-//! grew with the fleet.)
+//! The list of a participant's machines for the provisioner: all machines once, then only changes.
+//! Sending the full list every second took a tenth of the bytes between controllers and grew with the
+//! fleet.
 use super::Participant;
 use crate::context::Context;
 use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
@@ -10,49 +10,51 @@
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A message names at most this many machines: a frame holds several times as many.
+/// Maximum number of present machines, and of removed ones, in one message; a frame can hold several
+/// times as many.
 const MAX_MACHINES_PER_MESSAGE: usize = 1000;
-/// A machine that has received nothing from us for this long is shown as dead.
+/// Time in ms after which a machine that does not receive what is sent to it is listed as dead.
 const UNREACHABLE_DEAD_AFTER_MS: u64 = 60_000;
-/// Unreachable machines are shown as dead only if fewer than one machine in this many is
-/// unreachable: where many are, the fault is ours.
+/// Unreachable machines are listed as dead only if fewer than one machine in this many is unreachable.
+/// If more are, the fault is on the controllers' side, and the machines should not be replaced.
 const MIN_MACHINES_PER_UNREACHABLE: usize = 4;
 
-/// What the provisioner knows of a machine.
+/// What the provisioner is told about a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MachineSummary {
-    /// Its type in the catalog.
+    /// Type in the catalog.
     pub machine_type: TypeIdx,
-    /// Its zone, if known.
+    /// Zone; `None` if it is not known.
     pub zone: Option<ZoneIdx>,
-    /// A spot instance.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// Since when nothing is on it; none: something is, or may come.
+    /// When the last task left the machine; `None` if a task is, or may come to be, on it.
     pub idle_since: Option<Timestamp>,
-    /// To be replaced.
+    /// Whether the machine has to be replaced.
     pub dead: bool,
-    /// It gets no new tasks.
+    /// Whether the machine gets no new tasks.
     pub draining: bool,
 }
 
-/// Sends the provisioner the changes of the machines.
+/// Produces the messages that keep the provisioner's copy of the machine list up to date.
 ///
-/// Invariant: `published` is what a provisioner knows that has received every message since the
-/// first one. A provisioner that missed one sees it by the serial number and asks for all anew.
+/// Invariant: `published` equals the copy of a provisioner that has received every message since the
+/// first one. A provisioner that missed a message detects it by the serial number and requests the
+/// full list.
 #[derive(Debug, Default)]
 pub(super) struct InventoryPublisher {
     current: BTreeMap<MachineIdx, MachineSummary>,
     published: BTreeMap<MachineIdx, MachineSummary>,
-    /// Machines that may differ between the two.
+    /// Machines that may differ between `current` and `published`.
     changed: BTreeSet<MachineIdx>,
-    /// Number of the newest message.
+    /// Serial number of the newest message.
     serial: u64,
-    /// The first message, which names all machines, was sent.
+    /// Whether the full list was sent.
     started: bool,
 }
 
 impl InventoryPublisher {
-    /// Notes what there is of a machine now; none: it is not shown.
+    /// Sets the current summary of a machine; `None` removes the machine from the list.
     pub fn set(&mut self, idx: MachineIdx, summary: Option<MachineSummary>) {
         let previous = match summary {
             Some(summary) => self.current.insert(idx, summary),
@@ -63,17 +65,18 @@
         }
     }
 
-    /// The machine is not shown any more.
+    /// Removes a machine from the list.
     pub fn gone(&mut self, idx: MachineIdx) {
         self.set(idx, None);
     }
 
-    /// All machines are sent again.
+    /// Makes the next messages list all machines again.
     pub fn start_again(&mut self) {
         self.started = false;
     }
 
-    /// The messages to send; at least one, which says that this participant is alive.
+    /// Returns the messages with the changes since the last call. There is always at least one, since
+    /// the provisioner takes it as a sign that the participant is alive.
     pub fn changes(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
         let first = !std::mem::replace(&mut self.started, true);
         if first {
@@ -96,7 +99,8 @@
         self.messages(machines, gone, first)
     }
 
-    /// Splits the lists into messages.
+    /// Splits the lists into messages with consecutive serial numbers. `first` is set in the first of
+    /// them only.
     fn messages(
         &mut self,
         mut machines: Vec<MachineInfo>,
@@ -120,7 +124,7 @@
     }
 }
 
-/// Removes as many elements from the front as a message may have.
+/// Removes and returns up to `MAX_MACHINES_PER_MESSAGE` elements from the front.
 fn take_front<T>(list: &mut Vec<T>) -> Vec<T> {
     let rest = list.split_off(list.len().min(MAX_MACHINES_PER_MESSAGE));
     std::mem::replace(list, rest)
@@ -150,7 +154,7 @@
 }
 
 impl Participant {
-    /// What changed of the machines, for the provisioner.
+    /// Returns the messages that report changes of the machines to the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let now = ctx.now;
         let lease_ms = at_least(ctx.config.worker_lease_ms);
@@ -165,7 +169,7 @@
         self.inventory_publisher.changes(now, ctx.names)
     }
 
-    /// The provisioner has missed a message: all machines are sent again.
+    /// Makes the next inventory list all machines, because the provisioner missed a message.
     pub fn resend_inventory(&mut self) {
         self.inventory_publisher.start_again();
     }
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// How many machines the messages name as present, and as gone.
+/// Returns how many machines the messages list as present and as gone.
 fn named(messages: &[ShardMessage]) -> (usize, usize) {
     let counts = messages.iter().map(|message| match message {
         ShardMessage::Inventory { machines, gone, .. } => (machines.len(), gone.len()),
@@ -21,8 +21,8 @@
     counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
 }
 
-/// (Found by reading: the messages ended with the last changed machine, so that of 1,500 machines that
-/// were gone at once 500 stayed with the provisioner for good.)
+/// Guards against messages that end with the last changed machine: of 1,500 machines that were removed at
+/// once, 500 then stayed in the provisioner's list for good.
 #[test]
 fn every_machine_that_is_gone_is_named_however_many_there_are() {
     const MACHINES: u32 = 1500;
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -1,4 +1,4 @@
-//! Which machines an item of a request may have, and in which order they are taken.
+//! The machines that are offered for an item of a request, and their order.
 use super::capacity_index::MachineGroup;
 use super::eligibility::EligibilityTable;
 use super::free_resources::GpuMachineAccess;
@@ -13,82 +13,86 @@
 use leaddeal_wire::user::{Kind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks without GPUs that are estimated to take longer, in seconds, keep off ordinary GPU machines
-/// while there is GPU work.
+/// Maximum estimated run time in seconds of tasks without GPUs that are placed on ordinary GPU machines
+/// while there is GPU work which cannot preempt them.
 const MAX_TASK_BESIDE_GPU_WORK_S: f64 = 45.0;
-/// Machines without the image are told apart by the time to fetch it in steps of this many seconds.
+/// Step in seconds by which machines without the image are distinguished by the time to fetch it.
 const FETCH_STEP_S: f64 = 4.0;
-/// What a step of fetching takes from an offer's score, which is in thousandths of free processors.
+/// Reduction of an offer's score, which is in thousandths of free processors, for each step of fetch
+/// time.
 const SCORE_PER_FETCH_STEP: i64 = 10_000;
-/// What a degree of GPU waste takes from an offer's score.
+/// Reduction of an offer's score for each degree of GPU waste.
 const SCORE_PER_GPU_WASTE: i64 = 1_000_000;
 
-/// Machines kept for gangs, by the priority of the work that is kept off.
+/// Machines kept for gangs, by the priority of the work that is not placed on them.
 pub(super) type KeptForGangs = BTreeMap<Priority, BTreeSet<MachineIdx>>;
 
-/// An item of a request, with what is worked out once for it.
+/// An item of a request, with what is computed once for it.
 pub(super) struct Item<'a> {
-    /// Its number in the request.
+    /// Position in the request.
     pub number: u16,
-    /// What is asked for.
+    /// The tasks that are requested.
     pub request: &'a OfferRequest,
-    /// Which machines it may have.
+    /// Types of machines that the tasks may use.
     pub eligibility: EligibilityTable,
-    /// Its rank in the gang queue; none: it is not for a gang.
+    /// Rank in the gang queue; `None` if the item is not for a gang.
     pub rank: Option<QueueRank>,
 }
 
-/// What the machines for an item are chosen by.
+/// Criteria by which the machines for an item are chosen.
 struct MachineSearch<'a> {
     request: &'a OfferRequest,
     shape: &'a Shape,
     eligibility: &'a EligibilityTable,
     rank: Option<QueueRank>,
-    /// Machines that it keeps off for the sake of gangs.
+    /// Machines on which the item gets no capacity because they are kept for gangs.
     kept_for_gangs: &'a BTreeSet<MachineIdx>,
-    /// There is GPU work of its priority or a lower one, which may not preempt it.
+    /// Whether GPU work of the item's priority or a lower one was requested recently; such work cannot
+    /// preempt the item's tasks.
     gpu_work_waits: bool,
 }
 
-/// How machines of a group suit an item.
+/// How well the machines of a group suit an item.
 struct GroupScore {
     group: MachineGroup,
-    /// What a machine of the group has.
+    /// Resources of an empty machine of the group.
     whole: Resources,
-    /// 0: no waste; 1: a spot machine with GPUs for work without; 2: an ordinary one.
+    /// 0: no waste; 1: work without GPUs on a spot machine with GPUs; 2: the same on an ordinary one.
     gpu_waste: u8,
-    /// Steps of time to fetch the image.
+    /// Time to fetch the image, in steps of `FETCH_STEP_S`, counted from 1.
     fetch_steps: u32,
 }
 
-/// A machine for an item: the least is taken first.
+/// A machine that can be offered for an item; the smallest is offered first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Choice {
+    /// As in `GroupScore`.
     gpu_waste: u8,
-    /// Steps of time to fetch the image; 0: the machine has it.
+    /// Time to fetch the image, in steps of `FETCH_STEP_S`; 0 if the machine has the image.
     fetch_steps: u32,
-    /// The negative of the free processors, in thousandths.
+    /// Free processors in thousandths, negated, so that the machine with the most is offered first.
     negative_free_cpu: i64,
-    /// The machine.
+    /// Index of the machine.
     pub machine: MachineIdx,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneIdx,
-    /// How many tasks it has capacity for.
+    /// Number of tasks that fit in the free resources.
     pub capacity: u64,
+    /// Incarnation of the machine's worker.
     incarnation: u64,
 }
 
-/// The machines for an item, and what kept others from being offered.
+/// The machines that can be offered for an item, and why others cannot.
 #[derive(Debug, Default)]
 pub(super) struct MachineChoices {
-    /// The best first.
+    /// Machines in the order in which they are offered.
     pub choices: Vec<Choice>,
-    /// Of the machines and groups that were looked at.
+    /// Obstacles at the machines and groups that were evaluated.
     pub obstacles: ObstacleCounts,
 }
 
 impl Choice {
-    /// The offer of `count` tasks' capacity on it.
+    /// Returns the offer of capacity for `count` tasks on the machine.
     pub fn offer(&self, ctx: &Context, item: &Item, count: u32) -> Offer {
         Offer {
             item: item.number,
@@ -109,8 +113,8 @@
 }
 
 impl Participant {
-    /// The machines that an item may have, the best first. `kept_for_gangs` is filled in where it is
-    /// needed.
+    /// Returns the machines that can be offered for an item, the best first. `kept_for_gangs` caches the
+    /// machines kept for gangs between the items of a request.
     pub(super) fn choose_machines(
         &self,
         ctx: &mut Context,
@@ -147,7 +151,7 @@
         found
     }
 
-    /// How machines of a group that the item may have suit it, or why it gets none of them.
+    /// Returns how well the machines of a group suit the item, or why none of them can be offered.
     fn score_group(
         &self,
         ctx: &Context,
@@ -164,13 +168,13 @@
             return Err(OfferObstacle::GangAhead);
         }
         let whole = ctx.names.resources_of_type(group.machine_type);
-        // Machines that GPU work of any kind may use are the last resort.
+        // For work without GPUs, ordinary GPU machines are the last resort: any GPU work can use them.
         let gpu_waste = match (search.shape.need.gpu == 0 && whole.gpu > 0, group.spot) {
             (false, _) => 0,
             (true, true) => 1,
             (true, false) => 2,
         };
-        // Long work without GPUs would keep GPU work waiting that may not stop it.
+        // Long tasks without GPUs would delay GPU work that cannot preempt them.
         let long = request.shape.estimate_s > MAX_TASK_BESIDE_GPU_WORK_S;
         if gpu_waste == 2 && search.gpu_work_waits && long {
             return Err(OfferObstacle::GpuWorkWaits);
@@ -180,7 +184,8 @@
         Ok(GroupScore { group, whole, gpu_waste, fetch_steps })
     }
 
-    /// Adds as many machines of the group as could be taken, those with the image first.
+    /// Adds machines of a group until they have capacity for all tasks of the item, those with the image
+    /// first.
     fn add_choices(
         &self,
         ctx: &mut Context,
@@ -224,7 +229,7 @@
         }
     }
 
-    /// What an item may use of a machine, enough for a task at least.
+    /// Returns the resources of a machine that the item may use, or why they are not enough for a task.
     fn free_for_search(
         &self,
         ctx: &Context,
@@ -257,7 +262,8 @@
         }
     }
 
-    /// Why a machine does not have `need` free, less holds and reservations.
+    /// Returns which obstacle leaves less than `need` free on a machine: its tasks, the holds, or the
+    /// reservations.
     fn capacity_obstacle(
         &self,
         idx: MachineIdx,
@@ -280,10 +286,10 @@
         }
     }
 
-    /// Machines that work of this priority keeps off: gangs of several tasks wait for their zone and
-    /// could use them once the tasks on them end, and the work would keep the gangs waiting. They are
-    /// as many as this participant's share of those gangs' tasks, the least busy first.
-    /// (Reservations do the same for lone tasks.)
+    /// Returns the machines on which no work of this priority is placed, because gangs of several tasks
+    /// wait for their zone and can use them once the present tasks end; new work would delay the gangs.
+    /// In each zone these are the least busy machines, as many as this participant's share of the
+    /// gangs' tasks. Reservations have the same purpose for single tasks.
     fn machines_kept_for_gangs(
         &self,
         ctx: &mut Context,
@@ -293,7 +299,7 @@
         let shards = ctx.shards().count();
         for (zone, tasks) in self.gang_queue.tasks_by_zone(priority) {
             let share = (tasks as usize).div_ceil(shards);
-            // With the processors in use, in thousandths.
+            // Each with its processors in use, in thousandths.
             let mut machines: Vec<(u64, MachineIdx)> = Vec::new();
             for group in self.capacity_index.groups().filter(|group| group.zone == zone) {
                 self.add_least_busy(ctx, group, priority, share, &mut machines);
@@ -304,8 +310,8 @@
         kept
     }
 
-    /// Adds the least busy machines of a group that gangs of at least this priority could use, `max`
-    /// at most, each with the processors in use.
+    /// Adds up to `max` of the least busy machines of a group that gangs of at least this priority can
+    /// use, each with its processors in use.
     fn add_least_busy(
         &self,
         ctx: &mut Context,
@@ -319,7 +325,7 @@
             return;
         }
         let mut left = max;
-        // The most free of a group are the least busy.
+        // Within a group, the machines with the most free processors are the least busy.
         for idx in self.capacity_index.with_free(group, 0) {
             if left == 0 {
                 break;
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -1,5 +1,5 @@
-//! The machines of a participant: when their workers' leases expire, when a machine is forgotten,
-//! and where requests find it.
+//! The machines of a participant: when the leases of their workers expire, when a machine is removed,
+//! and the machine's entry in the capacity index.
 use super::capacity_index::{CapacityEntry, MachineGroup};
 use super::Participant;
 use crate::context::Context;
@@ -9,17 +9,20 @@
 use crate::machine::Machine;
 use crate::names::Names;
 
-/// A machine that is gone is forgotten this long after its last heartbeat.
+/// A machine that was released or whose lease expired is removed this long after its last heartbeat,
+/// in ms.
 const FORGET_AFTER_MS: u64 = 300_000;
-/// How long to wait before it is checked again whether a machine that is gone may be forgotten.
+/// Minimum time in ms between two checks of whether such a machine can be removed.
 const FORGET_CHECK_INTERVAL_MS: u64 = 10_000;
-/// How often an expired lease is looked at while the owner's own lease is uncertain.
+/// Interval in ms at which an expired worker lease is checked again while this node's own lease is
+/// uncertain.
 const UNCERTAIN_CHECK_INTERVAL_MS: u64 = 500;
-/// The whole index is checked in debug builds for fleets up to this size: with a large fleet it
-/// would take all the time of a test.
+/// Debug builds check the whole capacity index for up to this many machines. With a large fleet the
+/// check would dominate the run time of a test.
 const MAX_MACHINES_CHECKED: usize = 30;
 
-/// Where requests find a machine: nowhere if no work may come to it any more.
+/// Returns the index entry of a machine; `None` if the machine can get no more work, or its type or zone
+/// is not known.
 fn capacity_entry(machine: &Machine, names: &Names) -> Option<CapacityEntry> {
     if machine.lease_expired || machine.released {
         return None;
@@ -32,9 +35,10 @@
 }
 
 impl Participant {
-    /// The machine, known from now on.
+    /// Returns the machine, adding it if it is not known yet.
     pub(super) fn machine(&mut self, idx: MachineIdx) -> &mut Machine {
-        // Not heard of yet: an owner before us may have granted its worker a lease until now.
+        // This owner has received no heartbeat from the machine yet, but a previous owner may have
+        // granted its worker a lease until this participant acquired the shard.
         let (since, lease_checks) = (self.since, &mut self.lease_checks);
         self.machines.entry(idx).or_insert_with(|| {
             let machine = Machine::new(since);
@@ -43,15 +47,16 @@
         })
     }
 
-    /// The jobs of which something is, or may be, on a machine.
+    /// Returns the job of each attempt that is, or may be, on a machine.
     pub fn jobs_on(&self, idx: MachineIdx) -> impl Iterator<Item = JobId> + '_ {
         let tasks = self.machines.get(&idx).into_iter().flat_map(|machine| &machine.tasks);
         tasks.filter(|(_, task)| !task.is_over()).map(|(key, _)| key.job)
     }
 
-    /// All controllers know our epoch: owners before us grant nothing any more. A machine that stays
-    /// silent is waited for no longer than its worker's own lease. (Found on the bench: after a
-    /// crash of all, hung machines' work was placed anew only 71 s later.)
+    /// Notes that all controllers have acknowledged this owner's epoch, so that no previous owner grants
+    /// a lease any more. From now on a silent machine is lost when its worker's own lease expires.
+    /// Without this, after a crash of all controllers, the work of hung machines was placed again only
+    /// 71 s later.
     pub fn previous_owners_relinquished(&mut self, now: Timestamp) {
         if now >= self.previous_owners_until {
             return;
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Checks the machine's lease at that time, if not earlier.
+    /// Schedules the machine's next check for `at`, unless an earlier one is scheduled.
     pub(super) fn check_by(&mut self, idx: MachineIdx, at: Timestamp) {
         let machine = self.machines.get_mut(&idx).filter(|machine| at < machine.next_check_at);
         if let Some(machine) = machine {
@@ -73,7 +78,8 @@
         }
     }
 
-    /// Checks the machines whose lease may be over by now, or that may be forgotten.
+    /// Checks the machines that are due: whether their lease has expired, or whether they can be
+    /// removed.
     pub(super) fn check_due_machines(&mut self, ctx: &mut Context) {
         while let Some(&(at, idx)) = self.lease_checks.first().filter(|check| check.0 < ctx.now) {
             self.lease_checks.remove(&(at, idx));
@@ -86,14 +92,16 @@
         }
     }
 
-    /// Says when to check the machine again; none: it was forgotten.
+    /// Expires the lease of a machine, or removes the machine, if the time for that has come. Returns
+    /// when to check the machine again; `None` if it was removed.
     fn check_machine(&mut self, ctx: &mut Context, idx: MachineIdx) -> Option<Timestamp> {
         let now = ctx.now;
         let machine = self.machines.get_mut(&idx)?;
         let over_at = machine.lease_over_at(ctx.config.worker_lease_ms, self.previous_owners_until);
         let lease_over = !machine.lease_expired && !machine.released && now > over_at;
-        // Not while our own lease is uncertain: a newer owner may answer the worker by now, and its
-        // lease goes on. (Found by the simulator, seed 186: a task ran twice.)
+        // While this node's own lease is uncertain, a newer owner may already be renewing the worker's
+        // lease, so the machine is not declared lost. Otherwise a task can run twice (simulator seed
+        // 186).
         if lease_over && !ctx.lease_valid && holds(Guard::DoubtLoses) {
             return Some(now + UNCERTAIN_CHECK_INTERVAL_MS);
         }
@@ -116,7 +124,7 @@
         Some(forget_at.max(now + FORGET_CHECK_INTERVAL_MS))
     }
 
-    /// Brings the capacity index up to date for the machines that changed.
+    /// Updates the capacity index for the machines that changed.
     pub(super) fn reindex(&mut self, names: &Names) {
         for &idx in &self.changed_machines {
             if let Some(machine) = self.machines.get(&idx) {
@@ -125,7 +133,7 @@
         }
         debug_assert!(
             self.machines.len() > MAX_MACHINES_CHECKED || self.is_indexed(names),
-            "a change was not indexed"
+            "capacity index differs from the machines"
         );
     }
 
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -1,16 +1,21 @@
-//! A shard's machines: a participant grants their workers' leases, offers free capacity to
-//! coordinators, starts what they decided, and proves what is gone.
+//! The owner of a shard's machines. A participant grants the leases of the workers on its machines,
+//! offers free capacity to coordinators, starts and stops the tasks that coordinators decide on, and
+//! reports to coordinators which attempts can no longer be running.
 //!
-//! - `machine_registry`: the machines, their lease expiry and their place in the capacity index;
+//! - `machine_registry`: the known machines, the expiry of their leases and their index entries;
 //! - `heartbeats`: heartbeats of workers and outcomes of command batches;
-//! - `holds`, `reservations`: capacity that is kept for open negotiations and for jobs;
-//! - `gang_queue`, `gpu_demand`: gangs that wait, and GPU work that was asked for recently;
-//! - `eligibility`, `free_resources`: which machines a job may have, and what is free there for it;
-//! - `offer`, `machine_choice`, `preemption`, `replica_moves`: which machines a job gets, and what is stopped for it;
-//! - `task_commands`: what coordinators decided for a task;
+//! - `holds`, `reservations`: capacity set aside for open negotiations and for single jobs;
+//! - `gang_queue`, `gpu_demand`: waiting gangs, and GPU work that was requested recently;
+//! - `eligibility`, `free_resources`: which machines a job may use, and what is free on them;
+//! - `offer`, `machine_choice`: the offers that answer a coordinator's request;
+//! - `preemption`, `replica_moves`: tasks that are stopped to make capacity for other work;
+//! - `failure_attribution`: whether a failed task counts against its machine or its job;
+//! - `task_commands`: placements, stops and acknowledgements sent by coordinators;
 //! - `task_events`: events for coordinators, command batches for workers;
 //! - `capacity_notices`: notices of freed capacity for coordinators that are short of it;
-//! - `inventory`, `release`: what the provisioner is told, and what it asks for.
+//! - `inventory`, `release`: the machine list sent to the provisioner, and its drain and release
+//!   requests;
+//! - `figures`, `offer_obstacles`: counts for the operators' log.
 use crate::context::Context;
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD};
@@ -54,65 +59,68 @@
 use offer_obstacles::ObstacleCounts;
 use reservations::Reservations;
 
-/// A heartbeat response, or a command batch, has at most this many commands.
+/// Maximum number of commands in one heartbeat response or command batch.
 const MAX_COMMANDS: usize = 150;
-/// How long a failed task counts against the machine that it failed on.
+/// Time in ms for which a failed task counts against the machine on which it failed.
 const FAILURE_EVIDENCE_MS: u64 = 60_000;
-/// How often the coordinators of open negotiations are asked for their decision.
+/// Interval in ms at which the coordinators of open negotiations are asked for their decision.
 const ASK_DECISION_INTERVAL_MS: u64 = 2000;
 
-/// Owner of a shard's machines.
+/// The owner of a shard's machines.
 ///
-/// Invariants: `lease_checks` has one entry for each machine, at its `next_check_at`;
-/// `capacity_index` is up to date for all machines that are not in `changed_machines`.
+/// Invariants: `lease_checks` has exactly one entry for each machine, at the machine's
+/// `next_check_at`; `capacity_index` is up to date for all machines that are not in
+/// `changed_machines`.
 #[derive(Debug)]
 pub(crate) struct Participant {
     /// The shard that the machines belong to.
     pub shard: Shard,
-    /// The owner's epoch, which is its fencing token for workers.
+    /// Epoch under which this participant owns the shard; also its fencing token for workers.
     pub epoch: Epoch,
-    /// When the owner acquired the shard.
+    /// When this participant acquired the shard.
     pub since: Timestamp,
-    /// Owners before us may have answered workers until this time, not later.
+    /// Latest time at which a previous owner of the shard may have answered a worker.
     previous_owners_until: Timestamp,
-    /// The machines that a heartbeat came from, or that a coordinator named.
+    /// The machines from which a heartbeat was received or that a coordinator named.
     pub machines: BTreeMap<MachineIdx, Machine>,
-    /// Machines up to this name are the operator's own.
+    /// Name of the newest machine that the operator owns: machines created no later than it are never
+    /// released. `None`: not known.
     pub base: Option<String>,
-    /// When to check whether a machine's lease is over, or whether the machine may be forgotten.
+    /// When to check next whether a machine's lease has expired, or whether the machine can be
+    /// removed.
     lease_checks: BTreeSet<(Timestamp, MachineIdx)>,
-    /// Machines with an ended attempt whose end was sent, and when it is sent again unless its
-    /// coordinator has acknowledged it; the earliest first.
+    /// Machines with an ended attempt whose end was sent to its coordinator, with the time at which
+    /// it is sent again unless the coordinator has acknowledged it; earliest first.
     resend_queue: VecDeque<(Timestamp, MachineIdx)>,
     inventory_publisher: InventoryPublisher,
     holds: Holds,
     reservations: Reservations,
     failure_attribution: FailureAttribution,
     capacity_index: FreeCapacityIndex,
-    /// When coordinators were last asked for decisions.
+    /// When the coordinators of open negotiations were last asked for their decisions.
     decisions_asked_at: Timestamp,
-    /// The newest epoch heard of, by coordinator's shard.
+    /// Newest known epoch of each coordinator, by its shard.
     coordinator_epochs: Vec<Epoch>,
-    /// Machines with something to send or to index.
+    /// Machines that may have events or commands to send, or an outdated index entry.
     changed_machines: BTreeSet<MachineIdx>,
     /// Number of the newest command batch.
     last_batch: u64,
     gpu_demand: GpuDemand,
     gang_queue: GangQueue,
-    /// When a replica may next be moved.
+    /// No replica of a service is moved before this time.
     next_move_at: Timestamp,
     capacity_notices: CapacityNotices,
-    /// Met since the figures were last asked for.
+    /// Counted since `obstacle_figures` was last called.
     offer_obstacles: ObstacleCounts,
-    /// Machines with events that no coordinator acts on soon.
+    /// Machines with events whose delivery was deferred, because no coordinator acts on them soon.
     deferred_machines: BTreeSet<MachineIdx>,
-    /// When deferred events are next sent.
+    /// Deferred events are not sent before this time.
     next_deferred_at: Timestamp,
 }
 
 impl Participant {
-    /// A participant that has just acquired the shard, with no machine known. An owner before us
-    /// answers workers for at most `patience_ms` after it lost the shard.
+    /// Creates the participant of a shard that was just acquired; no machine is known yet. A
+    /// previous owner answers workers for at most `patience_ms` after it lost the shard.
     pub fn new(
         shard: Shard,
         epoch: Epoch,
@@ -149,7 +157,7 @@
         }
     }
 
-    /// Handles a message of a coordinator. `epoch` is the sender's.
+    /// Handles a message from the coordinator of shard `from`, sent under `epoch`.
     pub fn handle(&mut self, ctx: &mut Context, from: Shard, epoch: Epoch, msg: ShardMessage) {
         if !self.see_coordinator(from, epoch) {
             return;
@@ -180,8 +188,9 @@
         }
     }
 
-    /// Notes a coordinator's epoch. A new epoch of its shard is a no to every open negotiation of
-    /// older ones. False: the sender no longer owns the shard.
+    /// Records the epoch of a shard's coordinator. A newer epoch than the known one ends all open
+    /// negotiations of that shard. Returns false if the epoch is older than the known one: the
+    /// sender no longer owns the shard.
     pub fn see_coordinator(&mut self, shard: Shard, epoch: Epoch) -> bool {
         let Some(known) = self.coordinator_epochs.get_mut(shard.0 as usize) else {
             return false;
@@ -200,7 +209,7 @@
         true
     }
 
-    /// Does what is due by now.
+    /// Runs the periodic work that is due at `ctx.now`.
     pub fn tick(&mut self, ctx: &mut Context) {
         self.move_replicas(ctx);
         self.check_due_machines(ctx);
@@ -208,7 +217,8 @@
         self.ask_for_decisions(ctx);
     }
 
-    /// Holds end by decision. If none came, the message was lost: asks for it.
+    /// Asks the coordinators of open negotiations for their decisions. A hold ends only when its
+    /// coordinator decides, so without this a lost message would leave the hold in place for good.
     fn ask_for_decisions(&mut self, ctx: &mut Context) {
         if ctx.now < self.decisions_asked_at + ASK_DECISION_INTERVAL_MS {
             return;
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,4 +1,5 @@
-//! Offers: which machines each item of a request gets, and what is preempted for the rest.
+//! Answers to requests for offers: offers and holds the machines for each item of a request, and
+//! preempts tasks for what could not be offered.
 use super::eligibility::EligibilityTable;
 use super::gang_queue::WaitingGang;
 use super::holds::Hold;
@@ -12,19 +13,19 @@
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
 use leaddeal_wire::user::{Kind, Priority};
 
-/// A negotiation's request while it is answered.
+/// The state of one request for offers while it is being answered.
 struct OfferRound<'a> {
     from: Shard,
     negotiation: Negotiation,
     offers: Vec<Offer>,
-    /// Items that tasks are preempted for.
+    /// Numbers of the items for which tasks are being preempted.
     preempting: Vec<u16>,
-    /// Searches for preemption that found nothing.
+    /// Searches for preemption that found no machine.
     failed_searches: Vec<FailedSearch<'a>>,
     kept_for_gangs: KeptForGangs,
 }
 
-/// What decides whether tasks can be preempted for a job, beside its zones.
+/// What determines whether tasks can be preempted for a job, apart from the zones that it may use.
 #[derive(PartialEq)]
 struct SearchKind<'a> {
     types: &'a Option<Vec<String>>,
@@ -55,15 +56,16 @@
     }
 }
 
-/// A search for preemption that found no machine on which anything could be done.
+/// A search for preemption that found no machine to reserve.
 struct FailedSearch<'a> {
     kind: SearchKind<'a>,
-    /// By zone: it might have taken tasks.
+    /// Whether the search included the zone, indexed by zone.
     open_zones: Vec<bool>,
 }
 
 impl FailedSearch<'_> {
-    /// Whether this search must fail too.
+    /// Returns whether a search of this kind and with these zones must fail as well: it is of the same
+    /// kind and includes no zone that this search did not include.
     fn covers(&self, kind: &SearchKind, zone_room: &[u32]) -> bool {
         let mut zones = self.open_zones.iter().zip(zone_room);
         self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
@@ -71,8 +73,8 @@
 }
 
 impl Participant {
-    /// Answers a request for offers: holds capacity for what it offers, and preempts tasks for items
-    /// that ask for it.
+    /// Answers a request for offers. Holds the offered capacity for the negotiation, and preempts tasks
+    /// for items that ask for it and got less than they need.
     pub(super) fn offer(
         &mut self,
         ctx: &mut Context,
@@ -103,7 +105,8 @@
         ctx.send(self.shard, from, answer);
     }
 
-    /// Works out which machines an item may have, and enters a gang that asks for it in the queue.
+    /// Computes which machines an item may use. If the item is for a gang, also computes its rank and
+    /// enters it in the gang queue.
     fn enter_item<'a>(
         &mut self,
         ctx: &Context,
@@ -117,6 +120,7 @@
         Item { number, request, eligibility, rank }
     }
 
+    /// Returns the rank of a gang, and adds it to the queue if it has a zone and holds its position.
     fn enter_queue(
         &mut self,
         ctx: &Context,
@@ -139,6 +143,7 @@
         rank
     }
 
+    /// Offers machines for one item, and records the shortage if they are not enough.
     fn offer_item<'a>(&mut self, ctx: &mut Context, round: &mut OfferRound<'a>, item: &Item<'a>) {
         let request = item.request;
         let priority = request.shape.priority;
@@ -157,8 +162,8 @@
         }
     }
 
-    /// Holds and offers as much of the choices as the item asks for and its zones may take, which
-    /// is taken off `zone_room`. Says how many tasks are still without a machine.
+    /// Offers and holds the choices in their order, up to the item's task count and the limits in
+    /// `zone_room`, which are reduced accordingly. Returns the number of tasks that got no machine.
     fn hold_choices(
         &mut self,
         ctx: &Context,
@@ -195,7 +200,7 @@
         missing
     }
 
-    /// Preempts tasks for those of an item that got no machine.
+    /// Preempts tasks for the `missing` tasks of an item that got no machine.
     fn preempt_for_item<'a>(
         &mut self,
         ctx: &mut Context,
@@ -208,7 +213,7 @@
         let request = item.request;
         let job = JobId(request.job);
         let waited_zone = request.queue_position.and_then(|position| position.zone);
-        // Tasks are preempted for a gang only in the zone that it waits for.
+        // A gang that waits for a zone gets tasks preempted in that zone only.
         if let Some(waited_zone) = waited_zone {
             let others =
                 zone_room.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
@@ -222,8 +227,8 @@
             zone_room: &zone_room,
             includes_gpu_machines: true,
         };
-        // What cannot be done for one job cannot be done for the next of its kind either, which is
-        // served after it. (At three times a fleet most requests asked in vain.)
+        // If a search found no machine for one job, it finds none for a later job of the same kind. With
+        // a fleet three times as large, most requests found none.
         let kind = SearchKind::of(request, &search);
         let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
         if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
--- a/crates/core/src/participant/offer_obstacles.rs
+++ b/crates/core/src/participant/offer_obstacles.rs
@@ -1,24 +1,24 @@
-//! Why machines were not offered for jobs that got less than they asked for, counted for the
-//! operators' log.
+//! Counts, for the operators' log, of the reasons why machines were not offered to jobs that got less
+//! than they asked for.
 
-/// What kept a machine, or all machines of a group, from being offered for a job.
+/// Why a machine, or all machines of a group, were not offered to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OfferObstacle {
-    /// The group's zone takes no more tasks of the job.
+    /// The job may place no more tasks in the group's zone.
     ZoneRule,
-    /// A gang that is to be served before the job waits for machines of the group.
+    /// A gang that is served before the job waits for machines of the group.
     GangAhead,
-    /// The machine is kept for GPU work that waits.
+    /// The machine is kept for recently requested GPU work.
     GpuWorkWaits,
     /// The machine is kept for a gang of several tasks.
     KeptForGang,
-    /// The machine takes no new work, or none of this job.
+    /// The machine gets no new tasks, or none of this job.
     NotEligible,
-    /// What is free is reserved for other jobs.
+    /// The free resources are reserved for other jobs.
     Reserved,
-    /// What is free is held for open negotiations.
+    /// The free resources are held for open negotiations.
     Held,
-    /// Too little is free.
+    /// The machine has too little free, or a task of unknown shape.
     NoCapacity,
 }
 
@@ -34,7 +34,7 @@
         OfferObstacle::NoCapacity,
     ];
 
-    /// Its name in the log.
+    /// Returns the name under which the obstacle is logged.
     fn name(self) -> &'static str {
         match self {
             OfferObstacle::ZoneRule => "zone_rule",
@@ -49,12 +49,12 @@
     }
 }
 
-/// How often each obstacle was met.
+/// How often each obstacle occurred, in the order of `OfferObstacle::ALL`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ObstacleCounts([u64; OfferObstacle::ALL.len()]);
 
 impl ObstacleCounts {
-    /// Counts one more.
+    /// Counts one occurrence.
     pub fn note(&mut self, obstacle: OfferObstacle) {
         self.0[obstacle as usize] += 1;
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// For the log: the obstacles that were met. None: there were none.
+    /// Returns the obstacles that occurred, with their counts, for the log; `None` if there were none.
     pub fn figures(&self) -> Option<String> {
         let met = OfferObstacle::ALL.into_iter().filter(|obstacle| self.0[*obstacle as usize] > 0);
         let words: Vec<String> =
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: which tasks are stopped for more important work, and which machines are reserved for
-//! work that waits until tasks end by themselves.
+//! Preemption: stops tasks of lower priority to free capacity for a job, or reserves machines for a job
+//! until enough tasks on them have ended by themselves.
 use super::capacity_index::MachineGroup;
 use super::eligibility::EligibilityTable;
 use super::free_resources::GpuMachineAccess;
@@ -18,35 +18,36 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Losses from here on mean that nothing is stopped: the machine is reserved until enough tasks on
-/// it have ended by themselves.
+/// Lowest loss of a plan that stops no task and only reserves the machine until enough tasks on it have
+/// ended by themselves. It is high, so that plans which stop tasks are chosen first.
 const MIN_WAITING_LOSS: u64 = 1 << 50;
-/// How long a reservation lasts, beside the time that the stopped tasks need to save their progress.
+/// Time in ms for which a reservation lasts, in addition to the time that the stopped tasks get to save
+/// their progress.
 const RESERVATION_MS: u64 = 3000;
-/// Reservations made for a job at once, at most.
+/// Maximum number of reservations made for a job in one search.
 const MAX_NEW_RESERVATIONS: u32 = 32;
-/// Time in seconds that a stopped task gets beside the time that it needs to save its progress.
+/// Time in seconds that a stopped task gets in addition to the time that it needs to save its progress.
 const SAVE_GRACE_S: f64 = 2.0;
-/// Loss of a thousandth of a GPU, as against a thousandth of a processor.
+/// Loss of a thousandth of a GPU relative to that of a thousandth of a processor.
 const GPU_LOSS_FACTOR: u64 = 20;
-/// Loss of waiting for an image, for each second and thousandth of a processor.
+/// Loss of fetching an image, for each second and thousandth of a processor.
 const FETCH_LOSS_FACTOR: f64 = 3.0;
-/// Names no job: every reservation is another job's.
+/// A job number that no job has, so that the reservations of all jobs count as another job's.
 const NO_JOB: JobId = JobId(u64::MAX);
 
-/// What tasks are preempted for.
+/// The job for which tasks are preempted, and where.
 pub(super) struct PreemptionSearch<'a> {
-    /// What the coordinator asked for.
+    /// Request of the job's coordinator.
     pub request: &'a OfferRequest,
-    /// What a task of the job takes.
+    /// Resources and image of each task of the job.
     pub shape: &'a Shape,
-    /// Which machines the job may have.
+    /// Types of machines that the job may use.
     pub eligibility: &'a EligibilityTable,
-    /// The job's rank in the gang queue, if it is queued.
+    /// Rank of the job in the gang queue; `None` if it is not in the queue.
     pub rank: Option<QueueRank>,
-    /// How many tasks each zone may take.
+    /// Maximum number of tasks to place in each zone, indexed by zone.
     pub zone_room: &'a [u32],
-    /// Machines with GPUs are searched too.
+    /// Whether machines with GPUs are searched too.
     pub includes_gpu_machines: bool,
 }
 
@@ -55,8 +56,9 @@
         JobId(self.request.job)
     }
 
-    /// Whether the job is a gang of several tasks that is not the first in the queue. Of those gangs,
-    /// only the first has machines reserved: when each had some, all stood still.
+    /// Returns whether the job is a gang of several tasks that is not the first in the queue for machines
+    /// of the group. Among such gangs, only the first one gets reservations: when each has some of the
+    /// machines, none can start.
     fn is_behind(&self, queue: &GangQueue, group: MachineGroup) -> bool {
         let waits_for_zone = self.request.queue_position.is_some_and(|p| p.zone.is_some());
         waits_for_zone && self.rank.is_some_and(|rank| queue.is_behind(rank, group))
@@ -66,43 +68,45 @@
         self.zone_room.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
     }
 
-    /// Whether the job waits for tasks to end by themselves, if none may be stopped for it.
+    /// Returns whether machines are reserved for the job until tasks end by themselves, if none can be
+    /// stopped for it.
     fn may_wait(&self) -> bool {
         self.shape.wire.kind == Kind::Gang || self.request.shape.gpu > 0
     }
 }
 
-/// Whether anything could be done for a job.
+/// Whether a search found a machine to reserve for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PreemptionOutcome {
-    /// There was a machine that could be reserved, or none was needed.
+    /// A machine could be reserved, or no reservation was needed.
     Possible,
-    /// There was no machine on which anything could be done.
+    /// No machine could be reserved.
     NoMachine,
 }
 
-/// What it costs to reserve a machine: the lesser is chosen first.
+/// Cost of reserving a machine; the smallest is chosen first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
-    /// Work lost, in processor-seconds and the like; from `MIN_WAITING_LOSS` on, nothing is stopped.
+    /// Work lost, in thousandths of processor-seconds with GPUs weighted; from `MIN_WAITING_LOSS` on, no
+    /// task is stopped.
     loss: u64,
-    /// The machine does not have the job's image.
+    /// Whether the machine does not have the job's image.
     fetches_image: bool,
 }
 
-/// How a machine could be reserved for a task: the least is chosen first.
+/// A way to reserve a machine for a task; the smallest is chosen first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionPlan {
     cost: PreemptionCost,
     machine: MachineIdx,
     group: MachineGroup,
-    /// The attempts to stop.
+    /// Attempts to stop.
     victims: Vec<AttemptKey>,
 }
 
 impl Participant {
-    /// Reserves machines so that up to `count` tasks of the job find capacity soon, and stops less
-    /// important tasks there.
+    /// Reserves machines until the job has up to `count` reservations, and stops tasks of lower priority
+    /// there as planned.
     pub(super) fn preempt(
         &mut self,
         ctx: &mut Context,
@@ -115,7 +119,7 @@
         if wanted == 0 {
             return PreemptionOutcome::Possible;
         }
-        // What is done to one machine leaves the others as they are: each is judged once, and
+        // Carrying out a plan changes only the plan's machine, so every machine is evaluated once, and
         // again only after it was chosen.
         let mut plans = self.preemption_plans(ctx, search);
         if plans.is_empty() {
@@ -129,20 +133,21 @@
         PreemptionOutcome::Possible
     }
 
-    /// Extends the job's waiting reservations, where they are still of use to it.
+    /// Extends the job's waiting reservations on machines that it can still use.
     fn extend_reservations(&mut self, search: &PreemptionSearch, now: Timestamp) {
         let (machines, queue) = (&self.machines, &self.gang_queue);
         let may_extend = |idx: MachineIdx| {
             let machine = machines.get(&idx);
             let machine = machine.filter(|m| !m.lease_expired && m.interruption_at.is_none());
             let group = machine.and_then(MachineGroup::of);
-            // A gang that is not first any more reserves nothing for longer.
+            // The reservations of a gang that is no longer first in the queue are left to expire.
             group.is_some_and(|group| search.zone_is_open(group) && !search.is_behind(queue, group))
         };
         let until = now + RESERVATION_MS;
         self.reservations.extend_waiting(search.job(), search.rank, until, may_extend);
     }
 
+    /// Returns a plan for each machine that could be reserved for a task of the job.
     fn preemption_plans(
         &self,
         ctx: &mut Context,
@@ -161,7 +166,7 @@
         plans
     }
 
-    /// Stops the plan's victims and reserves their capacity.
+    /// Stops the plan's victims and reserves capacity for one task of the job on the machine.
     fn carry_out(&mut self, search: &PreemptionSearch, plan: &PreemptionPlan, now: Timestamp) {
         let Some(machine) = self.machines.get_mut(&plan.machine) else { return };
         let mut expires_at = now + RESERVATION_MS;
@@ -183,7 +188,7 @@
         self.changed_machines.insert(plan.machine);
     }
 
-    /// Whether tasks may be preempted for the job on machines of this group at all.
+    /// Returns whether machines of this group may be reserved for the job.
     fn may_preempt_in(
         &self,
         ctx: &Context,
@@ -197,7 +202,7 @@
             && !search.is_behind(&self.gang_queue, group)
     }
 
-    /// How this machine of that group could be reserved for a task of the job. None: it could not.
+    /// Returns how a machine of the group could be reserved for a task of the job; `None` if it cannot.
     fn preemption_plan(
         &self,
         ctx: &Context,
@@ -207,14 +212,14 @@
     ) -> Option<PreemptionPlan> {
         let machine = self.machines.get(&idx)?;
         let (need, job, rank) = (search.shape.need, search.job(), search.rank);
-        // What is idle and was not offered is kept for others: it is not reserved from under them.
-        // (Found in a run of a whole day: arrays that were kept off machines for the sake of gangs
-        // reserved the same machines over and over, 100 to 300 reservations a zone, which kept the
-        // gangs off.)
+        // A machine that has enough free but was not offered to the job is kept for other work, so the
+        // job must not reserve it. Otherwise arrays that get no capacity on machines kept for gangs
+        // reserve the same machines again and again (100 to 300 reservations in a zone), and the gangs
+        // cannot use them either.
         if self.free(idx, machine, ctx.names, job, rank)?.fits(need) > 0 {
             return None;
         }
-        // What is being stopped already will be free soon.
+        // The resources of tasks that are already being stopped will be free soon.
         let free_soon =
             self.free_with(machine.stopping(), idx, machine, ctx.names, NO_JOB, rank)?;
         let suffices = stopping_may_suffice(machine, search, free_soon);
@@ -237,8 +242,8 @@
         Some(PreemptionPlan { cost, machine: idx, group, victims })
     }
 
-    /// Whether the job may have the machine, and it is not reserved for other work that waits for
-    /// tasks to end: it is not taken from under that.
+    /// Returns whether the job may use the machine, and no other job has a waiting reservation on it that
+    /// blocks this one: that job would lose the capacity that it waits for.
     fn may_reserve(
         &self,
         ctx: &Context,
@@ -251,7 +256,7 @@
             && !reservations.any(|other| other.waiting && other.blocks(search.job(), search.rank))
     }
 
-    /// Whether a service leaves enough of a GPU machine for GPU work.
+    /// Returns whether a task of the job, if it is a service, leaves enough of a GPU machine for GPU work.
     fn leaves_gpu_capacity(
         &self,
         search: &PreemptionSearch,
@@ -268,9 +273,10 @@
         self.spare_for_service(lasting_free, access).fits(need) > 0
     }
 
-    /// No task may be stopped for the job, but those on the machine will end some time: the machine
-    /// is reserved for it, so that the capacity does not go to others in small pieces as it becomes
-    /// free. None: it does not wait, or there would not be enough even then.
+    /// Returns the loss of reserving a machine without stopping any task. The tasks on the machine will
+    /// end by themselves, and the reservation keeps the capacity from being given to other work in small
+    /// parts as it is freed. Returns `None` if the job does not wait for tasks to end, or if even then
+    /// there would not be enough.
     fn waiting_loss(
         &self,
         search: &PreemptionSearch,
@@ -292,8 +298,8 @@
     }
 }
 
-/// Whether stopping all tasks of lower priority would free enough: most machines are judged by these
-/// sums alone.
+/// Returns whether stopping all tasks of lower priority could free enough. This check uses the machine's
+/// sums only, and rules out most machines before their tasks are examined.
 fn stopping_may_suffice(
     machine: &Machine,
     search: &PreemptionSearch,
@@ -306,13 +312,13 @@
     reach.fits(need) > 0
 }
 
-/// The tasks on a machine that could be stopped for work with this need, whatever their priority.
+/// Returns the tasks on a machine that could be stopped for work with this need, whatever their priority.
 fn candidates(machine: &Machine, need: Resources, now: Timestamp) -> Vec<Candidate<AttemptKey>> {
     let mut candidates = Vec::new();
     let tasks = machine.tasks.iter();
     for (key, task) in tasks.filter(|(_, task)| !task.is_over() && task.stop.is_none()) {
         let Some(shape) = &task.shape else { continue };
-        // GPU work is not stopped for work without GPUs, nor its capacity taken.
+        // Work without GPUs neither stops GPU work nor takes over its capacity.
         if need.gpu == 0 && shape.need.gpu > 0 {
             continue;
         }
@@ -326,7 +332,8 @@
     candidates
 }
 
-/// Work lost by stopping a task.
+/// Returns the work lost by stopping a task, in thousandths of processor-seconds with GPUs weighted. A
+/// task that can save its progress loses no more than the time that saving takes, rounded up.
 fn stop_loss(task: &TaskOnMachine, shape: &Shape, now: Timestamp) -> u64 {
     let ran_s = task.running_since.map_or(0, |since| now.saturating_sub(since)) / 1000;
     let lost_s =
@@ -334,13 +341,13 @@
     lost_s * (shape.need.cpu + GPU_LOSS_FACTOR * shape.need.gpu)
 }
 
-/// Waiting for the image, too, is lost time.
+/// Returns the loss of the time in which a machine of the group fetches the job's image.
 fn fetch_loss(ctx: &Context, search: &PreemptionSearch, group: MachineGroup) -> u64 {
     let fetch_s = ctx.names.image_fetch_s(group.machine_type, search.request.shape.image_gb);
     (fetch_s * FETCH_LOSS_FACTOR) as u64 * search.shape.need.cpu
 }
 
-/// Time in seconds that a victim gets to save its progress.
+/// Returns the time in seconds that a victim gets to save its progress; 0 if it has none to save.
 fn grace_s(task: &TaskOnMachine) -> f64 {
     let saves = task.shape.as_ref().filter(|shape| shape.wire.checkpoint_s > 0.0);
     match (saves, task.phase) {
--- a/crates/core/src/participant/queue_rank.rs
+++ b/crates/core/src/participant/queue_rank.rs
@@ -1,24 +1,24 @@
-//! The order in which waiting jobs are served.
+//! The order in which waiting gangs are served.
 use crate::ids::{JobId, Timestamp};
 use leaddeal_wire::mesh::QueuePosition;
 use leaddeal_wire::user::Priority;
 use std::cmp::Reverse;
 
-/// A job's rank among those that wait: the lesser is served first.
+/// Rank of a job's gang among those that wait; the smallest rank is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueRank {
-    /// The higher priority first.
+    /// Priority of the job; the highest is served first.
     pub priority: Reverse<Priority>,
-    /// Objectives that it has missed: a job that missed fewer first.
+    /// Number of objectives that the job has missed; the job with the fewest is served first.
     pub missed_objectives: u8,
-    /// When its next objective is due: the earlier first.
+    /// When the job's next objective is due; the earliest is served first.
     pub due_at: Timestamp,
-    /// Makes the order total.
+    /// The job. It makes the order total.
     pub job: JobId,
 }
 
 impl QueueRank {
-    /// The rank of a job whose coordinator says now that it has this position.
+    /// Returns the rank of a job whose coordinator states this position at `now`.
     pub fn new(priority: Priority, position: QueuePosition, job: JobId, now: Timestamp) -> Self {
         QueueRank {
             priority: Reverse(priority),
--- a/crates/core/src/participant/release.rs
+++ b/crates/core/src/participant/release.rs
@@ -1,9 +1,10 @@
-//! Machines that the provisioner gives back to the cloud.
+//! Draining and release of machines, at the request of the provisioner.
 use super::Participant;
 use crate::context::Context;
 
 impl Participant {
-    /// Drains an idle machine: it gets no new tasks. False: it has work, or may get some.
+    /// Drains an idle machine, so that it gets no new tasks. Returns false, and changes nothing, if the
+    /// machine has a task or a hold.
     pub fn drain(&mut self, ctx: &mut Context, machine: &str) -> bool {
         let idx = ctx.names.machine(machine);
         if self.holds.any_on(idx) {
@@ -17,7 +18,7 @@
         true
     }
 
-    /// The machine was given back to the cloud: everything on it is gone.
+    /// Records that the machine was released to the cloud: all attempts on it are gone.
     pub fn released(&mut self, ctx: &mut Context, machine: &str) {
         let idx = ctx.names.machine(machine);
         let machine = self.machine(idx);
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -1,5 +1,5 @@
-//! Moving replicas of services out of the way of gangs. They were placed when there was no other
-//! capacity, and would stay for good.
+//! Moves replicas of services away from GPU machines that gangs wait for. The replicas were placed there
+//! when there was no other capacity, and would otherwise stay for good.
 use super::eligibility::EligibilityTable;
 use super::free_resources::GpuMachine;
 use super::preemption::PreemptionSearch;
@@ -13,14 +13,14 @@
 use leaddeal_wire::user::{Kind, Priority};
 use leaddeal_wire::worker::TaskState;
 
-/// Time between two moves.
+/// Minimum time in ms between two moves.
 const MOVE_INTERVAL_MS: u64 = 1500;
-/// A replica that has run for less is not moved.
+/// Minimum time in ms that a replica has run before it is moved.
 const MIN_RUN_BEFORE_MOVE_MS: u64 = 40_000;
 
-/// A replica that keeps a machine from a gang.
+/// A replica that keeps a gang from using a machine.
 struct BlockingReplica {
-    /// How many replicas are on the machine.
+    /// Number of replicas on the machine.
     replicas: usize,
     machine: MachineIdx,
     zone: ZoneIdx,
@@ -33,14 +33,14 @@
     !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == Kind::Service)
 }
 
-/// Whether the task has run for long enough to be moved.
+/// Returns whether the task is running, has run for long enough to be moved, and is not being stopped.
 fn is_settled(task: &TaskOnMachine, now: Timestamp) -> bool {
     task.stop.is_none()
         && task.phase == TaskPhase::On(TaskState::Running)
         && task.running_since.is_some_and(|since| now > since + MIN_RUN_BEFORE_MOVE_MS)
 }
 
-/// The first replica on the machine that can be moved.
+/// Returns the first replica on the machine that can be moved.
 fn movable_replica(gpu_machine: &GpuMachine, now: Timestamp) -> Option<BlockingReplica> {
     let tasks = &gpu_machine.machine.tasks;
     let (key, task) = tasks.iter().find(|(_, task)| is_replica(task) && is_settled(task, now))?;
@@ -54,8 +54,8 @@
 }
 
 impl Participant {
-    /// Moves a replica from a machine that a gang waits for to another, where capacity is reserved
-    /// for it first.
+    /// Moves one replica from a machine that a gang waits for to another machine: reserves capacity for it
+    /// there, then stops it. Does nothing if there is no such replica or no capacity elsewhere.
     pub(super) fn move_replicas(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         if now < self.next_move_at || !ctx.lease_valid || self.gang_queue.is_empty() {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// A replica that keeps a machine from a gang that waits for it: one of the machine with the
-    /// fewest replicas.
+    /// Returns a replica that keeps a waiting gang from using a machine; among several, one on the machine
+    /// with the fewest replicas.
     fn blocking_replica(&self, ctx: &Context) -> Option<BlockingReplica> {
         let mut best: Option<BlockingReplica> = None;
         for gpu_machine in self.gpu_machines(ctx.names) {
@@ -99,8 +99,8 @@
         best
     }
 
-    /// Whether a gang would have enough of the machine, once other tasks have ended, but for the
-    /// replicas on it.
+    /// Returns whether a task of a waiting gang would fit on the machine, once the other tasks have ended,
+    /// if the replicas were not on it.
     fn replicas_block_gang(&self, gpu_machine: &GpuMachine) -> bool {
         let with_replicas = gpu_machine.lasting_free;
         let mut without_replicas = with_replicas;
@@ -112,7 +112,8 @@
         needs.any(|need| with_replicas.fits(need) == 0 && without_replicas.fits(need) > 0)
     }
 
-    /// Reserves capacity for the replica on a machine without GPUs in its zone. False: there is none.
+    /// Reserves capacity for the replica on a machine without GPUs in the same zone. Returns false if no
+    /// such capacity was found.
     fn reserve_elsewhere(&mut self, ctx: &mut Context, replica: &BlockingReplica) -> bool {
         let job = replica.key.job;
         let mut zone_room = vec![0; ctx.names.zones.len()];
--- a/crates/core/src/participant/reservations.rs
+++ b/crates/core/src/participant/reservations.rs
@@ -1,65 +1,66 @@
-//! Capacity of a machine that is kept for a job: tasks were stopped for it, or are to end by
-//! themselves.
+//! Reservations: capacity of a machine that is kept for a job, because tasks were preempted for it or
+//! will end by themselves.
 //!
-//! Invariant: `by_job` names every reservation of `by_machine` once, and neither has empty lists.
+//! Invariant: `by_job` lists the machine of every reservation in `by_machine` once, and neither map
+//! has an empty list.
 use super::queue_rank::QueueRank;
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use crate::names::Resources;
 use std::collections::BTreeMap;
 
-/// Capacity for one task of a job.
+/// Capacity reserved for one task of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
-    /// The job.
+    /// Job for which the capacity is reserved.
     pub job: JobId,
-    /// What the task takes.
+    /// Resources of the task.
     pub need: Resources,
-    /// When it ends, unless it is extended.
+    /// When the reservation ends unless it is extended.
     pub expires_at: Timestamp,
-    /// Nothing was stopped for it: it waits for tasks to end by themselves.
+    /// Whether no task was preempted for the reservation, so that it waits for tasks to end by
+    /// themselves.
     pub waiting: bool,
-    /// The rank of a gang: while it is waiting, gangs that are served before it may use the
-    /// capacity.
+    /// Rank of the job in the gang queue; `None` if it is not a gang. While the reservation is
+    /// waiting, gangs that are served before this rank may use the capacity.
     pub rank: Option<QueueRank>,
 }
 
 impl Reservation {
-    /// Whether the capacity may not be used by a job of this rank.
+    /// Returns whether the reservation keeps a job of this rank from using the capacity.
     pub fn blocks(&self, job: JobId, rank: Option<QueueRank>) -> bool {
         let served_before = matches!((self.rank, rank), (Some(own), Some(other)) if other < own);
         self.job != job && !(self.waiting && served_before)
     }
 }
 
-/// A participant's reservations, by machine and by job. (Found by a profile: as one list, searched
-/// at every look at a machine, reservations took half of the time of a fleet three times as large.)
+/// A participant's reservations, by machine and by job. One list, searched whenever a machine is
+/// evaluated, took half of the run time with a fleet three times as large.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
     by_machine: BTreeMap<MachineIdx, Vec<Reservation>>,
     by_job: BTreeMap<JobId, Vec<MachineIdx>>,
-    /// No reservation ends before this time.
+    /// No reservation expires before this time.
     next_expiry: Timestamp,
 }
 
 impl Reservations {
-    /// The reservations on a machine.
+    /// Returns the reservations on a machine.
     pub fn on(&self, machine: MachineIdx) -> &[Reservation] {
         self.by_machine.get(&machine).map_or(&[], Vec::as_slice)
     }
 
-    /// How many reservations a job has.
+    /// Returns the number of reservations of a job.
     pub fn count(&self, job: JobId) -> u32 {
         self.by_job.get(&job).map_or(0, |machines| machines.len() as u32)
     }
 
-    /// Adds a reservation.
     pub fn add(&mut self, machine: MachineIdx, reservation: Reservation) {
         self.next_expiry = self.next_expiry.min(reservation.expires_at);
         self.by_job.entry(reservation.job).or_default().push(machine);
         self.by_machine.entry(machine).or_default().push(reservation);
     }
 
-    /// Ends one reservation of the job on that machine, if there is any.
+    /// Removes one reservation of the job on that machine, if there is any.
     pub fn remove_one(&mut self, job: JobId, machine: MachineIdx) {
         let Some(reservations) = self.by_machine.get_mut(&machine) else { return };
         let Some(position) = reservations.iter().position(|r| r.job == job) else { return };
@@ -70,13 +71,13 @@
         self.remove_from_job(job, machine);
     }
 
-    /// Gives the job's waiting reservations its present rank, and lets those on machines that
-    /// `may_extend` allows last until `expires_at`.
+    /// Sets the rank of the job's waiting reservations to `rank`, and extends those on machines for
+    /// which `may_extend` returns true until `expires_at`.
     ///
-    /// (Found in a run of a whole day: a gang first in the queue reserved machines, missed an
-    /// objective, and was behind all others from then on. Its reservations kept their old rank, so
-    /// that the new first could not use those machines, and it could not either: 285 machines with
-    /// GPUs stood open for minutes while 390 gangs waited.)
+    /// The rank has to follow the job's present one. A gang that is first in the queue may reserve
+    /// machines, miss an objective, and rank behind all other gangs from then on. If its reservations
+    /// keep the old rank, neither that gang nor the new first one can use the machines: 285 machines
+    /// with GPUs stayed unused for minutes while 390 gangs waited.
     pub fn extend_waiting(
         &mut self,
         job: JobId,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Drops the reservations that have ended.
+    /// Removes the reservations that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         if now < self.next_expiry {
             return;
--- a/crates/core/src/participant/reservations/tests.rs
+++ b/crates/core/src/participant/reservations/tests.rs
@@ -6,7 +6,7 @@
     QueueRank { priority: Reverse(Priority::Normal), missed_objectives, due_at, job: JobId(job) }
 }
 
-/// The rank of a job that missed no objective, and has the number of the time when it is due.
+/// Returns the rank of a job that missed no objective and whose number equals `due_at`.
 fn rank(due_at: Timestamp) -> QueueRank {
     rank_of(due_at, 0, due_at)
 }
@@ -16,15 +16,21 @@
     Reservation { job: JobId(job), need, expires_at, waiting, rank: Some(rank(5)) }
 }
 
-/// Found on a grown deployment: gangs that each held some machines all stood still.
+/// Guards against a deadlock of gangs that each have a reservation on some of the machines.
 #[test]
 fn set_aside_room_yields_to_older_gangs_only() {
     let reservation = |waiting| reservation(5, 9, waiting);
-    assert!(!reservation(true).blocks(JobId(4), Some(rank(4))), "an older gang takes it");
+    assert!(
+        !reservation(true).blocks(JobId(4), Some(rank(4))),
+        "a gang served before takes the capacity"
+    );
     assert!(reservation(true).blocks(JobId(6), Some(rank(6))));
-    assert!(reservation(true).blocks(JobId(4), None), "other work does not");
+    assert!(reservation(true).blocks(JobId(4), None), "work outside the queue does not");
     assert!(!reservation(true).blocks(JobId(5), Some(rank(5))));
-    assert!(reservation(false).blocks(JobId(4), Some(rank(4))), "tasks were stopped for it");
+    assert!(
+        reservation(false).blocks(JobId(4), Some(rank(4))),
+        "tasks were preempted for the reservation"
+    );
 }
 
 #[test]
@@ -39,7 +45,10 @@
     let first = rank_of(7, 0, 905);
     let of_job = |c: &&Reservation| c.job == JobId(1);
     let late = reservations.on(a).iter().find(of_job).expect("a reservation");
-    assert!(!late.blocks(JobId(7), Some(first)), "it missed an aim: who is first now may");
+    assert!(
+        !late.blocks(JobId(7), Some(first)),
+        "the job missed an objective, so the gang that is first now may use the capacity"
+    );
     reservations.expire(15);
     assert_eq!(
         (reservations.count(JobId(1)), reservations.on(a).len(), reservations.on(b).len()),
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -1,4 +1,4 @@
-//! What coordinators decided for tasks: started, stopped, acknowledged.
+//! Commands of coordinators for single attempts: placing, stopping, and acknowledging their ends.
 use super::Participant;
 use crate::context::Context;
 use crate::guards::{holds, Guard};
@@ -9,26 +9,28 @@
 use leaddeal_wire::mesh::{Assignment, AttemptRef, TaskPhase};
 use std::collections::BTreeSet;
 
-/// Tasks of one job that a coordinator has placed.
+/// What the assignments of one `Place` message have in common.
 #[derive(Debug)]
 pub(super) struct PlaceOrder {
-    /// The coordinator's shard.
+    /// Shard of the coordinator that placed the tasks.
     pub from: Shard,
-    /// The job.
+    /// Job that the tasks belong to.
     pub job: JobId,
-    /// What a task of it takes.
+    /// Resources and image of each task.
     pub shape: Shape,
-    /// A new coordinator takes over what one before it has placed.
+    /// Whether the tasks were placed by a previous coordinator and are now taken over by its
+    /// successor, as opposed to placed for the first time.
     pub adopt: bool,
 }
 
-/// Whether no older owner's command can reach the machine's worker any more.
+/// Returns whether the machine's worker has confirmed this owner's fencing token, so that it no longer
+/// obeys commands of previous owners.
 fn is_fenced(machine: &Machine) -> bool {
     machine.token_confirmed || !holds(Guard::TokenShown)
 }
 
 impl Participant {
-    /// Places a task, and stops it at once if its job is over.
+    /// Places a task, and stops it at once if its job is in a terminal state.
     pub(super) fn place_unless_over(
         &mut self,
         ctx: &mut Context,
@@ -37,7 +39,8 @@
     ) {
         self.place(ctx, order, assignment);
         if ctx.horizons.is_terminal(order.job) && holds(Guard::LatePlace) {
-            // It was sent before the cancellation, which came another way.
+            // The coordinator sent the assignment before the job was cancelled, but the cancellation
+            // arrived here first by another route.
             let placed = AttemptRef {
                 job: order.job.0,
                 task: assignment.task,
@@ -63,22 +66,22 @@
         let fenced = is_fenced(machine);
         let key = AttemptKey { job, task, attempt };
         let task = machine.tasks.entry(key).or_insert_with(|| {
-            // An attempt to adopt that is not known here was never confirmed, or is over and
-            // forgotten. What it took of zones and teams may be in use again, so it must not start
-            // now. (Found by the simulator: a handover started stopped tasks anew, beyond their
-            // team's limit.)
+            // A coordinator's successor adopts an attempt that is not known here: either the attempt
+            // was never confirmed, or it has ended and was removed. Its share of the zone limit and of
+            // the team's quota may have been given to another task, so it must not be started.
+            // Otherwise a failover restarts stopped tasks and exceeds the team's quota.
             let over = gone || (adopt && fenced);
             let phase = if over { TaskPhase::Gone } else { TaskPhase::Decided };
             TaskOnMachine { adopted: adopt, ..TaskOnMachine::new(None, phase, incarnation) }
         });
         task.shape = Some(order.shape.clone());
-        // Its phase is sent again: the sender does not know it.
+        // The sender does not know the attempt's phase, so it is sent again.
         task.notified = None;
         machine.update_load();
         self.changed_machines.insert(idx);
     }
 
-    /// Stops an attempt, with `grace_s` seconds to save its progress.
+    /// Stops an attempt, giving it `grace_s` seconds to save its progress.
     pub(super) fn stop(&mut self, ctx: &mut Context, what: &AttemptRef, grace_s: f64) {
         let now = ctx.now;
         let idx = ctx.names.machine(&what.machine);
@@ -88,9 +91,10 @@
         let key = AttemptKey::of(what);
         let task = match (machine.tasks.get_mut(&key), what.incarnation) {
             (Some(task), _) => task,
-            // Under the incarnation it was decided for: before the machine's first heartbeat to us,
-            // a guess would make the attempt look like one of an ended incarnation. (Found by the
-            // simulator: a running task was called gone.)
+            // The attempt is recorded under the incarnation that the coordinator decided it for.
+            // Before this owner has received a heartbeat of the machine, the incarnation known here
+            // is 0, and an attempt under it would count as one of an ended incarnation: a running
+            // task would be reported as gone.
             (None, Some(incarnation)) => {
                 let unknown = TaskOnMachine::new(None, TaskPhase::Decided, incarnation);
                 machine.tasks.entry(key).or_insert(unknown)
@@ -103,7 +107,8 @@
         if task.stop.is_none_or(|stop| stop.grace_s > grace_s) {
             task.stop = Some(StopRequest { grace_s, since: now });
         }
-        // Never sent by us, and no older owner's command counts any more.
+        // This owner never sent the start command, and the worker no longer executes one of a previous
+        // owner, so the attempt cannot start.
         let never_sent = !task.start_sent() && !task.reported;
         if task.phase == TaskPhase::Decided && never_sent && (fenced || lost) {
             task.phase = TaskPhase::Gone;
@@ -113,7 +118,8 @@
         self.changed_machines.insert(idx);
     }
 
-    /// The coordinator has acknowledged the ends of these attempts.
+    /// Records that the coordinator has acknowledged the ends of these attempts. An attempt that is
+    /// not over here is left as it is.
     pub(super) fn acknowledge_ends(&mut self, ctx: &mut Context, ended: &[AttemptRef]) {
         let mut acknowledged = BTreeSet::new();
         for attempt in ended {
@@ -132,8 +138,8 @@
         }
     }
 
-    /// The job's terminal state is written: whatever of it is here stops, whether its coordinator
-    /// has sent a stop or not.
+    /// Stops all attempts of a job whose terminal state is durable, whether or not its coordinator has
+    /// sent stops for them.
     pub fn stop_job(&mut self, ctx: &mut Context, job: JobId) {
         let first = AttemptKey { job, task: 0, attempt: Attempt(0) };
         let last = AttemptKey { job, task: u32::MAX, attempt: Attempt(u64::MAX) };
@@ -155,8 +161,8 @@
         }
     }
 
-    /// Stops the attempts on a machine whose jobs are over. (Found by the simulator: a task was
-    /// reported only after its job's end had been read.)
+    /// Stops the attempts on a machine whose jobs are in a terminal state. A worker may first report a
+    /// task after the end of its job was read from the store, so `stop_job` alone would miss it.
     pub(super) fn stop_finished_jobs(
         &mut self,
         idx: MachineIdx,
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -1,4 +1,4 @@
-//! What changed on the machines, sent to the coordinators, and command batches sent to the workers.
+//! Events of attempts, sent to their coordinators, and command batches, sent to workers.
 use super::{Participant, MAX_COMMANDS};
 use crate::context::Context;
 use crate::guards::{holds, Guard};
@@ -8,34 +8,36 @@
 use leaddeal_wire::worker::{CommandBatch, ExitReason, TaskState};
 use std::collections::BTreeMap;
 
-/// An end that its coordinator has not acknowledged is sent again after this time.
+/// Time in ms after which the end of an attempt is sent again unless its coordinator has acknowledged
+/// it.
 const END_RESEND_INTERVAL_MS: u64 = 2000;
-/// Events that no coordinator acts on soon are sent together, this often.
+/// Interval in ms at which events that no coordinator acts on soon are sent together.
 const DEFERRED_EVENTS_INTERVAL_MS: u64 = 300;
-/// A message has at most this many events.
+/// Maximum number of events in one message.
 const MAX_EVENTS: usize = 200;
 
-/// Events by coordinator's shard.
+/// Events to send, by the shard of the coordinator that they are for.
 type EventsByShard = BTreeMap<u8, Vec<TaskEvent>>;
 
-/// Whether events that no coordinator acts on soon are sent now.
+/// Whether events that no coordinator acts on soon are sent in this flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DeferredEvents {
     Send,
     Defer,
 }
 
-/// What is to be done about the phase of an attempt.
+/// Whether the phase of an attempt has to be sent to its coordinator.
 enum Notification {
-    /// The coordinator knows it, or has no owner.
+    /// The coordinator already knows the phase, or its shard has no known owner.
     None,
+    /// The phase is sent later, together with others.
     Deferred,
-    /// It is sent to the coordinator of this shard and epoch.
+    /// The phase is sent now to the coordinator of this shard and epoch.
     Due(Shard, Epoch),
 }
 
-/// Whether a coordinator acts on the phase soon. The other phases it shows to users, and it writes
-/// completions together; a worker goes through several of them within a second.
+/// Returns whether a coordinator acts on the phase at once. The other phases it only shows to users, or
+/// writes in batches (completions), and a task passes through several of them within a second.
 fn is_acted_on(phase: TaskPhase) -> bool {
     match phase {
         TaskPhase::Exited(reason, _) => reason != ExitReason::Done,
@@ -68,7 +70,7 @@
     Notification::Due(shard, epoch)
 }
 
-/// Whether a command batch may be sent to the machine's worker now.
+/// Returns whether a command batch may be sent to the machine's worker now.
 fn may_command(ctx: &Context, machine: &Machine) -> bool {
     let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.quiet_ms;
     (ctx.lease_valid || !holds(Guard::DoubtStarts))
@@ -82,7 +84,7 @@
 }
 
 impl Participant {
-    /// Sends the coordinators what changed, and the workers their commands.
+    /// Sends the events of changed machines to coordinators and pending commands to workers.
     pub fn flush(&mut self, ctx: &mut Context) {
         let deferred = self.take_deferred(ctx.now);
         self.reindex(ctx.names);
@@ -100,13 +102,14 @@
         self.send_capacity_notices(ctx);
     }
 
-    /// Marks the machines whose ended attempts are due to be sent again.
+    /// Marks the machines with ended attempts that are due to be sent again as changed.
     pub(super) fn queue_resends(&mut self, now: Timestamp) {
         while let Some((_, idx)) = self.resend_queue.pop_front_if(|resend| resend.0 <= now) {
             self.changed_machines.insert(idx);
         }
     }
 
+    /// Returns whether deferred events are sent now; if so, marks their machines as changed.
     fn take_deferred(&mut self, now: Timestamp) -> DeferredEvents {
         if now < self.next_deferred_at {
             return DeferredEvents::Defer;
@@ -118,6 +121,7 @@
         DeferredEvents::Send
     }
 
+    /// Adds the events that are due for the attempts on a machine to `events`.
     fn collect_events(
         &mut self,
         ctx: &Context,
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -1,4 +1,5 @@
-//! A participant by itself: what it offers, reserves and declares lost.
+//! Tests of a participant without a node: its offers, its reservations, and when it declares machines
+//! lost.
 use super::*;
 use crate::budget::WriteBudget;
 use crate::context::{Config, PendingOperations};
@@ -19,7 +20,7 @@
 const PATIENCE_MS: u64 = 19_000;
 const EPOCH: Epoch = Epoch(5);
 
-/// What a participant needs around it: one shard, one zone, one type of machine with GPUs.
+/// The context of a participant: one shard, one zone, and one machine type, which has GPUs.
 pub(super) struct World {
     pub(super) names: Names,
     config: Config,
@@ -63,7 +64,7 @@
         World { names, config, budget: WriteBudget::new(50.0, 1, 1), horizons, view: vec![shard] }
     }
 
-    /// Does something at that time; returns the messages sent and the events logged.
+    /// Runs `f` with a context at `now`; returns the messages sent and the names of the events logged.
     fn at(
         &mut self,
         now: Timestamp,
@@ -140,15 +141,15 @@
     }
 }
 
-/// Found in a run of a whole day: arrays reserved the machines that they were kept off for the sake
-/// of gangs, again and again, and the gangs could not have them either.
+/// Guards against arrays that reserve, again and again, the machines on which they get no capacity
+/// because these are kept for gangs: the gangs cannot use the reserved machines either.
 #[test]
 fn machines_kept_for_gangs_are_not_claimed_by_who_is_kept_off() {
     let mut world = World::new();
     let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
     world.at(100, |context| {
         for m in ["n-000001", "n-000002"] {
-            participant.report(context, &report(m, 1), None).expect("an answer");
+            participant.report(context, &report(m, 1), None).expect("a response");
         }
     });
     let mut ask = |participant: &mut Participant, now, negotiation, item: OfferRequest| {
@@ -169,21 +170,25 @@
                 ShardMessage::CloseNegotiation { negotiation },
             );
         });
-        offered.expect("an answer")
+        offered.expect("a response")
     };
-    // Two of its four tasks would fit: it is queued for the zone.
+    // Two of the gang's four tasks would fit, so it is queued for the zone.
     let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
     ask(&mut participant, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
-    assert_eq!(ask(&mut participant, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
-    assert_eq!(participant.reservations.count(JobId(8)), 0, "and it claims nothing");
+    assert_eq!(
+        ask(&mut participant, 300, 2, wanted(8, Kind::Array, 20, None)),
+        0,
+        "the machines are kept for the gang"
+    );
+    assert_eq!(participant.reservations.count(JobId(8)), 0, "the array reserves nothing");
     assert_eq!(
         ask(&mut participant, 400, 3, wanted(7, Kind::Gang, 4, Some(line))),
         2,
-        "the gang may"
+        "the gang gets the machines"
     );
 }
 
-/// Copies of its heartbeats, however late they come, do not keep a machine alive that is gone.
+/// Late copies of a machine's heartbeats do not renew its lease after the machine has failed.
 #[test]
 fn late_copies_of_reports_keep_nobody_alive() {
     let lost_at = |copies: bool| {
@@ -191,7 +196,7 @@
         let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
         for seq in 1..=3 {
             world.at(1000 * seq, |context| {
-                participant.report(context, &report("n-000001", seq), None).expect("an answer");
+                participant.report(context, &report("n-000001", seq), None).expect("a response");
             });
         }
         (3100..100_000).step_by(100).find(|&now| {
@@ -200,7 +205,7 @@
                     let copy = report("n-000001", 1 + now % 3);
                     assert!(
                         participant.report(context, &copy, None).is_none(),
-                        "a copy is answered"
+                        "a copy was answered"
                     );
                 }
                 participant.tick(context);
@@ -212,15 +217,18 @@
     assert_eq!(lost_at(true), lost_at(false));
 }
 
-/// Copies of heartbeats of an incarnation that ended arrive after the new one has begun.
+/// A copy of a heartbeat from an ended incarnation arrives after the next incarnation has begun: it must
+/// neither renew the lease nor change the known incarnation.
 #[test]
 fn copies_of_an_ended_session_prove_nothing() {
     let mut world = World::new();
     let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
     let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
     world.at(1000, |context| {
-        participant.report(context, &report("n-000001", 7), None).expect("the first session's");
-        participant.report(context, &new, None).expect("the second's");
+        participant
+            .report(context, &report("n-000001", 7), None)
+            .expect("a response to the first incarnation");
+        participant.report(context, &new, None).expect("a response to the second incarnation");
     });
     let granted = |participant: &Participant| {
         participant.machines.values().next().map(|m| (m.lease_granted_at, m.incarnation))
@@ -232,8 +240,8 @@
     assert_eq!(granted(&participant), before);
 }
 
-/// Heartbeats arrive, responses don't: no new work after the second sign, and again once the machine
-/// is reached.
+/// One-way partition: heartbeats arrive, but responses do not reach the machine. It gets no new work after
+/// the second heartbeat that shows this, until a heartbeat shows that a response arrived.
 #[test]
 fn a_deaf_machine_gets_no_work_until_it_hears() {
     let mut world = World::new();
@@ -258,24 +266,29 @@
     let hear = |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
         let via = via.map(NodeIdx);
         world.at(now, |context| {
-            participant.report(context, &report("n-000001", seq), via).expect("an answer");
+            participant.report(context, &report("n-000001", seq), via).expect("a response");
         });
     };
     hear(&mut world, &mut participant, 1000, 1, None);
     assert!(offered(&mut world, &mut participant, 1100, 1));
     hear(&mut world, &mut participant, 3000, 2, None);
-    // It tries one controller after the other: five seconds, and each time another path.
+    // Without a response the worker tries one controller after the other, so its heartbeats come five
+    // seconds apart and each by another path.
     hear(&mut world, &mut participant, 8000, 3, Some(1));
-    assert!(offered(&mut world, &mut participant, 8100, 2), "one sign is no verdict");
+    assert!(offered(&mut world, &mut participant, 8100, 2), "one unproven heartbeat is not enough");
     hear(&mut world, &mut participant, 13_000, 4, Some(2));
     assert!(!offered(&mut world, &mut participant, 13_100, 3));
     hear(&mut world, &mut participant, 18_000, 5, None);
     assert!(!offered(&mut world, &mut participant, 18_100, 4));
     hear(&mut world, &mut participant, 20_000, 6, None);
-    assert!(offered(&mut world, &mut participant, 20_100, 5), "it stayed, so it was answered");
+    assert!(
+        offered(&mut world, &mut participant, 20_100, 5),
+        "the worker kept the path, so a response reached it"
+    );
 }
 
-/// After a takeover a silent machine is waited for until no previous owner can have answered it.
+/// After a failover a silent machine is not declared lost while a previous owner may have answered its
+/// worker. Once all previous owners have relinquished the shard, only the worker's lease counts.
 #[test]
 fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
     let lost_at = |let_go: Option<Timestamp>| {
@@ -293,17 +306,17 @@
             logged.contains(&"worker_lease_expired")
         })
     };
-    let whole = lost_at(None).expect("lost in the end");
+    let whole = lost_at(None).expect("lease expires");
     assert!(
         whole > 1000 + PATIENCE_MS + LEASE_MS,
-        "the owner before may have answered it: {whole}"
+        "a previous owner may have answered the worker: {whole}"
     );
-    let proven = lost_at(Some(3000)).expect("lost in the end");
+    let proven = lost_at(Some(3000)).expect("lease expires");
     assert!((3000 + LEASE_MS..3000 + LEASE_MS + 1000).contains(&proven), "at {proven}");
 }
 
-/// A placement that was sent before its job was cancelled, which was learned another way: it starts
-/// nothing, unless a newer owner says that the job goes on.
+/// A placement is sent before its job is cancelled, and the cancellation arrives first by another route:
+/// the placement must start nothing, unless a coordinator of a newer epoch continues the job.
 #[test]
 fn a_yes_after_its_jobs_end_starts_nothing() {
     let starts = |over: bool, epoch: u64| {
@@ -332,8 +345,8 @@
         sent
     };
     assert_eq!(starts(false, EPOCH.0), 1);
-    assert_eq!(starts(true, EPOCH.0), 0, "it would start what is cancelled");
-    assert_eq!(starts(true, EPOCH.0 + 1), 1, "what was to be written never was");
+    assert_eq!(starts(true, EPOCH.0), 0, "the job is cancelled");
+    assert_eq!(starts(true, EPOCH.0 + 1), 1, "the cancellation was never written");
 }
 
 #[cfg(feature = "guards")]
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -1,23 +1,25 @@
-//! Which tasks are stopped so that more important work finds capacity.
+//! Selection of the tasks that are preempted to free capacity for work of a higher priority.
 use crate::names::Resources;
 use leaddeal_wire::user::Priority;
 
-/// A task that could be stopped.
+/// A task, or group of tasks, that can be preempted as one.
 #[derive(Clone, Debug)]
 pub struct Candidate<K> {
-    /// Names the task.
+    /// Identifies the candidate for the caller.
     pub key: K,
-    /// Only work of a higher priority stops it.
+    /// Priority of the candidate; only work of a higher priority preempts it.
     pub priority: Priority,
-    /// What it takes.
+    /// Resources that are freed when the candidate is stopped.
     pub need: Resources,
-    /// Work lost by stopping it, in thousandths of core-seconds or the like.
+    /// Work lost by stopping the candidate, in thousandths of core-seconds (GPUs are weighted by the
+    /// caller).
     pub loss: u64,
 }
 
-/// The cheapest set of less important tasks whose resources, added to `free`, let `need` in at
-/// least once, and what is lost by stopping them (at least one each). Lowest priority first, then
-/// the least loss. None: stopping all of lower priority would not suffice.
+/// Returns candidates of a priority below `priority` whose resources, added to `free`, fit `need` at
+/// least once, and the loss of stopping them, plus 1 for each. Candidates are taken by lowest
+/// priority, then by least loss, and those that turn out not to be needed are left out.
+/// Returns `None` if stopping all candidates of a lower priority does not free enough.
 pub fn victims<K: Clone>(
     free: Resources,
     need: Resources,
@@ -43,8 +45,8 @@
     Some((chosen.into_iter().map(|victim| victim.key).collect(), loss))
 }
 
-/// Drops those that turned out not to be needed, in the order in which they were chosen. `freed`:
-/// what is free once all are stopped.
+/// Removes the victims that are not needed to fit `need`, considered in the order in which they were
+/// chosen. `freed` is what is free once all of `chosen` are stopped.
 fn spare_unneeded<K>(chosen: &mut Vec<Candidate<K>>, mut freed: Resources, need: Resources) {
     chosen.retain(|victim| {
         let mut without = freed;
