--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -5,7 +5,7 @@
 use crate::jobs::Job;
 use crate::names::Resources;
 use crate::placed::Placement;
-use crate::preemption::{victims, Candidate};
+use crate::preemption::{choose_victims, Candidate};
 use crate::quota::admission::QuotaStatus;
 use crate::stored::QuotaUse;
 use leaddeal_wire::user::{Kind, Priority};
@@ -97,9 +97,9 @@
             let count = u64::from(count);
             Resources { cpu: amount.cpu * count, gpu: amount.gpu * count, mem: 0 }
         };
-        let chosen = [wanted, fewest]
-            .into_iter()
-            .find_map(|count| victims(free, need(count), priority, lesser.candidates.clone()));
+        let chosen = [wanted, fewest].into_iter().find_map(|count| {
+            choose_victims(free, need(count), priority, lesser.candidates.clone())
+        });
         let Some((victims, _)) = chosen else { return };
         self.quota.preempted_for.insert(id, ctx.now);
         for victim in victims {
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -11,7 +11,7 @@
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use crate::machine::{AttemptKey, GpuTasks, Machine, StopRequest, TaskOnMachine};
 use crate::names::{Resources, Shape};
-use crate::preemption::{victims, Candidate};
+use crate::preemption::{choose_victims, Candidate};
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
 use leaddeal_wire::user::Kind;
 use leaddeal_wire::worker::TaskState;
@@ -232,7 +232,7 @@
         }
         let candidates = if suffices { candidates(machine, need, ctx.now) } else { Vec::new() };
         let priority = search.shape.wire.priority;
-        let (victims, loss) = match victims(free_soon, need, priority, candidates) {
+        let (victims, loss) = match choose_victims(free_soon, need, priority, candidates) {
             Some(found) => found,
             None => (Vec::new(), self.waiting_loss(search, idx, machine, whole, free_soon)?),
         };
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -20,7 +20,7 @@
 /// least once, and the loss of stopping them, plus 1 for each. Candidates are taken by lowest
 /// priority, then by least loss, and those that turn out not to be needed are left out.
 /// Returns `None` if stopping all candidates of a lower priority does not free enough.
-pub fn victims<K: Clone>(
+pub fn choose_victims<K: Clone>(
     free: Resources,
     need: Resources,
     priority: Priority,
--- a/crates/core/src/preemption/tests.rs
+++ b/crates/core/src/preemption/tests.rs
@@ -10,11 +10,12 @@
         c(3, Priority::Low, 2, 9),
         c(4, Priority::High, 8, 0),
     ];
-    let (v, _) = victims(r(0), r(2), Priority::High, tasks.clone()).expect("enough can be freed");
+    let (v, _) =
+        choose_victims(r(0), r(2), Priority::High, tasks.clone()).expect("enough can be freed");
     assert_eq!(v, vec![3], "task 2 alone does not free enough, so it is not stopped");
-    assert!(victims(r(0), r(6), Priority::High, tasks.clone()).is_none());
+    assert!(choose_victims(r(0), r(6), Priority::High, tasks.clone()).is_none());
     assert!(
-        victims(r(0), r(1), Priority::Low, tasks).is_none(),
+        choose_victims(r(0), r(1), Priority::Low, tasks).is_none(),
         "tasks of the same priority are not stopped"
     );
 }
