--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -133,14 +133,16 @@
     fn handle_provisioner(&mut self, context: &mut Context, shard: Shard, message: ShardMessage) {
         match message {
             ShardMessage::Drain { machine } => self.drain(context, shard, machine),
-            ShardMessage::OperatorMachines { newest } => self.participant.base = Some(newest),
+            ShardMessage::OperatorMachines { newest } => {
+                self.participant.newest_operator_machine = Some(newest)
+            }
             ShardMessage::ResendInventory => {
                 self.participant.resend_inventory();
                 for message in self.participant.inventory(context) {
                     context.send(shard, PROVISIONER_SHARD, message);
                 }
             }
-            ShardMessage::Released { machine } => self.participant.released(context, &machine),
+            ShardMessage::Released { machine } => self.participant.mark_released(context, &machine),
             _ => {}
         }
     }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -130,7 +130,7 @@
         for (shard, view) in self.shared.shards().zip(&self.shared.shard_views) {
             let Some(owner) = view.owner else { continue };
             for active in self.owned.iter_mut().flatten() {
-                active.participant.see_coordinator(shard, owner.epoch);
+                active.participant.observe_coordinator_epoch(shard, owner.epoch);
             }
         }
     }
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -71,7 +71,7 @@
         self.shared.horizons.advance(&own_assertions, &self.shared.shard_views, effects.now);
         for active in self.owned.iter_mut().flatten() {
             if self.shared.health.all_acknowledge(active.participant.shard, active.epoch) {
-                active.participant.previous_owners_relinquished(effects.now);
+                active.participant.on_previous_owners_relinquished(effects.now);
             }
         }
     }
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -60,9 +60,9 @@
         for active in self.owned.iter_mut().flatten() {
             let context = self.shared.context(effects);
             let coordinator = active.coordinator.figures(context.now);
-            let participant = active.participant.figures(&context);
+            let participant = active.participant.statistics(&context);
             let served = active.coordinator.service_figures(context.now);
-            let obstacles = active.participant.obstacle_figures();
+            let obstacles = active.participant.obstacle_statistics();
             let waiting = active.coordinator.wait_figures(&context);
             let limits = active.coordinator.limit_figures(&context);
             effects.log(LogLevel::Info, "service_levels", || served);
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -106,7 +106,7 @@
         let may_answer = self.may_answer(report, effects.now);
         if let Some(active) = self.owned[shard.0 as usize].as_mut().filter(|_| may_answer) {
             let mut context = self.shared.context(effects);
-            return match active.participant.report(&mut context, report, via) {
+            return match active.participant.handle_heartbeat(&mut context, report, via) {
                 Some(response) => WorkerReply::HeartbeatResponse(response),
                 None => WorkerReply::Redirect(None),
             };
@@ -137,6 +137,6 @@
             CommandOutcome::Unknown => (None, true),
         };
         let mut context = self.shared.context(effects);
-        active.participant.direct_outcome(&mut context, machine, batch, report, unknown);
+        active.participant.handle_batch_outcome(&mut context, machine, batch, report, unknown);
     }
 }
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -110,7 +110,9 @@
             return true;
         }
         let name = ctx.names.machine_name(idx);
-        self.base.as_ref().is_some_and(|newest| created_no_later_than(name, newest))
+        self.newest_operator_machine
+            .as_ref()
+            .is_some_and(|newest| created_no_later_than(name, newest))
     }
 }
 
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -69,13 +69,13 @@
 impl Participant {
     /// Returns a log line with the obstacles that kept machines from being offered to jobs which got less
     /// than they asked for, and resets the counts. Returns `None` if there were none since the last call.
-    pub fn obstacle_figures(&mut self) -> Option<String> {
+    pub fn obstacle_statistics(&mut self) -> Option<String> {
         let counts = std::mem::take(&mut self.offer_obstacles);
         Some(format!("shard={} {}", self.shard.0, counts.figures()?))
     }
 
     /// Returns a log line with the number of machines, of GPU machines by their use, and of waiting gangs.
-    pub fn figures(&self, ctx: &Context) -> String {
+    pub fn statistics(&self, ctx: &Context) -> String {
         let needs: Vec<Resources> = self.gpu_demand.needs().collect();
         let mut counts = GpuMachineCounts::default();
         for gpu_machine in self.gpu_machines(ctx.names) {
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -99,7 +99,7 @@
     /// Handles a periodic heartbeat and returns the response that renews the worker's lease. Returns
     /// `None` if the worker knows a newer owner or does not wait for a response to this heartbeat, or
     /// if the machine was released or its lease has expired.
-    pub fn report(
+    pub fn handle_heartbeat(
         &mut self,
         ctx: &mut Context,
         heartbeat: &WorkerHeartbeat,
@@ -137,7 +137,7 @@
 
     /// Handles the outcome of a command batch. `answer` is the worker's heartbeat in response; it is
     /// `None` if the batch was not sent, or, with `unknown`, if it may have been executed.
-    pub fn direct_outcome(
+    pub fn handle_batch_outcome(
         &mut self,
         ctx: &mut Context,
         machine: &str,
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -57,7 +57,7 @@
     /// a lease any more. From now on a silent machine is lost when its worker's own lease expires.
     /// Without this, after a crash of all controllers, the work of hung machines was placed again only
     /// 71 s later.
-    pub fn previous_owners_relinquished(&mut self, now: Timestamp) {
+    pub fn on_previous_owners_relinquished(&mut self, now: Timestamp) {
         if now >= self.previous_owners_until {
             return;
         }
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -85,7 +85,7 @@
     pub machines: BTreeMap<MachineIdx, Machine>,
     /// Name of the newest machine that the operator owns: machines created no later than it are never
     /// released. `None`: not known.
-    pub base: Option<String>,
+    pub newest_operator_machine: Option<String>,
     /// When to check next whether a machine's lease has expired, or whether the machine can be
     /// removed.
     lease_checks: BTreeSet<(Timestamp, MachineIdx)>,
@@ -110,7 +110,7 @@
     /// No replica of a service is moved before this time.
     next_move_at: Timestamp,
     capacity_notices: CapacityNotices,
-    /// Counted since `obstacle_figures` was last called.
+    /// Counted since `obstacle_statistics` was last called.
     offer_obstacles: ObstacleCounts,
     /// Machines with events whose delivery was deferred, because no coordinator acts on them soon.
     deferred_machines: BTreeSet<MachineIdx>,
@@ -135,7 +135,7 @@
             since: now,
             previous_owners_until: patience_ends,
             machines: BTreeMap::new(),
-            base: None,
+            newest_operator_machine: None,
             lease_checks: BTreeSet::new(),
             resend_queue: VecDeque::new(),
             inventory_publisher: InventoryPublisher::default(),
@@ -159,7 +159,7 @@
 
     /// Handles a message from the coordinator of shard `from`, sent under `epoch`.
     pub fn handle(&mut self, ctx: &mut Context, from: Shard, epoch: Epoch, msg: ShardMessage) {
-        if !self.see_coordinator(from, epoch) {
+        if !self.observe_coordinator_epoch(from, epoch) {
             return;
         }
         match msg {
@@ -191,7 +191,7 @@
     /// Records the epoch of a shard's coordinator. A newer epoch than the known one ends all open
     /// negotiations of that shard. Returns false if the epoch is older than the known one: the
     /// sender no longer owns the shard.
-    pub fn see_coordinator(&mut self, shard: Shard, epoch: Epoch) -> bool {
+    pub fn observe_coordinator_epoch(&mut self, shard: Shard, epoch: Epoch) -> bool {
         let Some(known) = self.coordinator_epochs.get_mut(shard.0 as usize) else {
             return false;
         };
--- a/crates/core/src/participant/release.rs
+++ b/crates/core/src/participant/release.rs
@@ -19,7 +19,7 @@
     }
 
     /// Records that the machine was released to the cloud: all attempts on it are gone.
-    pub fn released(&mut self, ctx: &mut Context, machine: &str) {
+    pub fn mark_released(&mut self, ctx: &mut Context, machine: &str) {
         let idx = ctx.names.machine(machine);
         let machine = self.machine(idx);
         machine.released = true;
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -149,7 +149,7 @@
     let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
     world.at(100, |context| {
         for m in ["n-000001", "n-000002"] {
-            participant.report(context, &report(m, 1), None).expect("a response");
+            participant.handle_heartbeat(context, &report(m, 1), None).expect("a response");
         }
     });
     let mut ask = |participant: &mut Participant, now, negotiation, item: OfferRequest| {
@@ -196,7 +196,9 @@
         let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
         for seq in 1..=3 {
             world.at(1000 * seq, |context| {
-                participant.report(context, &report("n-000001", seq), None).expect("a response");
+                participant
+                    .handle_heartbeat(context, &report("n-000001", seq), None)
+                    .expect("a response");
             });
         }
         (3100..100_000).step_by(100).find(|&now| {
@@ -204,7 +206,7 @@
                 if copies && now % 700 == 0 {
                     let copy = report("n-000001", 1 + now % 3);
                     assert!(
-                        participant.report(context, &copy, None).is_none(),
+                        participant.handle_heartbeat(context, &copy, None).is_none(),
                         "a copy was answered"
                     );
                 }
@@ -226,16 +228,18 @@
     let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
     world.at(1000, |context| {
         participant
-            .report(context, &report("n-000001", 7), None)
+            .handle_heartbeat(context, &report("n-000001", 7), None)
             .expect("a response to the first incarnation");
-        participant.report(context, &new, None).expect("a response to the second incarnation");
+        participant
+            .handle_heartbeat(context, &new, None)
+            .expect("a response to the second incarnation");
     });
     let granted = |participant: &Participant| {
         participant.machines.values().next().map(|m| (m.lease_granted_at, m.incarnation))
     };
     let before = granted(&participant);
     world.at(9000, |context| {
-        assert!(participant.report(context, &report("n-000001", 9), None).is_none());
+        assert!(participant.handle_heartbeat(context, &report("n-000001", 9), None).is_none());
     });
     assert_eq!(granted(&participant), before);
 }
@@ -266,7 +270,9 @@
     let hear = |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
         let via = via.map(NodeIdx);
         world.at(now, |context| {
-            participant.report(context, &report("n-000001", seq), via).expect("a response");
+            participant
+                .handle_heartbeat(context, &report("n-000001", seq), via)
+                .expect("a response");
         });
     };
     hear(&mut world, &mut participant, 1000, 1, None);
@@ -300,7 +306,7 @@
         world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
             if let_go.is_some_and(|at| now >= at) {
-                participant.previous_owners_relinquished(now);
+                participant.on_previous_owners_relinquished(now);
             }
             let (_, logged) = world.at(now, |context| participant.tick(context));
             logged.contains(&"worker_lease_expired")
@@ -323,7 +329,7 @@
         let mut world = World::new();
         let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
         world.at(1000, |context| {
-            participant.report(context, &report("n-000001", 1), None);
+            participant.handle_heartbeat(context, &report("n-000001", 1), None);
         });
         if over {
             world.horizons.on_cancelled(Shard(0), EPOCH, JobId(7), 1050);
