--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -133,9 +133,7 @@
     fn handle_provisioner(&mut self, context: &mut Context, shard: Shard, message: ShardMessage) {
         match message {
             ShardMessage::Drain { machine } => self.drain(context, shard, machine),
-            ShardMessage::OperatorMachines { newest } => {
-                self.participant.newest_operator_machine = Some(newest)
-            }
+            ShardMessage::OperatorMachines { newest } => self.participant.last_base = Some(newest),
             ShardMessage::ResendInventory => {
                 self.participant.resend_inventory();
                 for message in self.participant.inventory(context) {
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -110,9 +110,7 @@
             return true;
         }
         let name = ctx.names.machine_name(idx);
-        self.newest_operator_machine
-            .as_ref()
-            .is_some_and(|newest| created_no_later_than(name, newest))
+        self.last_base.as_ref().is_some_and(|newest| created_no_later_than(name, newest))
     }
 }
 
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -83,9 +83,9 @@
     previous_owners_until: Timestamp,
     /// The machines from which a heartbeat was received or that a coordinator named.
     pub machines: BTreeMap<MachineIdx, Machine>,
-    /// Name of the newest machine that the operator owns: machines created no later than it are never
-    /// released. `None`: not known.
-    pub newest_operator_machine: Option<String>,
+    /// Name of the newest machine of the base fleet. The operator owns the machines created no later than
+    /// it, and they are never released. `None` if it is not known.
+    pub last_base: Option<String>,
     /// When to check next whether a machine's lease has expired, or whether the machine can be
     /// removed.
     lease_checks: BTreeSet<(Timestamp, MachineIdx)>,
@@ -135,7 +135,7 @@
             since: now,
             previous_owners_until: patience_ends,
             machines: BTreeMap::new(),
-            newest_operator_machine: None,
+            last_base: None,
             lease_checks: BTreeSet::new(),
             resend_queue: VecDeque::new(),
             inventory_publisher: InventoryPublisher::default(),
