--- a/crates/core/src/participant/capacity_index.rs
+++ b/crates/core/src/participant/capacity_index.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariant: a machine has the entry that `Participant::reindex` last set. It has none if no work can
 //! be placed on it: its lease has expired, it was released, or its type or zone is not known.
-use crate::ids::{ImageIdx, MachineIdx, TypeIdx, ZoneIdx};
+use crate::ids::{ImageIdx, MachineIdx, MachineTypeIdx, ZoneIdx};
 use crate::machine::Machine;
 use std::cmp::Reverse;
 use std::collections::hash_map::Entry;
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct MachineGroup {
     /// Type in the catalog.
-    pub machine_type: TypeIdx,
+    pub machine_type: MachineTypeIdx,
     /// Zone of the machines.
     pub zone: ZoneIdx,
     /// Whether the machines are spot instances.
--- a/crates/core/src/participant/holds.rs
+++ b/crates/core/src/participant/holds.rs
@@ -1,5 +1,5 @@
 //! Holds: capacity of machines that is kept for open negotiations.
-use crate::ids::{JobId, MachineIdx, Negotiation, Shard};
+use crate::ids::{JobId, MachineIdx, NegotiationId, Shard};
 use crate::names::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,8 +8,8 @@
 pub(super) struct Hold {
     /// Shard of the coordinator.
     pub shard: Shard,
-    /// Negotiation with whose end the hold ends.
-    pub negotiation: Negotiation,
+    /// NegotiationId with whose end the hold ends.
+    pub negotiation: NegotiationId,
     /// Job for which the capacity was offered.
     pub job: JobId,
     /// Resources of one task.
@@ -22,7 +22,7 @@
 
 impl Hold {
     /// Returns whether the hold is part of this negotiation of this coordinator's shard.
-    pub fn belongs_to(&self, shard: Shard, negotiation: Negotiation) -> bool {
+    pub fn belongs_to(&self, shard: Shard, negotiation: NegotiationId) -> bool {
         self.shard == shard && self.negotiation.0 == negotiation.0
     }
 }
@@ -67,10 +67,10 @@
     }
 
     /// Returns the negotiations that have holds, ordered by the coordinator's shard and then by number.
-    pub fn open_negotiations(&self) -> Vec<(Shard, Negotiation)> {
+    pub fn open_negotiations(&self) -> Vec<(Shard, NegotiationId)> {
         let holds = self.by_machine.values().flatten();
         let open: BTreeSet<(u8, u64)> =
             holds.map(|hold| (hold.shard.0, hold.negotiation.0)).collect();
-        open.into_iter().map(|(shard, number)| (Shard(shard), Negotiation(number))).collect()
+        open.into_iter().map(|(shard, number)| (Shard(shard), NegotiationId(number))).collect()
     }
 }
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -3,10 +3,10 @@
 //! fleet.
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{MachineIdx, MachineTypeIdx, Timestamp, ZoneIdx};
 use crate::machine::{Machine, TaskOnMachine};
 use crate::names::Names;
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MachineSummary {
     /// Type in the catalog.
-    pub machine_type: TypeIdx,
+    pub machine_type: MachineTypeIdx,
     /// Zone; `None` if it is not known.
     pub zone: Option<ZoneIdx>,
     /// Whether it is a spot instance.
@@ -157,7 +157,7 @@
     /// Returns the messages that report changes of the machines to the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let now = ctx.now;
-        let lease_ms = at_least(ctx.config.worker_lease_ms);
+        let lease_ms = plus_clock_drift(ctx.config.worker_lease_ms);
         let present = self.machines.values().filter(|machine| !machine.released);
         let unreachable = present.filter(|machine| is_unreachable(machine, now)).count();
         let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -18,9 +18,9 @@
 //! - `figures`, `offer_obstacles`: counts for the operators' log.
 use crate::context::Context;
 use crate::guards::{holds, Guard};
-use crate::ids::{Epoch, JobId, MachineIdx, Negotiation, Shard, Timestamp, PROVISIONER_SHARD};
+use crate::ids::{Epoch, JobId, MachineIdx, NegotiationId, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::machine::Machine;
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::ShardMessage;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -128,7 +128,8 @@
         shards: usize,
         patience_ms: u64,
     ) -> Participant {
-        let patience_ends = if holds(Guard::Patience) { now + at_least(patience_ms) } else { now };
+        let patience_ends =
+            if holds(Guard::Patience) { now + plus_clock_drift(patience_ms) } else { now };
         Participant {
             shard,
             epoch,
@@ -167,10 +168,10 @@
                 for (cpu, gpu, mem, priority) in gpu_work {
                     self.gpu_demand.note(gpu_demand::GpuNeed { cpu, gpu, mem }, priority, ctx.now);
                 }
-                self.offer(ctx, from, Negotiation(negotiation), &items);
+                self.offer(ctx, from, NegotiationId(negotiation), &items);
             }
             ShardMessage::CloseNegotiation { negotiation } => {
-                self.holds.release(|hold| hold.belongs_to(from, Negotiation(negotiation)));
+                self.holds.release(|hold| hold.belongs_to(from, NegotiationId(negotiation)));
             }
             ShardMessage::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -8,7 +8,7 @@
 use super::queue_rank::QueueRank;
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{JobId, Negotiation, Shard, ZoneIdx};
+use crate::ids::{JobId, NegotiationId, Shard, ZoneIdx};
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
 use leaddeal_wire::user::{Kind, Priority};
@@ -16,7 +16,7 @@
 /// The state of one request for offers while it is being answered.
 struct OfferRound<'a> {
     from: Shard,
-    negotiation: Negotiation,
+    negotiation: NegotiationId,
     offers: Vec<Offer>,
     /// Numbers of the items for which tasks are being preempted.
     preempting: Vec<u16>,
@@ -79,7 +79,7 @@
         &mut self,
         ctx: &mut Context,
         from: Shard,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         requests: &[OfferRequest],
     ) {
         self.gpu_demand.expire(ctx.now);
