--- a/crates/core/src/participant/holds.rs
+++ b/crates/core/src/participant/holds.rs
@@ -8,7 +8,7 @@
 pub(super) struct Hold {
     /// Shard of the coordinator.
     pub shard: Shard,
-    /// NegotiationId with whose end the hold ends.
+    /// Negotiation with whose end the hold ends.
     pub negotiation: NegotiationId,
     /// Job for which the capacity was offered.
     pub job: JobId,
