--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -3,7 +3,7 @@
 use super::{Coordinator, Ownership};
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::JobId;
 use crate::io::{RequestId, StoreResult};
 use crate::jobs::{job_state, Job};
@@ -46,10 +46,10 @@
             return true;
         }
         job.termination.requests.push(request);
-        if !holds(Guard::CancelledDurable) {
+        if !is_enforced(Guard::CancellationDurableBeforeAck) {
             answer_before_durable(ctx, id, job);
         }
-        if job.termination.status.is_none() && !job.complete() {
+        if job.termination.status.is_none() && !job.is_complete() {
             job.termination.status = Some(Status::Cancelled);
             self.cancelling.insert(id);
             self.write_cancellations(ctx);
@@ -78,15 +78,16 @@
         job.termination.write = Some(write);
         if let Some(call) = call {
             ctx.horizons.on_cancelled(self.shard, self.epoch, id, ctx.now);
-            let operation = Operation::Finish { shard: self.shard, epoch: self.epoch, job: id };
-            ctx.store(operation, call);
+            let operation =
+                Operation::WriteCancellation { shard: self.shard, epoch: self.epoch, job: id };
+            ctx.call_store(operation, call);
         }
     }
 
     fn new_cancellation(&self, id: JobId) -> PendingWrite {
         let changes = self.terminal_changes(id, Status::Cancelled);
         let write = self.fenced_write(WriteClass::Cancellation, changes);
-        if holds(Guard::CancelVersion) {
+        if is_enforced(Guard::CancellationWrittenOnce) {
             write.with_idempotency_key(keys::terminal_state_key(self.shard, id), 0)
         } else {
             write
--- a/crates/core/src/coordinator/decision_log.rs
+++ b/crates/core/src/coordinator/decision_log.rs
@@ -4,7 +4,7 @@
 //! A record whose placements have all ended is not deleted but overwritten by a later decision, in
 //! a transaction conditional on the version the record is known to have. This takes one change per
 //! round instead of two.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use std::collections::BTreeMap;
 
 /// Free records beyond this number are deleted when the write budget has unused capacity.
@@ -68,7 +68,7 @@
     pub fn end_placement(&mut self, round: u64) {
         let Some(record) = self.live.get_mut(&round) else { return };
         record.placements = record.placements.saturating_sub(1);
-        if record.placements == 0 || !holds(Guard::RecordLive) {
+        if record.placements == 0 || !is_enforced(Guard::DecisionRecordKeptWhileLive) {
             self.retire(round);
         }
     }
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -196,12 +196,12 @@
     /// capacity. Jobs whose tasks are all placed are not affected.
     fn on_capacity_freed(&mut self, ctx: &mut Context, priority: Priority) {
         for id in &self.unplaced_jobs {
-            let job = self.jobs.get_mut(id).filter(|job| job.wire.priority >= priority);
+            let job = self.jobs.get_mut(id).filter(|job| job.spec.priority >= priority);
             if let Some(job) = job {
                 job.capacity_freed(ctx.now);
             }
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Performs all due work: reads and writes records, resends messages, and starts a round.
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::Job;
 use crate::quota::admission::{Admission, AdmissionRequest, Admitted, QuotaClaim};
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::QuotaAmount;
 use leaddeal_wire::user::Kind;
@@ -45,7 +45,7 @@
 
 /// A pending job of a team with a quota, and how many of its tasks are admitted.
 #[derive(Debug)]
-pub(super) struct WaitingJob {
+pub(super) struct JobAdmission {
     pub(super) id: JobId,
     pub(super) team: u8,
     pub(super) request: AdmissionRequest,
@@ -75,11 +75,11 @@
     }
 
     fn is_gang(&self) -> bool {
-        self.job.wire.kind == Kind::Gang
+        self.job.spec.kind == Kind::Gang
     }
 
     fn queue(&self) -> TeamQueue {
-        (self.team, self.job.wire.priority)
+        (self.team, self.job.spec.priority)
     }
 
     /// Returns what the next task takes of the quota, or the gang as a whole.
@@ -97,21 +97,24 @@
     /// Returns how many tasks of each pending job are admitted, for the jobs whose teams have a
     /// quota. Jobs of other teams need no admission.
     pub(super) fn admitted(&self, ctx: &Context) -> HashMap<JobId, Admitted> {
-        self.admit_waiting(ctx).into_iter().map(|job| (job.id, job.admitted)).collect()
+        self.admit_pending(ctx)
+            .into_iter()
+            .map(|admission| (admission.id, admission.admitted))
+            .collect()
     }
 
     /// Returns the pending jobs of teams with a quota in the order of their rank, each with its
     /// admission.
-    pub(super) fn admit_waiting(&self, ctx: &Context) -> Vec<WaitingJob> {
+    pub(super) fn admit_pending(&self, ctx: &Context) -> Vec<JobAdmission> {
         let quotas = team_quotas(ctx);
         if quotas.is_empty() {
             return Vec::new();
         }
         let statuses = self.quota_statuses(ctx);
-        let phase = LimitPhase::at(ctx.wall_clock_ms);
+        let phase = QuotaPhase::at(ctx.wall_clock_ms);
         let mut admissions: BTreeMap<u8, Admission> = BTreeMap::new();
         let mut queues_keeping = BTreeSet::new();
-        let mut waiting = Vec::new();
+        let mut job_admissions = Vec::new();
         for pending in self.pending_jobs_with_quota(ctx) {
             if !pending.can_fit(&quotas) {
                 continue;
@@ -122,18 +125,25 @@
                 admissions.entry(team).or_insert_with(|| Admission::new(status()).in_phase(phase));
             let claim = self.quota_claim(&pending, phase, ctx.now, &mut queues_keeping);
             let request = AdmissionRequest {
-                priority: pending.job.wire.priority,
-                task: pending.task,
-                count: pending.count(),
+                priority: pending.job.spec.priority,
+                amount_per_task: pending.task,
+                tasks: pending.count(),
                 all_or_nothing: pending.is_gang(),
                 yields_quota: claim == QuotaClaim::Nothing,
             };
             let admitted = admission.admit_claim(&request, claim);
             let is_grant_known = statuses.contains_key(&team);
             let id = pending.job.id;
-            waiting.push(WaitingJob { id, team, request, claim, admitted, is_grant_known });
+            job_admissions.push(JobAdmission {
+                id,
+                team,
+                request,
+                claim,
+                admitted,
+                is_grant_known,
+            });
         }
-        waiting
+        job_admissions
     }
 
     /// Returns the pending jobs of teams with a quota in the order of their rank.
@@ -143,7 +153,7 @@
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| job.may_start())
             .filter_map(|job| {
-                let QuotaUse { team, amount: task } = ctx.team_use(job)?;
+                let QuotaUse { team, amount: task } = ctx.quota_use(job)?;
                 let rank = QueueRank::of(job, ctx.now);
                 Some(PendingJob { rank, job, team, task })
             })
@@ -157,7 +167,7 @@
     fn quota_claim(
         &self,
         pending: &PendingJob,
-        phase: LimitPhase,
+        phase: QuotaPhase,
         now: Timestamp,
         queues_keeping: &mut BTreeSet<TeamQueue>,
     ) -> QuotaClaim {
@@ -167,11 +177,12 @@
         }
         let unmet_ms = job.demand_unmet_ms(now).filter(|unmet_ms| *unmet_ms > YIELD_AFTER_MS);
         // Without a recent request, there may be capacity for the job by now.
-        let unmet_ms = unmet_ms.filter(|_| job.was_refused_within(UNMET_EVIDENCE_MS, now));
+        let unmet_ms = unmet_ms.filter(|_| job.had_no_capacity_within(UNMET_EVIDENCE_MS, now));
         let Some(unmet_ms) = unmet_ms else { return QuotaClaim::All };
-        let is_preempting = job.preempting_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
+        let is_preempting =
+            job.preemption_reported_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
         let cycle = if is_preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
-        let keeps_next = phase == LimitPhase::Keeping
+        let keeps_next = phase == QuotaPhase::Reserving
             && cycle.is_active(unmet_ms)
             && queues_keeping.insert(pending.queue());
         if self.keeps_preempted_quota(job.id, now) {
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -36,15 +36,15 @@
 /// start, but for a task that saves its progress at most the time it needs to save.
 fn lost_work(job: &Job, placement: &Placement, need: Resources, now: Timestamp) -> u64 {
     let ran_s = now.saturating_sub(placement.placed_at) / 1000;
-    let saves = job.wire.checkpoint_s > 0.0;
-    let lost_s = if saves { ran_s.min(job.wire.save_s as u64 + 1) } else { ran_s };
+    let saves_progress = job.spec.checkpoint_s > 0.0;
+    let lost_s = if saves_progress { ran_s.min(job.spec.save_s as u64 + 1) } else { ran_s };
     lost_s * (need.cpu + CORES_PER_GPU * need.gpu)
 }
 
 impl PreemptibleWork {
     /// Adds the tasks of a job that count against a quota: one by one, or a gang as a whole.
     fn add(&mut self, job: &Job, now: Timestamp) {
-        let priority = job.wire.priority;
+        let priority = job.spec.priority;
         let key = Victim::Gang { job: job.id };
         let mut gang = Candidate { key, priority, need: Resources::default(), loss: 0 };
         for (task, placement) in job.placed.iter() {
@@ -55,7 +55,7 @@
                 continue;
             }
             let loss = lost_work(job, placement, need, now);
-            if job.wire.kind == Kind::Gang {
+            if job.spec.kind == Kind::Gang {
                 gang.need.add(need, 1);
                 gang.loss += loss;
             } else {
@@ -87,11 +87,11 @@
             return;
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let Some(QuotaUse { team, amount }) = ctx.team_use(job) else { return };
-        let gang = job.wire.kind == Kind::Gang;
-        let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
-        let fewest = if gang { wanted } else { 1 };
-        let priority = job.wire.priority;
+        let Some(QuotaUse { team, amount }) = ctx.quota_use(job) else { return };
+        let is_gang = job.spec.kind == Kind::Gang;
+        let wanted = if is_gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
+        let min_wanted = if is_gang { wanted } else { 1 };
+        let priority = job.spec.priority;
         let preemptible = self.preemptible_work(ctx, team, priority);
         let free = status.free();
         let mut free = Resources { cpu: free.cpu, gpu: free.gpu, mem: 0 };
@@ -100,7 +100,7 @@
             let count = u64::from(count);
             Resources { cpu: amount.cpu * count, gpu: amount.gpu * count, mem: 0 }
         };
-        let chosen = [wanted, fewest].into_iter().find_map(|count| {
+        let chosen = [wanted, min_wanted].into_iter().find_map(|count| {
             choose_victims(free, need(count), priority, preemptible.candidates.clone())
         });
         let Some((victims, _)) = chosen else { return };
@@ -119,8 +119,8 @@
             PreemptibleWork { stopping: Resources::default(), candidates: Vec::new() };
         let jobs = self.jobs.values();
         let of_team = jobs
-            .filter(|job| job.wire.kind != Kind::Service && job.wire.priority < priority)
-            .filter(|job| ctx.team_use(job).is_some_and(|usage| usage.team == team));
+            .filter(|job| job.spec.kind != Kind::Service && job.spec.priority < priority)
+            .filter(|job| ctx.quota_use(job).is_some_and(|usage| usage.team == team));
         for job in of_team {
             preemptible.add(job, ctx.now);
         }
@@ -130,8 +130,8 @@
     fn stop_victim(&mut self, victim: Victim) {
         let (Victim::Task { job: id, .. } | Victim::Gang { job: id }) = victim;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let saves = job.wire.checkpoint_s > 0.0;
-        let grace_s = if saves { job.wire.save_s + SAVE_MARGIN_S } else { 0.0 };
+        let saves_progress = job.spec.checkpoint_s > 0.0;
+        let grace_s = if saves_progress { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
         let before = job.placed.stopping();
         match victim {
             Victim::Task { task, .. } => job.placed.stop(task, grace_s),
--- a/crates/core/src/coordinator/start_statistics.rs
+++ b/crates/core/src/coordinator/start_statistics.rs
@@ -43,7 +43,7 @@
 
     /// Counts a job whose first task has started.
     pub(super) fn record_start(&mut self, job: &Job, now: Timestamp) {
-        let wait_ms = now.saturating_sub(job.created);
+        let wait_ms = now.saturating_sub(job.submitted_at);
         self.update(job, |counts| {
             counts.started += 1;
             counts.longest_wait_ms = counts.longest_wait_ms.max(wait_ms);
@@ -52,7 +52,7 @@
 
     /// Applies a change to the counts of the job's class and to those of its team.
     fn update(&mut self, job: &Job, change: impl Fn(&mut GroupCounts)) {
-        for (kind, name) in [("class", &job.wire.class), ("team", &job.wire.team)] {
+        for (kind, name) in [("class", &job.spec.class), ("team", &job.spec.team)] {
             change(self.group(format!("{kind}.{name}")));
         }
     }
@@ -78,9 +78,9 @@
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .filter(|job| job.first_started_at.is_none());
-        if let Some(job) = waiting.max_by_key(|job| job.wire.tasks) {
-            let (id, tasks) = (&job.wire.id, job.wire.tasks);
-            let waited_s = now.saturating_sub(job.created) / 1000;
+        if let Some(job) = waiting.max_by_key(|job| job.spec.tasks) {
+            let (id, tasks) = (&job.spec.id, job.spec.tasks);
+            let waited_s = now.saturating_sub(job.submitted_at) / 1000;
             details.push(format!("largest_waiting={id} tasks={tasks} for_s={waited_s}"));
         }
         format!("shard={} {}", self.shard.0, details.join(" "))
--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -1,7 +1,7 @@
 //! Terminal states: the changes that write them, and the job states that users see.
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::JobId;
 use crate::jobs::{job_state, Job};
 use crate::keys;
@@ -35,7 +35,7 @@
         ];
         // Most jobs end before any of their completions was compacted, so no chunk needs deleting.
         if !job.completion.stored_chunks.is_empty() {
-            for chunk in 0..job.wire.tasks.div_ceil(TASKS_PER_CHUNK) {
+            for chunk in 0..job.spec.tasks.div_ceil(TASKS_PER_CHUNK) {
                 changes.push(Change::Delete { key: keys::completion_key(self.shard, id, chunk) });
             }
         }
@@ -59,7 +59,8 @@
         // The terminal state of a tombstone is in the store. A terminal state that is being written
         // may be in the store already, where another node may have read it and shown it to a user:
         // an answer from memory would contradict it.
-        let is_current = job.termination.status.is_none() || !holds(Guard::Finishing);
+        let is_current =
+            job.termination.status.is_none() || !is_enforced(Guard::StateWithheldDuringTermination);
         (!job.is_tombstone() && is_current).then(|| job.state())
     }
 }
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -4,7 +4,7 @@
 use crate::budget::WriteClass;
 use crate::context::Operation;
 use crate::coordinator::Coordinator;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::horizon::OwnedShard;
 use crate::ids::{Epoch, NodeIdx, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
@@ -61,8 +61,9 @@
         // The second condition guards against a late answer of the store, after this node has learned
         // of a newer owner.
         if self.active_epoch(shard).is_some_and(|active| active >= epoch)
-            || (holds(Guard::OlderEpoch) && owner.is_some_and(|owner| owner.epoch > epoch))
-            || (holds(Guard::GivenUp) && epoch <= relinquished)
+            || (is_enforced(Guard::OlderEpochNotOwned)
+                && owner.is_some_and(|owner| owner.epoch > epoch))
+            || (is_enforced(Guard::RelinquishedEpochRejected) && epoch <= relinquished)
         {
             return;
         }
@@ -189,7 +190,7 @@
         }
         let count = self.shared.shard_count();
         let home = shard.0 as usize;
-        let is_reachable = |node: usize| self.shared.health.hears(NodeIdx(node as u8), now);
+        let is_reachable = |node: usize| self.shared.health.is_reachable(NodeIdx(node as u8), now);
         let nodes_ahead = (1..count)
             .map(|distance| (home + distance) % count)
             .take_while(|&node| node != self.shared.this_node.0 as usize)
@@ -215,7 +216,7 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
+        context.call_store(Operation::Acquire { shard }, StoreCall::Transaction(transaction));
     }
 
     /// Handles the answer to an acquisition. If another node has acquired the shard, the watch on the
@@ -229,7 +230,8 @@
         self.shared.shard_views[shard.0 as usize].acquisition_in_flight = false;
         match result {
             StoreResult::Committed(revision)
-                if self.shared.lease.is_valid(effects.now) || !holds(Guard::DoubtOwns) =>
+                if self.shared.lease.is_valid(effects.now)
+                    || !is_enforced(Guard::AcquisitionNeedsValidLease) =>
             {
                 self.begin_ownership(effects, shard, Epoch(*revision));
             }
@@ -270,7 +272,8 @@
         };
         self.shared.budget.spend(WriteClass::Ownership, 1);
         let mut context = self.shared.context(effects);
-        context.store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
+        context
+            .call_store(Operation::Release { shard, epoch }, StoreCall::Transaction(transaction));
     }
 
     /// Handles the answer to the transaction that releases a shard.
@@ -294,7 +297,9 @@
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
             // The shard may have been released already, so this node stops acting for it. The lease or
             // the watch on the shards' keys will show whether it was.
-            StoreResult::Unknown if holds(Guard::ReleaseUnsure) => self.drop_shard(effects, shard),
+            StoreResult::Unknown if is_enforced(Guard::UncertainReleaseEndsOwnership) => {
+                self.drop_shard(effects, shard);
+            }
             _ => {
                 if let Some(active) = &mut self.owned[index] {
                     active.releasing = false;
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -69,12 +69,12 @@
     Config {
         worker_lease_ms: (params.workers.lease_s * 1000.0) as u64,
         cancel_ms: (params.workers.cancel_s * 1000.0) as u64,
-        quiet_ms: (params.workers.report_s * QUIET_MS_PER_INTERVAL_S) as u64 + QUIET_EXTRA_MS,
-        report_due_ms: (params.workers.report_s * REPORT_DUE_MS_PER_INTERVAL_S) as u64
+        max_silence_ms: (params.workers.report_s * QUIET_MS_PER_INTERVAL_S) as u64 + QUIET_EXTRA_MS,
+        heartbeat_due_ms: (params.workers.report_s * REPORT_DUE_MS_PER_INTERVAL_S) as u64
             + REPORT_DUE_EXTRA_MS,
         max_placements,
         txn_ops: params.state.txn_ops,
-        cloud_gap_ms: (CLOUD_GAP_AT_1_RPS_MS / params.cloud.rps) as u64,
+        cloud_call_interval_ms: (CLOUD_GAP_AT_1_RPS_MS / params.cloud.rps) as u64,
         list_lag_ms: (params.cloud.list_lag_s * 1000.0) as u64,
         teams: params.teams.clone(),
         objectives: Objectives::new(&params.objectives, 1000.0 / placed_per_s.max(1.0)),
@@ -121,7 +121,7 @@
             now: effects.now,
             wall_clock_ms: self.wall_clock_ms,
             lease_valid: self.lease.is_valid(effects.now),
-            wake: false,
+            needs_round: false,
             effects,
             names: &mut self.names,
             config: &self.config,
@@ -129,7 +129,7 @@
             horizons: &mut self.horizons,
             me: self.this_node,
             shard_views: &self.shard_views,
-            heard_at: self.health.heard_at(),
+            last_contact_at: self.health.last_contact_at(),
             operations: &mut self.operations,
             outbox: &mut self.outbox,
             relayed_requests: &mut self.relayed_requests,
@@ -160,6 +160,6 @@
 
     /// Whether so many calls to outside services are in flight that none is begun for a user.
     pub(super) fn too_many_operations(&self) -> bool {
-        self.operations.open.len() > super::MAX_OPEN_CALLS
+        self.operations.by_id.len() > super::MAX_OPEN_CALLS
     }
 }
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -33,10 +33,10 @@
             Operation::Release { shard, epoch } => {
                 self.on_release_result(effects, shard, epoch, &result);
             }
-            Operation::Records { shard, epoch } => {
+            Operation::ReadRecords { shard, epoch } => {
                 self.on_records_read(effects, shard, epoch, result);
             }
-            Operation::Decide { shard, epoch } => {
+            Operation::WriteDecision { shard, epoch } => {
                 self.on_coordinator_write(
                     effects,
                     shard,
@@ -45,7 +45,7 @@
                     &result,
                 );
             }
-            Operation::Compaction { shard, epoch } => {
+            Operation::WriteCompaction { shard, epoch } => {
                 self.on_coordinator_write(
                     effects,
                     shard,
@@ -54,7 +54,7 @@
                     &result,
                 );
             }
-            Operation::Finish { shard, epoch, job } => {
+            Operation::WriteCancellation { shard, epoch, job } => {
                 self.on_coordinator_write(
                     effects,
                     shard,
@@ -63,14 +63,14 @@
                     &result,
                 );
             }
-            Operation::Submit { req, id, value } => {
+            Operation::WriteSubmission { req, id, value } => {
                 self.on_submission_result(effects, req, id, &value, &result);
             }
             Operation::ReadJob { lookup } => self.on_job_read(effects, lookup, &result),
             Operation::ReadTerminalState { lookup } => {
                 self.on_terminal_state_read(effects, lookup, result);
             }
-            Operation::TerminalStates { shard, asked } => {
+            Operation::ReadTerminalStates { shard, asked } => {
                 self.on_terminal_states_read(effects.now, shard, asked, result);
             }
             Operation::PutOperatorMachines => self.on_operator_machines_put(effects, &result),
@@ -91,7 +91,7 @@
         let Some(active) = slot.as_mut().filter(|active| active.epoch == epoch) else { return };
         let mut context = self.shared.context(effects);
         active.coordinator.on_records_result(&mut context, result);
-        self.wake |= context.wake;
+        self.wake |= context.needs_round;
     }
 
     /// Handles the answer to a coordinator's write. If it shows that this node has lost the shard, the
@@ -115,7 +115,7 @@
                 coordinator.on_cancellation_result(&mut context, job, result)
             }
         };
-        self.wake |= context.wake;
+        self.wake |= context.needs_round;
         if ownership == Ownership::Lost {
             self.drop_shard(effects, shard);
             self.shard_list.relist_from(effects.now);
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -2,7 +2,7 @@
 //! cancellation horizon (see [`crate::horizon`]).
 use super::Node;
 use crate::context::Operation;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Shard, Timestamp};
 use crate::io::{Effects, StoreCall, StoreResult};
 use crate::keys;
@@ -89,11 +89,14 @@
         let now = effects.now;
         let is_active = self.shared.lease.is_valid(now)
             && self.owned.iter().any(Option::is_some)
-            && holds(Guard::SilentFinals);
+            && is_enforced(Guard::SilentOwnerReadFromStore);
         // Cancellations before the horizon may have been sent to a previous owner of this node's
         // machines that failed before it acted on them.
-        let margin_ms =
-            if holds(Guard::FinalsBack) { OVERLAP_MS + self.shared.config.cancel_ms } else { 0 };
+        let margin_ms = if is_enforced(Guard::TerminalStatesReadWithMargin) {
+            OVERLAP_MS + self.shared.config.cancel_ms
+        } else {
+            0
+        };
         for shard in self.shared.shards() {
             let read_from = self.shared.horizons.read_store_from(shard, margin_ms, now);
             match read_from.filter(|_| is_active) {
@@ -118,8 +121,8 @@
         if !matches!(call, StoreCall::List { after: Some(_), .. }) {
             state.as_of = now;
         }
-        let operation = Operation::TerminalStates { shard, asked: now };
-        self.shared.context(effects).store(operation, call);
+        let operation = Operation::ReadTerminalStates { shard, asked: now };
+        self.shared.context(effects).call_store(operation, call);
     }
 
     /// Handles the answer to a reader's call that was made at `called_at`. It is ignored if the reader
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -2,9 +2,9 @@
 use super::Node;
 use crate::budget::WriteClass;
 use crate::context::{
-    queued, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
+    queued_state, JobLookup, LookupPurpose, Operation, SubmissionRejection, UNKNOWN_RETRY_S,
 };
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{shard_of_job, JobId, MachineTypeIdx, NodeIdx, Shard, Timestamp};
 use crate::io::{Effects, LogLevel, RequestId, StoreCall, StoreResult, UserReply};
 use crate::jobs::{job_state, wire_shape};
@@ -76,13 +76,15 @@
         let value = JobRecord { accepted_at_ms: Some(self.shared.wall_clock_ms), job }.encode();
         let key = keys::job_key(shard, id);
         let mut conditions = vec![Condition { key: key.clone(), version: 0 }];
-        if holds(Guard::SubmittedOnce) {
+        if is_enforced(Guard::NoSubmissionAfterTermination) {
             conditions.push(Condition { key: keys::terminal_state_key(shard, id), version: 0 });
         }
         let changes = vec![Change::Put { key, value: value.clone(), lease: None }];
         self.shared.budget.spend(WriteClass::Submission, 1);
         let call = StoreCall::Transaction(Transaction { conditions, changes });
-        self.shared.context(effects).store(Operation::Submit { req, id, value }, call);
+        self.shared
+            .context(effects)
+            .call_store(Operation::WriteSubmission { req, id, value }, call);
     }
 
     /// Whether the job can ever run: some machine type fits one of its tasks, and the team's quota fits
@@ -139,7 +141,8 @@
 
     /// Whether this node owns the shard, has loaded it, and may answer for it under its lease.
     fn can_answer_for(&self, shard: Shard, now: Timestamp) -> bool {
-        let valid = self.shared.lease.is_valid(now) || !holds(Guard::DoubtTells);
+        let valid =
+            self.shared.lease.is_valid(now) || !is_enforced(Guard::UserAnswerNeedsValidLease);
         let active = self.owned[shard.0 as usize].as_ref();
         active.is_some_and(|active| valid && active.coordinator.is_ready())
     }
@@ -163,7 +166,8 @@
     /// Returns the sibling that owns the shard, if it is reachable.
     fn reachable_owner(&self, shard: Shard, now: Timestamp) -> Option<NodeIdx> {
         let owner = self.shared.owner(shard)?.node;
-        let is_reachable = owner != self.shared.this_node && self.shared.health.hears(owner, now);
+        let is_reachable =
+            owner != self.shared.this_node && self.shared.health.is_reachable(owner, now);
         is_reachable.then_some(owner)
     }
 
@@ -175,7 +179,7 @@
             return self.reply_later(effects, lookup.req, OVERLOADED_RETRY_S);
         }
         let mut context = self.shared.context(effects);
-        if holds(Guard::KeyBeforeFinal) {
+        if is_enforced(Guard::JobReadBeforeTerminalState) {
             context.read_job(lookup);
         } else {
             context.read_terminal_state(lookup);
@@ -195,8 +199,10 @@
             StoreResult::Item(Some(_)) if lookup.purpose == LookupPurpose::Cancellation => {
                 context.reply_later(lookup.req, 503, UNKNOWN_RETRY_S);
             }
-            StoreResult::Item(Some(_)) => context.reply_state(lookup.req, 200, queued(lookup.id)),
-            StoreResult::Item(None) if holds(Guard::KeyBeforeFinal) => {
+            StoreResult::Item(Some(_)) => {
+                context.reply_state(lookup.req, 200, queued_state(lookup.id));
+            }
+            StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.read_terminal_state(lookup);
             }
             StoreResult::Item(None) => context.reply_unknown(lookup),
@@ -222,7 +228,7 @@
                     context.reply_later(lookup.req, 503, UNREADABLE_RETRY_S);
                 }
             },
-            StoreResult::Item(None) if holds(Guard::KeyBeforeFinal) => {
+            StoreResult::Item(None) if is_enforced(Guard::JobReadBeforeTerminalState) => {
                 context.reply_unknown(lookup);
             }
             StoreResult::Item(None) => context.read_job(lookup),
@@ -242,13 +248,13 @@
         match result {
             StoreResult::Committed(revision) => {
                 self.job_created(effects, id, value, *revision);
-                self.shared.context(effects).reply(req, UserReply::created(queued(id)));
+                self.shared.context(effects).reply(req, UserReply::created(queued_state(id)));
             }
             StoreResult::Conflict(_) => {
                 self.lookup(effects, req, id, LookupPurpose::Resubmission);
             }
-            StoreResult::Unknown if !holds(Guard::AcceptedDurable) => {
-                self.shared.context(effects).reply(req, UserReply::created(queued(id)));
+            StoreResult::Unknown if !is_enforced(Guard::SubmissionDurableBeforeAck) => {
+                self.shared.context(effects).reply(req, UserReply::created(queued_state(id)));
             }
             _ => self.reply_later(effects, req, UNKNOWN_RETRY_S),
         }
@@ -267,12 +273,12 @@
         // While the coordinator loads its jobs, the list will contain this one. If the list is newer
         // than the creation of the job but lacks it, then this answer came late and the job has already
         // reached a terminal state. Informing the coordinator then returned a completed job to running.
-        let is_newer =
-            revision > active.coordinator.jobs_loaded_revision || !holds(Guard::LoadedFrom);
+        let is_newer = revision > active.coordinator.jobs_loaded_revision
+            || !is_enforced(Guard::LateSubmissionResponseIgnored);
         if active.coordinator.is_ready() && is_newer {
             let mut context = self.shared.context(effects);
             active.coordinator.add_job_record(&mut context, &keys::job_key(shard, id), value);
-            self.wake |= context.wake;
+            self.wake |= context.needs_round;
         }
     }
 }
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -93,7 +93,7 @@
             && machine.reachability.unreachable_since().is_none()
             && machine.quarantined_until <= ctx.now
             && !self.is_suspected(idx, ctx.now)
-            && ctx.now < machine.last_heartbeat_at + ctx.config.quiet_ms
+            && ctx.now < machine.last_heartbeat_at + ctx.config.max_silence_ms
     }
 
     /// Returns whether a machine that is too expensive for the request causes no additional cost: it is
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -3,7 +3,7 @@
 use super::capacity_index::{CapacityEntry, MachineGroup};
 use super::Participant;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use crate::io::LogLevel;
 use crate::machine::Machine;
@@ -102,7 +102,7 @@
         // While this node's own lease is uncertain, a newer owner may already be renewing the worker's
         // lease, so the machine is not declared lost. Otherwise a task can run twice (simulator seed
         // 186).
-        if lease_over && !ctx.lease_valid && holds(Guard::DoubtLoses) {
+        if lease_over && !ctx.lease_valid && is_enforced(Guard::MachineLossNeedsValidLease) {
             return Some(now + UNCERTAIN_CHECK_INTERVAL_MS);
         }
         if lease_over {
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -17,7 +17,7 @@
 //!   requests;
 //! - `figures`, `offer_obstacles`: counts for the operators' log.
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, MachineIdx, NegotiationId, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::machine::Machine;
 use crate::shard::plus_clock_drift;
@@ -128,8 +128,11 @@
         shards: usize,
         patience_ms: u64,
     ) -> Participant {
-        let patience_ends =
-            if holds(Guard::Patience) { now + plus_clock_drift(patience_ms) } else { now };
+        let patience_ends = if is_enforced(Guard::PreviousOwnersTimedOut) {
+            now + plus_clock_drift(patience_ms)
+        } else {
+            now
+        };
         Participant {
             shard,
             epoch,
@@ -196,7 +199,7 @@
         let Some(known) = self.coordinator_epochs.get_mut(shard.0 as usize) else {
             return false;
         };
-        if epoch < *known && holds(Guard::OldSender) {
+        if epoch < *known && is_enforced(Guard::OutdatedSenderRejected) {
             return false;
         }
         if epoch > *known {
--- a/crates/core/src/shard.rs
+++ b/crates/core/src/shard.rs
@@ -1,5 +1,5 @@
 //! This controller's lease at the state service, and what it knows of the owner of each shard.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, NodeIdx, Timestamp};
 
 /// Time from the last renewal of a controller's lease at the state service to its expiry, in ms.
@@ -11,13 +11,13 @@
 /// other clock. Clock rates may differ by 0.05%; the margin is 0.1% and an additional 50 ms for the
 /// rounding of timers.
 pub fn minus_clock_drift(ms: u64) -> u64 {
-    ms.saturating_sub(if holds(Guard::Drift) { ms / 1000 + 50 } else { 0 })
+    ms.saturating_sub(if is_enforced(Guard::ClockDriftAllowance) { ms / 1000 + 50 } else { 0 })
 }
 
 /// Returns an interval of this node's clock, in ms, that is certainly not shorter than `ms` on any
 /// other clock.
 pub fn plus_clock_drift(ms: u64) -> u64 {
-    ms + if holds(Guard::Drift) { ms / 1000 + 250 } else { 0 }
+    ms + if is_enforced(Guard::ClockDriftAllowance) { ms / 1000 + 250 } else { 0 }
 }
 
 /// A present or former owner of a shard.
--- a/crates/core/src/shard/tests.rs
+++ b/crates/core/src/shard/tests.rs
@@ -41,6 +41,6 @@
 #[cfg(feature = "guards")]
 #[test]
 fn tests_fail_without_their_guards() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Drift, lease_expiry_allows_for_clock_drift);
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::ClockDriftAllowance, lease_expiry_allows_for_clock_drift);
 }
--- a/crates/core/src/writes.rs
+++ b/crates/core/src/writes.rs
@@ -8,7 +8,7 @@
 //!   conditional on the version of a key that it writes, so it is committed at most once, however
 //!   often it is sent.
 use crate::budget::{WriteBudget, WriteClass};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, Timestamp};
 use crate::io::{StoreCall, StoreResult};
 use crate::keys;
@@ -71,7 +71,8 @@
         changes: Vec<Change>,
     ) -> PendingWrite {
         let fence = Condition { key: keys::shard_key(shard), version: epoch.0 };
-        let conditions = if holds(Guard::Epoch) { vec![fence] } else { Vec::new() };
+        let conditions =
+            if is_enforced(Guard::WritesFencedByEpoch) { vec![fence] } else { Vec::new() };
         PendingWrite {
             costs: vec![WriteCost { class, changes: changes.len() }],
             shard,
@@ -144,7 +145,8 @@
             StoreResult::Item(None) if self.executed => WriteOutcome::Fenced,
             StoreResult::Conflict(failed_keys) => self.on_conflict(now, failed_keys),
             StoreResult::Refused | StoreResult::RateLimited
-                if !self.earlier_try_uncertain || !holds(Guard::OutcomeKnown) =>
+                if !self.earlier_try_uncertain
+                    || !is_enforced(Guard::RefusalInconclusiveAfterUnknownTry) =>
             {
                 WriteOutcome::NotCommitted
             }
