--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -7,8 +7,8 @@
 use crate::quota::phase::LimitPhase;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
-/// Upper bound of delivery rounds after one input. Messages left after it are delivered after the
-/// next input.
+/// Upper bound of delivery rounds after one input. Messages left over are delivered after the next
+/// input.
 const MAX_DELIVERY_ROUNDS: usize = 50;
 
 /// A message to a shard that this node owns.
@@ -21,8 +21,8 @@
 }
 
 impl Node {
-    /// Delivers messages between shards and starts decision rounds until neither is left, for at most
-    /// [`MAX_DELIVERY_ROUNDS`].
+    /// Delivers messages between shards and starts decision rounds until there is neither a message nor
+    /// a coordinator that may have work, in at most [`MAX_DELIVERY_ROUNDS`] iterations.
     pub(super) fn deliver_messages(&mut self, effects: &mut Effects) {
         for _ in 0..MAX_DELIVERY_ROUNDS {
             if std::mem::take(&mut self.wake) {
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -79,7 +79,7 @@
         }
         self.shared.horizons.on_shard_acquired(shard);
         self.propagate_owners();
-        self.share_write_budget();
+        self.adjust_write_budget();
         if let Some(active) = &mut self.owned[index] {
             active.coordinator.tick(&mut self.shared.context(effects));
         }
@@ -87,11 +87,11 @@
 
     fn new_active_shard(&self, shard: Shard, epoch: Epoch, now: Timestamp) -> ActiveShard {
         let shards = self.shared.shard_count();
-        let patience_ms = self.shared.horizons.grace_period_ms();
+        let grace_period_ms = self.shared.horizons.grace_period_ms();
         ActiveShard {
             epoch,
             coordinator: Coordinator::new(shard, epoch, shards),
-            participant: Participant::new(shard, epoch, now, shards, patience_ms),
+            participant: Participant::new(shard, epoch, now, shards, grace_period_ms),
             quota: QuotaManager::new(shard, &self.shared.config.teams, shards),
             releasing: false,
             handover_until: 0,
@@ -112,10 +112,11 @@
                 self.provisioner = None;
             }
         }
-        self.share_write_budget();
+        self.adjust_write_budget();
     }
 
-    fn share_write_budget(&mut self) {
+    /// Adjusts this node's share of the write budget to the number of shards that it owns.
+    fn adjust_write_budget(&mut self) {
         let owned = self.owned.iter().flatten().count();
         self.shared.budget.set_owned_shards(owned, self.owned.len());
     }
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -62,18 +62,18 @@
             let context = self.shared.context(effects);
             let coordinator = active.coordinator.statistics(context.now);
             let participant = active.participant.figures(&context);
-            let served = active.coordinator.start_statistics(context.now);
+            let starts = active.coordinator.start_statistics(context.now);
             let obstacles = active.participant.obstacle_figures();
             let waiting = active.coordinator.wait_statistics(&context);
-            let limits = active.coordinator.quota_statistics(&context);
-            effects.log(LogLevel::Info, "service_levels", || served);
+            let quotas = active.coordinator.quota_statistics(&context);
+            effects.log(LogLevel::Info, "service_levels", || starts);
             effects.log(LogLevel::Info, "coordinator", || coordinator);
             effects.log(LogLevel::Info, "participant", || participant);
             let optional =
-                [("quotas", limits), ("waiting_jobs", waiting), ("offer_obstacles", obstacles)];
-            for (event, figures) in optional {
-                if let Some(figures) = figures {
-                    effects.log(LogLevel::Info, event, || figures);
+                [("quotas", quotas), ("waiting_jobs", waiting), ("offer_obstacles", obstacles)];
+            for (event, statistics) in optional {
+                if let Some(statistics) = statistics {
+                    effects.log(LogLevel::Info, event, || statistics);
                 }
             }
         }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -23,17 +23,17 @@
     ///   had cancelled a job, was unreachable (simulator seed 1498);
     /// - still received heartbeats of workers while the store refused first this controller and then
     ///   all of them.
-    fn can_answer_worker(&self, report: &WorkerHeartbeat, now: Timestamp) -> bool {
+    fn can_answer_worker(&self, heartbeat: &WorkerHeartbeat, now: Timestamp) -> bool {
         let shards = self.shared.shard_count();
         let permits = |shard| self.shared.horizons.permits_answer(shard, now);
-        let machine_shard = shard_of_machine(&report.machine, shards);
+        let machine_shard = shard_of_machine(&heartbeat.machine, shards);
         if self.shared.shards().all(permits) {
             return true;
         }
-        let reported = report.tasks.iter().filter_map(|task| Some(JobId(task.task?.job)));
+        let reported = heartbeat.tasks.iter().filter_map(|task| Some(JobId(task.task?.job)));
         let participant =
             self.owned[machine_shard.0 as usize].as_ref().map(|active| &active.participant);
-        let machine = self.shared.names.find_machine(&report.machine);
+        let machine = self.shared.names.find_machine(&heartbeat.machine);
         let placed = participant
             .zip(machine)
             .map(|(participant, machine)| participant.jobs_on(machine))
@@ -70,18 +70,18 @@
         effects.log(LogLevel::Info, "heartbeats_refused", || details);
     }
 
-    /// Handles a heartbeat that a worker sent to this node. It is answered, relayed to the owner of
-    /// the machine's shard, or refused with a redirect.
+    /// Handles a heartbeat that a worker sent to this node: answers it, relays it to the owner of the
+    /// machine's shard, or refuses it.
     pub(super) fn on_heartbeat(
         &mut self,
         effects: &mut Effects,
         req: RequestId,
-        report: Box<WorkerHeartbeat>,
+        heartbeat: Box<WorkerHeartbeat>,
     ) {
-        let reply = self.answer_heartbeat(effects, &report, None);
+        let reply = self.answer_heartbeat(effects, &heartbeat, None);
         if matches!(reply, WorkerReply::Redirect(Some(_))) {
-            if let Some(owner) = self.owner_to_relay_to(&report, effects.now) {
-                return self.relay_heartbeat(effects, owner, req, report);
+            if let Some(owner) = self.owner_to_relay_to(&heartbeat, effects.now) {
+                return self.relay_heartbeat(effects, owner, req, heartbeat);
             }
         }
         effects.push(Effect::Worker { req, reply });
@@ -89,18 +89,22 @@
 
     /// Returns the sibling to which the worker's heartbeat is to be relayed, because the worker does
     /// not reach it; `None`: the worker is redirected instead.
-    fn owner_to_relay_to(&mut self, report: &WorkerHeartbeat, now: Timestamp) -> Option<NodeIdx> {
-        let shard = shard_of_machine(&report.machine, self.shared.shard_count());
+    fn owner_to_relay_to(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        now: Timestamp,
+    ) -> Option<NodeIdx> {
+        let shard = shard_of_machine(&heartbeat.machine, self.shared.shard_count());
         let view = self.shared.shard_views[shard.0 as usize];
         let heard = view.owner.filter(|owner| self.shared.health.hears(owner.node, now));
-        let machine = self.shared.names.machine(&report.machine);
+        let machine = self.shared.names.machine(&heartbeat.machine);
         let owner = heard.filter(|_| self.calls.can_relay())?;
-        let heartbeat = MisdirectedHeartbeat {
+        let misdirected = MisdirectedHeartbeat {
             machine,
-            has_tasks: !report.tasks.is_empty(),
+            has_tasks: !heartbeat.tasks.is_empty(),
             owner_age_ms: now.saturating_sub(view.owned_since),
         };
-        (self.relay_table.route(heartbeat, now) == Route::Relayed).then_some(owner.node)
+        (self.relay_table.route(misdirected, now) == Route::Relayed).then_some(owner.node)
     }
 
     /// Returns the reply to a worker's heartbeat: the participant's response if this node owns the
@@ -109,14 +113,14 @@
     pub(super) fn answer_heartbeat(
         &mut self,
         effects: &mut Effects,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
         via: HeartbeatPath,
     ) -> WorkerReply {
-        let shard = shard_of_machine(&report.machine, self.shared.shard_count());
-        let may_answer = self.can_answer_worker(report, effects.now);
+        let shard = shard_of_machine(&heartbeat.machine, self.shared.shard_count());
+        let may_answer = self.can_answer_worker(heartbeat, effects.now);
         if let Some(active) = self.owned[shard.0 as usize].as_mut().filter(|_| may_answer) {
             let mut context = self.shared.context(effects);
-            return match active.participant.report(&mut context, report, via) {
+            return match active.participant.report(&mut context, heartbeat, via) {
                 Some(response) => WorkerReply::HeartbeatResponse(response),
                 None => WorkerReply::Redirect(None),
             };
