--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -44,7 +44,7 @@
         /// The request to answer.
         req: RequestId,
         /// The heartbeat.
-        report: Box<WorkerHeartbeat>,
+        heartbeat: Box<WorkerHeartbeat>,
     },
     /// The outcome of [`Effect::Commands`].
     CommandOutcome {
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -160,13 +160,16 @@
         effects: &mut Effects,
         owner: NodeIdx,
         req: RequestId,
-        report: Box<WorkerHeartbeat>,
+        heartbeat: Box<WorkerHeartbeat>,
     ) {
         let call = self.calls.next_number();
         let timeout_at = effects.now + CALL_TIMEOUT_MS;
         self.calls.relays.insert(call, PendingRelay { req, timeout_at });
         let to = self.shared.node_name(owner);
-        effects.push(Effect::Mesh { to, msg: NodeMessage::RelayedHeartbeat { call, report } });
+        effects.push(Effect::Mesh {
+            to,
+            msg: NodeMessage::RelayedHeartbeat { call, report: heartbeat },
+        });
     }
 
     /// Passes the owner's answer to a relayed heartbeat to the worker. If the owner has none, the
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -115,8 +115,8 @@
                 self.answer_job_query(effects, from, call, JobQuery { id: JobId(job), cancel });
             }
             NodeMessage::JobAnswer { call, answer } => self.on_job_answer(effects, call, answer),
-            NodeMessage::RelayedHeartbeat { call, report } => {
-                self.answer_relayed_heartbeat(effects, node, call, &report);
+            NodeMessage::RelayedHeartbeat { call, report: heartbeat } => {
+                self.answer_relayed_heartbeat(effects, node, call, &heartbeat);
             }
             NodeMessage::RelayedResponse { call, answer } => {
                 self.on_relay_answer(effects, call, answer);
@@ -156,9 +156,9 @@
         effects: &mut Effects,
         via: NodeIdx,
         call: u64,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
     ) {
-        let answer = match self.answer_heartbeat(effects, report, Some(via)) {
+        let answer = match self.answer_heartbeat(effects, heartbeat, Some(via)) {
             WorkerReply::HeartbeatResponse(response) => Some(response),
             WorkerReply::Redirect(_) | WorkerReply::Unavailable => None,
         };
--- a/crates/core/src/node/step.rs
+++ b/crates/core/src/node/step.rs
@@ -23,7 +23,7 @@
             Input::Submit { req, id, job } => self.submit(effects, req, id, job),
             Input::Get { req, id } => self.lookup(effects, req, id, LookupPurpose::GetState),
             Input::Cancel { req, id } => self.lookup(effects, req, id, LookupPurpose::Cancellation),
-            Input::WorkerHeartbeat { req, report } => self.on_heartbeat(effects, req, report),
+            Input::WorkerHeartbeat { req, heartbeat } => self.on_heartbeat(effects, req, heartbeat),
             Input::CommandOutcome { machine, batch, outcome } => {
                 self.on_command_outcome(effects, &machine, batch, &outcome);
             }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -555,7 +555,7 @@
             let from = format!("n-{}", 1 + i % 2);
             let sent = |msg| Input::Mesh { from: from.clone(), msg: Box::new(msg) };
             let input = match what {
-                Odd::WorkerHeartbeat(r) => Input::WorkerHeartbeat { req, report: Box::new(r) },
+                Odd::WorkerHeartbeat(r) => Input::WorkerHeartbeat { req, heartbeat: Box::new(r) },
                 Odd::Orders(r, done) => {
                     let machine = r.machine.clone();
                     let report = Box::new(r);
--- a/crates/leaddeal/src/gateway/handlers.rs
+++ b/crates/leaddeal/src/gateway/handlers.rs
@@ -59,7 +59,7 @@
         Ok(report) => report,
         Err(why) => return Ok(error(StatusCode::BAD_REQUEST, &why.to_string())),
     };
-    let input = |req| Input::WorkerHeartbeat { req, report: Box::new(report) };
+    let input = |req| Input::WorkerHeartbeat { req, heartbeat: Box::new(report) };
     Ok(match gateway.ask(input).await {
         Some(Reply::Worker(reply)) => worker_response(reply),
         _ => try_again_later(),
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -132,7 +132,7 @@
         let (machine, incarnation) = (heartbeat.machine.clone(), heartbeat.incarnation);
         let waiting = HeartbeatRequest { machine, sent_at, incarnation };
         let req = self.add_pending(node, PendingRequest::Heartbeat(waiting));
-        self.step(node, Input::WorkerHeartbeat { req, report: Box::new(heartbeat) })
+        self.step(node, Input::WorkerHeartbeat { req, heartbeat: Box::new(heartbeat) })
     }
 
     /// A controller replies to a heartbeat.
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -64,7 +64,7 @@
             Input::Submit { .. } => self.add("user submission", 0),
             Input::Get { .. } => self.add("user question", 0),
             Input::Cancel { .. } => self.add("user cancellation", 0),
-            Input::WorkerHeartbeat { report, .. } => self.add("worker report", json(report)),
+            Input::WorkerHeartbeat { heartbeat, .. } => self.add("worker report", json(heartbeat)),
             Input::CommandOutcome { .. } => self.add("worker answer to commands", 0),
             Input::Mesh { .. } => {}
             Input::Store { result, .. } => match result {
