--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -3,7 +3,7 @@
 use crate::budget::WriteClass;
 use crate::context::Context;
 use crate::coordinator::Coordinator;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Shard, Timestamp};
 use crate::jobs::Job;
 use crate::keys;
@@ -112,7 +112,7 @@
         } else {
             return write;
         };
-        if holds(Guard::FoldVersion) {
+        if is_enforced(Guard::CompactionWrittenOnce) {
             write.with_idempotency_key(key, version)
         } else {
             write
@@ -192,7 +192,7 @@
             let since = job.completion.uncompacted_since;
             let is_late = since.is_some_and(|since| now >= since + MAX_UNCOMPACTED_MS);
             // The terminal state of a job that is ending makes this write unnecessary.
-            let is_unfinished = job.termination.status.is_none() && !job.complete();
+            let is_unfinished = job.termination.status.is_none() && !job.is_complete();
             if (is_late || attempts >= MAX_UNCOMPACTED_ATTEMPTS) && is_unfinished {
                 due.push((Reverse(attempts), *id));
             }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -6,7 +6,7 @@
 use super::Ownership;
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, NegotiationId, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::RequestOutcome;
@@ -31,7 +31,8 @@
         selected: Vec<SelectedOffer>,
     ) {
         let round = self.next_round_id();
-        let epoch_of_attempt = if holds(Guard::AttemptEpoch) { self.epoch } else { Epoch(0) };
+        let epoch_of_attempt =
+            if is_enforced(Guard::AttemptNumberIncludesEpoch) { self.epoch } else { Epoch(0) };
         let attempt = Attempt::new(epoch_of_attempt, round);
         let (shard, epoch) = (self.shard, self.epoch);
         let slot = self.decision_log.take_slot(|| keys::decision_key(shard, epoch, round));
@@ -39,7 +40,7 @@
         let value = self.decision_record(ctx, attempt, &selected);
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
         let mut write = self.fenced_write(WriteClass::Decision, vec![put]);
-        if holds(Guard::DecisionVersion) {
+        if is_enforced(Guard::DecisionWrittenOnce) {
             write = write.with_idempotency_key(slot.key.clone(), slot.version);
         }
         let write = self.conditional_on_grants(ctx, write, &selected);
@@ -61,7 +62,7 @@
             machine: &choice.offer.machine,
             incarnation: choice.offer.incarnation,
             zone: ZoneIdx(choice.offer.zone),
-            quota: self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job)),
+            quota: self.jobs.get(&choice.job).and_then(|job| ctx.quota_use(job)),
         });
         DecisionRecord { attempt: attempt.0, placements: placements.collect() }.encode()
     }
@@ -77,10 +78,10 @@
     ) -> PendingWrite {
         for (team, grant) in &self.quota.grants {
             let is_used = selected.iter().any(|choice| {
-                let quota = self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job));
+                let quota = self.jobs.get(&choice.job).and_then(|job| ctx.quota_use(job));
                 quota.is_some_and(|quota| quota.team == *team)
             });
-            if is_used && holds(Guard::GrantEpoch) {
+            if is_used && is_enforced(Guard::GrantBoundToEpoch) {
                 write = write.with_condition(Condition {
                     key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
                     version: grant.epoch.0,
@@ -96,7 +97,7 @@
             return;
         };
         if let Some(call) = decision.write.next_call(ctx.now, ctx.budget) {
-            ctx.store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::WriteDecision { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
@@ -120,7 +121,7 @@
                 self.give_selected_back(ctx);
             }
             // Unknown whether it was executed: the tick retries it.
-            WriteOutcome::Pending if holds(Guard::DecidedDurable) => {}
+            WriteOutcome::Pending if is_enforced(Guard::DecisionDurableBeforeStart) => {}
             WriteOutcome::Pending => self.place_selected(ctx, 0),
         }
         Ownership::Kept
@@ -141,7 +142,7 @@
             ctx.send(self.shard, request.target.participant, request.into_message());
         }
         self.close_negotiation(ctx, decision.negotiation, &decision.holders);
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Places one task and adds it to the batch. Returns false if the job was cancelled while the
@@ -168,10 +169,10 @@
             sent_at: ctx.now,
             stop: None,
             adopted: false,
-            quota: ctx.team_use(job),
+            quota: ctx.quota_use(job),
         };
         if job.cancelled || job.termination.status.is_some() {
-            job.give_back(task);
+            job.return_task(task);
             self.unplaced_jobs.insert(id);
             return false;
         }
@@ -189,8 +190,8 @@
         let Some(decision) = self.pending_decision.take() else { return };
         for choice in &decision.selected {
             if let Some(job) = self.jobs.get_mut(&choice.job) {
-                job.give_back(choice.task);
-                job.last_request = Some(RequestOutcome::DecisionNotWritten);
+                job.return_task(choice.task);
+                job.last_request_outcome = Some(RequestOutcome::DecisionNotWritten);
                 job.not_before = ctx.now + DECISION_RETRY_INTERVAL_MS;
                 self.unplaced_jobs.insert(choice.job);
             }
--- a/crates/core/src/coordinator/decision_log/tests.rs
+++ b/crates/core/src/coordinator/decision_log/tests.rs
@@ -73,6 +73,6 @@
 #[cfg(feature = "guards")]
 #[test]
 fn tests_fail_without_their_guards() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::RecordLive, late_deletions_spare_live_decisions);
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::DecisionRecordKeptWhileLive, late_deletions_spare_live_decisions);
 }
--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -2,7 +2,7 @@
 //! watches for new jobs.
 use super::Coordinator;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, JobId};
 use crate::io::LogLevel;
 use crate::io::StoreResult;
@@ -48,7 +48,7 @@
     /// Requests the next page of records, or the next events of the watch, if no read is in flight.
     pub(super) fn read_next(&mut self, ctx: &mut Context) {
         if let Some(call) = self.record_reader.next_call(ctx.now) {
-            ctx.store(Operation::Records { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::ReadRecords { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
@@ -109,11 +109,11 @@
     /// Derives the state of the jobs once all records are read.
     fn finish_loading(&mut self, ctx: &mut Context) {
         self.adopt_decisions(ctx);
-        let done = self.jobs.values().filter(|job| job.complete() && !job.cancelled);
+        let done = self.jobs.values().filter(|job| job.is_complete() && !job.cancelled);
         let placed = self.jobs.values().filter(|job| !job.placed.is_empty());
         self.unsettled_jobs = placed.map(|job| job.id).collect();
         self.compaction.complete_jobs = done.map(|job| (job.id, ctx.now)).collect();
-        for job in self.jobs.values_mut().filter(|job| !job.wire.class.is_empty()) {
+        for job in self.jobs.values_mut().filter(|job| !job.spec.class.is_empty()) {
             if !job.placed.is_empty() || !job.done.is_empty() {
                 job.first_started_at = Some(ctx.now);
                 self.start_statistics.record_earlier_start(job);
@@ -121,10 +121,10 @@
         }
         // The terminal states of tombstones are in the store, but an earlier owner may have told no
         // other node of the cancellations.
-        for job in self.jobs.values().filter(|job| job.wire.class.is_empty()) {
+        for job in self.jobs.values().filter(|job| job.spec.class.is_empty()) {
             ctx.horizons.on_cancelled(self.shard, self.epoch, job.id, ctx.now);
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
         let (shard, jobs) = (self.shard.0, self.jobs.len());
         ctx.effects.log(LogLevel::Info, "shard_loaded", || format!("shard={shard} jobs={jobs}"));
     }
@@ -148,7 +148,7 @@
         self.start_statistics.record_submission(&job);
         self.jobs.insert(id, job);
         self.unplaced_jobs.insert(id);
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Adds the completed tasks of a loaded record. The tasks of a record that can't be decoded
@@ -162,7 +162,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.completion.stored_chunks.insert(chunk, record.version);
         let is_read = CompletionRecord::decode(&record.value)
-            .is_ok_and(|bitmap| job.done.insert_chunk(chunk, bitmap.0, job.wire.tasks));
+            .is_ok_and(|bitmap| job.done.insert_chunk(chunk, bitmap.0, job.spec.tasks));
         if !is_read {
             log_unreadable(ctx, &record.key);
         }
@@ -209,7 +209,7 @@
         record: &PlacementRecord,
     ) -> Adoption {
         let id: JobId = record.job;
-        if !self.jobs.contains_key(&id) && !holds(Guard::Leftovers) {
+        if !self.jobs.contains_key(&id) && !is_enforced(Guard::TerminatedJobTasksAdopted) {
             return Adoption::Skipped;
         }
         let participant = ctx.shard_of_machine(record.machine);
@@ -217,7 +217,7 @@
         let job = self.jobs.entry(id).or_insert_with(|| Job::tombstone(id, ctx.names));
         let known = job.placed.get(record.task);
         let is_older = known.is_some_and(|known| known.attempt > attempt);
-        if job.done.contains(record.task) || is_older && holds(Guard::NewestAttempt) {
+        if job.done.contains(record.task) || is_older && is_enforced(Guard::NewestAttemptAdopted) {
             return Adoption::Skipped;
         }
         let placement = Placement {
--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::Job;
 use crate::quota::admission::{Admission, AdmissionRequest, Admitted, QuotaClaim};
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::QuotaAmount;
 use leaddeal_wire::user::Kind;
@@ -75,11 +75,11 @@
     }
 
     fn is_gang(&self) -> bool {
-        self.job.wire.kind == Kind::Gang
+        self.job.spec.kind == Kind::Gang
     }
 
     fn queue(&self) -> TeamQueue {
-        (self.team, self.job.wire.priority)
+        (self.team, self.job.spec.priority)
     }
 
     /// Returns what the next task takes of the quota, or the gang as a whole.
@@ -111,7 +111,7 @@
             return Vec::new();
         }
         let statuses = self.quota_statuses(ctx);
-        let phase = LimitPhase::at(ctx.wall_clock_ms);
+        let phase = QuotaPhase::at(ctx.wall_clock_ms);
         let mut admissions: BTreeMap<u8, Admission> = BTreeMap::new();
         let mut queues_keeping = BTreeSet::new();
         let mut job_admissions = Vec::new();
@@ -125,9 +125,9 @@
                 admissions.entry(team).or_insert_with(|| Admission::new(status()).in_phase(phase));
             let claim = self.quota_claim(&pending, phase, ctx.now, &mut queues_keeping);
             let request = AdmissionRequest {
-                priority: pending.job.wire.priority,
-                task: pending.task,
-                count: pending.count(),
+                priority: pending.job.spec.priority,
+                amount_per_task: pending.task,
+                tasks: pending.count(),
                 all_or_nothing: pending.is_gang(),
                 yields_quota: claim == QuotaClaim::Nothing,
             };
@@ -153,7 +153,7 @@
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| job.may_start())
             .filter_map(|job| {
-                let QuotaUse { team, amount: task } = ctx.team_use(job)?;
+                let QuotaUse { team, amount: task } = ctx.quota_use(job)?;
                 let rank = QueueRank::of(job, ctx.now);
                 Some(PendingJob { rank, job, team, task })
             })
@@ -167,7 +167,7 @@
     fn quota_claim(
         &self,
         pending: &PendingJob,
-        phase: LimitPhase,
+        phase: QuotaPhase,
         now: Timestamp,
         queues_keeping: &mut BTreeSet<TeamQueue>,
     ) -> QuotaClaim {
@@ -177,11 +177,12 @@
         }
         let unmet_ms = job.demand_unmet_ms(now).filter(|unmet_ms| *unmet_ms > YIELD_AFTER_MS);
         // Without a recent request, there may be capacity for the job by now.
-        let unmet_ms = unmet_ms.filter(|_| job.was_refused_within(UNMET_EVIDENCE_MS, now));
+        let unmet_ms = unmet_ms.filter(|_| job.had_no_capacity_within(UNMET_EVIDENCE_MS, now));
         let Some(unmet_ms) = unmet_ms else { return QuotaClaim::All };
-        let is_preempting = job.preempting_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
+        let is_preempting =
+            job.preemption_reported_at.is_some_and(|at| now < at + PREEMPTING_TIMEOUT_MS);
         let cycle = if is_preempting { KEEP_QUOTA_PREEMPTING_CYCLE } else { KEEP_QUOTA_CYCLE };
-        let keeps_next = phase == LimitPhase::Keeping
+        let keeps_next = phase == QuotaPhase::Reserving
             && cycle.is_active(unmet_ms)
             && queues_keeping.insert(pending.queue());
         if self.keeps_preempted_quota(job.id, now) {
--- a/crates/core/src/coordinator/quota_report.rs
+++ b/crates/core/src/coordinator/quota_report.rs
@@ -6,7 +6,7 @@
 use crate::context::Context;
 use crate::ids::Timestamp;
 use crate::quota::admission::QuotaClaim;
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use leaddeal_wire::mesh::{FirstInQueue, QuotaAmount, ShardMessage, TeamUsage};
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
                 usage.used = used;
             }
         }
-        let phase = LimitPhase::at(ctx.wall_clock_ms);
+        let phase = QuotaPhase::at(ctx.wall_clock_ms);
         let (unplaceable, placeable): (Vec<_>, Vec<_>) =
             admissions.iter().partition(|admission| admission.claim == QuotaClaim::Nothing);
         for admission in placeable.into_iter().chain(unplaceable) {
@@ -72,13 +72,13 @@
         &self,
         usage: &mut TeamUsage,
         admission: &JobAdmission,
-        phase: LimitPhase,
+        phase: QuotaPhase,
         now: Timestamp,
     ) {
         let request = admission.request;
         let priority = request.priority as usize;
-        let all = request.task.times(request.count);
-        let need = request.task.times(request.next_count());
+        let all = request.amount_per_task.times(request.tasks);
+        let need = request.amount_per_task.times(request.next_count());
         let wanted = match admission.claim {
             QuotaClaim::All => all,
             QuotaClaim::Next => need,
@@ -88,8 +88,8 @@
         usage.unplaceable[priority] = usage.unplaceable[priority].plus(all.minus(wanted));
         let known = usage.first[priority];
         let is_first = match phase {
-            LimitPhase::Keeping => known.is_none() && admission.claim != QuotaClaim::Nothing,
-            LimitPhase::Filling => {
+            QuotaPhase::Reserving => known.is_none() && admission.claim != QuotaClaim::Nothing,
+            QuotaPhase::Backfilling => {
                 let is_smallest = known.is_none_or(|known| size(need) < size(known.need));
                 let is_only_choice = usage.wanted[priority] == QuotaAmount::default();
                 is_smallest && (admission.claim != QuotaClaim::Nothing || is_only_choice)
@@ -97,7 +97,7 @@
         };
         if is_first {
             let job = self.jobs.get(&admission.id);
-            let waited_ms = job.map_or(0, |job| now.saturating_sub(job.created));
+            let waited_ms = job.map_or(0, |job| now.saturating_sub(job.submitted_at));
             usage.first[priority] = Some(FirstInQueue { need, waited_ms });
         }
     }
@@ -110,7 +110,7 @@
             return None;
         }
         let preempted = std::mem::take(&mut self.quota.preempted_tasks);
-        let is_over_quota = |admission: &&JobAdmission| admission.admitted.in_turn == 0;
+        let is_over_quota = |admission: &&JobAdmission| admission.admitted.after_preemption == 0;
         let over_quota = self.quota.admissions.iter().filter(is_over_quota).count();
         let mut details = vec![format!(
             "shard={} over_quota={over_quota} preempted_in_team={preempted}",
@@ -118,14 +118,14 @@
         )];
         for (team, status) in self.quota_statuses(ctx) {
             let name = &ctx.config.teams[team as usize].name;
-            let (used, may) = (status.in_use(), status.may);
+            let (used, granted) = (status.in_use(), status.granted);
             let units = |thousandths: u64| thousandths as f64 / 1000.0;
             details.push(format!(
                 "team.{name}={:.1}/{:.1} gpus={:.1}/{:.1}",
                 units(used.cpu),
-                units(may.cpu),
+                units(granted.cpu),
                 units(used.gpu),
-                units(may.gpu)
+                units(granted.gpu)
             ));
         }
         Some(details.join(" "))
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -37,7 +37,7 @@
 
 /// Returns how many of a job's tasks its team's quota admits; all tasks if the team has no quota.
 fn admitted_tasks(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> Admitted {
-    match ctx.team_use(job) {
+    match ctx.quota_use(job) {
         Some(_) => admitted.get(&job.id).copied().unwrap_or_default(),
         None => Admitted::all(job.pending()),
     }
@@ -46,12 +46,12 @@
 /// Returns for how many tasks of a job to request offers if `left` of the round's `max` tasks are
 /// left. `None`: the job is a gang with more tasks than are left.
 fn requested_count(job: &Job, admitted: Admitted, max: u32, left: u32) -> Option<u32> {
-    if job.wire.kind == Kind::Gang {
+    if job.spec.kind == Kind::Gang {
         return (job.pending() <= left).then(|| job.pending());
     }
     // The tasks that the grant covers; if none, those that it would cover after lower-priority work
     // of the team was preempted.
-    let admitted_count = if admitted.now > 0 { admitted.now } else { admitted.in_turn };
+    let admitted_count = if admitted.now > 0 { admitted.now } else { admitted.after_preemption };
     // A single job must not fill the round: other jobs may fit where this one does not.
     let count = admitted_count.min(left).min(max / 3 + 1);
     let max_count = if job.failure_suspicion.is_suspected() { 1 } else { u32::MAX };
@@ -61,7 +61,7 @@
 fn build_request(ctx: &Context, job: &Job, admitted: Admitted, count: u32) -> RoundRequest {
     let is_covered = admitted.now > 0;
     let may_preempt =
-        job.wire.priority > Priority::Low && !job.failure_suspicion.is_suspected() && is_covered;
+        job.spec.priority > Priority::Low && !job.failure_suspicion.is_suspected() && is_covered;
     let queue_position = job.queue_position(ctx.now).map(|position| QueuePosition {
         holds_position: position.holds_position && is_covered,
         ..position
@@ -71,7 +71,7 @@
             job: job.id.0,
             shape: job.shape.wire.clone(),
             count,
-            zone_room: job.zone_room(&ctx.names.zones),
+            zone_room: job.max_per_zone(&ctx.names.zones),
             preempt: false,
             urgent: job.is_urgent(ctx.now),
             may_use_gpu_machines: job.may_use_gpu_machines(ctx.now),
@@ -125,7 +125,7 @@
             .filter_map(|id| jobs.get(id))
             .filter(|job| job.termination.status.is_none() && job.not_before <= now)
             .filter(|job| job.may_start())
-            .filter(|job| admitted_tasks(ctx, admitted, job).in_turn > 0)
+            .filter(|job| admitted_tasks(ctx, admitted, job).after_preemption > 0)
             .map(|job| QueueRank::of(job, now))
             .collect();
         if ranks.len() > MAX_REQUESTS_PER_ROUND {
@@ -168,7 +168,8 @@
         let gpu_work = self.gpu_work.kinds(ctx.now, self.jobs.values());
         let shards = ctx.shards().count();
         // A participant without a reachable owner would only delay the round until its timeout.
-        let participants: Vec<Shard> = ctx.shards().filter(|shard| ctx.reachable(*shard)).collect();
+        let participants: Vec<Shard> =
+            ctx.shards().filter(|shard| ctx.is_reachable(*shard)).collect();
         for &participant in &participants {
             let items = requests.iter().map(|r| r.for_participant(participant, shards)).collect();
             let gpu_work = gpu_work.clone();
@@ -234,7 +235,7 @@
     /// has passed.
     pub(super) fn check_negotiation(&mut self, ctx: &mut Context) {
         let Some(open) = &mut self.negotiation else { return };
-        open.unanswered.retain(|shard| ctx.reachable(*shard));
+        open.unanswered.retain(|shard| ctx.is_reachable(*shard));
         if open.unanswered.is_empty() || ctx.now >= open.started_at + OFFER_TIMEOUT_MS {
             self.decide(ctx);
         }
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -4,7 +4,7 @@
 use super::negotiation::{NegotiationState, ReceivedOffer, SelectedOffer};
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::{Job, RequestOutcome};
 use crate::quota::admission::QuotaStatus;
@@ -80,7 +80,7 @@
 /// Returns how many tasks of a job each zone may take. For a job that must stay in one zone, all
 /// but the zone that can take the most tasks are set to 0.
 fn restrict_to_one_zone(job: &Job, max_per_zone: &[u32], offered: &[u32]) -> Vec<u32> {
-    if !job.wire.one_zone {
+    if !job.spec.one_zone {
         return max_per_zone.to_vec();
     }
     let best = (0..offered.len()).max_by_key(|&zone| offered[zone].min(max_per_zone[zone]));
@@ -126,20 +126,20 @@
     /// Selects offers for the tasks of one job, as far as there are enough.
     fn select(&mut self, ctx: &Context, item: usize, requested: u32, job: &mut Job) {
         if self.is_preempting(item) {
-            job.preempting_at = Some(self.now);
+            job.preemption_reported_at = Some(self.now);
         }
         let mut offers = JobOffers::new(std::mem::take(&mut self.offers[item]));
         let wanted = requested.min(job.pending());
         let Some(wanted) = self.within_quota(ctx, job, &offers, wanted) else {
             return;
         };
-        let max_per_zone = job.zone_room(&ctx.names.zones);
+        let max_per_zone = job.max_per_zone(&ctx.names.zones);
         let offered = offers.count_by_zone(max_per_zone.len());
         // Spreads the replicas of a service over as many machines as possible.
-        let max_per_pass = if job.wire.kind == Kind::Service { 1 } else { u32::MAX };
+        let max_per_pass = if job.spec.kind == Kind::Service { 1 } else { u32::MAX };
         let taken =
             offers.take(wanted, restrict_to_one_zone(job, &max_per_zone, &offered), max_per_pass);
-        let is_whole = job.wire.kind != Kind::Gang || taken.len() as u32 == job.pending();
+        let is_whole = job.spec.kind != Kind::Gang || taken.len() as u32 == job.pending();
         if taken.is_empty() || !is_whole {
             self.refuse(item, job, &offered, &max_per_zone);
         } else {
@@ -162,15 +162,15 @@
         offers: &JobOffers,
         wanted: u32,
     ) -> Option<u32> {
-        let Some(quota) = ctx.team_use(job) else {
+        let Some(quota) = ctx.quota_use(job) else {
             return Some(wanted);
         };
         // Without a known grant the job stays pending; the quota manager will answer soon.
         let free = self.quotas.get(&quota.team)?.free();
         let fits = free.fits(quota.amount).min(u64::from(wanted)) as u32;
-        let covered = if holds(Guard::GrantKept) { fits } else { wanted };
+        let covered = if is_enforced(Guard::DecisionWithinGrant) { fits } else { wanted };
         let offered = offers.count().min(wanted);
-        let is_limited = match job.wire.kind {
+        let is_limited = match job.spec.kind {
             Kind::Gang => covered < wanted && offered == wanted,
             _ => covered == 0,
         };
@@ -178,7 +178,7 @@
             return Some(covered);
         }
         job.reset_backoff();
-        job.last_request = Some(RequestOutcome::QuotaExceeded);
+        job.last_request_outcome = Some(RequestOutcome::QuotaExceeded);
         job.preemption_turn = None;
         job.not_before = self.now + QUOTA_RETRY_INTERVAL_MS;
         let limited = QuotaLimitedJob { job: job.id, team: quota.team, tasks: offered };
@@ -189,7 +189,7 @@
     /// Records that there was no capacity for a job, or not enough for a gang.
     fn refuse(&self, item: usize, job: &mut Job, offered: &[u32], max_per_zone: &[u32]) {
         let has_offers = offered.iter().any(|&count| count > 0);
-        job.last_request = Some(match has_offers {
+        job.last_request_outcome = Some(match has_offers {
             true => RequestOutcome::GangIncomplete,
             false => RequestOutcome::NoOffer,
         });
@@ -210,19 +210,19 @@
         taken: Vec<ReceivedOffer>,
     ) {
         let count = taken.len() as u32;
-        if let Some(quota) = ctx.team_use(job) {
+        if let Some(quota) = ctx.quota_use(job) {
             if let Some(status) = self.quotas.get_mut(&quota.team) {
-                let used = &mut status.used[job.wire.priority as usize];
+                let used = &mut status.used[job.spec.priority as usize];
                 *used = used.plus(quota.amount.times(count));
             }
         }
         job.reset_backoff();
-        job.last_request = None;
+        job.last_request_outcome = None;
         let step = u32::from(!self.is_preempting(item));
         job.preemption_turn =
             (count < wanted).then(|| job.preemption_turn.map_or(0, |turn| turn + step));
         for ReceivedOffer { participant, offer } in taken {
-            let Some(task) = job.take() else { break };
+            let Some(task) = job.take_task() else { break };
             self.selected.push(SelectedOffer { job: job.id, task, participant, offer });
         }
     }
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -106,8 +106,8 @@
         job.placed.set_phase(event.task, event.phase);
         // If one task of a gang is saving its progress before it stops, the whole gang must save
         // and stop, too, and soon.
-        if event.phase == TaskPhase::On(TaskState::Saving) && job.wire.kind == Kind::Gang {
-            job.placed.stop_rest(job.wire.save_s + SAVE_MARGIN_S);
+        if event.phase == TaskPhase::On(TaskState::Saving) && job.spec.kind == Kind::Gang {
+            job.placed.stop_rest(job.spec.save_s + SAVE_MARGIN_S);
             self.unsettled_jobs.insert(id);
             self.next_resend_at = ctx.now;
             self.resend(ctx);
@@ -121,7 +121,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let Some(placement) = job.placed.remove(event.task) else { return false };
         let is_done = matches!(event.phase, TaskPhase::Exited(ExitReason::Done, _));
-        if is_done && job.wire.kind != Kind::Service && !job.cancelled {
+        if is_done && job.spec.kind != Kind::Service && !job.cancelled {
             self.complete_task(ctx, id, event.task, &placement);
             return false;
         }
@@ -132,9 +132,9 @@
     /// Records the completion of a task, to be written before the participant may forget it.
     fn complete_task(&mut self, ctx: &mut Context, id: JobId, task: u32, placement: &Placement) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.failure_suspicion.ran_well();
-        job.set_done(task, ctx.now);
-        if job.complete() {
+        job.failure_suspicion.record_good_run();
+        job.mark_done(task, ctx.now);
+        if job.is_complete() {
             self.compaction.complete_jobs.insert(id, ctx.now);
         } else {
             self.compaction.dirty_jobs.insert(id);
@@ -145,7 +145,7 @@
             machine: placement.machine,
             round: placement.round,
         });
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Queues a task that ended without completing to be placed again, unless its job is cancelled.
@@ -158,9 +158,9 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         delay_next_request(ctx, job, event.phase, placement);
-        job.give_back(event.task);
+        job.return_task(event.task);
         self.unplaced_jobs.insert(id);
-        if job.wire.kind == Kind::Gang {
+        if job.spec.kind == Kind::Gang {
             // A gang runs as a whole or not at all, so its other tasks stop.
             job.placed.stop_rest(0.0);
             self.unsettled_jobs.insert(id);
@@ -171,7 +171,7 @@
         if is_fully_stopped {
             self.drop_cancelled(id);
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 }
 
@@ -181,13 +181,13 @@
     let suspicion = &mut job.failure_suspicion;
     match phase {
         TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
-            if job.wire.kind == Kind::Service && job.placed.running() > 0 {
-                suspicion.ran_well();
+            if job.spec.kind == Kind::Service && job.placed.running() > 0 {
+                suspicion.record_good_run();
             }
             let was_suspected = suspicion.is_suspected();
-            job.not_before = suspicion.failed(placement.machine, now, job.not_before);
+            job.not_before = suspicion.record_failure(placement.machine, now, job.not_before);
             if suspicion.is_suspected() && !was_suspected {
-                let name = &job.wire.id;
+                let name = &job.spec.id;
                 ctx.effects.log(LogLevel::Info, "job_suspected", || name.clone());
             }
         }
--- a/crates/core/src/coordinator/wait_causes.rs
+++ b/crates/core/src/coordinator/wait_causes.rs
@@ -91,8 +91,8 @@
     fn add(&mut self, job: &Job, cause: WaitCause) {
         self.by_cause[cause as usize] += 1;
         let known = self.oldest.as_ref().map(|(created, ..)| *created);
-        if known.is_none_or(|created| job.created < created) {
-            self.oldest = Some((job.created, cause, user::job_id(job.id.0)));
+        if known.is_none_or(|created| job.submitted_at < created) {
+            self.oldest = Some((job.submitted_at, cause, user::job_id(job.id.0)));
         }
     }
 
@@ -127,7 +127,7 @@
         let jobs = self.unplaced_jobs.iter().filter_map(|id| self.jobs.get(id));
         let pending = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
-            .filter(|job| ctx.now >= job.created + MIN_WAIT_MS);
+            .filter(|job| ctx.now >= job.submitted_at + MIN_WAIT_MS);
         let with_cause =
             pending.map(|job| (job, wait_cause(job, admissions.get(&job.id).copied(), ctx.now)));
         with_cause.collect()
@@ -143,9 +143,9 @@
         WaitCause::FailureBackoff
     } else if admission.is_some_and(|admission| !admission.is_grant_known) {
         WaitCause::GrantUnknown
-    } else if admission.is_some_and(|admission| admission.admitted.in_turn == 0) {
+    } else if admission.is_some_and(|admission| admission.admitted.after_preemption == 0) {
         WaitCause::Quota
     } else {
-        WaitCause::from_request_outcome(job.last_request)
+        WaitCause::from_request_outcome(job.last_request_outcome)
     }
 }
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -1,10 +1,10 @@
 //! Delivery of messages between shards, within this node and to siblings.
 use super::{ActiveShard, Node};
 use crate::context::{Context, OutgoingMessage};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, PROVISIONER_SHARD};
 use crate::io::{Effect, Effects};
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
 /// Upper bound of delivery rounds after one input. Messages left over are delivered after the next
@@ -45,7 +45,7 @@
         for active in self.owned.iter_mut().flatten() {
             let mut context = self.shared.context(effects);
             active.coordinator.start_round(&mut context);
-            self.wake |= context.wake;
+            self.wake |= context.needs_round;
         }
     }
 
@@ -53,7 +53,12 @@
     /// terminal state.
     fn stop_terminal_jobs(&mut self, effects: &mut Effects) {
         for job in self.shared.horizons.take_newly_terminal() {
-            for active in self.owned.iter_mut().flatten().filter(|_| holds(Guard::StopOver)) {
+            for active in self
+                .owned
+                .iter_mut()
+                .flatten()
+                .filter(|_| is_enforced(Guard::TerminalJobStoppedByParticipant))
+            {
                 active.participant.stop_job(&mut self.shared.context(effects), job);
             }
         }
@@ -122,13 +127,13 @@
             }
             ShardMessage::TeamUsage { serial, usage } => {
                 let now = context.now;
-                active.quota.set_phase(LimitPhase::at(context.wall_clock_ms));
+                active.quota.set_phase(QuotaPhase::at(context.wall_clock_ms));
                 if let Some(granted) = active.quota.report(now, from, from_epoch, serial, &usage) {
                     context.send(to, from, ShardMessage::TeamGrant { serial, granted });
                 }
             }
         }
-        self.wake |= context.wake;
+        self.wake |= context.needs_round;
     }
 }
 
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -2,7 +2,7 @@
 use super::calls::JobQuery;
 use super::delivery::IncomingMessage;
 use super::Node;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, NodeIdx, Shard, Timestamp};
 use crate::io::{Effect, Effects, WorkerReply};
 use crate::shard::Owner;
@@ -71,7 +71,7 @@
         let own_assertions = self.own_assertions(effects.now);
         self.shared.horizons.advance(&own_assertions, &self.shared.shard_views, effects.now);
         for active in self.owned.iter_mut().flatten() {
-            if self.shared.health.all_acknowledge(active.participant.shard, active.epoch) {
+            if self.shared.health.all_siblings_know_epoch(active.participant.shard, active.epoch) {
                 active.participant.previous_owners_relinquished(effects.now);
             }
         }
@@ -92,7 +92,7 @@
         if claimed.node == self.shared.this_node || !view.accept_claim(claimed, effects.now) {
             return;
         }
-        if self.active_epoch(shard).is_some() && holds(Guard::BeatEnds) {
+        if self.active_epoch(shard).is_some() && is_enforced(Guard::HeartbeatEndsOwnership) {
             self.drop_shard(effects, shard);
         }
         self.propagate_owners();
@@ -144,7 +144,7 @@
         let sender = self.shared.owner(incoming.from);
         let is_outdated = sender.is_some_and(|owner| owner.epoch > incoming.from_epoch);
         if self.active_epoch(incoming.to) == Some(to_epoch)
-            && (!is_outdated || !holds(Guard::OldSender))
+            && (!is_outdated || !is_enforced(Guard::OutdatedSenderRejected))
         {
             self.deliver(effects, incoming);
         }
--- a/crates/core/src/node/tests.rs
+++ b/crates/core/src/node/tests.rs
@@ -200,7 +200,10 @@
 #[cfg(feature = "guards")]
 #[test]
 fn tests_fail_without_their_guards() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::GivenUp, never_reuses_relinquished_epoch);
-    missed_by(Guard::LoadedFrom, late_submission_result_revives_no_job);
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::RelinquishedEpochRejected, never_reuses_relinquished_epoch);
+    assert_fails_without(
+        Guard::LateSubmissionResponseIgnored,
+        late_submission_result_revives_no_job,
+    );
 }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -48,12 +48,12 @@
         let config = Config {
             worker_lease_ms: LEASE_MS,
             cancel_ms: 30_000,
-            quiet_ms: 6000,
-            report_due_ms: 4000,
+            max_silence_ms: 6000,
+            heartbeat_due_ms: 4000,
             max_placements: 50,
             txn_ops: 12,
             list_lag_ms: 3000,
-            cloud_gap_ms: 100,
+            cloud_call_interval_ms: 100,
             teams: Vec::new(),
             objectives: Objectives::default(),
         };
@@ -76,7 +76,7 @@
             now,
             wall_clock_ms: now,
             lease_valid: true,
-            wake: false,
+            needs_round: false,
             effects: &mut effects,
             names: &mut self.names,
             config: &self.config,
@@ -84,7 +84,7 @@
             horizons: &mut self.horizons,
             me: NodeIdx(0),
             shard_views: &self.view,
-            heard_at: &[0],
+            last_contact_at: &[0],
             operations: &mut operations,
             outbox: &mut outbox,
             relayed_requests: &mut relayed_requests,
@@ -338,9 +338,15 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Waits, late_copies_of_reports_keep_nobody_alive);
-    missed_by(Guard::Patience, a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go);
-    missed_by(Guard::LatePlace, a_yes_after_its_jobs_end_starts_nothing);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(
+        Guard::LateHeartbeatGrantsNoLease,
+        late_copies_of_reports_keep_nobody_alive,
+    );
+    assert_fails_without(
+        Guard::PreviousOwnersTimedOut,
+        a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go,
+    );
+    assert_fails_without(Guard::LateAssignmentStopped, a_yes_after_its_jobs_end_starts_nothing);
 }
--- a/crates/core/src/provisioner/instance_list.rs
+++ b/crates/core/src/provisioner/instance_list.rs
@@ -136,7 +136,7 @@
     /// Asks for the list of instances, if it is time.
     pub(super) fn request_list(&mut self, ctx: &mut Context) {
         if self.listed.is_due(ctx.now) && self.call_pacing.is_ready(ctx.now) {
-            self.call_pacing.on_call(ctx.now, ctx.config.cloud_gap_ms);
+            self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
             self.listed.on_call(ctx.now);
             self.send_list_call(ctx, None);
         }
@@ -144,13 +144,13 @@
 
     fn send_list_call(&self, ctx: &mut Context, after: Option<String>) {
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::List);
-        ctx.cloud(operation, CloudCall::List { after });
+        ctx.call_cloud(operation, CloudCall::List { after });
     }
 
     pub(super) fn on_list_page(&mut self, ctx: &mut Context, page: InstanceList) {
         match self.listed.on_page(page, self.scale_in.released()) {
             ListProgress::NextPage { after } => {
-                self.call_pacing.on_early_call(ctx.now, ctx.config.cloud_gap_ms);
+                self.call_pacing.on_early_call(ctx.now, ctx.config.cloud_call_interval_ms);
                 self.send_list_call(ctx, Some(after));
             }
             ListProgress::Complete => self.reconcile(ctx),
@@ -204,7 +204,7 @@
     /// Stores, or reads, the name of the newest machine that was there before the service.
     fn find_operator_machines(&mut self, ctx: &mut Context) {
         if self.operator_machines.begin_read() {
-            ctx.find_operator_machines(self.listed.newest().cloned().unwrap_or_default());
+            ctx.put_operator_machines(self.listed.newest().cloned().unwrap_or_default());
         }
     }
 }
