--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -25,7 +25,7 @@
     /// a coordinator that may have work, in at most [`MAX_DELIVERY_ROUNDS`] iterations.
     pub(super) fn deliver_messages(&mut self, effects: &mut Effects) {
         for _ in 0..MAX_DELIVERY_ROUNDS {
-            if std::mem::take(&mut self.wake) {
+            if std::mem::take(&mut self.needs_round) {
                 self.start_rounds(effects);
             }
             while let Some(outgoing) = self.shared.outbox.pop_front() {
@@ -35,7 +35,7 @@
             for active in self.owned.iter_mut().flatten() {
                 active.participant.flush(&mut self.shared.context(effects));
             }
-            if self.shared.outbox.is_empty() && !self.wake {
+            if self.shared.outbox.is_empty() && !self.needs_round {
                 return;
             }
         }
@@ -45,7 +45,7 @@
         for active in self.owned.iter_mut().flatten() {
             let mut context = self.shared.context(effects);
             active.coordinator.start_round(&mut context);
-            self.wake |= context.needs_round;
+            self.needs_round |= context.needs_round;
         }
     }
 
@@ -133,7 +133,7 @@
                 }
             }
         }
-        self.wake |= context.needs_round;
+        self.needs_round |= context.needs_round;
     }
 }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -94,7 +94,7 @@
     /// Whether heartbeats are refused at present because cancellations may be unknown here.
     heartbeats_refused: bool,
     /// Whether a coordinator may have work for a decision round.
-    wake: bool,
+    needs_round: bool,
 }
 
 impl Node {
@@ -117,7 +117,7 @@
             statistics: Statistics::new(now),
             store_answered_at: now,
             heartbeats_refused: false,
-            wake: false,
+            needs_round: false,
         }
     }
 
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -145,6 +145,6 @@
             self.drop_shard(effects, shard);
         }
         self.propagate_owners();
-        self.wake = true;
+        self.needs_round = true;
     }
 }
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -45,19 +45,19 @@
 const PLACEMENT_BYTES: f64 = 64.0;
 /// Upper bound of the placements in one decision, whatever the size of a record.
 const MAX_PLACEMENTS: f64 = 150.0;
-/// A machine counts as quiet after 2.5 heartbeat intervals and an extra time. This is the first part,
+/// A machine counts as silent after 2.5 heartbeat intervals and an extra time. This is the first part,
 /// in ms per second of the interval.
-const QUIET_MS_PER_INTERVAL_S: f64 = 2500.0;
-/// The extra time after which a machine counts as quiet, in ms.
-const QUIET_EXTRA_MS: u64 = 500;
+const MAX_SILENCE_MS_PER_INTERVAL_S: f64 = 2500.0;
+/// The extra time after which a machine counts as silent, in ms.
+const MAX_SILENCE_EXTRA_MS: u64 = 500;
 /// The next heartbeat of a worker that was answered is due within 1.25 heartbeat intervals and an extra
 /// time. This is the first part, in ms per second of the interval.
-const REPORT_DUE_MS_PER_INTERVAL_S: f64 = 1250.0;
+const HEARTBEAT_DUE_MS_PER_INTERVAL_S: f64 = 1250.0;
 /// The extra time after which the next heartbeat of a worker is overdue, in ms.
-const REPORT_DUE_EXTRA_MS: u64 = 1500;
+const HEARTBEAT_DUE_EXTRA_MS: u64 = 1500;
 /// Interval between calls to a cloud service that allows one call per second, in ms: 10% more than its
 /// limit requires.
-const CLOUD_GAP_AT_1_RPS_MS: f64 = 1100.0;
+const CLOUD_CALL_INTERVAL_AT_1_RPS_MS: f64 = 1100.0;
 
 /// Derives the core's configuration from the settings of a cluster of `nodes` controllers.
 fn config(params: &Params, nodes: usize) -> Config {
@@ -69,12 +69,13 @@
     Config {
         worker_lease_ms: (params.workers.lease_s * 1000.0) as u64,
         cancel_ms: (params.workers.cancel_s * 1000.0) as u64,
-        max_silence_ms: (params.workers.report_s * QUIET_MS_PER_INTERVAL_S) as u64 + QUIET_EXTRA_MS,
-        heartbeat_due_ms: (params.workers.report_s * REPORT_DUE_MS_PER_INTERVAL_S) as u64
-            + REPORT_DUE_EXTRA_MS,
+        max_silence_ms: (params.workers.report_s * MAX_SILENCE_MS_PER_INTERVAL_S) as u64
+            + MAX_SILENCE_EXTRA_MS,
+        heartbeat_due_ms: (params.workers.report_s * HEARTBEAT_DUE_MS_PER_INTERVAL_S) as u64
+            + HEARTBEAT_DUE_EXTRA_MS,
         max_placements,
         txn_ops: params.state.txn_ops,
-        cloud_call_interval_ms: (CLOUD_GAP_AT_1_RPS_MS / params.cloud.rps) as u64,
+        cloud_call_interval_ms: (CLOUD_CALL_INTERVAL_AT_1_RPS_MS / params.cloud.rps) as u64,
         list_lag_ms: (params.cloud.list_lag_s * 1000.0) as u64,
         teams: params.teams.clone(),
         objectives: Objectives::new(&params.objectives, 1000.0 / placed_per_s.max(1.0)),
--- a/crates/core/src/node/stored.rs
+++ b/crates/core/src/node/stored.rs
@@ -91,7 +91,7 @@
         let Some(active) = slot.as_mut().filter(|active| active.epoch == epoch) else { return };
         let mut context = self.shared.context(effects);
         active.coordinator.on_records_result(&mut context, result);
-        self.wake |= context.needs_round;
+        self.needs_round |= context.needs_round;
     }
 
     /// Handles the answer to a coordinator's write. If it shows that this node has lost the shard, the
@@ -115,7 +115,7 @@
                 coordinator.on_cancellation_result(&mut context, job, result)
             }
         };
-        self.wake |= context.needs_round;
+        self.needs_round |= context.needs_round;
         if ownership == Ownership::Lost {
             self.drop_shard(effects, shard);
             self.shard_list.relist_from(effects.now);
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -98,7 +98,7 @@
             if context.lease_valid {
                 active.coordinator.tick(&mut context);
             }
-            self.wake |= context.needs_round;
+            self.needs_round |= context.needs_round;
         }
     }
 
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -278,7 +278,7 @@
         if active.coordinator.is_ready() && is_newer {
             let mut context = self.shared.context(effects);
             active.coordinator.add_job_record(&mut context, &keys::job_key(shard, id), value);
-            self.wake |= context.needs_round;
+            self.needs_round |= context.needs_round;
         }
     }
 }
