--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -96,9 +96,10 @@
     ) -> Option<NodeIdx> {
         let shard = shard_of_machine(&heartbeat.machine, self.shared.shard_count());
         let view = self.shared.shard_views[shard.0 as usize];
-        let heard = view.owner.filter(|owner| self.shared.health.is_reachable(owner.node, now));
+        let reachable_owner =
+            view.owner.filter(|owner| self.shared.health.is_reachable(owner.node, now));
         let machine = self.shared.names.machine(&heartbeat.machine);
-        let owner = heard.filter(|_| self.calls.can_relay())?;
+        let owner = reachable_owner.filter(|_| self.calls.can_relay())?;
         let misdirected = MisdirectedHeartbeat {
             machine,
             has_tasks: !heartbeat.tasks.is_empty(),
