--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -61,9 +61,9 @@
         for active in self.owned.iter_mut().flatten() {
             let context = self.shared.context(effects);
             let coordinator = active.coordinator.statistics(context.now);
-            let participant = active.participant.figures(&context);
+            let participant = active.participant.statistics(&context);
             let starts = active.coordinator.start_statistics(context.now);
-            let obstacles = active.participant.obstacle_figures();
+            let obstacles = active.participant.obstacle_statistics();
             let waiting = active.coordinator.wait_statistics(&context);
             let quotas = active.coordinator.quota_statistics(&context);
             effects.log(LogLevel::Info, "service_levels", || starts);
