--- a/crates/core/src/participant/failure_attribution.rs
+++ b/crates/core/src/participant/failure_attribution.rs
@@ -1,25 +1,29 @@
 //! Attribution of task failures to the machine or to the job.
 //!
+//! A job succeeds on a machine when a task of it completes there, or, for services and GPU work, has
+//! run for a while.
+//!
 //! A faulty machine fails every task that it starts; a faulty job fails on every machine. A single
 //! failure is consistent with both. They are distinguished by successes elsewhere:
-//! - a failure of a job that has run well somewhere is evidence against the machine;
-//! - a job that has run well nowhere and fails on several machines is at fault itself, and as long as
-//!   it is, its failures are no evidence against machines;
+//! - a failure of a job that has succeeded on any machine is evidence against the machine of the
+//!   failure;
+//! - a job that has succeeded on no machine and fails on several is at fault itself, and as long as it
+//!   is, its failures are no evidence against machines;
 //! - for other jobs, it takes failures of several different ones to suspect a machine.
 //!
-//! Invariants: a machine on which a task ran well after the failures is not suspected; a job of which a
-//! task ran well on any machine of this participant is not at fault. Both verdicts are computed again
-//! from all evidence whenever they are needed, so that later evidence can reverse them.
+//! Invariants: a machine on which any job succeeded after the failures is not suspected; a job that
+//! succeeded on any machine of this participant is not at fault. Both verdicts are computed again from
+//! all evidence whenever they are needed, so that later evidence can reverse them.
 //!
 //! One job in 25 at the operators' sites is faulty as submitted. If failures of any two jobs are enough
 //! to suspect a machine, healthy machines are quarantined for a minute like faulty ones.
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of machines on which a job has to fail, and run well on none, to be at fault itself.
+/// Number of machines on which a job has to fail, without a success on any, to be at fault itself.
 const MIN_MACHINES_TO_BLAME_JOB: usize = 3;
-/// Number of different jobs, neither at fault nor known to run well, that have to fail on a machine for
-/// it to be suspected.
+/// Number of different jobs, neither at fault nor known to succeed, that have to fail on a machine for it
+/// to be suspected.
 const MIN_UNKNOWN_JOBS_TO_SUSPECT: usize = 3;
 /// Time in ms for which the evidence about a job is kept after the newest piece.
 const EVIDENCE_RETENTION_MS: u64 = 180_000;
@@ -30,14 +34,14 @@
 /// Evidence about one job.
 #[derive(Clone, Debug, Default)]
 struct JobEvidence {
-    /// Whether a task of the job ran well on any machine.
-    ran_well: bool,
-    /// Machines on which the job failed since it last ran well; at most `MIN_MACHINES_TO_BLAME_JOB`.
+    /// Whether the job succeeded on any machine.
+    has_succeeded: bool,
+    /// Machines on which the job failed since it last succeeded; at most `MIN_MACHINES_TO_BLAME_JOB`.
     failed_on: BTreeSet<MachineIdx>,
-    newest_at: Timestamp,
+    last_evidence_at: Timestamp,
 }
 
-/// Evidence about the jobs that failed or ran well recently.
+/// Evidence about the jobs that failed or succeeded recently.
 #[derive(Debug, Default)]
 pub(super) struct FailureAttribution {
     jobs: BTreeMap<JobId, JobEvidence>,
@@ -46,7 +50,7 @@
 impl FailureAttribution {
     fn evidence(&mut self, job: JobId, now: Timestamp) -> &mut JobEvidence {
         let evidence = self.jobs.entry(job).or_default();
-        evidence.newest_at = now;
+        evidence.last_evidence_at = now;
         evidence
     }
 
@@ -61,23 +65,23 @@
     /// Records that a task of the job completed, or has run for a long time.
     pub fn note_success(&mut self, job: JobId, now: Timestamp) {
         let evidence = self.evidence(job, now);
-        evidence.ran_well = true;
+        evidence.has_succeeded = true;
         evidence.failed_on.clear();
     }
 
     /// Returns whether the evidence shows that the job itself is at fault.
     fn is_job_at_fault(&self, job: JobId) -> bool {
         self.jobs.get(&job).is_some_and(|evidence| {
-            !evidence.ran_well && evidence.failed_on.len() >= MIN_MACHINES_TO_BLAME_JOB
+            !evidence.has_succeeded && evidence.failed_on.len() >= MIN_MACHINES_TO_BLAME_JOB
         })
     }
 
     /// Returns whether a machine is suspected. `failed_jobs` are the jobs of which tasks failed there
-    /// since a task last ran well there.
+    /// since any job last succeeded there.
     pub fn suspects_machine(&self, failed_jobs: impl Iterator<Item = JobId>) -> bool {
         let mut unknown_jobs = 0;
         for job in failed_jobs.filter(|job| !self.is_job_at_fault(*job)) {
-            if self.jobs.get(&job).is_some_and(|evidence| evidence.ran_well) {
+            if self.jobs.get(&job).is_some_and(|evidence| evidence.has_succeeded) {
                 return true;
             }
             unknown_jobs += 1;
@@ -87,9 +91,9 @@
 
     /// Removes evidence older than `EVIDENCE_RETENTION_MS`, and more if there are over `MAX_JOBS` jobs.
     pub fn expire(&mut self, now: Timestamp) {
-        self.jobs.retain(|_, evidence| now < evidence.newest_at + EVIDENCE_RETENTION_MS);
+        self.jobs.retain(|_, evidence| now < evidence.last_evidence_at + EVIDENCE_RETENTION_MS);
         while self.jobs.len() > MAX_JOBS {
-            let oldest = self.jobs.iter().min_by_key(|(_, evidence)| evidence.newest_at);
+            let oldest = self.jobs.iter().min_by_key(|(_, evidence)| evidence.last_evidence_at);
             let Some(job) = oldest.map(|(job, _)| *job) else { return };
             self.jobs.remove(&job);
         }
--- a/crates/core/src/participant/failure_attribution/tests.rs
+++ b/crates/core/src/participant/failure_attribution/tests.rs
@@ -66,7 +66,7 @@
     attribution.note_success(JobId(2), 4);
     assert!(
         attribution.suspects_machine(here.iter().copied()),
-        "one of the jobs ran well elsewhere"
+        "one of the jobs succeeded elsewhere"
     );
     attribution.expire(EVIDENCE_RETENTION_MS + 10);
     assert!(attribution.jobs.is_empty());
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -12,10 +12,10 @@
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{ExitReason, HeartbeatResponse, TaskState, WorkerHeartbeat};
 
-/// A task of a service or with GPUs counts as running well once it has run for this long, in ms.
-const RAN_WELL_AFTER_MS: u64 = 30_000;
+/// A task of a service or with GPUs counts as a success of its job once it has run for this long, in ms.
+const SUCCESS_AFTER_MS: u64 = 30_000;
 /// Time in ms for which a machine is not offered after its disk was too full for a task.
-const FULL_QUARANTINE_MS: u64 = 2000;
+const DISK_FULL_QUARANTINE_MS: u64 = 2000;
 /// Time in ms for which no command batch is sent to a worker after one that it did not answer.
 const BATCH_RETRY_DELAY_MS: u64 = 2000;
 /// Time in seconds that a task on a machine with an interruption notice gets in addition to the time
@@ -30,12 +30,12 @@
     /// Jobs of which a task failed since the previous heartbeat.
     failed: Vec<JobId>,
     /// Jobs of which a task completed since the previous heartbeat, or has run for
-    /// `RAN_WELL_AFTER_MS`.
-    ran_well: Vec<JobId>,
+    /// `SUCCESS_AFTER_MS`.
+    succeeded: Vec<JobId>,
     /// Whether any attempt ended since the previous heartbeat.
-    any_ended: bool,
+    has_ended_attempt: bool,
     /// Whether a task exited because the machine's disk was too full.
-    disk_full: bool,
+    is_disk_full: bool,
 }
 
 impl Observations {
@@ -48,28 +48,29 @@
                 (&task.shape, task.phase)
             {
                 observed.images.push(image_of(shape));
-                let long = task.running_since.is_some_and(|at| now >= at + RAN_WELL_AFTER_MS);
-                if shape.is_long_running() && long {
-                    observed.ran_well.push(key.job);
+                let has_run_long =
+                    task.running_since.is_some_and(|at| now >= at + SUCCESS_AFTER_MS);
+                if shape.is_long_running() && has_run_long {
+                    observed.succeeded.push(key.job);
                 }
             }
             if ended_before.binary_search(key).is_err() {
-                observed.any_ended |= task.is_over();
-                observed.add_end(key.job, task.shape.as_ref(), task.phase);
+                observed.has_ended_attempt |= task.is_over();
+                observed.record_exit(key.job, task.shape.as_ref(), task.phase);
             }
         }
         observed.images.dedup_by_key(|cached| cached.image);
         observed
     }
 
-    fn add_end(&mut self, job: JobId, shape: Option<&Shape>, phase: TaskPhase) {
+    fn record_exit(&mut self, job: JobId, shape: Option<&Shape>, phase: TaskPhase) {
         match phase {
             TaskPhase::Exited(ExitReason::Error | ExitReason::Other, _) => self.failed.push(job),
             TaskPhase::Exited(ExitReason::Done, _) => {
-                self.ran_well.push(job);
+                self.succeeded.push(job);
                 self.images.extend(shape.map(image_of));
             }
-            TaskPhase::Exited(ExitReason::Full, _) => self.disk_full = true,
+            TaskPhase::Exited(ExitReason::Full, _) => self.is_disk_full = true,
             _ => {}
         }
     }
@@ -109,14 +110,14 @@
             return None;
         }
         let idx = ctx.names.machine(&heartbeat.machine);
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         if machine.released || !machine.awaits_response(heartbeat) {
             return None;
         }
         machine.reachability.record_heartbeat(via, ctx.config.heartbeat_due_ms, ctx.now);
         self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::Periodic);
         let token = self.epoch.0;
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         // The worker's lease has expired and its tasks were declared gone. A late heartbeat of that
         // incarnation must not renew the lease.
         if machine.lease_expired {
@@ -158,7 +159,7 @@
                 if (heartbeat.incarnation, heartbeat.seq) > known {
                     self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::CommandResponse);
                 }
-                let machine = self.machine(idx);
+                let machine = self.machine_or_insert(idx);
                 machine.end_direct_batch(batch, BatchEnd::Known);
                 machine.reachability.record_proof();
             }
@@ -179,7 +180,7 @@
         kind: HeartbeatKind,
     ) {
         let (now, epoch) = (ctx.now, self.epoch);
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         let ended = machine.tasks.iter().filter(|(_, task)| task.is_over());
         let ended_before: Vec<AttemptKey> = ended.map(|(key, _)| *key).collect();
         let was_confirmed = machine.token_confirmed;
@@ -189,24 +190,24 @@
         machine.machine_type = ctx.names.type_idx(&heartbeat.type_name);
         machine.zone = ctx.names.zone(&heartbeat.zone);
         let observed = Observations::of(machine, &ended_before, now);
-        if observed.any_ended || (!was_confirmed && machine.token_confirmed) {
+        if observed.has_ended_attempt || (!was_confirmed && machine.token_confirmed) {
             self.capacity_notices.note_freed();
         }
         self.apply_observations(ctx, idx, &observed);
         self.attribute_failures(ctx, idx, &observed);
-        self.stop_finished_jobs(idx, ctx.horizons, now);
-        self.check_at_lease_end(ctx, idx);
+        self.stop_terminal_jobs(idx, ctx.horizons, now);
+        self.schedule_lease_check(ctx, idx);
         self.changed_machines.insert(idx);
     }
 
     fn apply_observations(&mut self, ctx: &Context, idx: MachineIdx, observed: &Observations) {
         let now = ctx.now;
-        let machine = self.machine(idx);
-        if observed.disk_full {
-            let until = now + FULL_QUARANTINE_MS;
+        let machine = self.machine_or_insert(idx);
+        if observed.is_disk_full {
+            let until = now + DISK_FULL_QUARANTINE_MS;
             machine.quarantined_until = machine.quarantined_until.max(until);
         }
-        if !observed.ran_well.is_empty() {
+        if !observed.succeeded.is_empty() {
             machine.clear_failures();
         }
         machine.note_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
@@ -220,11 +221,11 @@
         }
     }
 
-    fn check_at_lease_end(&mut self, ctx: &Context, idx: MachineIdx) {
+    fn schedule_lease_check(&mut self, ctx: &Context, idx: MachineIdx) {
         let previous_owners_until = self.previous_owners_until;
         let lease_ms = ctx.config.worker_lease_ms;
-        let over_at = self.machine(idx).lease_over_at(lease_ms, previous_owners_until);
-        self.check_by(idx, over_at);
+        let expires_at = self.machine_or_insert(idx).lease_over_at(lease_ms, previous_owners_until);
+        self.schedule_check(idx, expires_at);
     }
 
     /// Records the failures and successes on a machine as evidence, and updates whether the machine
@@ -233,7 +234,7 @@
         for &job in &observed.failed {
             self.failure_attribution.note_failure(job, idx, ctx.now);
         }
-        for &job in &observed.ran_well {
+        for &job in &observed.succeeded {
             self.failure_attribution.note_success(job, ctx.now);
         }
         let suspected = self.is_suspected(idx, ctx.now);
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -36,12 +36,12 @@
 
 impl Participant {
     /// Returns the machine, adding it if it is not known yet.
-    pub(super) fn machine(&mut self, idx: MachineIdx) -> &mut Machine {
+    pub(super) fn machine_or_insert(&mut self, idx: MachineIdx) -> &mut Machine {
         // This owner has received no heartbeat from the machine yet, but a previous owner may have
         // granted its worker a lease until this participant acquired the shard.
-        let (since, lease_checks) = (self.since, &mut self.lease_checks);
+        let (acquired_at, lease_checks) = (self.acquired_at, &mut self.lease_checks);
         self.machines.entry(idx).or_insert_with(|| {
-            let machine = Machine::new(since);
+            let machine = Machine::new(acquired_at);
             lease_checks.insert((machine.next_check_at, idx));
             machine
         })
@@ -64,12 +64,12 @@
         self.previous_owners_until = now;
         let unconfirmed = self.machines.iter().filter(|(_, machine)| !machine.token_confirmed);
         for idx in unconfirmed.map(|(&idx, _)| idx).collect::<Vec<_>>() {
-            self.check_by(idx, now);
+            self.schedule_check(idx, now);
         }
     }
 
     /// Schedules the machine's next check for `at`, unless an earlier one is scheduled.
-    pub(super) fn check_by(&mut self, idx: MachineIdx, at: Timestamp) {
+    pub(super) fn schedule_check(&mut self, idx: MachineIdx, at: Timestamp) {
         let machine = self.machines.get_mut(&idx).filter(|machine| at < machine.next_check_at);
         if let Some(machine) = machine {
             self.lease_checks.remove(&(machine.next_check_at, idx));
@@ -97,15 +97,16 @@
     fn check_machine(&mut self, ctx: &mut Context, idx: MachineIdx) -> Option<Timestamp> {
         let now = ctx.now;
         let machine = self.machines.get_mut(&idx)?;
-        let over_at = machine.lease_over_at(ctx.config.worker_lease_ms, self.previous_owners_until);
-        let lease_over = !machine.lease_expired && !machine.released && now > over_at;
+        let expires_at =
+            machine.lease_over_at(ctx.config.worker_lease_ms, self.previous_owners_until);
+        let has_expired = !machine.lease_expired && !machine.released && now > expires_at;
         // While this node's own lease is uncertain, a newer owner may already be renewing the worker's
         // lease, so the machine is not declared lost. Otherwise a task can run twice (simulator seed
         // 186).
-        if lease_over && !ctx.lease_valid && is_enforced(Guard::MachineLossNeedsValidLease) {
+        if has_expired && !ctx.lease_valid && is_enforced(Guard::MachineLossNeedsValidLease) {
             return Some(now + UNCERTAIN_CHECK_INTERVAL_MS);
         }
-        if lease_over {
+        if has_expired {
             machine.lease_expired = true;
             machine.mark_all_gone();
             let name = ctx.names.machine_name(idx).to_string();
@@ -113,7 +114,7 @@
             self.changed_machines.insert(idx);
         }
         if !machine.released && !machine.lease_expired {
-            return Some(over_at);
+            return Some(expires_at);
         }
         let forget_at = machine.last_heartbeat_at + FORGET_AFTER_MS;
         if machine.tasks.is_empty() && now > forget_at {
@@ -132,12 +133,12 @@
             }
         }
         debug_assert!(
-            self.machines.len() > MAX_MACHINES_CHECKED || self.is_indexed(names),
+            self.machines.len() > MAX_MACHINES_CHECKED || self.is_index_current(names),
             "capacity index differs from the machines"
         );
     }
 
-    fn is_indexed(&self, names: &Names) -> bool {
+    fn is_index_current(&self, names: &Names) -> bool {
         let entry = |idx| self.capacity_index.entry(idx);
         let mut machines = self.machines.iter();
         machines.all(|(&idx, machine)| entry(idx) == capacity_entry(machine, names).as_ref())
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -78,7 +78,7 @@
     /// Epoch under which this participant owns the shard; also its fencing token for workers.
     pub epoch: Epoch,
     /// When this participant acquired the shard.
-    pub since: Timestamp,
+    pub acquired_at: Timestamp,
     /// Latest time at which a previous owner of the shard may have answered a worker.
     previous_owners_until: Timestamp,
     /// The machines from which a heartbeat was received or that a coordinator named.
@@ -120,24 +120,24 @@
 
 impl Participant {
     /// Creates the participant of a shard that was just acquired; no machine is known yet. A
-    /// previous owner answers workers for at most `patience_ms` after it lost the shard.
+    /// previous owner answers workers for at most `previous_owner_grace_ms` after it lost the shard.
     pub fn new(
         shard: Shard,
         epoch: Epoch,
         now: Timestamp,
         shards: usize,
-        patience_ms: u64,
+        previous_owner_grace_ms: u64,
     ) -> Participant {
-        let patience_ends = if is_enforced(Guard::PreviousOwnersTimedOut) {
-            now + plus_clock_drift(patience_ms)
+        let previous_owners_until = if is_enforced(Guard::PreviousOwnersTimedOut) {
+            now + plus_clock_drift(previous_owner_grace_ms)
         } else {
             now
         };
         Participant {
             shard,
             epoch,
-            since: now,
-            previous_owners_until: patience_ends,
+            acquired_at: now,
+            previous_owners_until,
             machines: BTreeMap::new(),
             last_base: None,
             lease_checks: BTreeSet::new(),
@@ -180,14 +180,18 @@
                 let job = JobId(job);
                 self.gang_queue.remove(job);
                 ctx.horizons.on_job_continued(job, epoch);
-                let order =
-                    task_commands::PlaceOrder { from, job, shape: ctx.names.shape(&shape), adopt };
+                let command = task_commands::PlaceCommand {
+                    from,
+                    job,
+                    shape: ctx.names.shape(&shape),
+                    adopt,
+                };
                 for assignment in &picks {
-                    self.place_unless_over(ctx, &order, assignment);
+                    self.place_unless_terminal(ctx, &command, assignment);
                 }
             }
-            ShardMessage::Stop { what, grace_s } => self.stop(ctx, &what, grace_s),
-            ShardMessage::Forget { what } => self.acknowledge_ends(ctx, &what),
+            ShardMessage::Stop { what, grace_s } => self.stop_attempt(ctx, &what, grace_s),
+            ShardMessage::Forget { what } => self.record_end_acknowledgements(ctx, &what),
             _ => {}
         }
     }
--- a/crates/core/src/participant/release.rs
+++ b/crates/core/src/participant/release.rs
@@ -10,7 +10,7 @@
         if self.holds.any_on(idx) {
             return false;
         }
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         if machine.tasks.values().any(|task| !task.is_over()) {
             return false;
         }
@@ -21,7 +21,7 @@
     /// Records that the machine was released to the cloud: all attempts on it are gone.
     pub fn mark_released(&mut self, ctx: &mut Context, machine: &str) {
         let idx = ctx.names.machine(machine);
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         machine.released = true;
         machine.mark_all_gone();
         self.changed_machines.insert(idx);
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -11,7 +11,7 @@
 
 /// What the assignments of one `Place` message have in common.
 #[derive(Debug)]
-pub(super) struct PlaceOrder {
+pub(super) struct PlaceCommand {
     /// Shard of the coordinator that placed the tasks.
     pub from: Shard,
     /// Job that the tasks belong to.
@@ -31,35 +31,35 @@
 
 impl Participant {
     /// Places a task, and stops it at once if its job is in a terminal state.
-    pub(super) fn place_unless_over(
+    pub(super) fn place_unless_terminal(
         &mut self,
         ctx: &mut Context,
-        order: &PlaceOrder,
+        command: &PlaceCommand,
         assignment: &Assignment,
     ) {
-        self.place(ctx, order, assignment);
-        if ctx.horizons.is_terminal(order.job) && is_enforced(Guard::LateAssignmentStopped) {
+        self.place(ctx, command, assignment);
+        if ctx.horizons.is_terminal(command.job) && is_enforced(Guard::LateAssignmentStopped) {
             // The coordinator sent the assignment before the job was cancelled, but the cancellation
             // arrived here first by another route.
             let placed = AttemptRef {
-                job: order.job.0,
+                job: command.job.0,
                 task: assignment.task,
                 attempt: assignment.attempt,
                 machine: assignment.machine.clone(),
                 incarnation: Some(assignment.incarnation),
             };
-            self.stop(ctx, &placed, 0.0);
+            self.stop_attempt(ctx, &placed, 0.0);
         }
     }
 
-    fn place(&mut self, ctx: &mut Context, order: &PlaceOrder, assignment: &Assignment) {
-        let (job, adopt) = (order.job, order.adopt);
+    fn place(&mut self, ctx: &mut Context, command: &PlaceCommand, assignment: &Assignment) {
+        let (job, adopt) = (command.job, command.adopt);
         let (task, attempt) = (assignment.task, Attempt(assignment.attempt));
         let incarnation = assignment.incarnation;
         let idx = ctx.names.machine(&assignment.machine);
-        self.holds.use_one(idx, order.from, job);
+        self.holds.use_one(idx, command.from, job);
         self.reservations.remove_one(job, idx);
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         let outdated =
             incarnation < machine.incarnation && is_enforced(Guard::StartBoundToIncarnation);
         let expired = machine.lease_expired && incarnation <= machine.incarnation;
@@ -75,7 +75,7 @@
             let phase = if over { TaskPhase::Gone } else { TaskPhase::Decided };
             TaskOnMachine { adopted: adopt, ..TaskOnMachine::new(None, phase, incarnation) }
         });
-        task.shape = Some(order.shape.clone());
+        task.shape = Some(command.shape.clone());
         // The sender does not know the attempt's phase, so it is sent again.
         task.notified = None;
         machine.update_load();
@@ -83,14 +83,14 @@
     }
 
     /// Stops an attempt, giving it `grace_s` seconds to save its progress.
-    pub(super) fn stop(&mut self, ctx: &mut Context, what: &AttemptRef, grace_s: f64) {
+    pub(super) fn stop_attempt(&mut self, ctx: &mut Context, target: &AttemptRef, grace_s: f64) {
         let now = ctx.now;
-        let idx = ctx.names.machine(&what.machine);
-        let machine = self.machine(idx);
+        let idx = ctx.names.machine(&target.machine);
+        let machine = self.machine_or_insert(idx);
         let (fenced, current) = (is_fenced(machine), machine.incarnation);
         let lost = machine.released || machine.lease_expired;
-        let key = AttemptKey::of(what);
-        let task = match (machine.tasks.get_mut(&key), what.incarnation) {
+        let key = AttemptKey::of(target);
+        let task = match (machine.tasks.get_mut(&key), target.incarnation) {
             (Some(task), _) => task,
             // The attempt is recorded under the incarnation that the coordinator decided it for.
             // Before this owner has received a heartbeat of the machine, the incarnation known here
@@ -121,7 +121,7 @@
 
     /// Records that the coordinator has acknowledged the ends of these attempts. An attempt that is
     /// not over here is left as it is.
-    pub(super) fn acknowledge_ends(&mut self, ctx: &mut Context, ended: &[AttemptRef]) {
+    pub(super) fn record_end_acknowledgements(&mut self, ctx: &mut Context, ended: &[AttemptRef]) {
         let mut acknowledged = BTreeSet::new();
         for attempt in ended {
             let idx = ctx.names.machine(&attempt.machine);
@@ -158,13 +158,13 @@
             }
         }
         for attempt in &running {
-            self.stop(ctx, attempt, 0.0);
+            self.stop_attempt(ctx, attempt, 0.0);
         }
     }
 
     /// Stops the attempts on a machine whose jobs are in a terminal state. A worker may first report a
     /// task after the end of its job was read from the store, so `stop_job` alone would miss it.
-    pub(super) fn stop_finished_jobs(
+    pub(super) fn stop_terminal_jobs(
         &mut self,
         idx: MachineIdx,
         horizons: &Horizons,
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -38,7 +38,7 @@
 
 /// Returns whether a coordinator acts on the phase at once. The other phases it only shows to users, or
 /// writes in batches (completions), and a task passes through several of them within a second.
-fn is_acted_on(phase: TaskPhase) -> bool {
+fn needs_prompt_delivery(phase: TaskPhase) -> bool {
     match phase {
         TaskPhase::Exited(reason, _) => reason != ExitReason::Done,
         TaskPhase::Gone | TaskPhase::On(TaskState::Saving | TaskState::Exited) => true,
@@ -47,7 +47,7 @@
     }
 }
 
-fn notification(
+fn notification_for(
     ctx: &Context,
     key: &AttemptKey,
     task: &TaskOnMachine,
@@ -64,22 +64,22 @@
     if task.notified == Some((epoch, task.phase)) && !resend {
         return Notification::None;
     }
-    if deferred == DeferredEvents::Defer && !is_acted_on(task.phase) {
+    if deferred == DeferredEvents::Defer && !needs_prompt_delivery(task.phase) {
         return Notification::Deferred;
     }
     Notification::Due(shard, epoch)
 }
 
 /// Returns whether a command batch may be sent to the machine's worker now.
-fn may_command(ctx: &Context, machine: &Machine) -> bool {
-    let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
+fn can_send_commands(ctx: &Context, machine: &Machine) -> bool {
+    let is_silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
     (ctx.lease_valid || !is_enforced(Guard::StartNeedsValidLease))
         && machine.direct_batch.is_none()
         && !machine.released
         && !machine.lease_expired
         && machine.incarnation > 0
         && ctx.now >= machine.next_direct_at
-        && !silent
+        && !is_silent
         && !machine.addr.is_empty()
 }
 
@@ -131,7 +131,7 @@
     ) {
         let Some(machine) = self.machines.get_mut(&idx) else { return };
         for (key, task) in &mut machine.tasks {
-            let (shard, epoch) = match notification(ctx, key, task, deferred) {
+            let (shard, epoch) = match notification_for(ctx, key, task, deferred) {
                 Notification::None => continue,
                 Notification::Deferred => {
                     self.deferred_machines.insert(idx);
@@ -156,7 +156,7 @@
 
     fn send_commands(&mut self, ctx: &mut Context, idx: MachineIdx) {
         let Some(machine) = self.machines.get_mut(&idx) else { return };
-        if !may_command(ctx, machine) {
+        if !can_send_commands(ctx, machine) {
             return;
         }
         self.last_batch += 1;
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 const LEASE_MS: u64 = 10_000;
-const PATIENCE_MS: u64 = 19_000;
+const PREVIOUS_OWNER_GRACE_MS: u64 = 19_000;
 const EPOCH: Epoch = Epoch(5);
 
 /// The context of a participant: one shard, one zone, and one machine type, which has GPUs.
@@ -146,7 +146,7 @@
 #[test]
 fn machines_kept_for_gangs_are_not_claimed_by_who_is_kept_off() {
     let mut world = World::new();
-    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     world.at(100, |context| {
         for m in ["n-000001", "n-000002"] {
             participant.handle_heartbeat(context, &report(m, 1), None).expect("a response");
@@ -193,7 +193,7 @@
 fn late_copies_of_reports_keep_nobody_alive() {
     let lost_at = |copies: bool| {
         let mut world = World::new();
-        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
         for seq in 1..=3 {
             world.at(1000 * seq, |context| {
                 participant
@@ -224,7 +224,7 @@
 #[test]
 fn copies_of_an_ended_session_prove_nothing() {
     let mut world = World::new();
-    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
     world.at(1000, |context| {
         participant
@@ -249,7 +249,7 @@
 #[test]
 fn a_deaf_machine_gets_no_work_until_it_hears() {
     let mut world = World::new();
-    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     let offered = |world: &mut World,
                    participant: &mut Participant,
                    now: Timestamp,
@@ -299,7 +299,7 @@
 fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
     let lost_at = |let_go: Option<Timestamp>| {
         let mut world = World::new();
-        let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
+        let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PREVIOUS_OWNER_GRACE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, Kind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
@@ -314,7 +314,7 @@
     };
     let whole = lost_at(None).expect("lease expires");
     assert!(
-        whole > 1000 + PATIENCE_MS + LEASE_MS,
+        whole > 1000 + PREVIOUS_OWNER_GRACE_MS + LEASE_MS,
         "a previous owner may have answered the worker: {whole}"
     );
     let proven = lost_at(Some(3000)).expect("lease expires");
@@ -327,7 +327,7 @@
 fn a_yes_after_its_jobs_end_starts_nothing() {
     let starts = |over: bool, epoch: u64| {
         let mut world = World::new();
-        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
         world.at(1000, |context| {
             participant.handle_heartbeat(context, &report("n-000001", 1), None);
         });
