--- a/crates/core/src/participant/capacity_index.rs
+++ b/crates/core/src/participant/capacity_index.rs
@@ -96,7 +96,7 @@
 
     /// Returns the machines of a group with at least `min_cpu` thousandths of free processors, those
     /// with the most first.
-    pub fn with_free(
+    pub fn with_free_cpu(
         &self,
         group: MachineGroup,
         min_cpu: u64,
--- a/crates/core/src/participant/capacity_index/tests.rs
+++ b/crates/core/src/participant/capacity_index/tests.rs
@@ -19,10 +19,10 @@
     let cached =
         |index: &FreeCapacityIndex, least| index.with_image(group(false), image, least).count();
     assert_eq!((cached(&index, 1), cached(&index, 0)), (1, 49));
-    let found = |least| index.with_free(group(false), least).collect::<Vec<_>>();
+    let found = |least| index.with_free_cpu(group(false), least).collect::<Vec<_>>();
     assert_eq!(found(1), [MachineIdx(9), MachineIdx(7)]);
     assert_eq!(found(3000), [MachineIdx(9)]);
     index.set(MachineIdx(9), None);
-    assert_eq!((index.with_free(group(false), 1).count(), cached(&index, 1)), (1, 0));
-    assert_eq!(index.with_free(group(true), 0).count(), 50);
+    assert_eq!((index.with_free_cpu(group(false), 1).count(), cached(&index, 1)), (1, 0));
+    assert_eq!(index.with_free_cpu(group(true), 0).count(), 50);
 }
--- a/crates/core/src/participant/capacity_notices.rs
+++ b/crates/core/src/participant/capacity_notices.rs
@@ -32,7 +32,7 @@
     /// Indexed by the coordinator's shard.
     shortages: Vec<Shortage>,
     /// Whether capacity was freed of which not all coordinators with a shortage were notified yet.
-    freed: bool,
+    has_freed_capacity: bool,
     /// When the coordinators with a shortage at the highest priority were notified; `None` unless the
     /// others are still to be notified.
     top_notified_at: Option<Timestamp>,
@@ -43,7 +43,7 @@
     pub fn new(shards: usize) -> CapacityNotices {
         CapacityNotices {
             shortages: vec![Shortage::default(); shards],
-            freed: false,
+            has_freed_capacity: false,
             top_notified_at: None,
         }
     }
@@ -57,32 +57,32 @@
 
     /// Records that capacity was freed.
     pub fn note_freed(&mut self) {
-        self.freed = true;
+        self.has_freed_capacity = true;
     }
 
     /// Returns the coordinators to notify now, each with the priority of its shortage, and marks them as
     /// notified.
     fn take_due(&mut self, now: Timestamp) -> Vec<(Shard, Priority)> {
         let mut due = Vec::new();
-        if !self.freed {
+        if !self.has_freed_capacity {
             return due;
         }
         // The only priority to notify in this step; `None`: all priorities.
-        let only = match self.top_notified_at {
+        let only_priority = match self.top_notified_at {
             Some(at) if now < at + TOP_PRIORITY_HEAD_START_MS => return due,
             Some(_) => None,
             None => self.shortages.iter().filter_map(|shortage| shortage.priority).max(),
         };
         for (shard, shortage) in self.shortages.iter_mut().enumerate() {
             let Some(priority) = shortage.priority else { continue };
-            let chosen = only.is_none_or(|top| priority == top);
-            if chosen && now >= shortage.notified_at + NOTICE_INTERVAL_MS {
+            let is_chosen = only_priority.is_none_or(|top| priority == top);
+            if is_chosen && now >= shortage.notified_at + NOTICE_INTERVAL_MS {
                 *shortage = Shortage { priority: None, notified_at: now };
                 due.push((Shard(shard as u8), priority));
             }
         }
-        self.top_notified_at = only.map(|_| now);
-        self.freed = only.is_some();
+        self.top_notified_at = only_priority.map(|_| now);
+        self.has_freed_capacity = only_priority.is_some();
         due
     }
 }
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -92,7 +92,7 @@
     ) -> Resources {
         let mut free = whole;
         free.sub(machine.lasting(), 1);
-        for hold in self.holds.on(idx).iter().filter(|hold| hold.lasting) {
+        for hold in self.holds.on(idx).iter().filter(|hold| hold.is_long_running) {
             free.sub(hold.need, hold.count);
         }
         free
@@ -106,7 +106,7 @@
         let has_gpus = |group: &MachineGroup| names.resources_of_type(group.machine_type).gpu > 0;
         self.capacity_index.groups().filter(has_gpus).flat_map(move |group| {
             let whole = names.resources_of_type(group.machine_type);
-            self.capacity_index.with_free(group, 0).filter_map(move |idx| {
+            self.capacity_index.with_free_cpu(group, 0).filter_map(move |idx| {
                 let machine = self.machines.get(&idx)?;
                 let lasting_free = self.lasting_free(idx, machine, whole);
                 Some(GpuMachine { idx, machine, group, lasting_free })
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -111,7 +111,7 @@
     };
     assert_eq!(room(&participant), 1);
     let reservation =
-        Reservation { job: JobId(5), need, expires_at: 9000, waiting: false, rank: None };
+        Reservation { job: JobId(5), need, expires_at: 9000, is_waiting: false, rank: None };
     participant.reservations.add(idx, reservation);
     assert_eq!(room(&participant), 0);
 }
--- a/crates/core/src/participant/gang_queue.rs
+++ b/crates/core/src/participant/gang_queue.rs
@@ -2,7 +2,7 @@
 //! order, so that they do not deadlock with each holding a part of the capacity that another needs.
 //!
 //! Invariant: after `refresh`, `by_group` holds for each group the rank of the first gang in the queue
-//! for its machines and what the queued gangs need there. A later change of the queue sets `stale`.
+//! for its machines and what the queued gangs need there. A later change of the queue sets `is_stale`.
 use super::capacity_index::MachineGroup;
 use super::eligibility::EligibilityTable;
 use super::queue_rank::QueueRank;
@@ -32,7 +32,7 @@
 }
 
 impl WaitingGang {
-    fn could_use(&self, group: MachineGroup) -> bool {
+    fn can_use(&self, group: MachineGroup) -> bool {
         self.zone == group.zone && self.eligibility.allows(group)
     }
 }
@@ -54,15 +54,15 @@
 #[derive(Debug, Default)]
 struct GroupQueue {
     /// Rank of the gang that is served first; `None` if no gang waits for these machines.
-    first: Option<QueueRank>,
+    first_rank: Option<QueueRank>,
     /// Different needs of the waiting gangs, each once.
     needs: Vec<GangNeed>,
 }
 
 impl GroupQueue {
     fn add(&mut self, gang: &WaitingGang) {
-        let first = self.first.map_or(gang.rank, |first| first.min(gang.rank));
-        self.first = Some(first);
+        let first_rank = self.first_rank.map_or(gang.rank, |first| first.min(gang.rank));
+        self.first_rank = Some(first_rank);
         let (priority, need) = (gang.shape.priority, Resources::of(&gang.shape));
         match self.needs.iter_mut().find(|known| known.need == need) {
             Some(known) => known.priority = known.priority.max(priority),
@@ -77,7 +77,7 @@
 pub(super) struct GangQueue {
     waiting: BTreeMap<JobId, QueueEntry>,
     by_group: BTreeMap<MachineGroup, GroupQueue>,
-    stale: bool,
+    is_stale: bool,
 }
 
 impl GangQueue {
@@ -100,29 +100,29 @@
     pub fn enter(&mut self, gang: WaitingGang, now: Timestamp) {
         let expires_at = now + QUEUE_TIMEOUT_MS;
         self.waiting.insert(gang.rank.job, QueueEntry { gang, expires_at });
-        self.stale = true;
+        self.is_stale = true;
     }
 
     /// Removes a job's gang from the queue.
     pub fn remove(&mut self, job: JobId) {
-        self.stale |= self.waiting.remove(&job).is_some();
+        self.is_stale |= self.waiting.remove(&job).is_some();
     }
 
     /// Removes the gangs whose entries have expired, and brings the summary of each group up to date.
     pub fn refresh(&mut self, now: Timestamp, groups: impl Iterator<Item = MachineGroup>) {
         let before = self.waiting.len();
         self.waiting.retain(|_, entry| entry.expires_at > now);
-        self.stale |= self.waiting.len() != before;
+        self.is_stale |= self.waiting.len() != before;
         let groups: Vec<MachineGroup> = groups.collect();
-        if !self.stale && groups.len() == self.by_group.len() {
+        if !self.is_stale && groups.len() == self.by_group.len() {
             return;
         }
-        self.stale = false;
+        self.is_stale = false;
         self.by_group.clear();
         for group in groups {
             let mut queue = GroupQueue::default();
             let gangs = self.waiting.values().map(|entry| &entry.gang);
-            for gang in gangs.filter(|gang| gang.could_use(group)) {
+            for gang in gangs.filter(|gang| gang.can_use(group)) {
                 queue.add(gang);
             }
             self.by_group.insert(group, queue);
@@ -132,8 +132,8 @@
     /// Returns whether a gang that is served before this rank may use machines of the group and waits
     /// for their zone. Gangs behind it get none of them: when several gangs each hold some machines
     /// and wait for the rest, none can start.
-    pub fn is_behind(&self, rank: QueueRank, group: MachineGroup) -> bool {
-        let first = self.by_group.get(&group).and_then(|queue| queue.first);
+    pub fn has_gang_ahead(&self, rank: QueueRank, group: MachineGroup) -> bool {
+        let first = self.by_group.get(&group).and_then(|queue| queue.first_rank);
         first.is_some_and(|first| first < rank)
     }
 
--- a/crates/core/src/participant/holds.rs
+++ b/crates/core/src/participant/holds.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Hold {
     /// Shard of the coordinator.
-    pub shard: Shard,
+    pub coordinator: Shard,
     /// Negotiation with whose end the hold ends.
     pub negotiation: NegotiationId,
     /// Job for which the capacity was offered.
@@ -17,13 +17,13 @@
     /// Number of tasks that the hold still covers.
     pub count: u64,
     /// Whether the tasks run for a long time: those of a service, or with GPUs.
-    pub lasting: bool,
+    pub is_long_running: bool,
 }
 
 impl Hold {
     /// Returns whether the hold is part of this negotiation of this coordinator's shard.
-    pub fn belongs_to(&self, shard: Shard, negotiation: NegotiationId) -> bool {
-        self.shard == shard && self.negotiation.0 == negotiation.0
+    pub fn belongs_to(&self, coordinator: Shard, negotiation: NegotiationId) -> bool {
+        self.coordinator == coordinator && self.negotiation.0 == negotiation.0
     }
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether there is any hold on a machine.
-    pub fn any_on(&self, machine: MachineIdx) -> bool {
+    pub fn has_any_on(&self, machine: MachineIdx) -> bool {
         self.by_machine.contains_key(&machine)
     }
 
@@ -50,9 +50,10 @@
 
     /// Reduces the coordinator's hold for the job on a machine by the one task that was placed there. Does
     /// nothing if there is no such hold.
-    pub fn use_one(&mut self, machine: MachineIdx, shard: Shard, job: JobId) {
+    pub fn consume_one(&mut self, machine: MachineIdx, coordinator: Shard, job: JobId) {
         let mut holds = self.by_machine.get_mut(&machine).into_iter().flatten();
-        let usable = |hold: &&mut Hold| hold.shard == shard && hold.job == job && hold.count > 0;
+        let usable =
+            |hold: &&mut Hold| hold.coordinator == coordinator && hold.job == job && hold.count > 0;
         if let Some(hold) = holds.find(usable) {
             hold.count -= 1;
         }
@@ -70,7 +71,7 @@
     pub fn open_negotiations(&self) -> Vec<(Shard, NegotiationId)> {
         let holds = self.by_machine.values().flatten();
         let open: BTreeSet<(u8, u64)> =
-            holds.map(|hold| (hold.shard.0, hold.negotiation.0)).collect();
+            holds.map(|hold| (hold.coordinator.0, hold.negotiation.0)).collect();
         open.into_iter().map(|(shard, number)| (Shard(shard), NegotiationId(number))).collect()
     }
 }
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -50,7 +50,7 @@
     /// Serial number of the newest message.
     serial: u64,
     /// Whether the full list was sent.
-    started: bool,
+    has_started: bool,
 }
 
 impl InventoryPublisher {
@@ -66,19 +66,19 @@
     }
 
     /// Removes a machine from the list.
-    pub fn gone(&mut self, idx: MachineIdx) {
+    pub fn remove(&mut self, idx: MachineIdx) {
         self.set(idx, None);
     }
 
     /// Makes the next messages list all machines again.
-    pub fn start_again(&mut self) {
-        self.started = false;
+    pub fn publish_all_again(&mut self) {
+        self.has_started = false;
     }
 
     /// Returns the messages with the changes since the last call. There is always at least one, since
     /// the provisioner takes it as a sign that the participant is alive.
-    pub fn changes(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
-        let first = !std::mem::replace(&mut self.started, true);
+    pub fn next_messages(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
+        let first = !std::mem::replace(&mut self.has_started, true);
         if first {
             self.published.clear();
             self.changed = self.current.keys().copied().collect();
@@ -96,12 +96,12 @@
                 Some(_) | None => {}
             }
         }
-        self.messages(machines, gone, first)
+        self.split_into_messages(machines, gone, first)
     }
 
     /// Splits the lists into messages with consecutive serial numbers. `first` is set in the first of
     /// them only.
-    fn messages(
+    fn split_into_messages(
         &mut self,
         mut machines: Vec<MachineInfo>,
         mut gone: Vec<String>,
@@ -148,9 +148,9 @@
     }
 }
 
-fn is_unreachable(machine: &Machine, now: Timestamp) -> bool {
-    let deaf_since = machine.reachability.unreachable_since();
-    deaf_since.is_some_and(|since| now >= since + UNREACHABLE_DEAD_AFTER_MS)
+fn is_long_unreachable(machine: &Machine, now: Timestamp) -> bool {
+    let unreachable_since = machine.reachability.unreachable_since();
+    unreachable_since.is_some_and(|since| now >= since + UNREACHABLE_DEAD_AFTER_MS)
 }
 
 impl Participant {
@@ -159,30 +159,31 @@
         let now = ctx.now;
         let lease_ms = plus_clock_drift(ctx.config.worker_lease_ms);
         let present = self.machines.values().filter(|machine| !machine.released);
-        let unreachable = present.filter(|machine| is_unreachable(machine, now)).count();
+        let unreachable = present.filter(|machine| is_long_unreachable(machine, now)).count();
         let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
         for (&idx, machine) in &self.machines {
-            let lost = machine.lease_expired && now > machine.last_heartbeat_at + lease_ms;
-            let dead = lost || (few_unreachable && is_unreachable(machine, now));
-            self.inventory_publisher.set(idx, self.summary(idx, machine, dead));
+            let is_lost = machine.lease_expired && now > machine.last_heartbeat_at + lease_ms;
+            let is_dead = is_lost || (few_unreachable && is_long_unreachable(machine, now));
+            self.inventory_publisher.set(idx, self.summary(idx, machine, is_dead));
         }
-        self.inventory_publisher.changes(now, ctx.names)
+        self.inventory_publisher.next_messages(now, ctx.names)
     }
 
     /// Makes the next inventory list all machines, because the provisioner missed a message.
     pub fn resend_inventory(&mut self) {
-        self.inventory_publisher.start_again();
+        self.inventory_publisher.publish_all_again();
     }
 
-    fn summary(&self, idx: MachineIdx, machine: &Machine, dead: bool) -> Option<MachineSummary> {
+    fn summary(&self, idx: MachineIdx, machine: &Machine, is_dead: bool) -> Option<MachineSummary> {
         let machine_type = machine.machine_type.filter(|_| !machine.released)?;
-        let idle = !self.holds.any_on(idx) && machine.tasks.values().all(TaskOnMachine::is_over);
+        let is_idle =
+            !self.holds.has_any_on(idx) && machine.tasks.values().all(TaskOnMachine::is_over);
         Some(MachineSummary {
             machine_type,
             zone: machine.zone,
             spot: machine.spot,
-            idle_since: idle.then_some(machine.last_busy_at),
-            dead,
+            idle_since: is_idle.then_some(machine.last_busy_at),
+            dead: is_dead,
             draining: machine.draining,
         })
     }
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -32,9 +32,9 @@
         let idx = names.machine(&format!("n-{number:06}"));
         publisher.set(idx, Some(summary()));
     }
-    assert_eq!(named(&publisher.changes(0, &names)), (MACHINES as usize, 0));
+    assert_eq!(named(&publisher.next_messages(0, &names)), (MACHINES as usize, 0));
     for number in 0..MACHINES {
-        publisher.gone(MachineIdx(number));
+        publisher.remove(MachineIdx(number));
     }
-    assert_eq!(named(&publisher.changes(1000, &names)), (0, MACHINES as usize));
+    assert_eq!(named(&publisher.next_messages(1000, &names)), (0, MACHINES as usize));
 }
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -160,11 +160,11 @@
     ) -> Result<GroupScore, OfferObstacle> {
         let request = search.request;
         let zone_room = request.zone_room.get(group.zone.0 as usize).copied().unwrap_or(0);
-        let behind = |rank| self.gang_queue.is_behind(rank, group);
+        let has_gang_ahead = |rank| self.gang_queue.has_gang_ahead(rank, group);
         if zone_room == 0 {
             return Err(OfferObstacle::ZoneRule);
         }
-        if search.rank.is_some_and(behind) {
+        if search.rank.is_some_and(has_gang_ahead) {
             return Err(OfferObstacle::GangAhead);
         }
         let whole = ctx.names.resources_of_type(group.machine_type);
@@ -195,7 +195,7 @@
     ) {
         let (image, min_cpu) = (search.shape.image, search.shape.need.cpu);
         let with_image = self.capacity_index.with_image(score.group, image, min_cpu);
-        let all = self.capacity_index.with_free(score.group, min_cpu);
+        let all = self.capacity_index.with_free_cpu(score.group, min_cpu);
         let all = all.map(|idx| (score.fetch_steps, idx));
         let mut missing = u64::from(search.request.count);
         for (fetch_steps, idx) in with_image.map(|idx| (0, idx)).chain(all) {
@@ -326,7 +326,7 @@
         }
         let mut left = max;
         // Within a group, the machines with the most free processors are the least busy.
-        for idx in self.capacity_index.with_free(group, 0) {
+        for idx in self.capacity_index.with_free_cpu(group, 0) {
             if left == 0 {
                 break;
             }
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -119,7 +119,7 @@
         let forget_at = machine.last_heartbeat_at + FORGET_AFTER_MS;
         if machine.tasks.is_empty() && now > forget_at {
             self.machines.remove(&idx);
-            self.inventory_publisher.gone(idx);
+            self.inventory_publisher.remove(idx);
             return None;
         }
         Some(forget_at.max(now + FORGET_CHECK_INTERVAL_MS))
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -209,9 +209,9 @@
         if epoch > *known {
             *known = epoch;
             if shard == PROVISIONER_SHARD {
-                self.inventory_publisher.start_again();
+                self.inventory_publisher.publish_all_again();
             }
-            self.holds.release(|hold| hold.shard == shard);
+            self.holds.release(|hold| hold.coordinator == shard);
             self.changed_machines.extend(self.machines.keys().copied());
         }
         true
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -184,12 +184,12 @@
             *room -= count;
             missing -= count;
             let hold = Hold {
-                shard: round.from,
+                coordinator: round.from,
                 negotiation: round.negotiation,
                 job: JobId(item.request.job),
                 need: shape.need,
                 count: u64::from(count),
-                lasting: shape.is_long_running(),
+                is_long_running: shape.is_long_running(),
             };
             self.holds.add(choice.machine, hold);
             round.offers.push(choice.offer(ctx, item, count));
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -61,7 +61,7 @@
     /// machines, none can start.
     fn is_behind(&self, queue: &GangQueue, group: MachineGroup) -> bool {
         let waits_for_zone = self.request.queue_position.is_some_and(|p| p.zone.is_some());
-        waits_for_zone && self.rank.is_some_and(|rank| queue.is_behind(rank, group))
+        waits_for_zone && self.rank.is_some_and(|rank| queue.has_gang_ahead(rank, group))
     }
 
     fn zone_is_open(&self, group: MachineGroup) -> bool {
@@ -158,7 +158,7 @@
             if !self.may_preempt_in(ctx, search, group) {
                 continue;
             }
-            for idx in self.capacity_index.with_free(group, 0) {
+            for idx in self.capacity_index.with_free_cpu(group, 0) {
                 ctx.effects.machines_evaluated += 1;
                 plans.extend(self.preemption_plan(ctx, search, group, idx).map(Reverse));
             }
@@ -181,7 +181,7 @@
             job: search.job(),
             need: search.shape.need,
             expires_at,
-            waiting: plan.cost.loss >= MIN_WAITING_LOSS,
+            is_waiting: plan.cost.loss >= MIN_WAITING_LOSS,
             rank: search.rank,
         };
         self.reservations.add(plan.machine, reservation);
@@ -253,7 +253,8 @@
     ) -> bool {
         let mut reservations = self.reservations.on(idx).iter();
         self.is_eligible(ctx, idx, machine, search.request, search.eligibility)
-            && !reservations.any(|other| other.waiting && other.blocks(search.job(), search.rank))
+            && !reservations
+                .any(|other| other.is_waiting && other.blocks(search.job(), search.rank))
     }
 
     /// Returns whether a task of the job, if it is a service, leaves enough of a GPU machine for GPU work.
--- a/crates/core/src/participant/release.rs
+++ b/crates/core/src/participant/release.rs
@@ -7,7 +7,7 @@
     /// machine has a task or a hold.
     pub fn drain(&mut self, ctx: &mut Context, machine: &str) -> bool {
         let idx = ctx.names.machine(machine);
-        if self.holds.any_on(idx) {
+        if self.holds.has_any_on(idx) {
             return false;
         }
         let machine = self.machine_or_insert(idx);
--- a/crates/core/src/participant/reservations.rs
+++ b/crates/core/src/participant/reservations.rs
@@ -19,7 +19,7 @@
     pub expires_at: Timestamp,
     /// Whether no task was preempted for the reservation, so that it waits for tasks to end by
     /// themselves.
-    pub waiting: bool,
+    pub is_waiting: bool,
     /// Rank of the job in the gang queue; `None` if it is not a gang. While the reservation is
     /// waiting, gangs that are served before this rank may use the capacity.
     pub rank: Option<QueueRank>,
@@ -29,7 +29,7 @@
     /// Returns whether the reservation keeps a job of this rank from using the capacity.
     pub fn blocks(&self, job: JobId, rank: Option<QueueRank>) -> bool {
         let served_before = matches!((self.rank, rank), (Some(own), Some(other)) if other < own);
-        self.job != job && !(self.waiting && served_before)
+        self.job != job && !(self.is_waiting && served_before)
     }
 }
 
@@ -87,7 +87,7 @@
     ) {
         for machine in self.by_job.get(&job).into_iter().flatten() {
             let reservations = self.by_machine.get_mut(machine).into_iter().flatten();
-            for reservation in reservations.filter(|r| r.job == job && r.waiting) {
+            for reservation in reservations.filter(|r| r.job == job && r.is_waiting) {
                 reservation.rank = rank;
                 if reservation.expires_at < expires_at && may_extend(*machine) {
                     reservation.expires_at = expires_at;
--- a/crates/core/src/participant/reservations/tests.rs
+++ b/crates/core/src/participant/reservations/tests.rs
@@ -11,15 +11,15 @@
     rank_of(due_at, 0, due_at)
 }
 
-fn reservation(job: u64, expires_at: Timestamp, waiting: bool) -> Reservation {
+fn reservation(job: u64, expires_at: Timestamp, is_waiting: bool) -> Reservation {
     let need = Resources::default();
-    Reservation { job: JobId(job), need, expires_at, waiting, rank: Some(rank(5)) }
+    Reservation { job: JobId(job), need, expires_at, is_waiting, rank: Some(rank(5)) }
 }
 
 /// Guards against a deadlock of gangs that each have a reservation on some of the machines.
 #[test]
 fn set_aside_room_yields_to_older_gangs_only() {
-    let reservation = |waiting| reservation(5, 9, waiting);
+    let reservation = |is_waiting| reservation(5, 9, is_waiting);
     assert!(
         !reservation(true).blocks(JobId(4), Some(rank(4))),
         "a gang served before takes the capacity"
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -57,7 +57,7 @@
         let (task, attempt) = (assignment.task, Attempt(assignment.attempt));
         let incarnation = assignment.incarnation;
         let idx = ctx.names.machine(&assignment.machine);
-        self.holds.use_one(idx, command.from, job);
+        self.holds.consume_one(idx, command.from, job);
         self.reservations.remove_one(job, idx);
         let machine = self.machine_or_insert(idx);
         let outdated =
