--- a/crates/core/src/participant/capacity_index/tests.rs
+++ b/crates/core/src/participant/capacity_index/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_machines_with_room_are_looked_at() {
+fn lists_only_machines_with_enough_free_cpu() {
     let mut index = FreeCapacityIndex::default();
     let group = |spot| MachineGroup { machine_type: MachineTypeIdx(0), zone: ZoneIdx(0), spot };
     let image = ImageIdx(4);
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Eligibility {
     /// Whether the job permits the type, and a task fits on an empty machine of it.
-    pub allowed: bool,
+    pub is_allowed: bool,
     /// Whether it is a GPU machine that costs too much for this work, which needs no GPUs.
-    too_expensive: bool,
+    is_too_expensive: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -35,11 +35,12 @@
         let (shape, urgent) = (&request.shape, request.urgent);
         let need = Resources::of(shape);
         let eligibility = |machine_type: MachineTypeIdx, spot: bool| {
-            let whole = names.resources_of_type(machine_type);
-            let wastes_gpus = shape.gpu == 0 && whole.gpu > 0;
+            let total = names.resources_of_type(machine_type);
+            let wastes_gpus = shape.gpu == 0 && total.gpu > 0;
             Eligibility {
-                allowed: names.allows(shape, machine_type, spot) && whole.fits(need) > 0,
-                too_expensive: wastes_gpus && !names.affordable(shape, machine_type, spot, urgent),
+                is_allowed: names.allows(shape, machine_type, spot) && total.fits(need) > 0,
+                is_too_expensive: wastes_gpus
+                    && !names.affordable(shape, machine_type, spot, urgent),
             }
         };
         let types = (0..names.catalog.len() as u8).map(MachineTypeIdx);
@@ -59,7 +60,8 @@
 
     /// Returns whether the job may use machines of the group.
     pub fn allows(&self, group: MachineGroup) -> bool {
-        self.of_type(group.machine_type, group.spot).is_some_and(|eligibility| eligibility.allowed)
+        self.of_type(group.machine_type, group.spot)
+            .is_some_and(|eligibility| eligibility.is_allowed)
     }
 }
 
@@ -78,13 +80,14 @@
         else {
             return false;
         };
-        eligibility.allowed
-            && self.takes_new_work(ctx, idx, machine)
+        eligibility.is_allowed
+            && self.accepts_new_tasks(ctx, idx, machine)
             && !has_failed_job(machine, request.job, ctx)
-            && (!eligibility.too_expensive || self.is_paid_anyway(ctx, idx, machine, request))
+            && (!eligibility.is_too_expensive
+                || self.causes_no_extra_cost(ctx, idx, machine, request))
     }
 
-    fn takes_new_work(&self, ctx: &Context, idx: MachineIdx, machine: &Machine) -> bool {
+    fn accepts_new_tasks(&self, ctx: &Context, idx: MachineIdx, machine: &Machine) -> bool {
         !machine.draining
             && !machine.released
             && !machine.lease_expired
@@ -98,7 +101,7 @@
 
     /// Returns whether a machine that is too expensive for the request causes no additional cost: it is
     /// kept for the GPU work on it, or it is never released.
-    fn is_paid_anyway(
+    fn causes_no_extra_cost(
         &self,
         ctx: &Context,
         idx: MachineIdx,
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -8,7 +8,7 @@
 enum GpuMachineUse {
     /// The machine is silent or its worker has not confirmed the fencing token, or a task of unknown shape
     /// is on it.
-    Away,
+    Unavailable,
     /// GPU work is on the machine.
     Busy,
     /// The machine has enough free for recently requested GPU work.
@@ -35,7 +35,7 @@
 impl GpuMachineCounts {
     fn add(&mut self, machine_use: &GpuMachineUse) {
         match machine_use {
-            GpuMachineUse::Away => self.away += 1,
+            GpuMachineUse::Unavailable => self.away += 1,
             GpuMachineUse::Busy => self.busy += 1,
             GpuMachineUse::Open => self.open += 1,
             GpuMachineUse::ShortTasks => self.short_tasks += 1,
@@ -49,9 +49,9 @@
 fn machine_use(ctx: &Context, gpu_machine: &GpuMachine, needs: &[Resources]) -> GpuMachineUse {
     let machine = gpu_machine.machine;
     let fits = |free: Resources| needs.iter().any(|&need| free.fits(need) > 0);
-    let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
-    let Some(used) = machine.used().filter(|_| machine.token_confirmed && !silent) else {
-        return GpuMachineUse::Away;
+    let is_silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
+    let Some(used) = machine.used().filter(|_| machine.token_confirmed && !is_silent) else {
+        return GpuMachineUse::Unavailable;
     };
     let mut free = ctx.names.resources_of_type(gpu_machine.group.machine_type);
     free.sub(used, 1);
@@ -59,7 +59,7 @@
         GpuMachineUse::Busy
     } else if fits(free) {
         GpuMachineUse::Open
-    } else if fits(gpu_machine.lasting_free) {
+    } else if fits(gpu_machine.long_term_free) {
         GpuMachineUse::ShortTasks
     } else {
         GpuMachineUse::Blocked
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -38,8 +38,8 @@
     pub machine: &'a Machine,
     /// Group of the machine.
     pub group: MachineGroup,
-    /// Resources that are not used by services or GPU work, as `Participant::lasting_free` returns.
-    pub lasting_free: Resources,
+    /// Resources that are not used by services or GPU work, as `Participant::long_term_free` returns.
+    pub long_term_free: Resources,
 }
 
 impl Participant {
@@ -53,14 +53,14 @@
         job: JobId,
         rank: Option<QueueRank>,
     ) -> Option<Resources> {
-        self.free_with(Resources::default(), idx, machine, names, job, rank)
+        self.free_after(Resources::default(), idx, machine, names, job, rank)
     }
 
     /// Returns the same as `free`, counting `freed` of the used resources as free too. Holds and
     /// reservations are subtracted after `freed` is added: subtraction stops at 0, so in the other order
     /// they would not count against `freed`, and the capacity of one stopped task would be reserved
     /// repeatedly.
-    pub(super) fn free_with(
+    pub(super) fn free_after(
         &self,
         freed: Resources,
         idx: MachineIdx,
@@ -82,15 +82,15 @@
         Some(free)
     }
 
-    /// Returns the part of a machine's total resources, `whole`, that is not used by services or GPU
+    /// Returns the part of a machine's total resources, `total`, that is not used by services or GPU
     /// work, which run for a long time.
-    pub(super) fn lasting_free(
+    pub(super) fn long_term_free(
         &self,
         idx: MachineIdx,
         machine: &Machine,
-        whole: Resources,
+        total: Resources,
     ) -> Resources {
-        let mut free = whole;
+        let mut free = total;
         free.sub(machine.lasting(), 1);
         for hold in self.holds.on(idx).iter().filter(|hold| hold.is_long_running) {
             free.sub(hold.need, hold.count);
@@ -105,36 +105,36 @@
     ) -> impl Iterator<Item = GpuMachine<'a>> {
         let has_gpus = |group: &MachineGroup| names.resources_of_type(group.machine_type).gpu > 0;
         self.capacity_index.groups().filter(has_gpus).flat_map(move |group| {
-            let whole = names.resources_of_type(group.machine_type);
+            let total = names.resources_of_type(group.machine_type);
             self.capacity_index.with_free_cpu(group, 0).filter_map(move |idx| {
                 let machine = self.machines.get(&idx)?;
-                let lasting_free = self.lasting_free(idx, machine, whole);
-                Some(GpuMachine { idx, machine, group, lasting_free })
+                let long_term_free = self.long_term_free(idx, machine, total);
+                Some(GpuMachine { idx, machine, group, long_term_free })
             })
         })
     }
 
-    /// Returns the resources that a service may use of a GPU machine with this `lasting_free`. A service
+    /// Returns the resources that a service may use of a GPU machine with this `long_term_free`. A service
     /// runs for a long time, so it has to leave enough for the GPU work that is known. This cannot be
     /// judged by what is free now: a machine full of short tasks then seems unusable for GPU work
     /// anyway, and services fill it for good.
     pub(super) fn spare_for_service(
         &self,
-        lasting_free: Resources,
+        long_term_free: Resources,
         access: GpuMachineAccess,
     ) -> Resources {
         match access {
-            GpuMachineAccess::Unlimited => return lasting_free,
+            GpuMachineAccess::Unlimited => return long_term_free,
             // The GPU work to leave capacity for may not have been requested yet.
             GpuMachineAccess::BesideKnownGpuWork if self.gpu_demand.is_empty() => {
                 return Resources::default();
             }
             GpuMachineAccess::BesideKnownGpuWork | GpuMachineAccess::BesideGpuWork => {}
         }
-        let mut spare = lasting_free;
+        let mut spare = long_term_free;
         for need in self.gpu_demand.needs() {
-            let mut remainder = lasting_free;
-            remainder.sub(need, lasting_free.fits(need));
+            let mut remainder = long_term_free;
+            remainder.sub(need, long_term_free.fits(need));
             spare.cpu = spare.cpu.min(remainder.cpu);
             spare.mem = spare.mem.min(remainder.mem);
         }
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -36,7 +36,7 @@
 /// Guards against replicas that fill a GPU machine for good because short tasks leave too little free for
 /// GPU work at the moment.
 #[test]
-fn services_leave_gpu_room_whatever_short_tasks_run_now() {
+fn services_leave_capacity_for_gpu_work() {
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let service = shape(Kind::Service, 2000);
     assert_eq!(
@@ -53,7 +53,7 @@
         machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
     machine.update_load();
-    let empty = participant.lasting_free(MachineIdx(0), &Machine::new(1), WHOLE);
+    let empty = participant.long_term_free(MachineIdx(0), &Machine::new(1), WHOLE);
     assert_eq!(
         participant
             .spare_for_service(empty, GpuMachineAccess::BesideKnownGpuWork)
@@ -61,7 +61,7 @@
         1,
         "one replica fits beside the GPU task"
     );
-    let later = participant.lasting_free(MachineIdx(0), &machine, WHOLE);
+    let later = participant.long_term_free(MachineIdx(0), &machine, WHOLE);
     assert_eq!(
         participant
             .spare_for_service(later, GpuMachineAccess::BesideKnownGpuWork)
@@ -77,7 +77,7 @@
 /// Guards against several reservations of the same capacity: the capacity of one task that was being
 /// stopped was reserved five times.
 #[test]
-fn the_room_of_a_stopped_task_is_claimed_once() {
+fn capacity_of_stopped_task_is_reserved_once() {
     let mut names = Names::default();
     let (name, zones) = ("small".to_string(), vec!["a".to_string()]);
     let small = MachineType {
@@ -104,14 +104,20 @@
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
     let need = shape(Kind::Service, 1000).need;
     let idx = MachineIdx(0);
-    let room = |participant: &Participant| {
-        let soon =
-            participant.free_with(machine.stopping(), idx, &machine, &names, JobId(u64::MAX), None);
+    let tasks_that_fit = |participant: &Participant| {
+        let soon = participant.free_after(
+            machine.stopping(),
+            idx,
+            &machine,
+            &names,
+            JobId(u64::MAX),
+            None,
+        );
         soon.expect("all shapes are known").fits(need)
     };
-    assert_eq!(room(&participant), 1);
+    assert_eq!(tasks_that_fit(&participant), 1);
     let reservation =
         Reservation { job: JobId(5), need, expires_at: 9000, is_waiting: false, rank: None };
     participant.reservations.add(idx, reservation);
-    assert_eq!(room(&participant), 0);
+    assert_eq!(tasks_that_fit(&participant), 0);
 }
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -24,7 +24,7 @@
 /// Guards against messages that end with the last changed machine: of 1,500 machines that were removed at
 /// once, 500 then stayed in the provisioner's list for good.
 #[test]
-fn every_machine_that_is_gone_is_named_however_many_there_are() {
+fn lists_every_removed_machine() {
     const MACHINES: u32 = 1500;
     let mut names = World::new().names;
     let mut publisher = InventoryPublisher::default();
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -28,7 +28,7 @@
 pub(super) type KeptForGangs = BTreeMap<Priority, BTreeSet<MachineIdx>>;
 
 /// An item of a request, with what is computed once for it.
-pub(super) struct Item<'a> {
+pub(super) struct RequestItem<'a> {
     /// Position in the request.
     pub number: u16,
     /// The tasks that are requested.
@@ -56,7 +56,7 @@
 struct GroupScore {
     group: MachineGroup,
     /// Resources of an empty machine of the group.
-    whole: Resources,
+    total: Resources,
     /// 0: no waste; 1: work without GPUs on a spot machine with GPUs; 2: the same on an ordinary one.
     gpu_waste: u8,
     /// Time to fetch the image, in steps of `FETCH_STEP_S`, counted from 1.
@@ -93,7 +93,7 @@
 
 impl Choice {
     /// Returns the offer of capacity for `count` tasks on the machine.
-    pub fn offer(&self, ctx: &Context, item: &Item, count: u32) -> Offer {
+    pub fn offer(&self, ctx: &Context, item: &RequestItem, count: u32) -> Offer {
         Offer {
             item: item.number,
             machine: ctx.names.machine_name(self.machine).to_string(),
@@ -119,15 +119,15 @@
         &self,
         ctx: &mut Context,
         kept_for_gangs: &mut KeptForGangs,
-        item: &Item,
+        item: &RequestItem,
         shape: &Shape,
     ) -> MachineChoices {
         let request = item.request;
         let priority = request.shape.priority;
         let none_kept = BTreeSet::new();
         let kept_for_gangs = if request.shape.kind == Kind::Array && request.shape.gpu == 0 {
-            let kept = kept_for_gangs.entry(priority);
-            &*kept.or_insert_with(|| self.machines_kept_for_gangs(ctx, priority))
+            let entry = kept_for_gangs.entry(priority);
+            &*entry.or_insert_with(|| self.machines_kept_for_gangs(ctx, priority))
         } else {
             &none_kept
         };
@@ -167,21 +167,21 @@
         if search.rank.is_some_and(has_gang_ahead) {
             return Err(OfferObstacle::GangAhead);
         }
-        let whole = ctx.names.resources_of_type(group.machine_type);
+        let total = ctx.names.resources_of_type(group.machine_type);
         // For work without GPUs, ordinary GPU machines are the last resort: any GPU work can use them.
-        let gpu_waste = match (search.shape.need.gpu == 0 && whole.gpu > 0, group.spot) {
+        let gpu_waste = match (search.shape.need.gpu == 0 && total.gpu > 0, group.spot) {
             (false, _) => 0,
             (true, true) => 1,
             (true, false) => 2,
         };
         // Long tasks without GPUs would delay GPU work that cannot preempt them.
-        let long = request.shape.estimate_s > MAX_TASK_BESIDE_GPU_WORK_S;
-        if gpu_waste == 2 && search.gpu_work_waits && long {
+        let is_long = request.shape.estimate_s > MAX_TASK_BESIDE_GPU_WORK_S;
+        if gpu_waste == 2 && search.gpu_work_waits && is_long {
             return Err(OfferObstacle::GpuWorkWaits);
         }
         let fetch_s = ctx.names.image_fetch_s(group.machine_type, request.shape.image_gb);
         let fetch_steps = ((fetch_s / FETCH_STEP_S) as u32).saturating_add(1);
-        Ok(GroupScore { group, whole, gpu_waste, fetch_steps })
+        Ok(GroupScore { group, total, gpu_waste, fetch_steps })
     }
 
     /// Adds machines of a group until they have capacity for all tasks of the item, those with the image
@@ -204,8 +204,8 @@
             }
             let Some(machine) = self.machines.get(&idx) else { continue };
             ctx.effects.machines_evaluated += 1;
-            let seen_before = fetch_steps > 0 && machine.has_image(image);
-            if seen_before {
+            let is_already_added = fetch_steps > 0 && machine.has_image(image);
+            if is_already_added {
                 continue;
             }
             let free = match self.free_for_search(ctx, search, score, idx, machine) {
@@ -248,11 +248,11 @@
         let free = self.free(idx, machine, ctx.names, JobId(request.job), search.rank);
         let mut free = free.unwrap_or_default();
         if free.fits(need) == 0 {
-            return Err(self.capacity_obstacle(idx, machine, score.whole, need));
+            return Err(self.capacity_obstacle(idx, machine, score.total, need));
         }
         if score.gpu_waste > 0 && search.shape.wire.kind == Kind::Service {
-            let lasting_free = self.lasting_free(idx, machine, score.whole);
-            let spare = self.spare_for_service(lasting_free, GpuMachineAccess::of(request));
+            let long_term_free = self.long_term_free(idx, machine, score.total);
+            let spare = self.spare_for_service(long_term_free, GpuMachineAccess::of(request));
             free.cpu = free.cpu.min(spare.cpu);
             free.mem = free.mem.min(spare.mem);
         }
@@ -268,11 +268,11 @@
         &self,
         idx: MachineIdx,
         machine: &Machine,
-        whole: Resources,
+        total: Resources,
         need: Resources,
     ) -> OfferObstacle {
         let Some(used) = machine.used() else { return OfferObstacle::NoCapacity };
-        let mut free = whole;
+        let mut free = total;
         free.sub(used, 1);
         if free.fits(need) == 0 {
             return OfferObstacle::NoCapacity;
@@ -320,24 +320,24 @@
         max: usize,
         machines: &mut Vec<(u64, MachineIdx)>,
     ) {
-        let whole = ctx.names.resources_of_type(group.machine_type);
-        if whole.gpu == 0 || self.gang_queue.needs(group, priority).next().is_none() {
+        let total = ctx.names.resources_of_type(group.machine_type);
+        if total.gpu == 0 || self.gang_queue.needs(group, priority).next().is_none() {
             return;
         }
-        let mut left = max;
+        let mut remaining = max;
         // Within a group, the machines with the most free processors are the least busy.
         for idx in self.capacity_index.with_free_cpu(group, 0) {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             ctx.effects.machines_evaluated += 1;
             let Some(machine) = self.machines.get(&idx) else { continue };
-            let lasting_free = self.lasting_free(idx, machine, whole);
+            let long_term_free = self.long_term_free(idx, machine, total);
             let mut needs = self.gang_queue.needs(group, priority);
-            let wanted = needs.any(|need| lasting_free.fits(need) > 0);
-            if let (true, Some(used)) = (wanted, machine.used()) {
+            let is_usable = needs.any(|need| long_term_free.fits(need) > 0);
+            if let (true, Some(used)) = (is_usable, machine.used()) {
                 machines.push((used.cpu, idx));
-                left -= 1;
+                remaining -= 1;
             }
         }
     }
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -171,7 +171,7 @@
                 for (cpu, gpu, mem, priority) in gpu_work {
                     self.gpu_demand.note(gpu_demand::GpuNeed { cpu, gpu, mem }, priority, ctx.now);
                 }
-                self.offer(ctx, from, NegotiationId(negotiation), &items);
+                self.answer_offer_request(ctx, from, NegotiationId(negotiation), &items);
             }
             ShardMessage::CloseNegotiation { negotiation } => {
                 self.holds.release(|hold| hold.belongs_to(from, NegotiationId(negotiation)));
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -3,7 +3,7 @@
 use super::eligibility::EligibilityTable;
 use super::gang_queue::WaitingGang;
 use super::holds::Hold;
-use super::machine_choice::{Choice, Item, KeptForGangs, MachineChoices};
+use super::machine_choice::{Choice, KeptForGangs, MachineChoices, RequestItem};
 use super::preemption::{PreemptionOutcome, PreemptionSearch};
 use super::queue_rank::QueueRank;
 use super::Participant;
@@ -15,7 +15,7 @@
 
 /// The state of one request for offers while it is being answered.
 struct OfferRound<'a> {
-    from: Shard,
+    coordinator: Shard,
     negotiation: NegotiationId,
     offers: Vec<Offer>,
     /// Numbers of the items for which tasks are being preempted.
@@ -33,10 +33,10 @@
     priority: Priority,
     kind: Kind,
     allows_spot: bool,
-    urgent: bool,
+    is_urgent: bool,
     may_use_gpu_machines: bool,
     waits_for_zone: bool,
-    queued: bool,
+    is_queued: bool,
 }
 
 impl<'a> SearchKind<'a> {
@@ -48,10 +48,10 @@
             priority: shape.priority,
             kind: shape.kind,
             allows_spot: shape.spot,
-            urgent: request.urgent,
+            is_urgent: request.urgent,
             may_use_gpu_machines: request.may_use_gpu_machines,
             waits_for_zone: request.queue_position.is_some_and(|position| position.zone.is_some()),
-            queued: search.rank.is_some(),
+            is_queued: search.rank.is_some(),
         }
     }
 }
@@ -75,10 +75,10 @@
 impl Participant {
     /// Answers a request for offers. Holds the offered capacity for the negotiation, and preempts tasks
     /// for items that ask for it and got less than they need.
-    pub(super) fn offer(
+    pub(super) fn answer_offer_request(
         &mut self,
         ctx: &mut Context,
-        from: Shard,
+        coordinator: Shard,
         negotiation: NegotiationId,
         requests: &[OfferRequest],
     ) {
@@ -86,11 +86,11 @@
         self.reservations.expire(ctx.now);
         self.reindex(ctx.names);
         let numbered = requests.iter().enumerate();
-        let items: Vec<Item> =
-            numbered.map(|(i, request)| self.enter_item(ctx, i as u16, request)).collect();
+        let items: Vec<RequestItem> =
+            numbered.map(|(i, request)| self.prepare_item(ctx, i as u16, request)).collect();
         self.gang_queue.refresh(ctx.now, self.capacity_index.groups());
         let mut round = OfferRound {
-            from,
+            coordinator,
             negotiation,
             offers: Vec::new(),
             preempting: Vec::new(),
@@ -102,22 +102,22 @@
         }
         let OfferRound { offers, preempting, .. } = round;
         let answer = ShardMessage::Offers { negotiation: negotiation.0, offers, preempting };
-        ctx.send(self.shard, from, answer);
+        ctx.send(self.shard, coordinator, answer);
     }
 
     /// Computes which machines an item may use. If the item is for a gang, also computes its rank and
     /// enters it in the gang queue.
-    fn enter_item<'a>(
+    fn prepare_item<'a>(
         &mut self,
         ctx: &Context,
         number: u16,
         request: &'a OfferRequest,
-    ) -> Item<'a> {
+    ) -> RequestItem<'a> {
         let eligibility = EligibilityTable::of(ctx.names, request);
         let rank = request
             .queue_position
             .map(|position| self.enter_queue(ctx, request, position, &eligibility));
-        Item { number, request, eligibility, rank }
+        RequestItem { number, request, eligibility, rank }
     }
 
     /// Returns the rank of a gang, and adds it to the queue if it has a zone and holds its position.
@@ -144,7 +144,12 @@
     }
 
     /// Offers machines for one item, and records the shortage if they are not enough.
-    fn offer_item<'a>(&mut self, ctx: &mut Context, round: &mut OfferRound<'a>, item: &Item<'a>) {
+    fn offer_item<'a>(
+        &mut self,
+        ctx: &mut Context,
+        round: &mut OfferRound<'a>,
+        item: &RequestItem<'a>,
+    ) {
         let request = item.request;
         let priority = request.shape.priority;
         let shape = ctx.names.shape(&request.shape);
@@ -156,7 +161,7 @@
             return;
         }
         self.offer_obstacles.add(&obstacles);
-        self.capacity_notices.note_shortage(round.from, priority);
+        self.capacity_notices.note_shortage(round.coordinator, priority);
         if request.preempt {
             self.preempt_for_item(ctx, round, item, &shape, zone_room, missing);
         }
@@ -168,7 +173,7 @@
         &mut self,
         ctx: &Context,
         round: &mut OfferRound,
-        item: &Item,
+        item: &RequestItem,
         shape: &Shape,
         choices: &[Choice],
         zone_room: &mut [u32],
@@ -184,7 +189,7 @@
             *room -= count;
             missing -= count;
             let hold = Hold {
-                coordinator: round.from,
+                coordinator: round.coordinator,
                 negotiation: round.negotiation,
                 job: JobId(item.request.job),
                 need: shape.need,
@@ -205,7 +210,7 @@
         &mut self,
         ctx: &mut Context,
         round: &mut OfferRound<'a>,
-        item: &Item<'a>,
+        item: &RequestItem<'a>,
         shape: &Shape,
         mut zone_room: Vec<u32>,
         missing: u32,
@@ -230,8 +235,10 @@
         // If a search found no machine for one job, it finds none for a later job of the same kind. With
         // a fleet three times as large, most requests found none.
         let kind = SearchKind::of(request, &search);
-        let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
-        if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
+        let is_known_to_fail =
+            round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
+        if !is_known_to_fail && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine
+        {
             let open_zones = zone_room.iter().map(|&room| room > 0).collect();
             round.failed_searches.push(FailedSearch { kind, open_zones });
         }
--- a/crates/core/src/participant/offer_obstacles.rs
+++ b/crates/core/src/participant/offer_obstacles.rs
@@ -80,7 +80,7 @@
     use super::*;
 
     #[test]
-    fn obstacles_are_counted_under_their_names() {
+    fn logs_obstacles_under_their_names() {
         let mut counts = ObstacleCounts::default();
         assert_eq!(counts.figures(), None);
         for obstacle in OfferObstacle::ALL {
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -64,13 +64,13 @@
         waits_for_zone && self.rank.is_some_and(|rank| queue.has_gang_ahead(rank, group))
     }
 
-    fn zone_is_open(&self, group: MachineGroup) -> bool {
+    fn is_zone_open(&self, group: MachineGroup) -> bool {
         self.zone_room.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
     }
 
     /// Returns whether machines are reserved for the job until tasks end by themselves, if none can be
     /// stopped for it.
-    fn may_wait(&self) -> bool {
+    fn can_wait(&self) -> bool {
         self.shape.wire.kind == Kind::Gang || self.request.shape.gpu > 0
     }
 }
@@ -127,7 +127,7 @@
         }
         for _ in 0..wanted {
             let Some(Reverse(plan)) = plans.pop() else { break };
-            self.carry_out(search, &plan, ctx.now);
+            self.execute_plan(search, &plan, ctx.now);
             plans.extend(self.preemption_plan(ctx, search, plan.group, plan.machine).map(Reverse));
         }
         PreemptionOutcome::Possible
@@ -141,7 +141,7 @@
             let machine = machine.filter(|m| !m.lease_expired && m.interruption_at.is_none());
             let group = machine.and_then(MachineGroup::of);
             // The reservations of a gang that is no longer first in the queue are left to expire.
-            group.is_some_and(|group| search.zone_is_open(group) && !search.is_behind(queue, group))
+            group.is_some_and(|group| search.is_zone_open(group) && !search.is_behind(queue, group))
         };
         let until = now + RESERVATION_MS;
         self.reservations.extend_waiting(search.job(), search.rank, until, may_extend);
@@ -155,7 +155,7 @@
     ) -> BinaryHeap<Reverse<PreemptionPlan>> {
         let mut plans = BinaryHeap::new();
         for group in self.capacity_index.groups() {
-            if !self.may_preempt_in(ctx, search, group) {
+            if !self.can_preempt_in(ctx, search, group) {
                 continue;
             }
             for idx in self.capacity_index.with_free_cpu(group, 0) {
@@ -167,7 +167,7 @@
     }
 
     /// Stops the plan's victims and reserves capacity for one task of the job on the machine.
-    fn carry_out(&mut self, search: &PreemptionSearch, plan: &PreemptionPlan, now: Timestamp) {
+    fn execute_plan(&mut self, search: &PreemptionSearch, plan: &PreemptionPlan, now: Timestamp) {
         let Some(machine) = self.machines.get_mut(&plan.machine) else { return };
         let mut expires_at = now + RESERVATION_MS;
         for key in &plan.victims {
@@ -189,7 +189,7 @@
     }
 
     /// Returns whether machines of this group may be reserved for the job.
-    fn may_preempt_in(
+    fn can_preempt_in(
         &self,
         ctx: &Context,
         search: &PreemptionSearch,
@@ -197,7 +197,7 @@
     ) -> bool {
         let has_gpus = ctx.names.resources_of_type(group.machine_type).gpu > 0;
         search.eligibility.allows(group)
-            && search.zone_is_open(group)
+            && search.is_zone_open(group)
             && (search.includes_gpu_machines || !has_gpus)
             && !search.is_behind(&self.gang_queue, group)
     }
@@ -221,12 +221,12 @@
         }
         // The resources of tasks that are already being stopped will be free soon.
         let free_soon =
-            self.free_with(machine.stopping(), idx, machine, ctx.names, NO_JOB, rank)?;
+            self.free_after(machine.stopping(), idx, machine, ctx.names, NO_JOB, rank)?;
         let suffices = stopping_may_suffice(machine, search, free_soon);
-        let whole = ctx.names.resources_of_type(group.machine_type);
-        if (!suffices && !search.may_wait())
-            || !self.may_reserve(ctx, search, idx, machine)
-            || !self.leaves_gpu_capacity(search, idx, machine, whole)
+        let total = ctx.names.resources_of_type(group.machine_type);
+        if (!suffices && !search.can_wait())
+            || !self.can_reserve(ctx, search, idx, machine)
+            || !self.leaves_gpu_capacity(search, idx, machine, total)
         {
             return None;
         }
@@ -234,7 +234,7 @@
         let priority = search.shape.wire.priority;
         let (victims, loss) = match choose_victims(free_soon, need, priority, candidates) {
             Some(found) => found,
-            None => (Vec::new(), self.waiting_loss(search, idx, machine, whole, free_soon)?),
+            None => (Vec::new(), self.waiting_loss(search, idx, machine, total, free_soon)?),
         };
         let fetches_image = !machine.has_image(search.shape.image);
         let fetch_loss = if fetches_image { fetch_loss(ctx, search, group) } else { 0 };
@@ -244,7 +244,7 @@
 
     /// Returns whether the job may use the machine, and no other job has a waiting reservation on it that
     /// blocks this one: that job would lose the capacity that it waits for.
-    fn may_reserve(
+    fn can_reserve(
         &self,
         ctx: &Context,
         search: &PreemptionSearch,
@@ -263,15 +263,15 @@
         search: &PreemptionSearch,
         idx: MachineIdx,
         machine: &Machine,
-        whole: Resources,
+        total: Resources,
     ) -> bool {
         let need = search.shape.need;
-        if need.gpu > 0 || whole.gpu == 0 || search.shape.wire.kind != Kind::Service {
+        if need.gpu > 0 || total.gpu == 0 || search.shape.wire.kind != Kind::Service {
             return true;
         }
-        let lasting_free = self.lasting_free(idx, machine, whole);
+        let long_term_free = self.long_term_free(idx, machine, total);
         let access = GpuMachineAccess::of(search.request);
-        self.spare_for_service(lasting_free, access).fits(need) > 0
+        self.spare_for_service(long_term_free, access).fits(need) > 0
     }
 
     /// Returns the loss of reserving a machine without stopping any task. The tasks on the machine will
@@ -283,18 +283,18 @@
         search: &PreemptionSearch,
         idx: MachineIdx,
         machine: &Machine,
-        whole: Resources,
+        total: Resources,
         free_soon: Resources,
     ) -> Option<u64> {
-        if !search.may_wait() {
+        if !search.can_wait() {
             return None;
         }
-        let mut free_later = self.lasting_free(idx, machine, whole);
+        let mut free_later = self.long_term_free(idx, machine, total);
         let reservations = self.reservations.on(idx).iter();
         for other in reservations.filter(|other| other.blocks(NO_JOB, search.rank)) {
             free_later.sub(other.need, 1);
         }
-        let busy_cpu = whole.cpu.saturating_sub(free_soon.cpu);
+        let busy_cpu = total.cpu.saturating_sub(free_soon.cpu);
         (free_later.fits(search.shape.need) > 0).then_some(MIN_WAITING_LOSS + busy_cpu)
     }
 }
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns whether the task is running, has run for long enough to be moved, and is not being stopped.
-fn is_settled(task: &TaskOnMachine, now: Timestamp) -> bool {
+fn is_movable(task: &TaskOnMachine, now: Timestamp) -> bool {
     task.stop.is_none()
         && task.phase == TaskPhase::On(TaskState::Running)
         && task.running_since.is_some_and(|since| now > since + MIN_RUN_BEFORE_MOVE_MS)
@@ -43,7 +43,7 @@
 /// Returns the first replica on the machine that can be moved.
 fn movable_replica(gpu_machine: &GpuMachine, now: Timestamp) -> Option<BlockingReplica> {
     let tasks = &gpu_machine.machine.tasks;
-    let (key, task) = tasks.iter().find(|(_, task)| is_replica(task) && is_settled(task, now))?;
+    let (key, task) = tasks.iter().find(|(_, task)| is_replica(task) && is_movable(task, now))?;
     Some(BlockingReplica {
         replicas: tasks.values().filter(|task| is_replica(task)).count(),
         machine: gpu_machine.idx,
@@ -102,7 +102,7 @@
     /// Returns whether a task of a waiting gang would fit on the machine, once the other tasks have ended,
     /// if the replicas were not on it.
     fn replicas_block_gang(&self, gpu_machine: &GpuMachine) -> bool {
-        let with_replicas = gpu_machine.lasting_free;
+        let with_replicas = gpu_machine.long_term_free;
         let mut without_replicas = with_replicas;
         let replicas = gpu_machine.machine.tasks.values().filter(|task| is_replica(task));
         for shape in replicas.filter_map(|task| task.shape.as_ref()) {
--- a/crates/core/src/participant/reservations/tests.rs
+++ b/crates/core/src/participant/reservations/tests.rs
@@ -18,7 +18,7 @@
 
 /// Guards against a deadlock of gangs that each have a reservation on some of the machines.
 #[test]
-fn set_aside_room_yields_to_older_gangs_only() {
+fn waiting_reservation_yields_to_earlier_gangs_only() {
     let reservation = |is_waiting| reservation(5, 9, is_waiting);
     assert!(
         !reservation(true).blocks(JobId(4), Some(rank(4))),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn claims_are_found_by_machine_and_by_job_until_they_end() {
+fn indexes_reservations_until_they_expire() {
     let mut reservations = Reservations::default();
     let (a, b) = (MachineIdx(1), MachineIdx(2));
     for (m, job, until) in [(a, 1, 10), (a, 2, 20), (b, 1, 30), (b, 1, 10)] {
@@ -44,9 +44,9 @@
     reservations.extend_waiting(JobId(1), Some(rank), 25, |m| m == a);
     let first = rank_of(7, 0, 905);
     let of_job = |c: &&Reservation| c.job == JobId(1);
-    let late = reservations.on(a).iter().find(of_job).expect("a reservation");
+    let reservation = reservations.on(a).iter().find(of_job).expect("a reservation");
     assert!(
-        !late.blocks(JobId(7), Some(first)),
+        !reservation.blocks(JobId(7), Some(first)),
         "the job missed an objective, so the gang that is first now may use the capacity"
     );
     reservations.expire(15);
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -98,7 +98,7 @@
     }
 }
 
-fn report(machine: &str, seq: u64) -> WorkerHeartbeat {
+fn heartbeat(machine: &str, seq: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: machine.into(),
         addr: "10.9.0.1:1".into(),
@@ -113,7 +113,12 @@
     }
 }
 
-fn wanted(job: u64, kind: Kind, count: u32, queue_position: Option<QueuePosition>) -> OfferRequest {
+fn offer_request(
+    job: u64,
+    kind: Kind,
+    count: u32,
+    queue_position: Option<QueuePosition>,
+) -> OfferRequest {
     let gang = kind == Kind::Gang;
     let shape = WireShape {
         kind,
@@ -144,45 +149,48 @@
 /// Guards against arrays that reserve, again and again, the machines on which they get no capacity
 /// because these are kept for gangs: the gangs cannot use the reserved machines either.
 #[test]
-fn machines_kept_for_gangs_are_not_claimed_by_who_is_kept_off() {
+fn arrays_do_not_reserve_machines_kept_for_gangs() {
     let mut world = World::new();
     let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     world.at(100, |context| {
         for m in ["n-000001", "n-000002"] {
-            participant.handle_heartbeat(context, &report(m, 1), None).expect("a response");
+            participant.handle_heartbeat(context, &heartbeat(m, 1), None).expect("a response");
         }
     });
-    let mut ask = |participant: &mut Participant, now, negotiation, item: OfferRequest| {
-        let items = vec![item];
-        let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
-        let offered = sent.iter().find_map(|m| match m {
-            ShardMessage::Offers { offers, .. } => {
-                Some(offers.iter().map(|o| o.count).sum::<u32>())
-            }
-            _ => None,
-        });
-        world.at(now, |context| {
-            participant.handle(
-                context,
-                Shard(0),
-                EPOCH,
-                ShardMessage::CloseNegotiation { negotiation },
-            );
-        });
-        offered.expect("a response")
-    };
+    let mut request_offers =
+        |participant: &mut Participant, now, negotiation, item: OfferRequest| {
+            let items = vec![item];
+            let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
+            let (sent, _) =
+                world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
+            let offered = sent.iter().find_map(|m| match m {
+                ShardMessage::Offers { offers, .. } => {
+                    Some(offers.iter().map(|o| o.count).sum::<u32>())
+                }
+                _ => None,
+            });
+            world.at(now, |context| {
+                participant.handle(
+                    context,
+                    Shard(0),
+                    EPOCH,
+                    ShardMessage::CloseNegotiation { negotiation },
+                );
+            });
+            offered.expect("a response")
+        };
     // Two of the gang's four tasks would fit, so it is queued for the zone.
-    let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
-    ask(&mut participant, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
+    let position =
+        QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
+    request_offers(&mut participant, 200, 1, offer_request(7, Kind::Gang, 4, Some(position)));
     assert_eq!(
-        ask(&mut participant, 300, 2, wanted(8, Kind::Array, 20, None)),
+        request_offers(&mut participant, 300, 2, offer_request(8, Kind::Array, 20, None)),
         0,
         "the machines are kept for the gang"
     );
     assert_eq!(participant.reservations.count(JobId(8)), 0, "the array reserves nothing");
     assert_eq!(
-        ask(&mut participant, 400, 3, wanted(7, Kind::Gang, 4, Some(line))),
+        request_offers(&mut participant, 400, 3, offer_request(7, Kind::Gang, 4, Some(position))),
         2,
         "the gang gets the machines"
     );
@@ -190,21 +198,21 @@
 
 /// Late copies of a machine's heartbeats do not renew its lease after the machine has failed.
 #[test]
-fn late_copies_of_reports_keep_nobody_alive() {
+fn late_heartbeat_copies_do_not_renew_lease() {
     let lost_at = |copies: bool| {
         let mut world = World::new();
         let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
         for seq in 1..=3 {
             world.at(1000 * seq, |context| {
                 participant
-                    .handle_heartbeat(context, &report("n-000001", seq), None)
+                    .handle_heartbeat(context, &heartbeat("n-000001", seq), None)
                     .expect("a response");
             });
         }
         (3100..100_000).step_by(100).find(|&now| {
             let (_, logged) = world.at(now, |context| {
                 if copies && now % 700 == 0 {
-                    let copy = report("n-000001", 1 + now % 3);
+                    let copy = heartbeat("n-000001", 1 + now % 3);
                     assert!(
                         participant.handle_heartbeat(context, &copy, None).is_none(),
                         "a copy was answered"
@@ -222,13 +230,13 @@
 /// A copy of a heartbeat from an ended incarnation arrives after the next incarnation has begun: it must
 /// neither renew the lease nor change the known incarnation.
 #[test]
-fn copies_of_an_ended_session_prove_nothing() {
+fn ignores_heartbeat_of_ended_incarnation() {
     let mut world = World::new();
     let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
-    let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
+    let new = WorkerHeartbeat { incarnation: 2, ..heartbeat("n-000001", 1) };
     world.at(1000, |context| {
         participant
-            .handle_heartbeat(context, &report("n-000001", 7), None)
+            .handle_heartbeat(context, &heartbeat("n-000001", 7), None)
             .expect("a response to the first incarnation");
         participant
             .handle_heartbeat(context, &new, None)
@@ -239,7 +247,7 @@
     };
     let before = granted(&participant);
     world.at(9000, |context| {
-        assert!(participant.handle_heartbeat(context, &report("n-000001", 9), None).is_none());
+        assert!(participant.handle_heartbeat(context, &heartbeat("n-000001", 9), None).is_none());
     });
     assert_eq!(granted(&participant), before);
 }
@@ -247,16 +255,16 @@
 /// One-way partition: heartbeats arrive, but responses do not reach the machine. It gets no new work after
 /// the second heartbeat that shows this, until a heartbeat shows that a response arrived.
 #[test]
-fn a_deaf_machine_gets_no_work_until_it_hears() {
+fn offers_no_unreachable_machine() {
     let mut world = World::new();
     let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     let offered = |world: &mut World,
                    participant: &mut Participant,
                    now: Timestamp,
                    negotiation| {
-        let items = vec![wanted(8, Kind::Array, 1, None)];
-        let ask = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, ask));
+        let items = vec![offer_request(8, Kind::Array, 1, None)];
+        let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
+        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
         world.at(now, |context| {
             participant.handle(
                 context,
@@ -267,26 +275,27 @@
         });
         sent.iter().any(|m| matches!(m, ShardMessage::Offers { offers, .. } if !offers.is_empty()))
     };
-    let hear = |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
-        let via = via.map(NodeIdx);
-        world.at(now, |context| {
-            participant
-                .handle_heartbeat(context, &report("n-000001", seq), via)
-                .expect("a response");
-        });
-    };
-    hear(&mut world, &mut participant, 1000, 1, None);
+    let send_heartbeat =
+        |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
+            let via = via.map(NodeIdx);
+            world.at(now, |context| {
+                participant
+                    .handle_heartbeat(context, &heartbeat("n-000001", seq), via)
+                    .expect("a response");
+            });
+        };
+    send_heartbeat(&mut world, &mut participant, 1000, 1, None);
     assert!(offered(&mut world, &mut participant, 1100, 1));
-    hear(&mut world, &mut participant, 3000, 2, None);
+    send_heartbeat(&mut world, &mut participant, 3000, 2, None);
     // Without a response the worker tries one controller after the other, so its heartbeats come five
     // seconds apart and each by another path.
-    hear(&mut world, &mut participant, 8000, 3, Some(1));
+    send_heartbeat(&mut world, &mut participant, 8000, 3, Some(1));
     assert!(offered(&mut world, &mut participant, 8100, 2), "one unproven heartbeat is not enough");
-    hear(&mut world, &mut participant, 13_000, 4, Some(2));
+    send_heartbeat(&mut world, &mut participant, 13_000, 4, Some(2));
     assert!(!offered(&mut world, &mut participant, 13_100, 3));
-    hear(&mut world, &mut participant, 18_000, 5, None);
+    send_heartbeat(&mut world, &mut participant, 18_000, 5, None);
     assert!(!offered(&mut world, &mut participant, 18_100, 4));
-    hear(&mut world, &mut participant, 20_000, 6, None);
+    send_heartbeat(&mut world, &mut participant, 20_000, 6, None);
     assert!(
         offered(&mut world, &mut participant, 20_100, 5),
         "the worker kept the path, so a response reached it"
@@ -296,46 +305,46 @@
 /// After a failover a silent machine is not declared lost while a previous owner may have answered its
 /// worker. Once all previous owners have relinquished the shard, only the worker's lease counts.
 #[test]
-fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
-    let lost_at = |let_go: Option<Timestamp>| {
+fn silent_machine_expires_after_previous_owners_relinquish() {
+    let lost_at = |relinquished_at: Option<Timestamp>| {
         let mut world = World::new();
         let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PREVIOUS_OWNER_GRACE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = wanted(7, Kind::Array, 1, None).shape;
+        let shape = offer_request(7, Kind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
         world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
-            if let_go.is_some_and(|at| now >= at) {
+            if relinquished_at.is_some_and(|at| now >= at) {
                 participant.on_previous_owners_relinquished(now);
             }
             let (_, logged) = world.at(now, |context| participant.tick(context));
             logged.contains(&"worker_lease_expired")
         })
     };
-    let whole = lost_at(None).expect("lease expires");
+    let without_proof = lost_at(None).expect("lease expires");
     assert!(
-        whole > 1000 + PREVIOUS_OWNER_GRACE_MS + LEASE_MS,
-        "a previous owner may have answered the worker: {whole}"
+        without_proof > 1000 + PREVIOUS_OWNER_GRACE_MS + LEASE_MS,
+        "a previous owner may have answered the worker: {without_proof}"
     );
-    let proven = lost_at(Some(3000)).expect("lease expires");
-    assert!((3000 + LEASE_MS..3000 + LEASE_MS + 1000).contains(&proven), "at {proven}");
+    let with_proof = lost_at(Some(3000)).expect("lease expires");
+    assert!((3000 + LEASE_MS..3000 + LEASE_MS + 1000).contains(&with_proof), "at {with_proof}");
 }
 
 /// A placement is sent before its job is cancelled, and the cancellation arrives first by another route:
 /// the placement must start nothing, unless a coordinator of a newer epoch continues the job.
 #[test]
-fn a_yes_after_its_jobs_end_starts_nothing() {
-    let starts = |over: bool, epoch: u64| {
+fn late_placement_of_cancelled_job_starts_nothing() {
+    let starts = |is_cancelled: bool, epoch: u64| {
         let mut world = World::new();
         let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
         world.at(1000, |context| {
-            participant.handle_heartbeat(context, &report("n-000001", 1), None);
+            participant.handle_heartbeat(context, &heartbeat("n-000001", 1), None);
         });
-        if over {
+        if is_cancelled {
             world.horizons.on_cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = wanted(7, Kind::Array, 1, None).shape;
+        let shape = offer_request(7, Kind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         world.at(1100, |context| {
@@ -361,11 +370,14 @@
     use crate::guards::{assert_fails_without, Guard};
     assert_fails_without(
         Guard::LateHeartbeatGrantsNoLease,
-        late_copies_of_reports_keep_nobody_alive,
+        late_heartbeat_copies_do_not_renew_lease,
     );
     assert_fails_without(
         Guard::PreviousOwnersTimedOut,
-        a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go,
+        silent_machine_expires_after_previous_owners_relinquish,
+    );
+    assert_fails_without(
+        Guard::LateAssignmentStopped,
+        late_placement_of_cancelled_job_starts_nothing,
     );
-    assert_fails_without(Guard::LateAssignmentStopped, a_yes_after_its_jobs_end_starts_nothing);
 }
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -40,14 +40,14 @@
     if freed.fits(need) < 1 {
         return None;
     }
-    spare_unneeded(&mut chosen, freed, need);
+    remove_unneeded(&mut chosen, freed, need);
     let loss = chosen.iter().map(|victim| victim.loss + 1).sum();
     Some((chosen.into_iter().map(|victim| victim.key).collect(), loss))
 }
 
 /// Removes the victims that are not needed to fit `need`, considered in the order in which they were
 /// chosen. `freed` is what is free once all of `chosen` are stopped.
-fn spare_unneeded<K>(chosen: &mut Vec<Candidate<K>>, mut freed: Resources, need: Resources) {
+fn remove_unneeded<K>(chosen: &mut Vec<Candidate<K>>, mut freed: Resources, need: Resources) {
     chosen.retain(|victim| {
         let mut without = freed;
         without.sub(victim.need, 1);
--- a/crates/core/src/preemption/tests.rs
+++ b/crates/core/src/preemption/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn stops_only_lower_and_no_more_than_needed() {
+fn stops_only_needed_lower_priority_tasks() {
     let r = |cpu| Resources { cpu, gpu: 0, mem: 0 };
     let c = |key, priority, cpu, loss| Candidate { key, priority, need: r(cpu), loss };
     let tasks = vec![
