--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -15,7 +15,7 @@
 //! - `capacity_notices`: notices of freed capacity for coordinators that are short of it;
 //! - `inventory`, `release`: the machine list sent to the provisioner, and its drain and release
 //!   requests;
-//! - `figures`, `offer_obstacles`: counts for the operators' log.
+//! - `statistics`, `offer_obstacles`: counts for the operators' log.
 use crate::context::Context;
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, MachineIdx, NegotiationId, Shard, Timestamp, PROVISIONER_SHARD};
@@ -28,7 +28,6 @@
 mod capacity_notices;
 mod eligibility;
 mod failure_attribution;
-mod figures;
 mod free_resources;
 mod gang_queue;
 mod gpu_demand;
@@ -44,6 +43,7 @@
 mod release;
 mod replica_moves;
 mod reservations;
+mod statistics;
 mod task_commands;
 mod task_events;
 #[cfg(test)]
