--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -136,15 +136,15 @@
         Some(HeartbeatResponse { token, orders })
     }
 
-    /// Handles the outcome of a command batch. `answer` is the worker's heartbeat in response; it is
-    /// `None` if the batch was not sent, or, with `unknown`, if it may have been executed.
+    /// Handles the outcome of a command batch. `response` is the worker's heartbeat in response; it is
+    /// `None` if the batch was not sent, or, with `may_be_executed`, if it may have been executed.
     pub fn handle_batch_outcome(
         &mut self,
         ctx: &mut Context,
         machine: &str,
         batch: u64,
-        answer: Option<&WorkerHeartbeat>,
-        unknown: bool,
+        response: Option<&WorkerHeartbeat>,
+        may_be_executed: bool,
     ) {
         let Some(idx) = ctx.names.find_machine(machine) else {
             return;
@@ -152,7 +152,7 @@
         let Some(machine) = self.machines.get_mut(&idx) else {
             return;
         };
-        match answer {
+        match response {
             Some(heartbeat) => {
                 // The effect of the commands shows in this heartbeat and in all newer ones.
                 let known = (machine.incarnation, machine.seq);
@@ -164,7 +164,7 @@
                 machine.reachability.record_proof();
             }
             None => {
-                let end = if unknown { BatchEnd::Unknown } else { BatchEnd::Known };
+                let end = if may_be_executed { BatchEnd::Unknown } else { BatchEnd::Known };
                 machine.end_direct_batch(batch, end);
                 machine.next_direct_at = ctx.now + BATCH_RETRY_DELAY_MS;
             }
--- a/crates/core/src/participant/offer_obstacles.rs
+++ b/crates/core/src/participant/offer_obstacles.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the obstacles that occurred, with their counts, for the log; `None` if there were none.
-    pub fn figures(&self) -> Option<String> {
+    pub fn statistics(&self) -> Option<String> {
         let met = OfferObstacle::ALL.into_iter().filter(|obstacle| self.0[*obstacle as usize] > 0);
         let words: Vec<String> =
             met.map(|met| format!("{}={}", met.name(), self.0[met as usize])).collect();
@@ -82,7 +82,7 @@
     #[test]
     fn logs_obstacles_under_their_names() {
         let mut counts = ObstacleCounts::default();
-        assert_eq!(counts.figures(), None);
+        assert_eq!(counts.statistics(), None);
         for obstacle in OfferObstacle::ALL {
             assert_eq!(OfferObstacle::ALL[obstacle as usize], obstacle);
         }
@@ -90,6 +90,6 @@
         let mut sum = counts;
         sum.note(OfferObstacle::ZoneRule);
         sum.add(&counts);
-        assert_eq!(sum.figures().as_deref(), Some("zone_rule=1 held=2"));
+        assert_eq!(sum.statistics().as_deref(), Some("zone_rule=1 held=2"));
     }
 }
--- a/crates/core/src/participant/statistics.rs
+++ b/crates/core/src/participant/statistics.rs
@@ -71,7 +71,7 @@
     /// than they asked for, and resets the counts. Returns `None` if there were none since the last call.
     pub fn obstacle_statistics(&mut self) -> Option<String> {
         let counts = std::mem::take(&mut self.offer_obstacles);
-        Some(format!("shard={} {}", self.shard.0, counts.figures()?))
+        Some(format!("shard={} {}", self.shard.0, counts.statistics()?))
     }
 
     /// Returns a log line with the number of machines, of GPU machines by their use, and of waiting gangs.
