--- a/crates/core/src/provisioner/boot_tracker.rs
+++ b/crates/core/src/provisioner/boot_tracker.rs
@@ -1,4 +1,4 @@
-//! Machines that are booting, and what was spent on those that never came up.
+//! Tracks machines that are booting, and the cost of those that never came up.
 use super::boot_times::{BootLocation, BootTimes};
 use super::inventory::InventoryView;
 use crate::context::Context;
@@ -10,7 +10,7 @@
 /// Boot time that is assumed of a type that is not in the catalog, in seconds.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// A machine that was launched and has sent no heartbeat.
+/// A machine that was launched and has sent no heartbeat yet.
 #[derive(Clone, Debug)]
 pub(super) struct BootingMachine {
     pub(super) type_name: String,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The boot time that the catalog states for this type, in milliseconds.
+/// Returns the boot time that the catalog states for a type, in milliseconds.
 fn catalog_boot_ms(ctx: &Context, type_name: &str) -> u64 {
     let type_idx = ctx.names.type_idx(type_name);
     let boot_s =
@@ -34,18 +34,18 @@
     (boot_s.max(0.0) * 1000.0) as u64
 }
 
-/// Follows each machine from its launch to its first heartbeat.
+/// Tracks each machine from its launch to its first heartbeat.
 #[derive(Debug, Default)]
 pub(super) struct BootTracker {
     /// By name.
     booting: BTreeMap<String, BootingMachine>,
     boot_times: BootTimes,
-    /// Spent on machines that never came up, in the unit of the prices.
+    /// Cost of the machines that never came up, in the currency of the prices.
     spent_on_failed_boots: f64,
 }
 
 impl BootTracker {
-    /// A machine was launched.
+    /// Starts tracking a machine that was launched for `request`.
     pub(super) fn on_launch(&mut self, name: String, request: &InstanceRequest, now: Timestamp) {
         let machine = BootingMachine {
             type_name: request.type_name.clone(),
@@ -56,7 +56,8 @@
         self.booting.insert(name, machine);
     }
 
-    /// An instance is listed as starting, which may have been launched by an earlier provisioner.
+    /// Starts tracking an instance that the cloud lists as starting, unless it is tracked already. It
+    /// may have been launched by a provisioner of an earlier epoch.
     pub(super) fn on_listed_as_starting(&mut self, instance: &Instance, now: Timestamp) {
         let age_ms = (instance.age_s * 1000.0) as u64;
         self.booting.entry(instance.id.clone()).or_insert_with(|| BootingMachine {
@@ -67,7 +68,7 @@
         });
     }
 
-    /// Whether a listed instance has been starting for so long that it is released.
+    /// Returns whether a listed instance has been starting for so long that it is to be released.
     pub(super) fn is_given_up(&self, ctx: &Context, instance: &Instance) -> bool {
         let location =
             BootLocation { type_name: instance.type_name.clone(), zone: instance.zone.clone() };
@@ -76,7 +77,7 @@
         instance.age_s * 1000.0 > give_up_ms as f64
     }
 
-    /// Counts what was spent on an instance that is given up, and logs it.
+    /// Adds the cost of an instance that is given up to the total, and logs both.
     pub(super) fn on_given_up(&mut self, ctx: &mut Context, instance: &Instance) {
         let type_idx = ctx.names.type_idx(&instance.type_name);
         let price = type_idx.map_or(0.0, |idx| ctx.names.price(idx, instance.spot));
@@ -90,17 +91,18 @@
         });
     }
 
-    /// Stops following a machine that was released.
+    /// Stops tracking a machine that was released.
     pub(super) fn remove(&mut self, name: &str) {
         self.booting.remove(name);
     }
 
-    /// Keeps only the machines for which this is true.
+    /// Stops tracking the machines for which `keep` returns false.
     pub(super) fn retain(&mut self, mut keep: impl FnMut(&str, &BootingMachine) -> bool) {
         self.booting.retain(|name, machine| keep(name, machine));
     }
 
-    /// Learns from machines that came up, and notes where boots are overdue.
+    /// Records the boot times of machines that came up, stops tracking them, and updates where boots
+    /// are overdue.
     pub(super) fn update(&mut self, ctx: &Context, inventory: &InventoryView) {
         let boot_times = &mut self.boot_times;
         self.booting.retain(|name, machine| {
@@ -116,7 +118,7 @@
         self.boot_times.set_overdue(overdue.into_iter());
     }
 
-    /// The booting machines that count as capacity to come, in the order of their names.
+    /// Returns the booting machines that count as expected capacity, ordered by name.
     pub(super) fn expected<'a>(
         &'a self,
         ctx: &'a Context,
@@ -124,7 +126,7 @@
         self.booting.values().filter(|machine| !self.is_overdue(ctx, machine))
     }
 
-    /// Whether boots of this type fail in this zone at present.
+    /// Returns whether boots of this type fail in this zone at present.
     pub(super) fn is_failing(&self, location: &BootLocation) -> bool {
         self.boot_times.is_failing(location)
     }
--- a/crates/core/src/provisioner/call_pacing.rs
+++ b/crates/core/src/provisioner/call_pacing.rs
@@ -1,7 +1,7 @@
-//! Keeps to the cloud's limit of calls.
+//! Keeps the calls to the cloud within its rate limit.
 use crate::ids::Timestamp;
 
-/// Spaces out the calls to the cloud. Those for the catalog are not counted.
+/// Spaces out the calls to the cloud. Calls for the catalog are not counted.
 #[derive(Debug)]
 pub(super) struct CallPacing {
     next_call_at: Timestamp,
@@ -12,19 +12,19 @@
         CallPacing { next_call_at: now }
     }
 
-    /// Whether a call may be made now.
+    /// Returns whether a call may be made now.
     pub(super) fn is_ready(&self, now: Timestamp) -> bool {
         now >= self.next_call_at
     }
 
-    /// A call is made now; the next one may be made `gap_ms` later.
+    /// Records a call that is made now. The next one may be made `gap_ms` later.
     pub(super) fn on_call(&mut self, now: Timestamp, gap_ms: u64) {
         self.next_call_at = now + gap_ms;
     }
 
-    /// A call is made now that could not wait, perhaps ahead of time: the next one is put off by
-    /// `gap_ms`.
-    pub(super) fn on_early_call(&mut self, now: Timestamp, gap_ms: u64) {
+    /// Records a call that is made now whether or not the pacing allows one. The next regular call
+    /// is delayed by a further `gap_ms`, so that the average rate stays within the limit.
+    pub(super) fn on_unpaced_call(&mut self, now: Timestamp, gap_ms: u64) {
         self.next_call_at = self.next_call_at.max(now) + gap_ms;
     }
 }
--- a/crates/core/src/provisioner/instance_list.rs
+++ b/crates/core/src/provisioner/instance_list.rs
@@ -1,5 +1,5 @@
-//! The cloud's list of instances, and what follows from it: which instances are released since they
-//! failed, never came up or never sent a heartbeat.
+//! The cloud's list of instances, and the release of instances that failed, never came up or never
+//! sent a heartbeat.
 use super::inventory::InventoryView;
 use super::Provisioner;
 use crate::context::{Context, Operation, ProvisionerOperation};
@@ -8,36 +8,36 @@
 use leaddeal_wire::cloud::{Instance, InstanceList, InstanceStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Interval between two list calls, in milliseconds.
 const LIST_INTERVAL_MS: u64 = 3000;
-/// Wait after a list call that failed.
+/// Delay after a list call that failed, in milliseconds.
 const LIST_RETRY_MS: u64 = 2000;
 /// An instance that is listed as running, but has sent no heartbeat for this long, is released.
 const SILENT_TIMEOUT_MS: u64 = 60_000;
-/// No instance is released for its silence in this time after the provisioner started.
+/// For this long after the provisioner started, no instance is released for lack of heartbeats.
 const SILENT_START_GRACE_MS: u64 = 90_000;
-/// Beyond two times the lag of the cloud's list, after which a new instance should be listed.
+/// Time added to twice the lag of the cloud's list, after which a new instance should be listed.
 const LIST_LAG_MARGIN_MS: u64 = 5000;
 
-/// What is needed after a page was taken in.
+/// How to go on after a page of the list.
 #[derive(Debug, PartialEq, Eq)]
 enum ListProgress {
-    /// The page after this instance.
-    NextPage {
-        after: String,
-    },
+    /// The page that follows the instance `after` is needed.
+    NextPage { after: String },
+    /// That was the last page.
     Complete,
 }
 
-/// The last complete list, and the one that is being read.
+/// The last complete list of instances, and the list that is being read.
 #[derive(Debug)]
 pub(super) struct ListedInstances {
-    /// The last complete list, by name, without what was released since.
+    /// The last complete list, by name, without instances that were released since.
     instances: BTreeMap<String, Instance>,
     /// The pages of the list that is being read.
     partial: BTreeMap<String, Instance>,
     call_in_flight: bool,
     next_at: Timestamp,
-    /// A list was read completely.
+    /// A list was read completely since the provisioner started.
     is_known: bool,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether a list was read completely since the provisioner started.
+    /// Returns whether a list was read completely since the provisioner started.
     pub(super) fn is_known(&self) -> bool {
         self.is_known
     }
@@ -78,7 +78,7 @@
         self.next_at = now + LIST_INTERVAL_MS;
     }
 
-    /// Takes a page. `released`: instances that may still be listed.
+    /// Handles a page. `released` names released instances, which the cloud may still list.
     fn on_page(&mut self, page: InstanceList, released: &BTreeSet<String>) -> ListProgress {
         self.call_in_flight = false;
         let last = page.machines.last().map(|instance| instance.id.clone());
@@ -101,7 +101,8 @@
         self.next_at = now + LIST_RETRY_MS;
     }
 
-    /// The instance that was created last, by its name.
+    /// Returns the name of the instance that was created last. Names are given in the order of
+    /// creation.
     fn newest(&self) -> Option<&String> {
         self.instances.keys().max_by_key(|name| (name.len(), *name))
     }
@@ -133,7 +134,7 @@
 }
 
 impl Provisioner {
-    /// Asks for the list of instances, if it is time.
+    /// Requests the list of instances, if that is due.
     pub(super) fn request_list(&mut self, ctx: &mut Context) {
         if self.listed.is_due(ctx.now) && self.call_pacing.is_ready(ctx.now) {
             self.call_pacing.on_call(ctx.now, ctx.config.cloud_gap_ms);
@@ -150,7 +151,7 @@
     pub(super) fn on_list_page(&mut self, ctx: &mut Context, page: InstanceList) {
         match self.listed.on_page(page, self.scale_in.released()) {
             ListProgress::NextPage { after } => {
-                self.call_pacing.on_early_call(ctx.now, ctx.config.cloud_gap_ms);
+                self.call_pacing.on_unpaced_call(ctx.now, ctx.config.cloud_gap_ms);
                 self.send_list_call(ctx, Some(after));
             }
             ListProgress::Complete => self.reconcile(ctx),
@@ -161,7 +162,7 @@
         self.listed.on_failure(now);
     }
 
-    /// Compares a complete list with what is known of boots and heartbeats.
+    /// Compares a complete list with the tracked boots and the heartbeats.
     fn reconcile(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         let mut release = self.reconcile_boots(ctx);
@@ -169,25 +170,27 @@
         if now > self.started_at + SILENT_START_GRACE_MS {
             release.extend(self.silent.timed_out(now).cloned());
         }
-        // Launched, then neither listed for long nor heard: interrupted before it came up.
+        // A launched instance that is not listed long after its launch, and has sent no heartbeat,
+        // was interrupted before it came up.
         let listed_within_ms = ctx.config.list_lag_ms * 2 + LIST_LAG_MARGIN_MS;
         let (listed, inventory) = (&self.listed, &self.inventory);
         self.boots.retain(|name, boot| {
             let reports = inventory.contains(ctx.shard_of_machine(name), name);
             !reports && (listed.contains(name) || now < boot.since + listed_within_ms)
         });
-        self.scale_in.release_all(release);
+        self.scale_in.mark_for_release(release);
         self.find_operator_machines(ctx);
     }
 
-    /// Tracks the boots of listed instances. Returns those that failed or did not come up in time.
+    /// Tracks the boots of listed instances. Returns the names of those that failed or did not come
+    /// up in time.
     fn reconcile_boots(&mut self, ctx: &mut Context) -> Vec<String> {
         let mut release = Vec::new();
         for (name, instance) in &self.listed.instances {
             let reports = || self.inventory.contains(ctx.shard_of_machine(name), name);
             match instance.status {
                 InstanceStatus::Failed => release.push(name.clone()),
-                // Never came up, and is charged until it is released.
+                // The instance never came up, and is charged for until it is released.
                 InstanceStatus::Starting if self.boots.is_given_up(ctx, instance) && !reports() => {
                     if !self.scale_in.is_releasing(name) {
                         self.boots.on_given_up(ctx, instance);
@@ -201,7 +204,8 @@
         release
     }
 
-    /// Stores, or reads, the name of the newest machine that was there before the service.
+    /// Stores the name of the newest instance as that of the newest machine that existed before the
+    /// service, or reads the name if it is stored already.
     fn find_operator_machines(&mut self, ctx: &mut Context) {
         if self.operator_machines.begin_read() {
             ctx.find_operator_machines(self.listed.newest().cloned().unwrap_or_default());
--- a/crates/core/src/provisioner/instance_requests.rs
+++ b/crates/core/src/provisioner/instance_requests.rs
@@ -1,71 +1,74 @@
-//! Pending instance requests: each has a name, and is repeated under its name until its outcome is
-//! known.
+//! Pending instance requests. Each has a name, its idempotency key, and is retried under that name
+//! until its outcome is known.
 //!
 //! Invariants:
 //! - A name is used for one request only: it contains the provisioner's epoch and a number that
-//!   rises.
-//! - A request whose outcome is unknown is never dropped, only repeated unchanged; one that was
+//!   increases.
+//! - A request whose outcome is unknown is never dropped, only retried unchanged. A request that was
 //!   certainly not executed is dropped, and planned again under another name.
-//! - No more than [`MAX_PENDING_REQUESTS`] are pending, and the most urgent are sent first.
+//! - At most [`MAX_PENDING_REQUESTS`] requests are pending, and the most urgent are sent first.
 //!
-//! (There was one at a time: from an empty fleet, waits grew in step with the fleet, whatever the
-//! cloud allowed.)
+//! With only one request pending at a time, waits grew in proportion to the fleet when it was scaled
+//! out from empty, however many calls the cloud allowed.
 use crate::guards::{holds, Guard};
 use crate::ids::{Epoch, Timestamp};
 use crate::io::CloudResult;
 use leaddeal_wire::cloud::InstanceRequest;
 use std::collections::BTreeMap;
 
-/// Requests that are pending at once. The cloud's limit of calls spaces them out; this number may
-/// wait for answers.
+/// Maximum number of requests that are pending at once. The cloud's rate limit spaces out the calls;
+/// this limits how many of them wait for a response.
 const MAX_PENDING_REQUESTS: usize = 24;
-/// The cloud launches no more instances by one call.
+/// Maximum number of instances that the cloud launches for one call.
 pub(super) const MAX_INSTANCES_PER_REQUEST: u32 = 50;
+/// Delay before a request is sent again, in milliseconds.
 const RETRY_INTERVAL_MS: u64 = 1000;
 
 #[derive(Clone, Debug)]
 struct PendingRequest {
     request: InstanceRequest,
-    /// Its outcome is unknown: the same name is requested again until there is an answer.
+    /// A call got no conclusive response and may have been executed: the request is retried under the
+    /// same name until there is one.
     outcome_unknown: bool,
     retry_at: Timestamp,
     call_in_flight: bool,
 }
 
-/// What became of a request.
+/// Outcome of sending a request.
 #[derive(Debug, PartialEq)]
 pub(super) enum RequestOutcome {
     /// These instances were launched, perhaps fewer than requested.
     Launched { request: InstanceRequest, instances: Vec<String> },
     /// The cloud has no capacity for it.
     NoCapacity(InstanceRequest),
-    /// Not executed, or not known yet.
+    /// The outcome is not known yet, or the request was certainly not executed and is dropped.
     Pending,
 }
 
-/// The requests that were made and whose outcome is not known yet.
+/// The requests whose outcome is not known yet.
 #[derive(Debug, Default)]
 pub(super) struct InstanceRequests {
-    /// By number, in the order of urgency.
+    /// By number, which is also the order of urgency.
     pending: BTreeMap<u64, PendingRequest>,
     last_number: u64,
 }
 
 impl InstanceRequests {
-    /// How many more may be added.
+    /// Returns how many more requests may be added.
     pub(super) fn available(&self) -> usize {
         MAX_PENDING_REQUESTS.saturating_sub(self.pending.len())
     }
 
-    /// Whether some wait to be sent.
+    /// Returns whether any request has not been sent yet.
     pub(super) fn has_unsent(&self) -> bool {
         self.pending.values().any(|pending| !pending.call_in_flight && !pending.outcome_unknown)
     }
 
-    /// Adds a request, and names it. The name in `request` is ignored.
+    /// Adds a request and gives it a new name. The name in `request` is ignored.
     pub(super) fn add(&mut self, epoch: Epoch, mut request: InstanceRequest, now: Timestamp) {
         self.last_number += 1;
-        // The epoch makes the name one that no other owner ever uses.
+        // The epoch makes the name unique among all owners of the provisioner's shard. Without it the
+        // cloud would take a new owner's request for a retry of an older one.
         let epoch = if holds(Guard::RentalEpoch) { epoch } else { Epoch(0) };
         request.request = format!("r-{}-{}", epoch.0, self.last_number);
         request.count = request.count.clamp(1, MAX_INSTANCES_PER_REQUEST);
@@ -78,7 +81,8 @@
         self.pending.insert(self.last_number, pending);
     }
 
-    /// The next request that is to be sent, with its number, if one is due.
+    /// Returns the next request to send, with its number, and marks it as in flight; `None` if none
+    /// is due.
     pub(super) fn next_to_send(&mut self, now: Timestamp) -> Option<(u64, InstanceRequest)> {
         let is_due = |pending: &PendingRequest| !pending.call_in_flight && now >= pending.retry_at;
         let (&number, pending) = self.pending.iter_mut().find(|(_, pending)| is_due(pending))?;
@@ -86,7 +90,7 @@
         Some((number, pending.request.clone()))
     }
 
-    /// Takes the result of sending the request of this number.
+    /// Handles the result of sending the request with this number.
     pub(super) fn on_result(
         &mut self,
         now: Timestamp,
@@ -114,7 +118,7 @@
         RequestOutcome::Pending
     }
 
-    /// What is launched if all requests succeed, in the order of urgency.
+    /// Returns the pending requests, in the order of urgency.
     pub(super) fn pending(&self) -> impl Iterator<Item = &InstanceRequest> {
         self.pending.values().map(|pending| &pending.request)
     }
--- a/crates/core/src/provisioner/instance_requests/tests.rs
+++ b/crates/core/src/provisioner/instance_requests/tests.rs
@@ -8,8 +8,9 @@
     InstanceRequest { request: String::new(), type_name, zone, spot: false, count }
 }
 
-/// A cloud that executes requests and loses the answers, delays answers, refuses, or has no capacity:
-/// every instance that it launches is reported once, and no name is used for two requests.
+/// The cloud loses or delays responses to requests that it executed, refuses requests, or has no
+/// capacity. Every instance that it launches must be reported once, and no name may be used for two
+/// requests.
 #[test]
 fn every_launched_instance_is_reported_once() {
     for seed in 0..200 {
--- a/crates/core/src/provisioner/inventory.rs
+++ b/crates/core/src/provisioner/inventory.rs
@@ -1,31 +1,31 @@
 //! The provisioner's view of the participants' inventories.
 //!
-//! Invariant: a participant's view is what it had when it sent its last message that was taken in.
-//! If a message is missing, seen by the serial numbers, nothing is taken until the whole inventory
-//! comes again.
+//! Invariant: the view of a participant equals its inventory at the time it sent the last update
+//! that was applied. Updates are numbered. After a gap in the numbers no update is applied until
+//! the participant sends its whole inventory again.
 use crate::ids::{Shard, Timestamp};
 use leaddeal_wire::mesh::MachineInfo;
 use std::collections::BTreeMap;
 
-/// A participant that sent no message for this long says nothing about its free capacity.
+/// A participant that sent no update for this long counts as silent: its free capacity is unknown.
 const PARTICIPANT_FRESH_MS: u64 = 4000;
 
-/// A change of a participant's inventory, or all of it.
+/// A change of a participant's inventory, or the whole inventory.
 #[derive(Debug)]
 pub(super) struct InventoryUpdate {
     pub(super) serial: u64,
-    /// It is the first of its kind and holds the whole inventory.
+    /// The update holds the whole inventory and replaces what was sent before.
     pub(super) is_first: bool,
     pub(super) machines: Vec<MachineInfo>,
-    /// Names of machines that are no longer there.
+    /// Names of machines that are no longer in the inventory.
     pub(super) gone: Vec<String>,
 }
 
-/// A message before this one is missing: the whole inventory is needed.
+/// An update before this one was lost, so the whole inventory is needed.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct MissedUpdate;
 
-/// A machine as its participant described it.
+/// A machine as its participant last reported it.
 #[derive(Debug)]
 pub(super) struct ReportedMachine {
     pub(super) received_at: Timestamp,
@@ -34,24 +34,26 @@
 
 #[derive(Debug, Default)]
 struct ParticipantView {
-    /// When its last message was taken in, and that one's number.
+    /// When the last update was applied.
     updated_at: Timestamp,
+    /// Serial number of the last update that was applied.
     serial: u64,
     /// By name.
     machines: BTreeMap<String, ReportedMachine>,
 }
 
-/// The machines of all participants, as they last described them.
+/// The machines of all participants, as last reported.
 #[derive(Debug, Default)]
 pub(super) struct InventoryView {
     participants: BTreeMap<Shard, ParticipantView>,
 }
 
 impl InventoryView {
-    /// Takes a message of a participant.
+    /// Applies an update from the participant `from`.
     ///
     /// # Errors
-    /// [`MissedUpdate`] if it does not follow the last one that was taken in; nothing is changed.
+    /// Returns [`MissedUpdate`], and changes nothing, if the update does not directly follow the last
+    /// one that was applied.
     pub(super) fn on_update(
         &mut self,
         from: Shard,
@@ -77,19 +79,20 @@
         Ok(())
     }
 
-    /// Whether the participant has sent something recently.
+    /// Returns whether the participant has sent an update recently.
     pub(super) fn is_fresh(&self, participant: Shard, now: Timestamp) -> bool {
         let view = self.participants.get(&participant);
         view.is_some_and(|view| now < view.updated_at + PARTICIPANT_FRESH_MS)
     }
 
-    /// Whether this participant, which must be the machine's, has received a heartbeat of its worker.
+    /// Returns whether `participant`, which must be the one that `machine` belongs to, has received a
+    /// heartbeat from the machine's worker.
     pub(super) fn contains(&self, participant: Shard, machine: &str) -> bool {
         let view = self.participants.get(&participant);
         view.is_some_and(|view| view.machines.contains_key(machine))
     }
 
-    /// All machines, in the order of the participants and of their names.
+    /// Returns all machines, ordered by participant and then by name.
     pub(super) fn machines(&self) -> impl Iterator<Item = &ReportedMachine> {
         self.participants.values().flat_map(|view| view.machines.values())
     }
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -1,23 +1,26 @@
-//! Scales the fleet for all participants, from the owner of one fixed shard.
+//! Scales the fleet out and in, on behalf of all participants. It runs on the owner of one fixed
+//! shard.
 //!
-//! Coordinators state their unmet demand, participants their inventories, and the cloud lists the
-//! instances. From these, once a second, a plan is made. A machine's life is followed through the
-//! modules, in this order:
+//! Coordinators report their unmet demand, participants report their inventories, and the cloud
+//! lists the instances. Once a second the provisioner makes a plan from these. The modules, in the
+//! order in which a machine passes through them:
 //!
 //! | module | what |
 //! | --- | --- |
 //! | `scale_out` | unmet demand, and which instances to request for it |
-//! | `instance_requests` | pending requests, each repeated until its outcome is known |
+//! | `instance_requests` | pending requests, each retried until its outcome is known |
 //! | `boot_tracker`, `boot_times` | booting machines, and how long boots take |
-//! | `inventory` | the machines that the participants have described |
+//! | `inventory` | the machines that the participants have reported |
 //! | `instance_list` | the cloud's list, and the release of instances that failed |
-//! | `scale_in` | idle machines: drained, released |
-//! | `operator_machines` | machines that were there before the service, which are never released |
-//! | `call_pacing` | keeps to the cloud's limit of calls |
+//! | `scale_in` | idle machines: draining and release |
+//! | `operator_machines` | machines that existed before the service, which are never released |
+//! | `call_pacing` | keeps to the rate limit of the cloud |
 //!
-//! Invariants: a machine is released only if the cloud lists it as failed, if it did not come up or
-//! sent no heartbeat for long, or if its participant reported that it is empty and gets no tasks;
-//! nothing is planned while a participant is silent, since its free capacity is not known.
+//! Invariants:
+//! - A machine is released only if the cloud lists it as failed, if it did not come up in time, if
+//!   it sent no heartbeat for a long time, or if its participant reported that it is empty and gets
+//!   no new tasks.
+//! - No plan is made while a participant is silent, since its free capacity is unknown.
 use crate::context::{Context, Operation, ProvisionerOperation};
 use crate::ids::{Epoch, Shard, Timestamp, PROVISIONER_SHARD};
 use crate::io::LogLevel;
@@ -43,12 +46,15 @@
 use scale_in::ScaleIn;
 use scale_out::Demand;
 
+/// Interval between two plans, in milliseconds.
 const PLAN_INTERVAL_MS: u64 = 1000;
-/// The catalog is read again for its prices.
+/// Interval at which the catalog is read again, since prices change.
 const CATALOG_INTERVAL_MS: u64 = 60_000;
 
-/// Scales the fleet under one epoch of its shard. It keeps no records: what it has to know comes
-/// again from coordinators, participants and the cloud.
+/// Scales the fleet under one epoch of its shard.
+///
+/// It stores no records: after a failover the new provisioner learns everything again from the
+/// coordinators, the participants and the cloud.
 #[derive(Debug)]
 pub struct Provisioner {
     epoch: Epoch,
@@ -67,7 +73,7 @@
 }
 
 impl Provisioner {
-    /// The provisioner of the node that acquired its shard under this epoch.
+    /// Returns the provisioner of a node that acquired the provisioner's shard under `epoch`.
     pub fn new(epoch: Epoch, now: Timestamp) -> Provisioner {
         Provisioner {
             epoch,
@@ -86,7 +92,7 @@
         }
     }
 
-    /// Takes a message of a coordinator or a participant.
+    /// Handles a message from a coordinator or a participant.
     pub fn on_message(&mut self, ctx: &mut Context, from: Shard, message: ShardMessage) {
         match message {
             ShardMessage::UnmetDemand { lacks } => self.demand.set(from, lacks),
@@ -101,13 +107,13 @@
         }
     }
 
-    /// Takes what was read of the newest machine that was there before the service: its name, once
-    /// it is known.
+    /// Handles the result of reading the name of the newest machine that existed before the service.
+    /// `None`: the read failed.
     pub fn on_operator_machines_read(&mut self, newest: Option<String>) {
         self.operator_machines.on_read(newest);
     }
 
-    /// Takes the result of a call to the cloud.
+    /// Handles the result of a call to the cloud.
     pub fn on_cloud_result(
         &mut self,
         ctx: &mut Context,
@@ -146,7 +152,8 @@
             }
             RequestOutcome::NoCapacity(request) => {
                 self.demand.on_no_capacity(now, &request);
-                // Something else may be had at once.
+                // The cloud may have capacity of another type, or in another zone: it is requested
+                // without waiting for the next regular plan.
                 self.plan_now(now);
             }
             RequestOutcome::Pending => {}
@@ -157,8 +164,8 @@
         self.next_plan_at = self.next_plan_at.min(now);
     }
 
-    /// Makes the calls that are due, and a plan if it is time. Does nothing while this node's lease
-    /// is uncertain.
+    /// Makes the calls that are due, and a plan if one is due. Does nothing while this node's lease is
+    /// uncertain.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         if !ctx.lease_valid {
@@ -189,8 +196,8 @@
     }
 
     fn plan(&mut self, ctx: &mut Context) {
-        // Every participant must have sent its inventory recently: otherwise nothing is known of its
-        // free capacity.
+        // Without a recent inventory of every participant, the plan would request instances for
+        // tasks that fit on machines of the silent one.
         let all_fresh = ctx.shards().all(|shard| self.inventory.is_fresh(shard, ctx.now));
         if !all_fresh || !self.listed.is_known() {
             return;
@@ -198,7 +205,8 @@
         self.demand.expire(ctx.now);
         self.drain_idle(ctx);
         self.announce_operator_machines(ctx);
-        // Requests that are not sent yet were planned from what is known now.
+        // While requests wait to be sent, a new plan would have no more information than the plan
+        // that made them.
         if self.instance_requests.has_unsent() || self.instance_requests.available() == 0 {
             return;
         }
@@ -208,7 +216,7 @@
         }
     }
 
-    /// Tells all participants which machines are the operator's.
+    /// Tells all participants which machines are the operator's own.
     fn announce_operator_machines(&self, ctx: &mut Context) {
         let Some(newest) = self.operator_machines.newest() else { return };
         for shard in ctx.shards() {
--- a/crates/core/src/provisioner/scale_in.rs
+++ b/crates/core/src/provisioner/scale_in.rs
@@ -8,60 +8,68 @@
 use leaddeal_wire::mesh::ShardMessage;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that was not reported empty this long after it was told to drain is told again.
+/// If a machine's participant does not report it as empty within this time after it was asked to
+/// drain the machine, it is asked again.
 const DRAIN_RETRY_MS: u64 = 10_000;
-/// Wait after a release call that failed.
+/// Delay after a release call that failed, in milliseconds.
 const RELEASE_RETRY_MS: u64 = 1000;
+/// Maximum number of instances in one release call.
 const MAX_INSTANCES_PER_RELEASE: usize = 100;
-/// One plan drains at most this number of machines, and one more for each
+/// Maximum number of machines that one plan drains, plus one for each
 /// [`INSTANCES_PER_FURTHER_DRAIN`] listed instances.
 const MIN_DRAINS_PER_PLAN: usize = 5;
 const INSTANCES_PER_FURTHER_DRAIN: usize = 100;
-/// For how long an idle machine is kept if it costs [`IDLE_KEEP_REFERENCE_PRICE`] an hour. A dearer
-/// one is kept for less, a cheaper one for longer, between the factors below.
+/// How long an idle machine that costs [`IDLE_KEEP_REFERENCE_PRICE`] an hour would be kept if the
+/// factors below did not limit it. The time is inversely proportional to the price, between
+/// [`MIN_IDLE_KEEP_FACTOR`] and [`MAX_IDLE_KEEP_FACTOR`] times this value.
 const IDLE_KEEP_MS: f64 = 60_000.0;
 const IDLE_KEEP_REFERENCE_PRICE: f64 = 2.0;
 const MIN_IDLE_KEEP_FACTOR: f64 = 0.3;
 const MAX_IDLE_KEEP_FACTOR: f64 = 0.7;
+/// Lower prices count as this one, so that the division by the price is defined.
 const MIN_PRICE: f64 = 0.01;
-/// Price that is assumed of a type that is not in the catalog.
+/// Price that is assumed for a type that is not in the catalog.
 const UNKNOWN_TYPE_PRICE: f64 = 1.0;
 
-/// Machines on their way out: draining, then to be released, then being released, then released.
+/// Machines in the states of scale in: draining, then to be released, then in a release call, then
+/// released.
 #[derive(Debug, Default)]
 pub(super) struct ScaleIn {
-    /// When each was told to drain.
+    /// When the participant was asked to drain each machine.
     draining: BTreeMap<String, Timestamp>,
     to_release: BTreeSet<String>,
-    /// Those of the release call that is in flight.
+    /// The machines of the release call that is in flight.
     releasing: Vec<String>,
+    /// No release call is made before this time.
     release_retry_at: Timestamp,
-    /// The cloud's list may lag behind, and still name them.
+    /// Released machines. They are remembered because the cloud's list lags and may still name them.
     released: BTreeSet<String>,
 }
 
 impl ScaleIn {
-    /// The machines that were released.
+    /// Returns the names of the machines that were released.
     pub(super) fn released(&self) -> &BTreeSet<String> {
         &self.released
     }
 
-    /// Whether the machine is to be released, or is being released.
+    /// Returns whether the machine is to be released or is in a release call.
     pub(super) fn is_releasing(&self, machine: &str) -> bool {
         self.to_release.contains(machine) || self.releasing.iter().any(|name| name == machine)
     }
 
-    pub(super) fn release_all(&mut self, machines: Vec<String>) {
+    pub(super) fn mark_for_release(&mut self, machines: Vec<String>) {
         self.to_release.extend(machines);
     }
 
-    /// A participant has reported that the machine is empty and gets no tasks.
+    /// Marks a machine for release after its participant reported that it is empty and gets no new
+    /// tasks.
     pub(super) fn on_drained(&mut self, machine: String) {
         self.draining.remove(&machine);
         self.to_release.insert(machine);
     }
 
-    /// The machines of the next release call, if one is due.
+    /// Returns the machines of the next release call, which counts as in flight from now on; `None`
+    /// if none is due.
     fn next_release(&mut self, now: Timestamp) -> Option<Vec<String>> {
         let is_due = self.releasing.is_empty() && !self.to_release.is_empty();
         if !is_due || now < self.release_retry_at {
@@ -77,7 +85,7 @@
     }
 }
 
-/// For how long an idle machine is kept, in milliseconds.
+/// Returns for how long an idle machine of this type is kept, in milliseconds.
 fn idle_keep_ms(ctx: &Context, type_name: &str) -> u64 {
     let type_idx = ctx.names.type_idx(type_name);
     let price = type_idx.map_or(UNKNOWN_TYPE_PRICE, |idx| ctx.names.catalog[idx.0 as usize].price);
@@ -115,7 +123,7 @@
         }
     }
 
-    /// Drains machines that have been idle for long, and releases lost ones.
+    /// Drains machines that have been idle for long, and marks unusable ones for release.
     pub(super) fn drain_idle(&mut self, ctx: &mut Context) {
         let now = ctx.now;
         self.scale_in.draining.retain(|_, at| *at + DRAIN_RETRY_MS > now);
@@ -127,8 +135,8 @@
         }
     }
 
-    /// The machines that may be drained, in the order of the participants. Lost ones are marked for
-    /// their release.
+    /// Returns the machines that may be drained, ordered by participant, and marks unusable ones for
+    /// release.
     fn idle_machines(&mut self, ctx: &Context) -> Vec<String> {
         let mut idle = Vec::new();
         for machine in self.inventory.machines() {
@@ -142,7 +150,8 @@
                     idle.push(name.clone());
                 }
             } else if self.listed.contains(name) && !self.operator_machines.contains(name) {
-                // Without heartbeats for long: charged, perhaps, and of no use.
+                // The machine sent no heartbeat for long or is broken: it runs no tasks, but may
+                // still be charged for.
                 self.scale_in.to_release.insert(name.clone());
             }
         }
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -1,7 +1,8 @@
 //! Scale out: which instances to request for the unmet demand.
 //!
-//! The most urgent demand comes first. Each one takes capacity that is coming up, then what this plan
-//! requests already, and then requests more: the cheapest that it may run on.
+//! Demands are served in the order of urgency. Each is assigned pending capacity first, which is
+//! booting or requested, then instances that this plan already requests. For the rest, the plan
+//! requests the cheapest instances that its tasks may run on.
 use super::boot_times::BootLocation;
 use super::boot_tracker::{BootTracker, BootingMachine};
 use super::instance_requests::{InstanceRequests, MAX_INSTANCES_PER_REQUEST};
@@ -14,18 +15,18 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-/// Requests of one plan; the next plan is made from what is known by then.
+/// Maximum number of requests of one plan. The next plan is made from newer information.
 const MAX_REQUESTS_PER_PLAN: usize = 8;
-/// Instances that a plan requests at most for one job that can wait.
+/// Maximum number of instances that a plan requests for one job of the lowest priority.
 const MAX_INSTANCES_FOR_LOW_PRIORITY: u32 = 8;
-/// Demand that has waited for less than this requests no instances.
+/// No instances are requested for a job that was submitted less than this long ago.
 const MIN_WAIT_MS: u64 = 300;
-/// By this factor a machine counts as dearer where boots fail at present.
+/// Factor on the price of machines of a type in a zone where boots fail at present.
 const FAILING_BOOTS_PRICE_FACTOR: f64 = 2.0;
-/// For this long after a refusal, nothing of the same kind is requested.
+/// For this long after the cloud had no capacity, no instances of the same kind are requested.
 const NO_CAPACITY_MS: u64 = 20_000;
 
-/// What the cloud may have no capacity for.
+/// A kind of instance that the cloud may have no capacity for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct InstanceKind {
     type_name: String,
@@ -33,16 +34,16 @@
     spot: bool,
 }
 
-/// The unmet demand of all coordinators, and what the cloud can't meet at present.
+/// The unmet demand of all coordinators, and the kinds of instances that the cloud lacks at present.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    /// As each coordinator last stated it.
+    /// As each coordinator last reported it.
     by_coordinator: BTreeMap<Shard, Vec<UnmetDemand>>,
-    /// Until when nothing of a kind is requested.
+    /// Until when no instances of a kind are requested.
     no_capacity_until: HashMap<InstanceKind, Timestamp>,
 }
 
-/// Capacity that is coming up, or requested, and that no demand has taken.
+/// An instance that is booting or requested, with the capacity that is not assigned to a demand yet.
 #[derive(Clone, Debug)]
 struct PendingInstance {
     machine_type: TypeIdx,
@@ -52,7 +53,7 @@
 }
 
 impl PendingInstance {
-    /// `None` if its type is not in the catalog.
+    /// Returns an instance with all of its capacity free; `None` if its type is not in the catalog.
     fn new(ctx: &Context, type_name: &str, zone: &str, spot: bool) -> Option<PendingInstance> {
         let machine_type = ctx.names.type_idx(type_name)?;
         Some(PendingInstance {
@@ -63,17 +64,17 @@
         })
     }
 
-    /// A machine that is booting.
+    /// Returns the instance for a machine that is booting.
     fn booting(ctx: &Context, machine: &BootingMachine) -> Option<PendingInstance> {
         PendingInstance::new(ctx, &machine.type_name, &machine.zone, machine.spot)
     }
 
-    /// One of the instances that a request is for.
+    /// Returns one of the instances that a request is for.
     fn requested(ctx: &Context, request: &InstanceRequest) -> Option<PendingInstance> {
         PendingInstance::new(ctx, &request.type_name, &request.zone, request.spot)
     }
 
-    /// Takes capacity for as many tasks of the demand as fit.
+    /// Assigns free capacity to as many tasks of the demand as fit and may run here.
     fn assign(&mut self, ctx: &Context, open: &mut OpenDemand) {
         let zone = self.zone.and_then(|zone| open.zone_limits.get_mut(usize::from(zone.0)));
         let Some(zone_limit) = zone.filter(|limit| **limit > 0) else { return };
@@ -87,15 +88,15 @@
     }
 }
 
-/// The part of a demand for which the plan has no capacity yet.
+/// The part of a demand that the plan has no capacity for yet.
 #[derive(Clone, Debug)]
 struct OpenDemand<'a> {
     demand: &'a UnmetDemand,
-    /// What one task takes.
+    /// Resources that one task needs.
     need: Resources,
-    /// Tasks without capacity.
+    /// Number of tasks without capacity.
     tasks: u64,
-    /// How many more tasks each zone may have.
+    /// How many more tasks may run in each zone, by zone number.
     zone_limits: Vec<u64>,
 }
 
@@ -121,14 +122,15 @@
         }
     }
 
-    /// How many of the tasks without capacity may be in this zone.
+    /// Returns how many of the tasks without capacity may run in this zone.
     fn tasks_in_zone(&self, ctx: &Context, zone: &str) -> u64 {
         let zone = ctx.names.zone(zone);
         let limit = zone.and_then(|zone| self.zone_limits.get(usize::from(zone.0)));
         limit.copied().unwrap_or(0).min(self.tasks)
     }
 
-    /// Work that can wait runs on few machines for longer rather than on many at once.
+    /// Returns how many instances a plan may request for this demand. Jobs of the lowest priority run
+    /// on few machines for longer rather than on many at once.
     fn max_instances(&self) -> u64 {
         u64::from(if self.demand.shape.priority == Priority::Low {
             MAX_INSTANCES_FOR_LOW_PRIORITY
@@ -138,22 +140,22 @@
     }
 }
 
-/// A request, and what one task costs by it.
+/// A request, and the price per task of its instances.
 #[derive(Debug)]
 struct PricedRequest {
     cost_per_task: f64,
     request: InstanceRequest,
 }
 
-/// What a plan requests, and the capacity that demand may take.
+/// The requests of a plan, and the pending instances whose capacity demands are assigned.
 struct Plan {
     pending: Vec<PendingInstance>,
     requests: Vec<InstanceRequest>,
 }
 
 impl Plan {
-    /// Adds instances to a request for the same kind, or as a new one.
-    fn request(&mut self, wanted: InstanceRequest, count: u32) {
+    /// Adds `count` instances to a request for the same kind, or as a new request.
+    fn add_instances(&mut self, wanted: InstanceRequest, count: u32) {
         let same = self.requests.iter_mut().find(|request| {
             request.type_name == wanted.type_name
                 && request.zone == wanted.zone
@@ -168,12 +170,12 @@
 }
 
 impl Demand {
-    /// Takes what a coordinator states: all of its unmet demand.
+    /// Replaces the unmet demand of a coordinator.
     pub(super) fn set(&mut self, coordinator: Shard, demands: Vec<UnmetDemand>) {
         self.by_coordinator.insert(coordinator, demands);
     }
 
-    /// The cloud had no capacity for this request, or not for all of it.
+    /// Records that the cloud had no capacity for all or part of this request.
     pub(super) fn on_no_capacity(&mut self, now: Timestamp, request: &InstanceRequest) {
         let kind = InstanceKind {
             type_name: request.type_name.clone(),
@@ -187,7 +189,7 @@
         self.no_capacity_until.retain(|_, until| *until > now);
     }
 
-    /// What to request, for the most urgent demand first. `requests` are those that are pending.
+    /// Returns what to request, for the most urgent demand first. `requests` are the pending ones.
     pub(super) fn plan(
         &self,
         ctx: &Context,
@@ -234,13 +236,13 @@
                 instance.assign(ctx, &mut open);
                 plan.pending.push(instance);
             }
-            plan.request(request, count as u32);
+            plan.add_instances(request, count as u32);
         }
     }
 
-    /// The zone in which a gang of several tasks is to get capacity: where most of it is coming up,
-    /// if the rest can be had there. (Found at twice a fleet: half of a gang's capacity was launched
-    /// in each of two zones, and the gang could start in neither.)
+    /// Returns the zone in which a gang of several tasks is to get capacity: the one with the most
+    /// pending capacity, provided that the rest can be requested there. Without this rule, half of a
+    /// gang's capacity was launched in each of two zones, and the gang could start in neither.
     fn zone_for_gang(
         &self,
         ctx: &Context,
@@ -250,12 +252,12 @@
     ) -> Option<usize> {
         let zones = gang.zone_limits.len();
         let count = u64::from(gang.demand.count);
-        let coming = tasks_coming_by_zone(ctx, gang, pending);
+        let pending_tasks = pending_tasks_by_zone(ctx, gang, pending);
         let mut order: Vec<usize> =
             (0..zones).filter(|&zone| gang.zone_limits[zone] >= count).collect();
-        order.sort_by_key(|&zone| Reverse(coming[zone].min(count)));
+        order.sort_by_key(|&zone| Reverse(pending_tasks[zone].min(count)));
         order.into_iter().find(|&zone| {
-            let missing = count.saturating_sub(coming[zone]);
+            let missing = count.saturating_sub(pending_tasks[zone]);
             let mut zone_limits = vec![0; zones];
             zone_limits[zone] = count;
             let rest = OpenDemand { tasks: missing, zone_limits, ..*gang };
@@ -263,7 +265,8 @@
         })
     }
 
-    /// The cheapest request for capacity for the demand; the first one of several at the same cost.
+    /// Returns the request with the lowest price per task for the demand; of several at the same
+    /// price, the first.
     fn cheapest(
         &self,
         ctx: &Context,
@@ -287,8 +290,9 @@
         best.map(|best| best.request)
     }
 
-    /// A request for instances of this type in this zone, as many as the demand takes. `None` if they
-    /// may not, or can't, run any of it, if they cost too much, or if there are none.
+    /// Returns a request for instances of this type in this zone, as many as the demand needs. `None`
+    /// if no task of the demand fits or may run on them, if they cost too much, or if the cloud had
+    /// no capacity for them lately.
     fn candidate(
         &self,
         ctx: &Context,
@@ -313,7 +317,7 @@
             return None;
         }
         let location = BootLocation { type_name: type_name.clone(), zone: zone.clone() };
-        // Elsewhere, if that is not much dearer.
+        // Boots fail at this location: another one is preferred unless it costs far more.
         let factor = if boots.is_failing(&location) { FAILING_BOOTS_PRICE_FACTOR } else { 1.0 };
         let cost = ctx.names.price(type_idx, spot) * factor;
         let count = tasks.div_ceil(fits).clamp(1, u64::from(MAX_INSTANCES_PER_REQUEST)) as u32;
@@ -322,7 +326,8 @@
     }
 }
 
-/// The capacity that is coming up: booting machines that count as such, then pending requests.
+/// Returns the pending instances: booting machines that count as expected capacity, then the
+/// instances of pending requests.
 fn pending_instances(
     ctx: &Context,
     boots: &BootTracker,
@@ -338,17 +343,21 @@
     pending
 }
 
-/// For how many tasks of the demand capacity is coming up in each zone.
-fn tasks_coming_by_zone(ctx: &Context, open: &OpenDemand, pending: &[PendingInstance]) -> Vec<u64> {
-    let mut coming = vec![0; open.zone_limits.len()];
+/// Returns for how many tasks of the demand there is pending capacity in each zone.
+fn pending_tasks_by_zone(
+    ctx: &Context,
+    open: &OpenDemand,
+    pending: &[PendingInstance],
+) -> Vec<u64> {
+    let mut pending_tasks = vec![0; open.zone_limits.len()];
     let shape = &open.demand.shape;
     let allowed =
         |instance: &&PendingInstance| ctx.names.allows(shape, instance.machine_type, instance.spot);
     for instance in pending.iter().filter(allowed) {
-        let tasks = instance.zone.and_then(|zone| coming.get_mut(usize::from(zone.0)));
+        let tasks = instance.zone.and_then(|zone| pending_tasks.get_mut(usize::from(zone.0)));
         if let Some(tasks) = tasks {
             *tasks = u64::saturating_add(*tasks, instance.free.fits(open.need));
         }
     }
-    coming
+    pending_tasks
 }
