--- a/crates/core/src/machine/attempt.rs
+++ b/crates/core/src/machine/attempt.rs
@@ -1,23 +1,23 @@
-//! One attempt of a task on a machine.
+//! An attempt of a task on a machine.
 use crate::guards::{holds, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
 use crate::names::Shape;
 use leaddeal_wire::mesh::{AttemptRef, TaskPhase};
 use leaddeal_wire::worker::TaskId;
 
-/// Names an attempt. Ordered by job, then task, then attempt.
+/// Identifies an attempt. Ordered by job, then task, then attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     /// The job.
     pub job: JobId,
     /// The task's number within the job.
     pub task: u32,
-    /// Which start of the task.
+    /// The number of the attempt.
     pub attempt: Attempt,
 }
 
 impl AttemptKey {
-    /// The attempt that a coordinator names.
+    /// Returns the key of the attempt that a coordinator refers to.
     pub(crate) fn of(attempt: &AttemptRef) -> AttemptKey {
         AttemptKey {
             job: JobId(attempt.job),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The task as workers name it.
+    /// Returns the identifier of the task on the wire to workers.
     pub(crate) fn task_id(&self) -> TaskId {
         TaskId { job: self.job.0, task: self.task }
     }
@@ -35,46 +35,48 @@
 /// A request to stop an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StopRequest {
-    /// Time in seconds that the task has to save its progress; 0: it is killed at once.
+    /// Seconds that the task has to save its progress; 0: it is killed at once.
     pub grace_s: f64,
     /// When the stop was requested.
     pub since: Timestamp,
 }
 
-/// An attempt that is, was, or may come to be on a machine.
+/// An attempt that is, was, or may still start on a machine.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskOnMachine {
-    /// What the task takes; none: its coordinator has not said yet.
+    /// What the task needs. `None`: its coordinator has not sent it yet.
     pub shape: Option<Shape>,
-    /// How far the attempt got.
+    /// The attempt's last known phase.
     pub phase: TaskPhase,
-    /// The worker's incarnation that the attempt was decided for. It is started in no other.
+    /// The worker incarnation that the attempt was decided for. It is started in no other.
     pub incarnation: u64,
-    /// Its start command was in the newest heartbeat response.
+    /// The start command was in the newest heartbeat response.
     pub in_last_response: bool,
-    /// The command batch in flight that its start command is in.
+    /// The command batch in flight that contains the start command.
     pub direct_batch: Option<u64>,
-    /// A start command sent directly got no answer: a copy may be executed late. As long as the
-    /// worker has not forgotten the attempt, such a copy does nothing.
+    /// A start command that was sent directly got no response: a delayed copy of it may still be
+    /// executed. Such a copy has no effect as long as the worker has not forgotten the attempt.
     pub start_uncertain: bool,
-    /// It was in the worker's newest heartbeat.
+    /// The worker's newest heartbeat contained the attempt.
     pub reported: bool,
-    /// It is to stop.
+    /// The request to stop the attempt. `None`: it is not to stop.
     pub stop: Option<StopRequest>,
-    /// Taken over by a new coordinator: kept if it is on the machine, never started.
+    /// The attempt was taken over by a new coordinator: it is kept if it is on the machine, but never
+    /// started.
     pub adopted: bool,
-    /// The coordinator has acknowledged its end.
+    /// The coordinator has acknowledged the end of the attempt.
     pub end_acknowledged: bool,
-    /// The phase that was last sent to the coordinator, and the coordinator's epoch.
+    /// The phase that was last sent to the coordinator, and the coordinator's epoch at that time.
     pub notified: Option<(Epoch, TaskPhase)>,
     /// When the phase was last sent.
     pub notified_at: Timestamp,
-    /// When it was first seen running.
+    /// When the attempt was first reported as running.
     pub running_since: Option<Timestamp>,
 }
 
 impl TaskOnMachine {
-    /// An attempt of which nothing was sent yet, neither to the worker nor to the coordinator.
+    /// Returns an attempt about which nothing was sent yet, neither to the worker nor to the
+    /// coordinator.
     pub fn new(shape: Option<Shape>, phase: TaskPhase, incarnation: u64) -> TaskOnMachine {
         TaskOnMachine {
             shape,
@@ -93,37 +95,39 @@
         }
     }
 
-    /// Whether it was decided for this incarnation of its machine's worker.
+    /// Returns whether the attempt was decided for this incarnation of the machine's worker.
     pub(super) fn belongs_to(&self, incarnation: u64) -> bool {
         self.incarnation == incarnation || !holds(Guard::OfferSession)
     }
 
-    /// Whether a direct copy of its start command may still be executed.
+    /// Returns whether the start command is in a command batch in flight, so that it may still be
+    /// executed.
     pub(super) fn start_in_flight(&self) -> bool {
         self.direct_batch.is_some() && holds(Guard::ForgetLater)
     }
 
-    /// Whether a start command may be sent for it at all.
+    /// Returns whether a start command may be sent for the attempt at all.
     pub(super) fn may_start(&self) -> bool {
         !self.adopted || !holds(Guard::Adopted)
     }
 
-    /// Whether a start command of ours may be on its way, or may have been executed.
+    /// Returns whether this owner has sent a start command that may have been executed or may still
+    /// be.
     pub(crate) fn start_sent(&self) -> bool {
         self.in_last_response || self.start_uncertain || self.direct_batch.is_some()
     }
 
-    /// Whether the worker may still know it, or come to know it.
+    /// Returns whether the worker knows the attempt or may still learn of it.
     pub(super) fn is_open(&self) -> bool {
         self.reported || self.start_uncertain || self.direct_batch.is_some()
     }
 
-    /// Whether it has ended, or never started and never will.
+    /// Returns whether the attempt has ended, or never started and never will.
     pub fn is_over(&self) -> bool {
         matches!(self.phase, TaskPhase::Exited(..) | TaskPhase::Gone)
     }
 
-    /// The worker's incarnation that it belongs to has ended, and it with that.
+    /// Ends the attempt because the worker incarnation that it belongs to has ended.
     pub(super) fn end_with_incarnation(&mut self) {
         if !self.is_over() {
             self.phase = TaskPhase::Gone;
--- a/crates/core/src/machine/commands.rs
+++ b/crates/core/src/machine/commands.rs
@@ -1,34 +1,35 @@
-//! Commands to a machine's worker: in the response to a heartbeat, or sent directly as a batch.
+//! Commands to a machine's worker, either in the response to a heartbeat or sent directly as a batch.
 use super::{AttemptKey, Machine, TaskOnMachine};
 use crate::guards::{holds, Guard};
 use crate::ids::Timestamp;
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{Command, CommandKind, TaskState};
 
-/// How long a start whose outcome is unknown is repeated, in order to be stopped with effect.
+/// How long the start command of a stopped attempt is repeated, together with a stop, when an earlier
+/// copy of the start command may still be executed.
 const REPEAT_UNCERTAIN_START_MS: u64 = 8000;
 
-/// Whether the owner's lease, under which it gives commands, is certainly not over.
+/// Whether the lease under which the owner sends commands is certainly valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OwnerLease {
-    /// It is certainly not over.
+    /// The lease has certainly not expired.
     Valid,
-    /// It may be over: a newer owner may be there.
+    /// The lease may have expired, and a newer owner may exist.
     Uncertain,
 }
 
 /// How a command batch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchEnd {
-    /// Executed, refused, or never sent.
+    /// The batch was executed, refused, or never sent.
     Known,
-    /// There was no answer: its commands may have been executed, or may be executed yet.
+    /// There was no response: the commands may have been executed, or may still be.
     Unknown,
 }
 
 impl Machine {
-    /// Commands for the response to a heartbeat, `max` at most (and one more where a start and a
-    /// stop go together).
+    /// Returns the commands for the response to a heartbeat: at most `max`, and one more where a
+    /// start and a stop belong together.
     pub fn response_commands(
         &mut self,
         now: Timestamp,
@@ -46,8 +47,8 @@
         commands
     }
 
-    /// Commands worth sending at once, `max` at most: starts and stops that are not on their way.
-    /// The starts are noted as sent with this batch.
+    /// Returns at most `max` commands that need not wait for the next heartbeat: starts that are not
+    /// in flight, and stops. Records the starts as sent with this batch.
     pub fn direct_commands(&mut self, batch: u64, max: usize) -> Vec<Command> {
         let mut commands = Vec::new();
         let incarnation = self.incarnation;
@@ -74,7 +75,8 @@
         commands
     }
 
-    /// The command batch is no longer in flight.
+    /// Records the end of a command batch. If its outcome is unknown, its starts may still be
+    /// executed.
     pub fn end_direct_batch(&mut self, batch: u64, end: BatchEnd) {
         if self.direct_batch == Some(batch) {
             self.direct_batch = None;
@@ -91,19 +93,20 @@
     Command { op, task: key.task_id(), attempt: key.attempt.0, grace_s }
 }
 
-/// Whether a stop is sent to a task in this state: one that saves its progress is only killed.
+/// Returns whether a stop with this grace period may be sent to a task in this state. A task that
+/// already saves its progress may only be killed.
 fn may_stop(state: TaskState, grace_s: f64) -> bool {
     state != TaskState::Saving || grace_s == 0.0
 }
 
-/// Whether the worker may forget an attempt that has exited. Not while a direct copy of its start is
-/// in flight: that would start it anew. (Found by the simulator.)
+/// Returns whether the worker may forget an attempt that has exited. It may not while a start command
+/// that was sent directly is in flight: a worker that has forgotten the attempt would start it again.
 fn may_forget(task: &TaskOnMachine) -> bool {
     let start_possible = task.start_uncertain || task.start_in_flight();
     task.end_acknowledged && task.reported && !start_possible
 }
 
-/// Adds the commands for one attempt, for the worker's `incarnation`.
+/// Appends the response commands for one attempt. `incarnation` is the worker's current one.
 fn add_response_commands(
     commands: &mut Vec<Command>,
     key: &AttemptKey,
@@ -120,9 +123,10 @@
             task.in_last_response = true;
             commands.push(command(CommandKind::Start, key, None));
         }
-        // A start command without an answer may be executed at any time. Started and
-        // stopped at once, the attempt stays known to the worker, and a late copy does
-        // nothing. Only for a while, since a cancelled job must not start late.
+        // A start command without a response may be executed at any time. When the attempt is
+        // started and stopped right away, the worker knows it from then on, and a delayed copy
+        // of the start command has no effect. The start is repeated only for a while, since a
+        // task of a cancelled job must not start late.
         (TaskPhase::Decided, Some(stop))
             if task.start_uncertain && task.incarnation == incarnation =>
         {
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a machine's worker, and its lease.
+//! The heartbeats of a machine's worker, and the worker's lease.
 use super::{AttemptKey, Machine, TaskOnMachine};
 use crate::guards::{holds, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
@@ -9,17 +9,18 @@
 /// Why a worker sent a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatKind {
-    /// Sent by the worker on its own; it waits for a response, which renews its lease.
+    /// Sent by the worker on its own. The worker waits for a response, which renews its lease.
     Periodic,
-    /// The answer to a command batch; it is not responded to.
+    /// The worker's response to a command batch. No response is sent to it.
     CommandResponse,
 }
 
 impl Machine {
-    /// Notes a periodic heartbeat, and says whether the worker waits for a response to it. It
-    /// doesn't if it has sent a newer one by now, or its incarnation is over. A late copy grants
-    /// nothing, or it would keep a machine that is gone alive as long as copies of its heartbeats
-    /// arrive.
+    /// Records a periodic heartbeat and returns whether the worker waits for a response to it. The
+    /// worker does not if it has sent a newer heartbeat, or if the incarnation has ended.
+    ///
+    /// Without this check, delayed copies of the heartbeats of a machine that is gone would keep
+    /// renewing its lease, and it would count as alive.
     pub fn awaits_response(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let number = (heartbeat.incarnation, heartbeat.seq);
         let newest = number > self.last_periodic && heartbeat.incarnation >= self.incarnation;
@@ -27,8 +28,8 @@
         newest || !holds(Guard::Waits)
     }
 
-    /// The moment from which the worker's lease of `lease_ms` is surely over, unless it is renewed.
-    /// Owners before us may have renewed it until `previous_owners_until`.
+    /// Returns the time from which the worker's lease of `lease_ms` has surely expired, unless it is
+    /// renewed. Previous owners of the shard may have renewed it until `previous_owners_until`.
     pub fn lease_over_at(&self, lease_ms: u64, previous_owners_until: Timestamp) -> Timestamp {
         let granted_at = if self.token_confirmed {
             self.lease_granted_at
@@ -38,8 +39,8 @@
         granted_at + at_least(lease_ms)
     }
 
-    /// Takes in a heartbeat. `epoch` is the owner's. False if it tells nothing new; then nothing
-    /// changes.
+    /// Applies a heartbeat. `epoch` is this owner's. Returns false, and changes nothing, if the
+    /// heartbeat is outdated.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -70,7 +71,8 @@
         if (known && holds(Guard::NewestReport)) || self.released {
             return false;
         }
-        // The lease is over, so the incarnation must be: a heartbeat of it can only be a late one.
+        // A worker ends its incarnation when its lease expires, so a further heartbeat of that
+        // incarnation can only be a delayed copy.
         !(self.lease_expired && heartbeat.incarnation == self.incarnation)
     }
 
@@ -82,10 +84,10 @@
             task.end_with_incarnation();
         }
         self.lease_expired = false;
-        // The lease of an incarnation runs from its own beginning, which may be just now, whatever
-        // was granted to the one before. (Found by the simulator, with a node that got no processor
-        // time: an answer to commands showed the new incarnation, a task was started in it, and
-        // the expiry of the old incarnation's lease then declared the task gone.)
+        // The lease of an incarnation starts with the incarnation, which may be just now, whatever
+        // was granted to the previous one. Otherwise, when a node that was short of processor time
+        // learned of the new incarnation from a response to commands and started a task in it, the
+        // expiry of the old incarnation's lease marked that task as gone.
         if holds(Guard::SessionLease) {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
@@ -102,15 +104,16 @@
     }
 
     fn apply_token(&mut self, token: u64, epoch: Epoch, now: Timestamp) {
-        // Once a worker comes back without the token, responses of owners before us count again.
+        // A worker that restarted without the token accepts responses of previous owners again.
         let confirmed = token == epoch.0;
         if confirmed && self.reported_token < token {
             self.reachability.proven();
         }
         self.reported_token = token;
-        // When a worker shows our token for the first time, they counted until now, whatever we
-        // granted. (Found by the simulator, seed 173: a late copy of a heartbeat brought the new
-        // owner to command a worker that an older one, cut off with it, still answered.)
+        // When a worker reports our token for the first time, previous owners may have renewed its
+        // lease until now, whatever this owner granted. A delayed copy of a heartbeat made the new
+        // owner send commands to a worker that an older owner, on the same side of a partition as
+        // the worker, still responded to (found by the simulator with seed 173).
         if confirmed && !self.token_confirmed && holds(Guard::FirstSight) {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
@@ -132,7 +135,7 @@
         let key = AttemptKey { job: JobId(id.job), task: id.task, attempt };
         let unknown = || TaskOnMachine::new(None, TaskPhase::Decided, incarnation);
         let task = self.tasks.entry(key).or_insert_with(unknown);
-        // It was started by a command of ours, so the worker receives what we send.
+        // Our command started the attempt, which proves that the worker receives what we send.
         if task.phase == TaskPhase::Decided && task.start_sent() {
             self.reachability.proven();
         }
@@ -146,14 +149,14 @@
         }
     }
 
-    /// What it means that the heartbeat does not name an attempt.
+    /// Updates the attempts that the heartbeat does not contain.
     fn apply_missing_tasks(&mut self, incarnation: u64, kind: HeartbeatKind) {
         let confirmed = self.token_confirmed || !holds(Guard::TokenShown);
         for task in self.tasks.values_mut().filter(|task| !task.reported) {
             match task.phase {
                 TaskPhase::Decided => {
-                    // The response that named it was lost: a worker's heartbeats follow one
-                    // another, and it executes a response before its next heartbeat.
+                    // A worker executes each response before it sends its next periodic heartbeat,
+                    // so the response with the start command was lost.
                     if kind == HeartbeatKind::Periodic {
                         task.in_last_response = false;
                     }
--- a/crates/core/src/machine/load.rs
+++ b/crates/core/src/machine/load.rs
@@ -1,4 +1,4 @@
-//! The resources that the attempts on a machine take.
+//! The resources that the attempts on a machine use.
 use super::{Machine, TaskOnMachine};
 use crate::names::Resources;
 use leaddeal_wire::user::Priority;
@@ -6,34 +6,35 @@
 /// Number of values of [`Priority`].
 const PRIORITIES: usize = 4;
 
-/// Whether tasks that take GPUs are counted too.
+/// Whether tasks that use GPUs are counted too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GpuTasks {
-    /// They are counted.
+    /// Tasks with GPUs are counted.
     Included,
-    /// They are not.
+    /// Only tasks without GPUs are counted.
     Excluded,
 }
 
-/// Resources of stoppable tasks of one priority.
+/// Resources of the tasks of one priority that are not being stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Stoppable {
     without_gpus: Resources,
     with_gpus: Resources,
 }
 
-/// Sums over the attempts on a machine that are not over. They are kept up to date at each change,
-/// since every request looks at every machine.
+/// Sums over the attempts on a machine that have not ended. They are updated at each change rather
+/// than computed on demand, because every offer request reads those of every machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Load {
-    /// None: there is an attempt of unknown shape.
+    /// Resources of all attempts. `None`: the shape of some attempt is unknown.
     used: Option<Resources>,
-    /// Of services and GPU work, which run for a long time.
-    lasting: Resources,
-    gpu_work: bool,
-    /// Of tasks that are being stopped.
+    /// Resources of services and tasks with GPUs, which run for a long time.
+    long_running: Resources,
+    /// Some attempt uses GPUs.
+    has_gpu_work: bool,
+    /// Resources of tasks that are being stopped.
     stopping: Resources,
-    /// Of the others, by priority.
+    /// Resources of the other tasks, by priority.
     stoppable: [Stoppable; PRIORITIES],
 }
 
@@ -42,8 +43,8 @@
         let none = Resources::default();
         Load {
             used: Some(none),
-            lasting: none,
-            gpu_work: false,
+            long_running: none,
+            has_gpu_work: false,
             stopping: none,
             stoppable: [Stoppable::default(); PRIORITIES],
         }
@@ -60,10 +61,10 @@
             used.add(shape.need, 1);
         }
         if shape.is_long_running() {
-            self.lasting.add(shape.need, 1);
+            self.long_running.add(shape.need, 1);
         }
         let takes_gpus = shape.need.gpu > 0;
-        self.gpu_work |= takes_gpus;
+        self.has_gpu_work |= takes_gpus;
         if task.stop.is_some() {
             self.stopping.add(shape.need, 1);
             return;
@@ -78,7 +79,7 @@
 }
 
 impl Machine {
-    fn sum_up(&self) -> Load {
+    fn compute_load(&self) -> Load {
         let mut load = Load::default();
         for task in self.tasks.values().filter(|task| !task.is_over()) {
             load.add(task);
@@ -86,29 +87,30 @@
         load
     }
 
-    /// Sums up the load anew. To be called whenever a task comes, ends, is to stop, or its shape
+    /// Recomputes the load. Must be called whenever a task is added, ends or is to stop, or its shape
     /// becomes known.
     pub fn update_load(&mut self) {
-        self.load = self.sum_up();
+        self.load = self.compute_load();
     }
 
     fn load(&self) -> Load {
-        debug_assert_eq!(self.load, self.sum_up(), "a change was not counted");
+        debug_assert_eq!(self.load, self.compute_load(), "the load was not updated after a change");
         self.load
     }
 
-    /// Resources taken by what is, or may come to be, on it. None: there is a task of unknown shape.
+    /// Returns the resources of all attempts that are, or may still start, on the machine. `None`:
+    /// the shape of some attempt is unknown.
     pub fn used(&self) -> Option<Resources> {
         self.load().used
     }
 
-    /// Resources taken by services and GPU work, which run for a long time.
-    pub fn lasting(&self) -> Resources {
-        self.load().lasting
+    /// Returns the resources of services and tasks with GPUs, which run for a long time.
+    pub fn long_running(&self) -> Resources {
+        self.load().long_running
     }
 
-    /// The most resources that work of this priority could get by stopping tasks of lower priority;
-    /// tasks with GPUs are stopped only for work that takes GPUs itself.
+    /// Returns the most resources that preempting tasks of lower priority could free for a task of
+    /// this priority. Tasks with GPUs are preempted only for tasks that use GPUs themselves.
     pub fn preemptible(&self, priority: Priority, gpu_tasks: GpuTasks) -> Resources {
         let load = self.load();
         let mut resources = Resources::default();
@@ -121,13 +123,13 @@
         resources
     }
 
-    /// Resources of tasks that are being stopped.
+    /// Returns the resources of tasks that are being stopped.
     pub fn stopping(&self) -> Resources {
         self.load().stopping
     }
 
-    /// Whether a task that takes GPUs is, or may come to be, on it.
+    /// Returns whether an attempt that uses GPUs is, or may still start, on the machine.
     pub fn has_gpu_work(&self) -> bool {
-        self.load().gpu_work
+        self.load().has_gpu_work
     }
 }
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -1,10 +1,12 @@
-//! What a participant knows of a machine: its worker's newest heartbeat, the lease that the worker
-//! was granted, and the task attempts that are, or may come to be, on the machine.
+//! A participant's state of a machine: its worker's newest heartbeat, the worker's lease, and the
+//! task attempts that are, or may still start, on the machine.
 //!
-//! - `attempt`: one task attempt and how far it got;
-//! - `heartbeat`: heartbeats taken in, step by step, and the worker's lease;
-//! - `commands`: the commands that the worker is to be sent;
-//! - `load`: the resources that the attempts take.
+//! | module | what |
+//! | --- | --- |
+//! | `attempt` | one attempt and its phase |
+//! | `heartbeat` | applies heartbeats, and tracks the worker's lease |
+//! | `commands` | the commands to send to the worker |
+//! | `load` | the resources that the attempts use |
 use crate::ids::{ImageIdx, JobId, Timestamp, TypeIdx, ZoneIdx};
 use crate::reachability::Reachability;
 use load::Load;
@@ -31,80 +33,81 @@
     pub size_gb: f64,
 }
 
-/// A job of which a task failed on a machine.
+/// A job that had a task fail on a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct JobFailure {
     /// The job.
     pub job: JobId,
-    /// When a task of it first failed there.
+    /// When a task of the job first failed there.
     pub first_at: Timestamp,
 }
 
 /// A machine as its participant knows it.
 ///
-/// Invariant: the sums of `load` are those of `tasks`; whoever changes a task's phase, shape or
-/// stop request, or adds or removes a task, calls [`Machine::update_load`] afterwards.
+/// Invariant: `load` holds the sums over `tasks`. Code that changes a task's phase, shape or stop
+/// request, or adds or removes a task, calls [`Machine::update_load`] afterwards.
 #[derive(Clone, Debug)]
 pub(crate) struct Machine {
     /// Address at which the worker takes command batches.
     pub addr: String,
-    /// Type in the catalog; none: not reported yet, or not in the catalog.
+    /// Type in the catalog. `None`: not reported yet, or not in the catalog.
     pub machine_type: Option<TypeIdx>,
-    /// Zone; none: not reported yet, or not known.
+    /// Zone. `None`: not reported yet, or not in the settings.
     pub zone: Option<ZoneIdx>,
-    /// A spot instance.
+    /// The machine is a spot instance.
     pub spot: bool,
-    /// Incarnation of the worker process in the newest heartbeat; 0: none came yet.
+    /// Incarnation of the worker process in the newest heartbeat; 0: there was none yet.
     pub incarnation: u64,
     /// Sequence number of the newest heartbeat, within the incarnation.
     pub seq: u64,
     /// Fencing token in the newest heartbeat.
     reported_token: u64,
-    /// The worker has shown that it knows our fencing token: it ignores what owners before us grant
-    /// or command.
+    /// The worker has reported this owner's fencing token, so it ignores responses and commands of
+    /// previous owners.
     pub token_confirmed: bool,
-    /// When the worker's lease was last granted: when a heartbeat was last answered by us, or may
-    /// have been answered by an owner before us.
+    /// When the worker's lease was last granted or renewed: when this owner last responded to a
+    /// heartbeat, or a previous owner last may have.
     pub lease_granted_at: Timestamp,
     /// When the newest heartbeat arrived.
     pub last_heartbeat_at: Timestamp,
-    /// Incarnation and sequence number of the newest periodic heartbeat, which alone is answered.
+    /// Incarnation and sequence number of the newest periodic heartbeat. Only the newest one gets a
+    /// response.
     last_periodic: (u64, u64),
     /// Whether the worker receives what is sent to it.
     pub reachability: Reachability,
-    /// When the cloud takes the machine back, if it gave notice.
+    /// When the cloud interrupts the machine. `None`: it gave no notice.
     pub interruption_at: Option<Timestamp>,
-    /// The attempts that are, or may come to be, on the machine, and ended ones until both the
-    /// coordinator has acknowledged the end and the worker has forgotten them.
+    /// The attempts that are, or may still start, on the machine, and ended ones until the
+    /// coordinator has acknowledged their end and the worker has forgotten them.
     pub tasks: BTreeMap<AttemptKey, TaskOnMachine>,
-    /// Images in the worker's cache, the one used longest ago first.
+    /// Images in the worker's cache, the least recently used first.
     pub cached_images: VecDeque<CachedImage>,
     /// When a task was last on the machine.
     pub last_busy_at: Timestamp,
-    /// No new tasks; released when idle.
+    /// The machine gets no new tasks, and is released when idle.
     pub draining: bool,
-    /// Given back to the cloud.
+    /// The machine was released to the cloud.
     pub released: bool,
-    /// No offers before this time.
+    /// The machine is not offered before this time.
     pub quarantined_until: Timestamp,
-    /// Jobs of which tasks failed here since anything last ran well.
+    /// Jobs that had a task fail here since a task last ran well here.
     pub recent_failures: Vec<JobFailure>,
-    /// The failures are attributed to the machine.
+    /// The failures are attributed to the machine rather than to the jobs.
     pub suspected: bool,
-    /// The command batch that was sent to the worker and has no outcome yet.
+    /// The command batch that was sent to the worker and whose outcome is not known yet.
     pub direct_batch: Option<u64>,
     /// No command batch is sent before this time.
     pub next_direct_at: Timestamp,
-    /// The worker's lease is over by our count; whatever ran there is gone.
+    /// The worker's lease has expired by this owner's clock, so all attempts there have ended.
     pub lease_expired: bool,
-    /// When the participant next checks the lease, though no heartbeat came.
+    /// When the participant next checks the lease if no heartbeat arrives.
     pub next_check_at: Timestamp,
     load: Load,
 }
 
 impl Machine {
-    /// A machine that no heartbeat came from yet. An owner before us may have granted its worker a
-    /// lease until `now`.
+    /// Returns a machine without any heartbeat yet. A previous owner may have renewed the lease of
+    /// its worker as late as `now`.
     pub fn new(now: Timestamp) -> Machine {
         Machine {
             addr: String::new(),
@@ -136,13 +139,14 @@
         }
     }
 
-    /// Drops the attempts whose end the coordinator has acknowledged and that the worker has
+    /// Removes the attempts whose end the coordinator has acknowledged and that the worker has
     /// forgotten.
     pub fn drop_forgotten(&mut self) {
         self.tasks.retain(|_, task| !(task.end_acknowledged && task.is_over() && !task.is_open()));
     }
 
-    /// Everything on the machine is gone: its lease is over, or it was released.
+    /// Ends all attempts on the machine, because the worker's lease has expired or the machine was
+    /// released.
     pub fn mark_all_gone(&mut self) {
         for task in self.tasks.values_mut() {
             task.end_with_incarnation();
@@ -152,12 +156,12 @@
         self.update_load();
     }
 
-    /// Something ran well here: the failures before it no longer count against the machine.
+    /// Clears the recorded failures, because a task ran well here after them.
     pub fn clear_failures(&mut self) {
         self.recent_failures.clear();
     }
 
-    /// Tasks of these jobs failed here. A failure counts for `remember_ms` milliseconds.
+    /// Records that tasks of these jobs failed here. A failure counts for `remember_ms` milliseconds.
     pub fn note_failures(&mut self, jobs: &[JobId], now: Timestamp, remember_ms: u64) {
         if jobs.is_empty() {
             return;
@@ -170,7 +174,8 @@
         }
     }
 
-    /// The worker used this image. Its cache holds `cache_gb`, and evicts the image used longest ago.
+    /// Records that the worker used this image. Its cache holds `cache_gb` GB and evicts the least
+    /// recently used images.
     pub fn note_image(&mut self, used: CachedImage, cache_gb: f64) {
         self.cached_images.retain(|cached| cached.image != used.image);
         self.cached_images.push_back(used);
@@ -183,7 +188,7 @@
         self.cached_images.iter().map(|cached| cached.size_gb).sum::<f64>()
     }
 
-    /// Whether the worker has the image in its cache.
+    /// Returns whether the worker has the image in its cache.
     pub fn has_image(&self, image: ImageIdx) -> bool {
         self.cached_images.iter().any(|cached| cached.image == image)
     }
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -3,7 +3,7 @@
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{CommandKind, ExitReason, TaskState, WorkerHeartbeat};
 
-fn report(incarnation: u64, token: u64) -> WorkerHeartbeat {
+fn heartbeat(incarnation: u64, token: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: "n-000001".into(),
         addr: String::new(),
@@ -19,73 +19,81 @@
 }
 
 #[test]
-fn a_new_session_has_a_lease_of_its_own() {
+fn new_incarnation_starts_a_new_lease() {
     let mut machine = Machine::new(1000);
-    assert!(machine.apply_heartbeat(&report(1, 5), Epoch(5), HeartbeatKind::Periodic, 2000));
+    assert!(machine.apply_heartbeat(&heartbeat(1, 5), Epoch(5), HeartbeatKind::Periodic, 2000));
     let first = machine.lease_over_at(8000, 0);
     assert!(machine.apply_heartbeat(
-        &report(2, 5),
+        &heartbeat(2, 5),
         Epoch(5),
         HeartbeatKind::CommandResponse,
         first - 10
     ));
-    assert!(machine.lease_over_at(8000, 0) >= first - 10 + 8000, "it may have begun just now");
+    assert!(
+        machine.lease_over_at(8000, 0) >= first - 10 + 8000,
+        "the incarnation may have started just now"
+    );
 }
 
-/// A machine that lost power for a moment has a worker that knows no token: previous owners of its
-/// shard may answer it again, and its lease is counted accordingly.
+/// After a power loss of its machine a worker knows no fencing token. Previous owners of the shard
+/// may renew its lease again, so the lease must be counted from when they may last have done so.
 #[test]
-fn a_worker_that_forgot_our_token_is_not_sure_to_heed_us_alone() {
+fn lease_counts_previous_owners_after_token_loss() {
     let mut machine = Machine::new(0);
-    machine.apply_heartbeat(&report(1, 5), Epoch(5), HeartbeatKind::Periodic, 1000);
+    machine.apply_heartbeat(&heartbeat(1, 5), Epoch(5), HeartbeatKind::Periodic, 1000);
     assert!(machine.token_confirmed);
-    machine.apply_heartbeat(&report(2, 0), Epoch(5), HeartbeatKind::Periodic, 2000);
+    machine.apply_heartbeat(&heartbeat(2, 0), Epoch(5), HeartbeatKind::Periodic, 2000);
     assert!(!machine.token_confirmed && machine.lease_over_at(8000, 40_000) > 48_000);
 }
 
-/// Our token came with a command, which grants nothing; an older owner may have answered the worker until
-/// then.
+/// The worker learned our token from a command, which does not renew its lease. A previous owner may
+/// have responded to the worker until then, so the lease must count from then on.
 #[test]
-fn a_worker_that_shows_our_token_at_last_may_have_been_answered_until_then() {
+fn first_report_of_token_restarts_lease() {
     let mut machine = Machine::new(0);
-    // A copy of a report from before the takeover: answered, but nobody waits for that.
+    // A copy of a heartbeat from before the failover: it gets a response, but nobody waits for it.
     assert!(
-        machine.awaits_response(&report(1, 4))
-            && machine.apply_heartbeat(&report(1, 4), Epoch(5), HeartbeatKind::Periodic, 1000)
+        machine.awaits_response(&heartbeat(1, 4))
+            && machine.apply_heartbeat(&heartbeat(1, 4), Epoch(5), HeartbeatKind::Periodic, 1000)
     );
     machine.lease_granted_at = 1000;
-    let shown = WorkerHeartbeat { seq: 9, ..report(1, 5) };
+    let shown = WorkerHeartbeat { seq: 9, ..heartbeat(1, 5) };
     assert!(machine.apply_heartbeat(&shown, Epoch(5), HeartbeatKind::CommandResponse, 4000));
     assert!(
         machine.token_confirmed && machine.lease_over_at(8000, 90_000) >= 12_000,
-        "it counts from our last answer"
+        "the lease counts from the first report of the token"
     );
 }
 
-/// Guards a cancelled job's task against an owner whose lease is uncertain.
+/// An owner whose lease is uncertain could otherwise start a task of a job that was cancelled under a
+/// newer owner.
 #[test]
-fn in_doubt_nothing_is_started_and_stops_go_on() {
+fn uncertain_lease_sends_stops_but_no_starts() {
     let mut machine = Machine::new(0);
     machine.incarnation = 1;
     let key = |task| AttemptKey { job: JobId(7), task, attempt: Attempt(9) };
     machine.tasks.insert(key(0), TaskOnMachine::new(None, TaskPhase::Decided, 1));
-    let mut runs = TaskOnMachine::new(None, TaskPhase::On(TaskState::Running), 1);
-    runs.stop = Some(StopRequest { grace_s: 0.0, since: 0 });
-    machine.tasks.insert(key(1), runs);
-    let ops = |machine: &mut Machine, lease| -> Vec<(CommandKind, u32)> {
-        machine.response_commands(0, 9, lease).iter().map(|o| (o.op, o.task.task)).collect()
+    let mut running = TaskOnMachine::new(None, TaskPhase::On(TaskState::Running), 1);
+    running.stop = Some(StopRequest { grace_s: 0.0, since: 0 });
+    machine.tasks.insert(key(1), running);
+    let sent = |machine: &mut Machine, lease| -> Vec<(CommandKind, u32)> {
+        machine
+            .response_commands(0, 9, lease)
+            .iter()
+            .map(|command| (command.op, command.task.task))
+            .collect()
     };
-    assert_eq!(ops(&mut machine, OwnerLease::Uncertain), [(CommandKind::Stop, 1)]);
+    assert_eq!(sent(&mut machine, OwnerLease::Uncertain), [(CommandKind::Stop, 1)]);
     assert_eq!(
-        ops(&mut machine, OwnerLease::Valid),
+        sent(&mut machine, OwnerLease::Valid),
         [(CommandKind::Start, 0), (CommandKind::Stop, 1)]
     );
 }
 
-/// What an owner before us decided is kept if it is there, and what was offered in another incarnation of
-/// the worker does not belong to this one.
+/// An attempt that was decided by a previous owner is kept if it is on the machine, but never started.
+/// An attempt that was decided for another incarnation of the worker is not started in this one.
 #[test]
-fn only_what_was_decided_here_for_this_session_is_started() {
+fn starts_only_own_decisions_for_this_incarnation() {
     let starts = |adopted, incarnation| {
         let mut machine = Machine::new(0);
         machine.incarnation = 2;
@@ -96,18 +104,18 @@
             + machine.direct_commands(1, 9).len()
     };
     assert_eq!((starts(true, 2), starts(false, 1)), (0, 0));
-    assert_eq!(starts(false, 2), 1, "named in an answer, it is not commanded besides");
+    assert_eq!(starts(false, 2), 1, "a start in a heartbeat response is not also sent directly");
 }
 
-/// A direct copy of its start may come yet, which would start anew what was forgotten.
+/// A start command that was sent directly may arrive late. If the worker had forgotten the attempt by
+/// then, it would start it again.
 #[test]
-fn nothing_is_forgotten_while_its_start_is_under_way() {
-    let forgets = |direct| {
+fn keeps_attempt_while_its_start_is_in_flight() {
+    let forgets = |direct_batch| {
         let mut machine = Machine::new(0);
         machine.incarnation = 1;
         let ended = TaskOnMachine::new(None, TaskPhase::Exited(ExitReason::Done, false), 1);
-        let task =
-            TaskOnMachine { end_acknowledged: true, reported: true, direct_batch: direct, ..ended };
+        let task = TaskOnMachine { end_acknowledged: true, reported: true, direct_batch, ..ended };
         machine.tasks.insert(AttemptKey { job: JobId(7), task: 0, attempt: Attempt(9) }, task);
         machine.response_commands(0, 9, OwnerLease::Valid).len()
     };
@@ -116,16 +124,13 @@
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
+fn tests_fail_without_their_guards() {
     use crate::guards::{missed_by, Guard};
-    missed_by(
-        Guard::FirstSight,
-        a_worker_that_shows_our_token_at_last_may_have_been_answered_until_then,
-    );
-    missed_by(Guard::SessionLease, a_new_session_has_a_lease_of_its_own);
-    missed_by(Guard::DoubtStarts, in_doubt_nothing_is_started_and_stops_go_on);
-    missed_by(Guard::DoubtStops, in_doubt_nothing_is_started_and_stops_go_on);
-    missed_by(Guard::Adopted, only_what_was_decided_here_for_this_session_is_started);
-    missed_by(Guard::OfferSession, only_what_was_decided_here_for_this_session_is_started);
-    missed_by(Guard::ForgetLater, nothing_is_forgotten_while_its_start_is_under_way);
+    missed_by(Guard::FirstSight, first_report_of_token_restarts_lease);
+    missed_by(Guard::SessionLease, new_incarnation_starts_a_new_lease);
+    missed_by(Guard::DoubtStarts, uncertain_lease_sends_stops_but_no_starts);
+    missed_by(Guard::DoubtStops, uncertain_lease_sends_stops_but_no_starts);
+    missed_by(Guard::Adopted, starts_only_own_decisions_for_this_incarnation);
+    missed_by(Guard::OfferSession, starts_only_own_decisions_for_this_incarnation);
+    missed_by(Guard::ForgetLater, keeps_attempt_while_its_start_is_in_flight);
 }
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -88,7 +88,7 @@
         whole: Resources,
     ) -> Resources {
         let mut free = whole;
-        free.sub(machine.lasting(), 1);
+        free.sub(machine.long_running(), 1);
         for hold in self.holds.on(idx).iter().filter(|hold| hold.lasting) {
             free.sub(hold.need, hold.count);
         }
