--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,10 +1,10 @@
-//! Machines, images, types and zones by index, and what the catalog says of types.
+//! Indices for the names of machines, images, types and zones, and the catalog of machine types.
 //!
-//! Names are mapped to dense indices where messages come in; the core compares and stores indices.
+//! Names are mapped to dense indices when messages arrive, and the core compares and stores indices.
 //!
 //! | module | what |
 //! | --- | --- |
-//! | `interner` | names that are met at run time (machines, images): an index for each |
+//! | `interner` | indices for names that become known at run time (machines, images) |
 //! | `resources` | processors, GPUs and memory, of tasks and of machines |
 //! | `catalog` | machine types of the cloud: their resources, prices and constraints |
 use crate::ids::{ImageIdx, MachineIdx, ZoneIdx};
@@ -20,8 +20,8 @@
 pub use interner::Interner;
 pub use resources::{thousandths, Resources};
 
-/// Whether a machine was created no later than another, by their names: machines are named in the
-/// order of their creation.
+/// Returns whether `machine` was created no later than `other`, judged by their names, which are
+/// assigned in the order of creation.
 pub fn created_no_later_than(machine: &str, other: &str) -> bool {
     (machine.len(), machine) <= (other.len(), other)
 }
@@ -29,7 +29,7 @@
 /// What a task needs, with names resolved.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// As it is sent between controllers.
+    /// The shape as it is sent between controllers.
     pub wire: Arc<mesh::Shape>,
     /// The resources that one task takes.
     pub need: Resources,
@@ -38,7 +38,7 @@
 }
 
 impl Shape {
-    /// Whether a task stays on its machine for long: one of a service, or one with GPUs.
+    /// Returns whether a task is expected to run for a long time: services and tasks with GPUs are.
     pub fn is_long_running(&self) -> bool {
         self.wire.kind == Kind::Service || self.need.gpu > 0
     }
@@ -55,32 +55,33 @@
     pub zones: Vec<String>,
     /// Machine types in the order in which they were first listed by the cloud.
     pub catalog: Vec<MachineType>,
-    /// Resources of each type in the catalog, since they are asked for at each look at a machine.
+    /// Resources of each type in the catalog, computed once because every look at a machine needs
+    /// them.
     type_resources: Vec<Resources>,
 }
 
 impl Names {
-    /// The index of a machine; a new name gets a new index.
+    /// Returns the index of a machine, and assigns one to a new name.
     pub fn machine(&mut self, name: &str) -> MachineIdx {
         MachineIdx(self.machines.intern(name))
     }
 
-    /// The index of a machine; `None` if the name is not known.
+    /// Returns the index of a machine; `None` if the name is not known.
     pub fn find_machine(&self, name: &str) -> Option<MachineIdx> {
         self.machines.find(name).map(MachineIdx)
     }
 
-    /// The name of a machine.
+    /// Returns the name of a machine.
     pub fn machine_name(&self, machine: MachineIdx) -> &str {
         self.machines.name(machine.0)
     }
 
-    /// The index of a zone; `None` if it is not in the settings.
+    /// Returns the index of a zone; `None` if it is not in the settings.
     pub fn zone(&self, name: &str) -> Option<ZoneIdx> {
         self.zones.iter().position(|zone| zone == name).map(|index| ZoneIdx(index as u8))
     }
 
-    /// Resolves the names in a task's needs.
+    /// Resolves the names in a shape.
     pub fn shape(&mut self, wire: &Arc<mesh::Shape>) -> Shape {
         Shape {
             need: Resources::of(wire),
--- a/crates/core/src/names/catalog.rs
+++ b/crates/core/src/names/catalog.rs
@@ -5,20 +5,20 @@
 use leaddeal_wire::mesh;
 use leaddeal_wire::user::Priority;
 
-/// Types beyond this number are ignored: an index takes one byte.
+/// Maximum number of types; further ones are ignored, since an index is one byte.
 const MAX_TYPES: usize = 250;
-/// Spot machines may be interrupted: their price counts for somewhat more.
+/// Factor on the price of spot machines in comparisons, since they may be interrupted.
 const SPOT_PRICE_FACTOR: f64 = 1.15;
-/// A type that states a slower rate fetches images at this one, in GB/s.
+/// Lower bound for the rate at which a type fetches images, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 impl Names {
-    /// The index of a machine type; `None` if it is not in the catalog.
+    /// Returns the index of a machine type; `None` if it is not in the catalog.
     pub fn type_idx(&self, name: &str) -> Option<TypeIdx> {
         self.catalog.iter().position(|known| known.name == name).map(|at| TypeIdx(at as u8))
     }
 
-    /// Takes a new catalog. Indices stay: known types keep their place, new ones come after them.
+    /// Applies a new catalog. Indices stay valid: known types keep theirs, new types come after them.
     pub fn set_catalog(&mut self, catalog: Catalog) {
         for new in catalog.types {
             let is_full = self.catalog.len() >= MAX_TYPES;
@@ -36,17 +36,18 @@
         self.type_resources = self.catalog.iter().map(resources).collect();
     }
 
-    /// The resources of an empty machine of this type.
+    /// Returns the resources of an empty machine of this type.
     pub fn resources_of_type(&self, machine_type: TypeIdx) -> Resources {
         self.type_resources[usize::from(machine_type.0)]
     }
 
-    /// How long a machine of this type fetches an image of that size, in seconds.
+    /// Returns how long a machine of this type takes to fetch an image of that size, in seconds.
     pub fn image_fetch_s(&self, machine_type: TypeIdx, image_gb: f64) -> f64 {
         image_gb / self.type_info(machine_type).fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 
-    /// Price of a machine per hour as it counts in comparisons, as a spot one or an ordinary one.
+    /// Returns the price per hour of a machine of this type for comparisons. That of a spot machine
+    /// includes a surcharge for its interruptions.
     pub fn price(&self, machine_type: TypeIdx, spot: bool) -> f64 {
         let info = self.type_info(machine_type);
         if spot {
@@ -56,8 +57,9 @@
         }
     }
 
-    /// Whether a task on such a machine costs no more than it is worth: a multiple of the lowest
-    /// price of a place for it on an ordinary machine, whether that can be had now or not.
+    /// Returns whether a task on such a machine costs no more than a multiple of its lowest price on
+    /// a machine that is not spot, whether or not the cloud has capacity for that now. The multiple
+    /// depends on the priority and on `urgent`.
     pub fn affordable(
         &self,
         shape: &mesh::Shape,
@@ -72,7 +74,8 @@
         self.price_per_task(shape, machine_type, spot).is_some_and(|price| price <= highest)
     }
 
-    /// Price per hour of a place for one task; `None` if no task may or can run there.
+    /// Returns the price per hour of a machine divided by the number of tasks that fit on it; `None`
+    /// if no task fits or may run there.
     fn price_per_task(
         &self,
         shape: &mesh::Shape,
@@ -84,8 +87,8 @@
         possible.then(|| self.price(machine_type, spot) / fits as f64)
     }
 
-    /// Whether a task of this shape may run on this type of machine at all, as a spot one or an
-    /// ordinary one.
+    /// Returns whether the constraints of this shape allow machines of this type, and spot ones if
+    /// `spot` is set.
     pub fn allows(&self, shape: &mesh::Shape, machine_type: TypeIdx, spot: bool) -> bool {
         if spot && !shape.spot {
             return false;
@@ -99,7 +102,7 @@
     }
 }
 
-/// How many times the lowest price a task may cost.
+/// Returns how many times its lowest price a task may cost.
 fn max_price_factor(priority: Priority, urgent: bool) -> f64 {
     match priority {
         Priority::Low if !urgent => 1.5,
--- a/crates/core/src/names/interner.rs
+++ b/crates/core/src/names/interner.rs
@@ -1,8 +1,8 @@
-//! Dense indices for names that are met at run time.
+//! Dense indices for names that become known at run time.
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Gives each name an index, in the order in which they are met.
+/// Assigns each name an index, counting from 0 in the order in which they become known.
 ///
 /// Invariant: `names[by_name[name]] == name`. Names are never removed, so an index stays valid.
 #[derive(Default, Debug)]
@@ -12,7 +12,7 @@
 }
 
 impl Interner {
-    /// The index of a name; a new name gets the next one.
+    /// Returns the index of a name, and assigns the next one to a new name.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.by_name.get(name) {
             return index;
@@ -24,12 +24,12 @@
         index
     }
 
-    /// The index of a name; `None` if it has none.
+    /// Returns the index of a name; `None` if it has none.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.by_name.get(name).copied()
     }
 
-    /// The name of an index that [`Interner::intern`] gave.
+    /// Returns the name for an index that [`Interner::intern`] returned.
     pub fn name(&self, index: u32) -> &str {
         &self.names[index as usize]
     }
--- a/crates/core/src/names/resources.rs
+++ b/crates/core/src/names/resources.rs
@@ -1,7 +1,7 @@
 //! Processors, GPUs and memory, of tasks and of machines.
 use leaddeal_wire::mesh;
 
-/// What a task takes or a machine has.
+/// Amounts of the resources that a task needs or a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Resources {
     /// Thousandths of processors.
@@ -12,34 +12,35 @@
     pub mem: u64,
 }
 
-/// Thousandths of a value, rounded down. For what there is; what tasks take is rounded up.
+/// Returns a value in thousandths, rounded down. For the resources that exist; those that tasks need
+/// are rounded up.
 pub fn thousandths(value: f64) -> u64 {
-    // A decimal fraction may be stored as slightly less than it is written.
+    // Many decimal fractions have no exact binary representation, and are stored as slightly less.
     const REPRESENTATION_ERROR: f64 = 1e-6;
     (value * 1000.0 + REPRESENTATION_ERROR).floor() as u64
 }
 
 impl Resources {
-    /// What one task of this shape takes.
+    /// Returns the resources that one task of this shape needs.
     pub fn of(shape: &mesh::Shape) -> Resources {
         Resources { cpu: shape.cpu, gpu: shape.gpu, mem: shape.mem }
     }
 
-    /// Adds `other` `count` times, no further than the largest number.
+    /// Adds `other` `count` times. Saturates at the largest number.
     pub fn add(&mut self, other: Resources, count: u64) {
         self.cpu = self.cpu.saturating_add(other.cpu.saturating_mul(count));
         self.gpu = self.gpu.saturating_add(other.gpu.saturating_mul(count));
         self.mem = self.mem.saturating_add(other.mem.saturating_mul(count));
     }
 
-    /// Subtracts `other` `count` times, no further than 0.
+    /// Subtracts `other` `count` times. Saturates at 0.
     pub fn sub(&mut self, other: Resources, count: u64) {
         self.cpu = self.cpu.saturating_sub(other.cpu.saturating_mul(count));
         self.gpu = self.gpu.saturating_sub(other.gpu.saturating_mul(count));
         self.mem = self.mem.saturating_sub(other.mem.saturating_mul(count));
     }
 
-    /// How many times `need` fits in; `u64::MAX` if it needs nothing.
+    /// Returns how many times `need` fits into these resources; `u64::MAX` if it needs nothing.
     pub fn fits(&self, need: Resources) -> u64 {
         let times = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
         let cpu = times(self.cpu, need.cpu);
--- a/crates/core/src/placed.rs
+++ b/crates/core/src/placed.rs
@@ -1,62 +1,63 @@
-//! The tasks of a job that are or may be on machines.
+//! The placements of a job: its tasks that are, or may be, on machines.
 use crate::ids::{Attempt, MachineIdx, Shard, Timestamp, ZoneIdx};
 use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::TaskState;
 use std::collections::BTreeMap;
 
-/// A task is to stop.
+/// A request to stop a task, which is repeated until the task has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingStop {
     /// Seconds that the task gets to save its progress.
     pub grace_s: f64,
-    /// When `Stop` was last sent; 0: not yet.
+    /// When the `Stop` message was last sent; 0: never.
     pub sent_at: Timestamp,
 }
 
 impl PendingStop {
-    /// A stop that was not sent yet.
+    /// Returns a stop that has not been sent yet.
     pub fn new(grace_s: f64) -> PendingStop {
         PendingStop { grace_s, sent_at: 0 }
     }
 }
 
-/// A task that is or may be on a machine.
+/// A task that is, or may be, on a machine.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The start of the task that this is.
+    /// The attempt of the task.
     pub attempt: Attempt,
     /// The machine.
     pub machine: MachineIdx,
     /// The participant that the machine belongs to.
     pub participant: Shard,
-    /// The incarnation of the machine's worker in which alone the task may start.
+    /// The only incarnation of the machine's worker in which the task may start.
     pub incarnation: u64,
     /// The machine's zone.
     pub zone: ZoneIdx,
-    /// What was last seen of the task.
+    /// The last known phase of the task.
     pub phase: TaskPhase,
-    /// Number of the decision that holds it.
+    /// Number of the round whose decision contains the placement.
     pub round: u64,
     /// When this owner of the shard learned that the decision is durable.
     pub placed_at: Timestamp,
-    /// When `Place` was last sent; 0: not by this owner of the shard.
+    /// When the `Place` message was last sent; 0: never by this owner of the shard.
     pub sent_at: Timestamp,
-    /// None: the task is not to stop.
+    /// The pending stop. `None`: the task is not to stop.
     pub stop: Option<PendingStop>,
-    /// From a decision of an older epoch, and not seen on its machine yet.
+    /// The placement comes from a decision of an older epoch, and the task was not yet seen on its
+    /// machine.
     pub adopted: bool,
-    /// What the task takes of its team's quota; none: the team has no limit.
+    /// What the task uses of its team's quota. `None`: the team has no quota.
     pub quota: Option<QuotaUse>,
 }
 
 impl Placement {
-    /// Whether users are shown the task as running.
+    /// Returns whether users see the task as running.
     fn is_running(&self) -> bool {
         matches!(self.phase, TaskPhase::On(TaskState::Running | TaskState::Saving))
     }
 
-    /// Wants the task stopped; one that is to stop already keeps its grace.
+    /// Requests that the task stops. If it is to stop already, its grace period does not change.
     fn stop_unless_stopping(&mut self, grace_s: f64) {
         self.stop.get_or_insert(PendingStop::new(grace_s));
     }
@@ -64,76 +65,77 @@
 
 /// The placements of a job, by task.
 ///
-/// Invariant: `in_zone` and `running` are the sums over `by_task`; only this module changes a
-/// placement's zone or phase. (They were summed up at every question of a user and twice a round,
-/// which grew with the job.)
+/// Invariant: `in_zone` and `running` are the sums over `by_task`. Only this module changes the zone
+/// or the phase of a placement. The sums are maintained because computing them at every user request
+/// and twice in each round took time in proportion to the size of the job.
 #[derive(Clone, Debug, Default)]
 pub struct Placed {
     by_task: BTreeMap<u32, Placement>,
-    /// By zone, as far as a placement was in one.
+    /// Number of placements by zone number, up to the highest zone that ever had one.
     in_zone: Vec<u32>,
+    /// Number of tasks that users see as running.
     running: u32,
 }
 
 impl Placed {
-    /// How many tasks are or may be on machines.
+    /// Returns how many tasks are, or may be, on machines.
     pub fn len(&self) -> u32 {
         self.by_task.len() as u32
     }
 
-    /// Whether no task is or may be on a machine.
+    /// Returns whether there are no placements.
     pub fn is_empty(&self) -> bool {
         self.by_task.is_empty()
     }
 
-    /// The placement of a task.
+    /// Returns the placement of a task; `None` if it has none.
     pub fn get(&self, task: u32) -> Option<&Placement> {
         self.by_task.get(&task)
     }
 
-    /// All placements, in the order of the tasks.
+    /// Returns all placements, ordered by task.
     pub fn values(&self) -> impl Iterator<Item = &Placement> {
         self.by_task.values()
     }
 
-    /// All tasks with their placements, in order, to send and stop them. Zone and phase must not be
-    /// changed through this: see `set_phase`.
+    /// Returns all tasks with their placements, ordered by task, to record what was sent and stopped.
+    /// Zone and phase must not be changed through this: see [`Placed::set_phase`].
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut Placement)> {
         self.by_task.iter_mut().map(|(task, placement)| (*task, placement))
     }
 
-    /// All tasks with their placements, in order.
+    /// Returns all tasks with their placements, ordered by task.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &Placement)> {
         self.by_task.iter().map(|(task, placement)| (*task, placement))
     }
 
-    /// Wants one task stopped; one that is to stop already keeps its grace.
+    /// Requests that a task stops. If it is to stop already, its grace period does not change.
     pub fn stop(&mut self, task: u32, grace_s: f64) {
         if let Some(placement) = self.by_task.get_mut(&task) {
             placement.stop_unless_stopping(grace_s);
         }
     }
 
-    /// Wants all tasks stopped; those that are to stop already keep their grace.
+    /// Requests that all tasks stop. Tasks that are to stop already keep their grace period.
     pub fn stop_rest(&mut self, grace_s: f64) {
         for placement in self.by_task.values_mut() {
             placement.stop_unless_stopping(grace_s);
         }
     }
 
-    /// Wants all tasks stopped at once, also those that were given a grace.
+    /// Requests that all tasks stop without a grace period, also those that were granted one.
     pub fn stop_all(&mut self) {
         for placement in self.by_task.values_mut() {
             placement.stop = Some(PendingStop::new(0.0));
         }
     }
 
-    /// How many tasks are to stop.
+    /// Returns how many tasks are to stop.
     pub fn stopping(&self) -> usize {
         self.values().filter(|placement| placement.stop.is_some()).count()
     }
 
-    /// Places a task; returns the placement that it had before.
+    /// Adds the placement of a task, and returns the placement that it replaces.
     pub fn insert(&mut self, task: u32, placement: Placement) -> Option<Placement> {
         let old = self.remove(task);
         let zone = placement.zone.0 as usize;
@@ -154,7 +156,7 @@
         Some(placement)
     }
 
-    /// Records what was seen of a task; nothing, if it is not placed.
+    /// Sets the last known phase of a task. Does nothing if the task is not placed.
     pub fn set_phase(&mut self, task: u32, phase: TaskPhase) {
         let Some(placement) = self.by_task.get_mut(&task) else { return };
         self.running -= u32::from(placement.is_running());
@@ -163,18 +165,18 @@
         self.running += u32::from(placement.is_running());
     }
 
-    /// How many tasks are or may be in a zone.
+    /// Returns how many tasks are, or may be, in a zone.
     pub fn in_zone(&self, zone: usize) -> u32 {
         self.in_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// How many tasks users are shown as running.
+    /// Returns how many tasks users see as running.
     pub fn running(&self) -> u32 {
         debug_assert!(self.sums_hold());
         self.running
     }
 
-    /// The invariant of this type.
+    /// Returns whether the invariant of this type holds.
     fn sums_hold(&self) -> bool {
         let running = self.values().filter(|placement| placement.is_running()).count();
         let zone = |zone| self.values().filter(|p| p.zone.0 as usize == zone).count();
