--- a/crates/core/src/stored.rs
+++ b/crates/core/src/stored.rs
@@ -1,8 +1,8 @@
-//! The records that are kept in the state service, as types. Their keys are made in [`crate::keys`].
+//! The types of the records in the key-value store. Their keys are defined in [`crate::keys`].
 //!
-//! Invariant: a record is written byte for byte as the version in production writes it, and whatever that
-//! version has written is read; `tests/golden/records.txt` holds examples of each kind. A field that a later
-//! version adds is ignored.
+//! Invariant: each record is encoded byte for byte as by the version in production, and whatever that
+//! version has written is decoded. `tests/golden/records.txt` holds examples of each kind. Fields that
+//! a later version adds are ignored.
 use crate::ids::{Attempt, JobId, ZoneIdx};
 use leaddeal_wire::mesh::QuotaAmount;
 use leaddeal_wire::user::{self, Status};
@@ -11,29 +11,29 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a record can't be used.
+/// Why a record could not be decoded.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// The value, or what it contains, has another form than records of this kind.
-    #[error("a {kind} record does not decode")]
+    /// The value does not have the structure of a record of this kind.
+    #[error("failed to decode {kind} record")]
     Undecodable {
-        /// What the record should have been.
+        /// The kind of record that was expected.
         kind: &'static str,
-        /// What the decoder found.
+        /// The error of the decoder.
         #[source]
         source: serde_json::Error,
     },
-    /// A part of it is missing, or of another type.
-    #[error("a {kind} record without a valid {part}")]
+    /// A part of the record is missing or has the wrong type.
+    #[error("{kind} record has no valid {part}")]
     InvalidPart {
-        /// What the record should have been.
+        /// The kind of record that was expected.
         kind: &'static str,
-        /// The part that is missing or of another type.
+        /// The part that is missing or has the wrong type.
         part: &'static str,
     },
 }
 
-/// A record that can be encoded always gives a value: there is no I/O, and all keys of maps are strings.
+/// Encodes a record. This can't fail: there is no I/O, and the keys of all maps are strings.
 fn encode<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or_default()
 }
@@ -42,22 +42,22 @@
     T::deserialize(value).map_err(|source| RecordError::Undecodable { kind, source })
 }
 
-/// Who owns a shard; attached to the owner's lease.
+/// The owner of a shard. The record is attached to the owner's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRecord {
-    /// The owner's boot number, which differs between processes of one node.
+    /// The boot number of the owner's process, which differs between processes of the same node.
     pub boot: u64,
     /// The owner's node name.
     pub node: String,
 }
 
 impl OwnerRecord {
-    /// The value to store.
+    /// Encodes the record as the value to store.
     pub fn encode(&self) -> Value {
         encode(self)
     }
 
-    /// Reads a stored value.
+    /// Decodes a stored value.
     pub fn decode(value: &Value) -> Result<OwnerRecord, RecordError> {
         decode("owner", value)
     }
@@ -66,8 +66,8 @@
 /// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobRecord {
-    /// When it was accepted, in milliseconds of the accepting controller's time of day; none: not
-    /// recorded.
+    /// When the job was accepted, in milliseconds of the accepting controller's wall clock. `None`:
+    /// not recorded.
     #[serde(rename = "at")]
     pub accepted_at_ms: Option<u64>,
     /// The submission.
@@ -75,28 +75,29 @@
 }
 
 impl JobRecord {
-    /// The value to store.
+    /// Encodes the record as the value to store.
     pub fn encode(&self) -> Value {
         encode(self)
     }
 
-    /// Reads a stored value. A time that is missing or no number is no reason to lose the job.
+    /// Decodes a stored value. A job whose time is missing or not a number is still decoded, so that
+    /// it is not lost.
     pub fn decode(value: &Value) -> Result<JobRecord, RecordError> {
         let job = decode("job", &value["job"])?;
         Ok(JobRecord { accepted_at_ms: value["at"].as_u64(), job })
     }
 }
 
-/// What a task takes of its team's quota.
+/// What a task uses of its team's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaUse {
-    /// The team, by its place in the settings.
+    /// The team, by its index in the settings.
     pub team: u8,
-    /// Thousandths of processors and GPUs.
+    /// Processors and GPUs, in thousandths.
     pub amount: QuotaAmount,
 }
 
-/// One placement of a decision: an array of five numbers and texts, and three more where the team has a
+/// One placement of a decision, stored as an array of five elements, or of eight if the team has a
 /// quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementRecord<'a> {
@@ -104,13 +105,13 @@
     pub job: JobId,
     /// The task's number in the job.
     pub task: u32,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: &'a str,
-    /// The incarnation of the machine's worker in which alone the task may start.
+    /// The only incarnation of the machine's worker in which the task may start.
     pub incarnation: u64,
     /// The machine's zone.
     pub zone: ZoneIdx,
-    /// None: the team has no quota.
+    /// What the task uses of its team's quota. `None`: the team has no quota.
     pub quota: Option<QuotaUse>,
 }
 
@@ -153,10 +154,10 @@
     }
 }
 
-/// The placements that one round decided.
+/// The placements that were decided in one round.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DecisionRecord<'a> {
-    /// The attempt that all its placements are.
+    /// The attempt number, which is the same for all placements of the decision.
     #[serde(rename = "a")]
     pub attempt: u64,
     /// The placements.
@@ -165,13 +166,13 @@
 }
 
 impl<'a> DecisionRecord<'a> {
-    /// The value to store.
+    /// Encodes the record as the value to store.
     pub fn encode(&self) -> Value {
         encode(self)
     }
 
-    /// Reads a stored value: the attempt, and each placement by itself, so that one that does not decode
-    /// hides no other.
+    /// Decodes the attempt number, and each placement separately, so that an invalid placement does
+    /// not hide the others.
     pub fn decode(
         value: &'a Value,
     ) -> Result<(Attempt, Vec<Result<PlacementRecord<'a>, RecordError>>), RecordError> {
@@ -182,10 +183,10 @@
     }
 }
 
-/// What became of a job: its status, and how many of its tasks are done.
+/// The terminal state of a job: its final status, and how many of its tasks are done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TerminalState {
-    /// `Done` or `Cancelled`.
+    /// [`Status::Done`] or [`Status::Cancelled`].
     pub status: Status,
     /// How many tasks are done.
     pub done: u32,
@@ -195,13 +196,13 @@
 const CANCELLED: &str = "cancelled";
 
 impl TerminalState {
-    /// The value to store.
+    /// Encodes the record as the value to store.
     pub fn encode(&self) -> Value {
         let status = if self.status == Status::Done { DONE } else { CANCELLED };
         encode(&(status, self.done))
     }
 
-    /// Reads a stored value.
+    /// Decodes a stored value.
     pub fn decode(value: &Value) -> Result<TerminalState, RecordError> {
         let invalid = |part| RecordError::InvalidPart { kind: "terminal state", part };
         let status = match value[0].as_str() {
@@ -214,34 +215,35 @@
     }
 }
 
-/// A chunk of a job's completed tasks: the text of a bitmap, as [`crate::task_set::TaskSet`] encodes it.
+/// A chunk of a job's completed tasks: a bitmap as text, encoded by [`crate::task_set::TaskSet`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CompletionRecord<'a>(pub &'a str);
 
 impl<'a> CompletionRecord<'a> {
-    /// The value to store.
+    /// Encodes the record as the value to store.
     pub fn encode(self) -> Value {
         Value::from(self.0)
     }
 
-    /// Reads a stored value.
+    /// Decodes a stored value.
     pub fn decode(value: &'a Value) -> Result<CompletionRecord<'a>, RecordError> {
         let invalid = RecordError::InvalidPart { kind: "completion", part: "bitmap" };
         value.as_str().map(CompletionRecord).ok_or(invalid)
     }
 }
 
-/// The newest machine that was there before the service: it and all older ones are the operator's own.
+/// The name of the newest machine that existed before the service. This machine and all older ones are
+/// the operator's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperatorMachinesRecord<'a>(pub &'a str);
 
 impl<'a> OperatorMachinesRecord<'a> {
-    /// The value to store.
+    /// Encodes the record as the value to store.
     pub fn encode(self) -> Value {
         Value::from(self.0)
     }
 
-    /// Reads a stored value.
+    /// Decodes a stored value.
     pub fn decode(value: &'a Value) -> Result<OperatorMachinesRecord<'a>, RecordError> {
         let invalid = RecordError::InvalidPart { kind: "operator's machines", part: "name" };
         value.as_str().map(OperatorMachinesRecord).ok_or(invalid)
