--- a/crates/wire/src/settings/checks.rs
+++ b/crates/wire/src/settings/checks.rs
@@ -1,29 +1,33 @@
-//! Checks of the settings. The first value that is wrong is named.
+//! Validation of the settings. The error names the first value that is invalid.
 use super::{FieldError, Settings, SettingsError, Team};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Teams go by their number in messages between controllers, which is one byte.
+/// Maximum number of teams. Messages between controllers refer to a team by a number of one byte.
 pub(super) const MAX_TEAMS: usize = 255;
-/// Zones go by their number in messages between controllers.
+/// Maximum number of zones. Messages between controllers refer to a zone by its number.
 pub(super) const MAX_ZONES: usize = 64;
-/// Operations of a transaction that the controllers need.
+/// Number of operations in a transaction that the controllers need.
 pub(super) const MIN_TXN_OPS: usize = 4;
-/// Processors or GPUs of a team; beyond, thousandths are not counted exactly.
+/// Maximum number of processors or GPUs of a team. Larger amounts can't be counted exactly in
+/// thousandths.
 const MAX_AMOUNT: f64 = 1e9;
-/// Processors and GPUs are counted in thousandths: with less than one, no task could run.
+/// Smallest limit of a team, except 0. Processors and GPUs are counted in thousandths, so with a
+/// smaller limit no task could run.
 const MIN_LIMIT: f64 = 0.001;
 
-/// Processors, or MB of memory, of a controller; beyond, its bounds can't be counted.
+/// Maximum number of processors, or MB of memory, of a controller. The bounds derived from larger
+/// values, such as the size of a semaphore, would overflow.
 const MAX_RESOURCE: f64 = 1e9;
-/// With fewer file descriptors a controller could not serve users, workers, siblings and services.
+/// With fewer file descriptors a controller could not serve users, workers and peers, and connect to
+/// the services.
 pub(super) const MIN_FILE_DESCRIPTORS: usize = 20;
-/// File descriptors are counted by the system in 32 bits.
+/// The operating system counts file descriptors in 32 bits.
 pub(super) const MAX_FILE_DESCRIPTORS: usize = i32::MAX as usize;
 
 type Checked = Result<(), SettingsError>;
 
-fn wrong(field: &'static str, why: FieldError) -> Checked {
+fn invalid(field: &'static str, why: FieldError) -> Checked {
     Err(SettingsError::Field { field, why })
 }
 
@@ -36,7 +40,7 @@
         self.check_rates_and_times()?;
         self.check_resources()?;
         if self.params.state.txn_ops < MIN_TXN_OPS {
-            return wrong("cluster.state.txn_ops", FieldError::TooFewTxnOps);
+            return invalid("cluster.state.txn_ops", FieldError::TooFewTxnOps);
         }
         Ok(())
     }
@@ -51,7 +55,7 @@
         let of_peers = self.peers.iter().map(|peer| ("siblings.address", &peer.addr));
         for (field, addr) in own.into_iter().chain(of_peers) {
             if addr.parse::<SocketAddr>().is_err() {
-                return wrong(field, FieldError::NotAnAddress(addr.clone()));
+                return invalid(field, FieldError::NotAnAddress(addr.clone()));
             }
         }
         Ok(())
@@ -60,14 +64,14 @@
     fn check_node_names(&self) -> Checked {
         let names = self.nodes();
         if names.windows(2).any(|pair| pair[0] == pair[1]) {
-            return wrong("siblings", FieldError::SameNodeNames);
+            return invalid("siblings", FieldError::DuplicateNodeName);
         }
         Ok(())
     }
 
     fn check_zones(&self) -> Checked {
         if !(1..=MAX_ZONES).contains(&self.params.zones.len()) {
-            return wrong("cluster.zones", FieldError::ZoneCount);
+            return invalid("cluster.zones", FieldError::ZoneCount);
         }
         Ok(())
     }
@@ -75,26 +79,26 @@
     fn check_teams(&self) -> Checked {
         let teams = &self.params.teams;
         if teams.is_empty() {
-            return wrong("cluster.teams", FieldError::NoTeam);
+            return invalid("cluster.teams", FieldError::NoTeam);
         }
         if teams.len() > MAX_TEAMS {
-            return wrong("cluster.teams", FieldError::TooManyTeams);
+            return invalid("cluster.teams", FieldError::TooManyTeams);
         }
         let mut names = BTreeSet::new();
         for team in teams {
             if team.name.is_empty() {
-                return wrong("cluster.teams.name", FieldError::UnnamedTeam);
+                return invalid("cluster.teams.name", FieldError::UnnamedTeam);
             }
             if !names.insert(&team.name) {
-                let why = FieldError::SameTeamNames(team.name.clone());
-                return wrong("cluster.teams.name", why);
+                let why = FieldError::DuplicateTeamName(team.name.clone());
+                return invalid("cluster.teams.name", why);
             }
             team.check_amounts()?;
         }
         Ok(())
     }
 
-    /// What is not set is 0.
+    /// Checks the limits of a controller. Those that are not set are 0.
     fn check_resources(&self) -> Checked {
         let resources = &self.params.limits;
         for (field, amount) in [
@@ -102,13 +106,16 @@
             ("cluster.resources.mem_mb", resources.memory_mb),
         ] {
             if !(0.0..=MAX_RESOURCE).contains(&amount) {
-                return wrong(field, FieldError::NotAResource(amount));
+                return invalid(field, FieldError::InvalidResourceAmount(amount));
             }
         }
         let possible = MIN_FILE_DESCRIPTORS..=MAX_FILE_DESCRIPTORS;
         let descriptors = resources.max_connections;
         if descriptors != 0 && !possible.contains(&descriptors) {
-            return wrong("cluster.resources.fd_limit", FieldError::FileDescriptors(descriptors));
+            return invalid(
+                "cluster.resources.fd_limit",
+                FieldError::FileDescriptorCount(descriptors),
+            );
         }
         Ok(())
     }
@@ -128,7 +135,7 @@
             ("cluster.cloud.rps", cloud.rps),
         ] {
             if !(number.is_finite() && number > 0.0) {
-                return wrong(field, FieldError::NotPositive(number));
+                return invalid(field, FieldError::NotPositive(number));
             }
         }
         Ok(())
@@ -147,13 +154,13 @@
         ] {
             if !(0.0..=MAX_AMOUNT).contains(&amount) {
                 let team = self.name.clone();
-                return wrong(field, FieldError::NotAnAmount { amount, team });
+                return invalid(field, FieldError::InvalidTeamAmount { amount, team });
             }
         }
         for (field, amount) in limits {
             if amount > 0.0 && amount < MIN_LIMIT {
                 let team = self.name.clone();
-                return wrong(field, FieldError::LessThanAnyTask { amount, team });
+                return invalid(field, FieldError::TeamLimitTooSmall { amount, team });
             }
         }
         Ok(())
--- a/crates/wire/src/settings/error.rs
+++ b/crates/wire/src/settings/error.rs
@@ -1,75 +1,76 @@
-//! What can be wrong with the settings.
+//! Errors of the settings.
 use super::checks::{
     MAX_FILE_DESCRIPTORS, MAX_TEAMS, MAX_ZONES, MIN_FILE_DESCRIPTORS, MIN_TXN_OPS,
 };
 use thiserror::Error;
 
-/// Why the settings can't be used.
+/// Why the settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// Not JSON, or a key is missing or has a value of another type. Names the place in the text.
+    /// The text is not JSON, or a key is missing or has a value of the wrong type. Names the position
+    /// in the text.
     #[error("settings: {0}")]
     Parse(#[from] serde_json::Error),
-    /// The value of a key can't be meant.
+    /// The value of a key is invalid.
     #[error("settings: {field}: {why}")]
     Field {
-        /// The key in the file, with those above it.
+        /// The path of the key in the file.
         field: &'static str,
-        /// What is wrong with its value.
+        /// What is wrong with the value.
         why: FieldError,
     },
 }
 
-/// What is wrong with a value of the settings.
+/// What is wrong with a value in the settings.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FieldError {
-    /// Not an IP address with a port.
+    /// The value is not an IP address with a port.
     #[error("{0:?} is not ADDRESS:PORT")]
     NotAnAddress(String),
-    /// Nodes are told apart by their names.
+    /// Nodes are identified by their names, so these must differ.
     #[error("two nodes have the same name")]
-    SameNodeNames,
-    /// No zones, or too many.
-    #[error("between 1 and {MAX_ZONES} zones are needed")]
+    DuplicateNodeName,
+    /// There are no zones, or too many.
+    #[error("there must be between 1 and {MAX_ZONES} zones")]
     ZoneCount,
-    /// No job could be accepted.
-    #[error("there must be a team")]
+    /// Without a team no job could be accepted.
+    #[error("there must be at least one team")]
     NoTeam,
-    /// More teams than messages can number.
-    #[error("there are more than {MAX_TEAMS}")]
+    /// There are more teams than messages can number.
+    #[error("there are more than {MAX_TEAMS} teams")]
     TooManyTeams,
-    /// No job could name this team.
+    /// No job could refer to a team without a name.
     #[error("a team has no name")]
     UnnamedTeam,
-    /// Two teams have this name.
-    #[error("{0:?} is there twice")]
-    SameTeamNames(String),
-    /// Negative, not a number, or too large to be counted exactly.
-    #[error("{amount} of team {team:?} is no amount")]
-    NotAnAmount {
+    /// Two teams have the same name.
+    #[error("two teams have the name {0:?}")]
+    DuplicateTeamName(String),
+    /// The amount is negative, not a number, or too large to be counted exactly.
+    #[error("{amount} is not a valid amount for team {team:?}")]
+    InvalidTeamAmount {
         /// Processors or GPUs.
         amount: f64,
-        /// The team's name.
+        /// Name of the team.
         team: String,
     },
-    /// With this limit the team could run nothing.
-    #[error("{amount} of team {team:?} is less than any task")]
-    LessThanAnyTask {
+    /// With this limit the team could not run any task.
+    #[error("{amount} is too small a limit for team {team:?} to run any task")]
+    TeamLimitTooSmall {
         /// Processors or GPUs.
         amount: f64,
-        /// The team's name.
+        /// Name of the team.
         team: String,
     },
-    /// Negative, not a number, or too large to be counted.
-    #[error("{0} is no amount")]
-    NotAResource(f64),
-    /// Too few for a controller to work, or more than a system has.
+    /// The amount is negative, not a number, or so large that bounds derived from it would overflow.
+    #[error("{0} is not a valid amount")]
+    InvalidResourceAmount(f64),
+    /// There are too few file descriptors for a controller to work, or more than a system can have.
     #[error("{0} is not between {MIN_FILE_DESCRIPTORS} and {MAX_FILE_DESCRIPTORS}")]
-    FileDescriptors(usize),
-    /// Zero, negative, infinite or not a number.
+    FileDescriptorCount(usize),
+    /// The value is zero, negative, infinite or not a number.
     #[error("{0} must be a positive number")]
     NotPositive(f64),
-    /// With fewer, the transactions of the controllers are impossible.
-    #[error("at least {MIN_TXN_OPS} are needed")]
+    /// The transactions of the controllers need more operations than the store allows.
+    #[error("transactions need at least {MIN_TXN_OPS} operations")]
     TooFewTxnOps,
 }
