--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,16 @@
-//! Wire formats of leaddeal. The only place that knows the odd names used on the wire;
-//! everything else speaks of jobs, tasks, machines, leases and epochs.
+//! Wire formats of leaddeal.
+//!
+//! Several protocols use field names that differ from the usual terms of the field. Only this crate
+//! knows those names; all other code speaks of jobs, tasks, machines, leases and epochs.
+//!
+//! | module | what |
+//! | --- | --- |
+//! | [`user`] | between users and controllers: HTTP with JSON |
+//! | [`worker`] | between workers and controllers: HTTP with JSON |
+//! | [`mesh`] | between controllers: CBOR in length-prefixed frames |
+//! | [`state`] | between controllers and the key-value store: HTTP with JSON |
+//! | [`cloud`] | between controllers and the cloud: HTTP with JSON |
+//! | [`settings`] | the settings file |
 
 #![warn(missing_docs)]
 
--- a/crates/wire/src/mesh/heartbeat.rs
+++ b/crates/wire/src/mesh/heartbeat.rs
@@ -1,54 +1,57 @@
 //! Heartbeats between controllers.
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// Sent to every peer once a second.
+/// The heartbeat of a controller, sent to every peer once a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct NodeHeartbeat {
-    /// Shards that the sender acts for, and under which epochs.
+    /// The shards that the sender owns, each with its epoch.
     pub owned: Vec<(u8, u64)>,
-    /// The newest owner that it knows of each shard: shard, node by the order of names, epoch. An owner that
-    /// acted for a shard under an older epoch and says so here has let go of it.
+    /// The newest owner that the sender knows of each shard: shard, node in the order of the names,
+    /// epoch. A sender that owned a shard under an older epoch and names a newer one here has given up
+    /// the shard.
     pub known: Vec<(u8, u8, u64)>,
-    /// It can take users' requests.
+    /// The sender can serve user requests.
     pub ready: bool,
-    /// When this was sent.
+    /// When the heartbeat was sent.
     pub stamp: Stamp,
-    /// The newest stamp that it received from the receiver: this was sent after that.
+    /// The newest stamp that the sender received from the receiver, which proves that this heartbeat
+    /// was sent after it.
     pub echo: Option<Stamp>,
-    /// By shard: neither the sender nor an earlier process of its node has acted under a newer epoch than this.
-    /// Empty: it has not read the keys of the shards yet.
+    /// By shard, an epoch such that neither the sender nor an earlier process of its node has acted
+    /// under a newer one. Empty: the sender has not read the keys of the shards yet.
     pub newest: Vec<u64>,
-    /// Of the shards that it acts for and has loaded whole.
+    /// Cancellations in the shards that the sender owns and has loaded completely.
     pub assertions: Vec<ShardAssertion>,
-    /// Up to which number it knows the cancellations: shard, epoch, number.
+    /// Up to which number the sender has received the cancellations of each shard: shard, epoch, number.
     pub acknowledged: Vec<(u8, u64, u64)>,
 }
 
-/// A moment by the clock of one process.
+/// A point in time by the clock of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct Stamp {
-    /// The process's boot number.
+    /// Boot number of the process.
     pub boot: u64,
-    /// Milliseconds of its steady clock.
+    /// Milliseconds of the process's monotonic clock.
     pub at: u64,
 }
 
-/// What the owner of a shard says of its jobs that were cancelled.
+/// A part of the log of cancelled jobs that the owner of a shard keeps under its epoch. Each
+/// cancellation has a number in this log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct ShardAssertion {
     /// The shard.
     pub shard: u8,
-    /// The epoch that the owner acts under.
+    /// The owner's epoch.
     pub epoch: u64,
-    /// How long its lease has been uncertain, in milliseconds; 0: it is not.
+    /// How long the owner's lease has been uncertain, in milliseconds; 0: it is valid.
     pub doubt_ms: u64,
-    /// `cancelled` are those after the one with this number; older ones are acknowledged, or were over long
-    /// ago.
+    /// `cancelled` starts after the cancellation with this number. Older ones are acknowledged, or
+    /// their jobs ended long ago.
     pub after: u64,
-    /// `cancelled` are those up to the one with this number.
+    /// `cancelled` ends with the cancellation with this number.
     pub up_to: u64,
-    /// There are no more.
+    /// There are no cancellations after `up_to`.
     pub complete: bool,
-    /// Cancelled jobs' numbers.
+    /// Numbers of the cancelled jobs.
     pub cancelled: Vec<u64>,
 }
--- a/crates/wire/src/mesh/machines.rs
+++ b/crates/wire/src/mesh/machines.rs
@@ -1,4 +1,4 @@
-//! What the provisioner is told: tasks without a machine, and machines without tasks.
+//! Messages to the provisioner: unmet demand, and the inventories of the participants.
 use super::Shape;
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::sync::Arc;
@@ -6,35 +6,36 @@
 /// Tasks of a job for which no machine has capacity.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct UnmetDemand {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// What each of the tasks takes.
+    /// What each of the tasks needs.
     pub shape: Arc<Shape>,
     /// Number of tasks.
     pub count: u32,
-    /// How many more tasks each zone may take, by zone number.
+    /// How many more tasks may run in each zone, by zone number.
     pub zone_room: Vec<u32>,
     /// Time since the job's submission, in milliseconds.
     pub waited_ms: u64,
-    /// More than a third of the time that its objective allows is over.
+    /// More than a third of the time that the job's objective allows has passed.
     pub urgent: bool,
 }
 
-/// A machine, as its participant tells the provisioner.
+/// A machine as its participant reports it to the provisioner.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct MachineInfo {
-    /// Its name.
+    /// Name of the machine.
     pub machine: String,
-    /// Its type in the catalog.
+    /// Name of its type in the catalog.
     pub type_name: String,
-    /// Its zone's name.
+    /// Name of its zone.
     pub zone: String,
-    /// It is interruptible.
+    /// It is a spot instance, which the cloud may interrupt.
     pub spot: bool,
-    /// How long it has had nothing to do when this was sent, in milliseconds; none: it is busy.
+    /// How long the machine had been idle when the message was sent, in milliseconds. `None`: it is
+    /// busy.
     pub idle_ms: Option<u64>,
-    /// Not heard from for long, or known to be broken: of no use.
+    /// The machine is unusable: it has sent no heartbeat for long, or is known to be broken.
     pub dead: bool,
-    /// It gets no new tasks, and is released when idle.
+    /// The machine gets no new tasks, and is released when idle.
     pub draining: bool,
 }
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -1,20 +1,21 @@
 //! Messages between controllers: CBOR in length-prefixed frames.
 //!
-//! # What may never change
+//! # Compatibility
 //!
-//! Controllers of two versions understand each other while one replaces the other, so what is sent is fixed,
-//! and `tests/golden/mesh.txt` holds messages of earlier versions that must be read and written byte for byte:
+//! During an upgrade controllers of two versions must understand each other, so the encoding is fixed.
+//! `tests/golden/mesh.txt` holds messages of earlier versions, which must be decoded, and encoded again
+//! byte for byte.
 //!
-//! - Structs that derive `Serialize_tuple` are sent as arrays, without the names of their fields: those took
-//!   most of the bytes and of the time. A field's *place* is its name on the wire. Fields are never moved,
-//!   removed, added, or given another type.
+//! - Structs that derive `Serialize_tuple` are sent as arrays without field names, since the names took
+//!   most of the bytes and of the time. A field is identified by its *position*. Fields are never
+//!   moved, removed, added, or given another type.
 //! - Enums and [`Hello`] are sent with the names of their variants and fields. A name may change in the
-//!   sources if `serde(rename)` keeps the one on the wire.
-//! - A [`TaskPhase`] is a number, made of places in two lists to which one may only append.
-//! - Shards, zones, teams and nodes are numbers: places in lists that all controllers derive from the same
-//!   settings.
-//! - A new kind of message is a new variant. An older version closes the connection on one that it does not
-//!   know, so it is only sent once all controllers know it.
+//!   source if `serde(rename)` keeps the name on the wire.
+//! - A [`TaskPhase`] is sent as a number, derived from indices into two lists that are append-only.
+//! - Shards, zones, teams and nodes are sent as numbers: indices into lists that all controllers derive
+//!   from the same settings.
+//! - A new kind of message is a new variant. An older version closes the connection when it receives a
+//!   variant that it does not know, so a new one is sent only once all controllers know it.
 use crate::user::{JobState, Priority};
 use crate::worker::{HeartbeatResponse, WorkerHeartbeat};
 use serde::{Deserialize, Serialize};
@@ -32,51 +33,52 @@
 pub use quota::{ByPriority, FirstInQueue, QuotaAmount, TeamGrant, TeamUsage, PRIORITIES};
 pub use task::{AttemptRef, TaskEvent, TaskPhase, UnknownPhase};
 
-/// Bytes of a frame, without its length.
+/// Maximum size of a frame in bytes, without its length prefix.
 pub const MAX_FRAME: usize = 1 << 20;
 
-/// First frame on a connection. Only the newest (boot, generation) of a node is listened to, so that messages
-/// of a node arrive in the order sent, with losses but never reordered.
+/// The first frame on a connection. A receiver accepts messages of a node only from the connection with
+/// the newest (boot, generation), so that they may be lost but are never reordered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The sender's name.
+    /// Name of the sending node.
     pub node: String,
-    /// Its process's boot number: the larger, the newer.
+    /// Boot number of the sending process; a larger one is newer.
     pub boot: u64,
-    /// Counts the connections of its process to this receiver.
+    /// Number of the connection among those of the process to this receiver.
     pub generation: u64,
 }
 
-/// What is sent from node to node.
+/// A message from node to node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NodeMessage {
-    /// Alive, and what the sender knows of who owns what.
+    /// The sender's heartbeat, with what it knows of the owners of shards.
     #[serde(rename = "Beat")]
     Heartbeat(NodeHeartbeat),
-    /// From one shard's owner to another's. Dropped by a receiver that does not act under `to_epoch`.
+    /// A message from the owner of one shard to the owner of another. A receiver that does not own the
+    /// shard under `to_epoch` drops it.
     Shard {
         /// The sender's shard.
         from: u8,
-        /// The epoch that the sender acts under.
+        /// The epoch of the sender's shard.
         from_epoch: u64,
         /// The receiver's shard.
         to: u8,
-        /// The epoch that the sender knows of the receiver's shard.
+        /// The epoch of the receiver's shard, as far as the sender knows.
         to_epoch: u64,
         /// The message.
         msg: ShardMessage,
     },
-    /// Asks the owner of a job's shard for its state.
+    /// Asks the owner of a job's shard for the state of the job.
     #[serde(rename = "Ask")]
     QueryJob {
-        /// Number of the call, for its answer.
+        /// Number of the call, which the answer repeats.
         call: u64,
-        /// The job's number.
+        /// Number of the job.
         job: u64,
-        /// Cancel it, and then answer.
+        /// Cancel the job before answering.
         cancel: bool,
     },
-    /// Answer to [`NodeMessage::QueryJob`].
+    /// The answer to [`NodeMessage::QueryJob`].
     #[serde(rename = "Told")]
     JobAnswer {
         /// Number of the call.
@@ -84,32 +86,34 @@
         /// What the owner knows.
         answer: JobAnswer,
     },
-    /// The sender, at home on this shard, is ready to have it back.
+    /// The sender is the home node of this shard, and is ready to own it again.
     #[serde(rename = "WantShard")]
     ReclaimShard {
         /// The shard.
         shard: u8,
     },
-    /// A worker's heartbeat, relayed to the owner of its machine's shard, which the worker does not reach.
+    /// A worker's heartbeat, relayed to the owner of its machine's shard because the worker can't reach
+    /// that owner.
     #[serde(rename = "Report")]
     RelayedHeartbeat {
-        /// Number of the call, for its answer.
+        /// Number of the call, which the response repeats.
         call: u64,
         /// The heartbeat as received.
         report: Box<WorkerHeartbeat>,
     },
-    /// Answer to [`NodeMessage::RelayedHeartbeat`].
+    /// The response to [`NodeMessage::RelayedHeartbeat`].
     #[serde(rename = "Answered")]
     RelayedResponse {
         /// Number of the call.
         call: u64,
-        /// The owner's answer to the worker; none: it has none to give.
+        /// The owner's response to the worker. `None`: it sends none.
         answer: Option<HeartbeatResponse>,
     },
 }
 
-/// What is sent between the owners of two shards, in the roles that they have for each: coordinator of jobs,
-/// participant with machines, quota manager of a team, provisioner.
+/// A message between the owners of two shards. For its shard, an owner is the coordinator of the jobs
+/// and the participant with the machines; it may also be the quota manager of a team, or the
+/// provisioner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ShardMessage {
     /// Coordinator to participant: starts a negotiation.
@@ -117,140 +121,146 @@
     RequestOffers {
         /// Number of the negotiation.
         negotiation: u64,
-        /// What is asked for.
+        /// The requests of the negotiation.
         items: Vec<OfferRequest>,
-        /// GPU work at the sender, asked for or not: processors, GPUs and memory of a task in the units of
-        /// [`Shape`], and its priority.
+        /// GPU work at the sender, whether or not it is among the items: processors, GPUs and memory of
+        /// a task, in the units of [`Shape`], and its priority.
         gpu_work: Vec<(u64, u64, u64, Priority)>,
     },
-    /// Coordinator to participant: the negotiation is over, its holds end. Winners were named by
-    /// [`ShardMessage::Place`] before.
+    /// Coordinator to participant: the negotiation has ended, so its holds are released. Accepted
+    /// offers were named by [`ShardMessage::Place`] before.
     #[serde(rename = "Close")]
     CloseNegotiation {
         /// Number of the negotiation.
         negotiation: u64,
     },
-    /// Coordinator to participant: attempts that were decided.
+    /// Coordinator to participant: attempts that were decided, and are to be started.
     Place {
-        /// The job's number.
+        /// Number of the job.
         job: u64,
-        /// What each of the tasks takes.
+        /// What each of the tasks needs.
         shape: Arc<Shape>,
         /// The attempts.
         picks: Vec<Assignment>,
-        /// The sender took the decision over from an older epoch and does not know whether it was carried out,
-        /// or is over already: it is not started any more.
+        /// The decision is from an older epoch, and the sender does not know whether the attempts were
+        /// started, or have ended already. Those that are on their machines are kept, but none is
+        /// started any more.
         adopt: bool,
     },
     /// Coordinator to participant: stops an attempt.
     Stop {
         /// The attempt.
         what: AttemptRef,
-        /// Time to save its progress in, in seconds.
+        /// Seconds that the task has to save its progress.
         grace_s: f64,
     },
-    /// Coordinator to participant: these attempts are over for the coordinator; they are not reported any more.
+    /// Coordinator to participant: the coordinator has recorded the end of these attempts. They are not
+    /// reported to it any more.
     Forget {
         /// The attempts.
         what: Vec<AttemptRef>,
     },
-    /// Participant to coordinator: answer to [`ShardMessage::RequestOffers`].
+    /// Participant to coordinator: the response to [`ShardMessage::RequestOffers`].
     Offers {
         /// Number of the negotiation.
         negotiation: u64,
-        /// Capacity that is held for it.
+        /// Capacity that is on hold for the negotiation.
         offers: Vec<Offer>,
-        /// Indexes of the items for which tasks are being preempted here.
+        /// Indices of the items for which the participant is preempting tasks.
         #[serde(rename = "coming")]
         preempting: Vec<u16>,
     },
-    /// Participant to coordinator: asks how a negotiation was decided whose holds are old.
+    /// Participant to coordinator: asks for the decision of a negotiation whose holds are old.
     AskDecision {
         /// Number of the negotiation.
         negotiation: u64,
     },
-    /// Participant to coordinator: capacity became free since it offered less than was asked for. Ask again,
-    /// for jobs of this priority or higher.
+    /// Participant to coordinator: capacity became free after the participant offered less than was
+    /// requested. The coordinator should request offers again for jobs of this priority or higher.
     #[serde(rename = "Room")]
     CapacityFreed {
-        /// The least priority that it is for.
+        /// The lowest priority of jobs to request offers for.
         priority: Priority,
     },
-    /// Participant to coordinator: news of attempts.
+    /// Participant to coordinator: new phases of attempts.
     #[serde(rename = "Events")]
     TaskEvents {
-        /// In the order in which they happened on each machine.
+        /// The events of each machine in the order in which they happened.
         events: Vec<TaskEvent>,
     },
-    /// Coordinator to the team's shard: what its tasks take, and what more it wants. It gives up whatever it
-    /// was granted beyond that.
+    /// Coordinator to the team's shard: what its tasks use, and what more they need. The coordinator
+    /// gives up any part of its grant beyond that.
     TeamUsage {
-        /// Number of the report, for its answer.
+        /// Number of the report, which the response repeats.
         serial: u64,
-        /// By team.
+        /// The usage of each team.
         usage: Vec<TeamUsage>,
     },
-    /// Answer to [`ShardMessage::TeamUsage`]: how much its tasks may take in all, until its next report.
+    /// The response to [`ShardMessage::TeamUsage`]: what the coordinator's tasks may use in total until
+    /// its next report.
     TeamGrant {
         /// Number of the report.
         serial: u64,
-        /// By team.
+        /// The grant of each team.
         granted: Vec<TeamGrant>,
     },
     /// Coordinator to the provisioner's shard: all tasks for which no machine has capacity.
     #[serde(rename = "Lacks")]
     UnmetDemand {
-        /// By job.
+        /// The unmet demand of each job.
         lacks: Vec<UnmetDemand>,
     },
-    /// Participant to the provisioner's shard: what changed since the message with the serial number before.
+    /// Participant to the provisioner's shard: what changed since the message with the previous serial
+    /// number.
     #[serde(rename = "Machines")]
     Inventory {
-        /// Counts these messages.
+        /// Serial number of the message.
         serial: u64,
-        /// These are all machines, whatever was sent before.
+        /// The message holds all machines, and replaces what was sent before.
         first: bool,
         /// Machines that are new or changed.
         machines: Vec<MachineInfo>,
-        /// Names of machines that are not there any more.
+        /// Names of machines that are no longer in the inventory.
         gone: Vec<String>,
     },
-    /// Provisioner to participant: a message was lost, send all machines again.
+    /// Provisioner to participant: a message was lost, so all machines are to be sent again.
     #[serde(rename = "MachinesAgain")]
     ResendInventory,
-    /// Provisioner to participant: machines up to this name are the operator's own and stay.
+    /// Provisioner to participant: which machines are the operator's own and are never released.
     #[serde(rename = "Base")]
     OperatorMachines {
-        /// The last such name.
+        /// Name of the newest such machine; all older ones are the operator's too.
         newest: String,
     },
-    /// Provisioner to participant: give this machine no new tasks, if it is idle: it is to be released.
+    /// Provisioner to participant: if this machine is idle, it is to get no new tasks, so that it can be
+    /// released.
     Drain {
-        /// The machine's name.
+        /// Name of the machine.
         machine: String,
     },
     /// Participant to provisioner: the machine is idle, and gets no new tasks.
     Drained {
-        /// The machine's name.
+        /// Name of the machine.
         machine: String,
     },
-    /// Provisioner to participant: the machine was given back to the cloud.
+    /// Provisioner to participant: the machine was released to the cloud.
     Released {
-        /// The machine's name.
+        /// Name of the machine.
         machine: String,
     },
 }
 
-/// What a shard's owner knows of a job. Two answers are equal if they are of the same kind, whatever the state.
+/// What the owner of a shard knows of a job. Two answers are equal if they are of the same kind,
+/// whatever the state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum JobAnswer {
-    /// Its state.
+    /// The state of the job.
     State(JobState),
-    /// The receiver of the question does not own the job's shard.
+    /// The receiver of the query does not own the job's shard.
     NotMine,
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// Not known yet: ask again.
+    /// The receiver does not know yet, and should be asked again.
     Later,
 }
 
--- a/crates/wire/src/mesh/placement.rs
+++ b/crates/wire/src/mesh/placement.rs
@@ -1,14 +1,14 @@
-//! Placement: what tasks need, what participants offer, which offers win.
+//! Placement: what tasks need, what participants offer, and what coordinators assign.
 use crate::user::{Kind, Priority};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::sync::Arc;
 
-/// What one task takes and where it may run.
+/// What one task needs and where it may run.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Shape {
-    /// How the tasks of its job belong together.
+    /// How the tasks of the job belong together.
     pub kind: Kind,
-    /// Its job's priority.
+    /// Priority of the job.
     pub priority: Priority,
     /// Processors, in thousandths.
     pub cpu: u64,
@@ -16,86 +16,88 @@
     pub gpu: u64,
     /// Memory, in MB.
     pub mem: u64,
-    /// Machine types that it may run on; none: any.
+    /// Machine types that the task may run on. `None`: any.
     pub types: Option<Vec<String>>,
-    /// It may run on interruptible machines.
+    /// The task may run on spot machines, which the cloud may interrupt.
     pub spot: bool,
-    /// The image's name.
+    /// Name of the image.
     pub image: String,
-    /// The image's size, in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Time that it takes to save its progress when it is stopped, in seconds.
+    /// Time that the task takes to save its progress when it is stopped, in seconds.
     pub save_s: f64,
-    /// Interval at which it saves its progress by itself, in seconds; 0: it saves none.
+    /// Interval at which the task saves its progress by itself, in seconds; 0: it does not.
     pub checkpoint_s: f64,
     /// Expected run time, in seconds.
     pub estimate_s: f64,
 }
 
-/// Asks for machines for tasks of one job.
+/// A request for offers of machines for tasks of one job.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct OfferRequest {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// What each of the tasks takes.
+    /// What each of the tasks needs.
     pub shape: Arc<Shape>,
     /// Number of tasks.
     pub count: u32,
-    /// How many more tasks each zone may take, by zone number.
+    /// How many more tasks may run in each zone, by zone number.
     pub zone_room: Vec<u32>,
-    /// No participant had capacity lately: stop tasks of lower priority for it, if that helps.
+    /// No participant had capacity lately: preempt tasks of lower priority for the job, if that frees
+    /// enough capacity.
     pub preempt: bool,
-    /// More than a third of the time that its objective allows is over.
+    /// More than a third of the time that the job's objective allows has passed.
     pub urgent: bool,
-    /// It may take capacity that GPU work could use.
+    /// The tasks may use capacity that GPU work could use.
     pub may_use_gpu_machines: bool,
-    /// A gang's position in the gang queue.
+    /// Position of a gang in the gang queue. `None`: the job is not a gang.
     pub queue_position: Option<QueuePosition>,
 }
 
-/// A gang's position in the queue of those that wait: they are served in this order, so that none holds some of
-/// what it needs while another holds the rest.
+/// Position of a gang in the queue of waiting gangs. They are served in this order, so that no two
+/// gangs each hold a part of the capacity that both need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct QueuePosition {
-    /// Objectives that it has missed already.
+    /// Number of objectives that the gang has missed already.
     pub late: u8,
-    /// Time left to its next objective, in milliseconds.
+    /// Time until the gang's next objective is missed, in milliseconds; negative if it is missed
+    /// already.
     pub time_left_ms: i64,
-    /// Younger gangs get nothing in its zone until it is served. Not set by a gang that asks for
-    /// the first time, or has one task.
+    /// Gangs behind this one get no capacity in its zone until it is served. Not set by a gang that
+    /// requests offers for the first time, or has one task.
     pub holds_position: bool,
     /// The zone that a gang of several tasks waits for.
     pub zone: Option<u8>,
 }
 
-/// Capacity of one machine, held for the negotiation until it is decided or given up.
+/// Capacity of one machine, on hold for the negotiation until it is decided or abandoned.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Offer {
-    /// Index into the request's items.
+    /// Index into the items of the request.
     pub item: u16,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The worker's incarnation.
+    /// Incarnation of the machine's worker.
     pub incarnation: u64,
-    /// The machine's zone, by its number.
+    /// Number of the machine's zone.
     pub zone: u8,
-    /// Tasks that it has capacity for.
+    /// Number of tasks that there is capacity for.
     pub count: u32,
-    /// It has the image already.
+    /// The image is in the machine's cache.
     pub cached: bool,
-    /// Higher is better among offers that do not have the image.
+    /// Score among offers of equal `cached`; a higher one is better.
     pub score: i64,
 }
 
-/// An offer that won: the attempt to start on the machine.
+/// An attempt to start on a machine whose offer was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Assignment {
-    /// The task's number within the job.
+    /// Number of the task within the job.
     pub task: u32,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The worker's incarnation that the offer was for.
+    /// Incarnation of the worker that the offer was made for.
     pub incarnation: u64,
 }
--- a/crates/wire/src/mesh/quota.rs
+++ b/crates/wire/src/mesh/quota.rs
@@ -1,7 +1,7 @@
-//! Quotas: what coordinators take of teams' limits, and what they are granted.
+//! Quotas: what coordinators use of the teams' quotas, and what they are granted.
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// Processors and GPUs that count against a team's limit. All arithmetic saturates.
+/// Processors and GPUs that count against a team's quota. All arithmetic saturates.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize_tuple, Deserialize_tuple,
 )]
@@ -13,7 +13,7 @@
 }
 
 impl QuotaAmount {
-    /// The sum.
+    /// Returns the sum.
     pub fn plus(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
             cpu: self.cpu.saturating_add(other.cpu),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The difference; 0 where it would be negative.
+    /// Returns the difference, with 0 where it would be negative.
     pub fn minus(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -29,30 +29,30 @@
         }
     }
 
-    /// The lesser of each.
+    /// Returns the smaller value of each resource.
     pub fn least(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount { cpu: self.cpu.min(other.cpu), gpu: self.gpu.min(other.gpu) }
     }
 
-    /// The greater of each.
+    /// Returns the larger value of each resource.
     pub fn most(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount { cpu: self.cpu.max(other.cpu), gpu: self.gpu.max(other.gpu) }
     }
 
-    /// The amount of `count` tasks of this amount.
+    /// Returns the amount for `count` tasks that need this amount each.
     pub fn times(self, count: u32) -> QuotaAmount {
         let count = u64::from(count);
         QuotaAmount { cpu: self.cpu.saturating_mul(count), gpu: self.gpu.saturating_mul(count) }
     }
 
-    /// Whether neither is more than in `limit`.
+    /// Returns whether no resource exceeds that of `limit`.
     pub fn within(self, limit: QuotaAmount) -> bool {
         self.cpu <= limit.cpu && self.gpu <= limit.gpu
     }
 
-    /// How many times `task` fits in; [`u64::MAX`] if it is nothing.
+    /// Returns how many times `task` fits into this amount; [`u64::MAX`] if it needs nothing.
     pub fn fits(self, task: QuotaAmount) -> u64 {
-        let times = |room: u64, need: u64| room.checked_div(need).unwrap_or(u64::MAX);
+        let times = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
         times(self.cpu, task.cpu).min(times(self.gpu, task.gpu))
     }
 }
@@ -60,53 +60,54 @@
 /// Number of values of [`crate::user::Priority`].
 pub const PRIORITIES: usize = 4;
 
-/// An amount for each priority, the least first.
+/// An amount for each priority, in ascending order of priority.
 pub type ByPriority = [QuotaAmount; PRIORITIES];
 
-/// What a coordinator's tasks take of a team's limit, and what more they want.
+/// What a coordinator's tasks use of a team's quota, and what more they need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct TeamUsage {
-    /// The team's place in the settings.
+    /// Index of the team in the settings.
     pub team: u8,
-    /// Taken by tasks that run or are decided.
+    /// Used by tasks that are running or decided.
     pub used: ByPriority,
-    /// Wanted by tasks that wait.
+    /// Needed by pending tasks.
     pub wanted: ByPriority,
-    /// Wanted by tasks that found no machine lately; not counted in `wanted`.
+    /// Needed by pending tasks that found no machine lately; not included in `wanted`.
     pub unplaceable: ByPriority,
-    /// Of each priority the first of those that wait, in the coordinator's order.
+    /// The first pending task or gang of each priority, in the coordinator's order.
     pub first: [Option<FirstInQueue>; PRIORITIES],
 }
 
-/// The next to run: a task, or a gang as a whole.
+/// The next task to run, or the next gang as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct FirstInQueue {
-    /// What it takes.
+    /// What the task or gang needs.
     pub need: QuotaAmount,
-    /// How long it has waited, in milliseconds.
+    /// How long it has been pending, in milliseconds.
     pub waited_ms: u64,
 }
 
 impl TeamUsage {
-    /// No usage of this team.
+    /// Returns a report without any usage by this team.
     pub fn of(team: u8) -> TeamUsage {
         let none = ByPriority::default();
         TeamUsage { team, used: none, wanted: none, unplaceable: none, first: [None; PRIORITIES] }
     }
 
-    /// The sum of `used`.
+    /// Returns the sum of `used` over all priorities.
     pub fn in_use(&self) -> QuotaAmount {
         self.used.iter().fold(QuotaAmount::default(), |sum, used| sum.plus(*used))
     }
 }
 
-/// A coordinator's part of a team's limit.
+/// A coordinator's part of a team's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct TeamGrant {
-    /// The team's place in the settings.
+    /// Index of the team in the settings.
     pub team: u8,
-    /// What the coordinator's tasks may take in all.
+    /// What the coordinator's tasks may use in total.
     pub may: QuotaAmount,
-    /// What they would take if work of lower priority of the team were preempted everywhere.
+    /// What they could use in total if tasks of lower priority of the team were preempted at all
+    /// coordinators.
     pub due: QuotaAmount,
 }
--- a/crates/wire/src/mesh/task.rs
+++ b/crates/wire/src/mesh/task.rs
@@ -1,32 +1,32 @@
-//! Attempts of tasks on machines, and their phases.
+//! Task attempts on machines, and their phases.
 use crate::worker::{ExitReason, TaskState};
 use serde::{Deserialize, Serialize};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use thiserror::Error;
 
-/// Where an attempt stands, as far as a participant knows. A number on the wire.
+/// The phase of an attempt, as far as a participant knows. Sent as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "u8", try_from = "u8")]
 pub enum TaskPhase {
-    /// Decided, start command not seen to be executed.
+    /// The attempt was decided, and no heartbeat showed yet that the start command was executed.
     Decided,
-    /// On the machine, in this state.
+    /// The attempt is on the machine, in this state.
     On(TaskState),
-    /// Exited for this reason; whether it saved its progress.
+    /// The attempt exited for this reason; true: it saved its progress.
     Exited(ExitReason, bool),
-    /// Certainly off the machine.
+    /// The attempt is certainly no longer on the machine.
     Gone,
 }
 
-/// A state's place here is a part of its number on the wire: only append.
-const STATES: [TaskState; 5] = [
+/// The index of a state determines its number on the wire: only append.
+const TASK_STATES: [TaskState; 5] = [
     TaskState::Fetching,
     TaskState::Waiting,
     TaskState::Running,
     TaskState::Saving,
     TaskState::Exited,
 ];
-/// A reason's place here is a part of its number on the wire: only append.
+/// The index of a reason determines its number on the wire: only append.
 const EXIT_REASONS: [ExitReason; 9] = [
     ExitReason::Done,
     ExitReason::Stopped,
@@ -38,18 +38,19 @@
     ExitReason::Unknown,
     ExitReason::Other,
 ];
-/// [`TaskPhase::Decided`].
+/// Number of [`TaskPhase::Decided`].
 const DECIDED: u8 = 0;
-/// [`TaskPhase::Gone`].
+/// Number of [`TaskPhase::Gone`].
 const GONE: u8 = 1;
-/// The first of [`TaskPhase::On`], one for each of [`STATES`].
+/// First number of [`TaskPhase::On`]; there is one for each of [`TASK_STATES`].
 const FIRST_ON: u8 = 8;
-/// The first of [`TaskPhase::Exited`], two for each of [`EXIT_REASONS`]: not saved, saved.
+/// First number of [`TaskPhase::Exited`]; there are two for each of [`EXIT_REASONS`]: not saved, then
+/// saved.
 const FIRST_EXITED: u8 = 16;
 
-/// The place of an item that the list holds.
-fn place_in<T: PartialEq>(list: &[T], item: &T) -> u8 {
-    list.iter().position(|other| other == item).map_or(0, |place| place as u8)
+/// Returns the index of an item that the list contains.
+fn index_in<T: PartialEq>(list: &[T], item: &T) -> u8 {
+    list.iter().position(|other| other == item).map_or(0, |index| index as u8)
 }
 
 impl From<TaskPhase> for u8 {
@@ -57,15 +58,15 @@
         match phase {
             TaskPhase::Decided => DECIDED,
             TaskPhase::Gone => GONE,
-            TaskPhase::On(state) => FIRST_ON + place_in(&STATES, &state),
+            TaskPhase::On(state) => FIRST_ON + index_in(&TASK_STATES, &state),
             TaskPhase::Exited(reason, saved) => {
-                FIRST_EXITED + 2 * place_in(&EXIT_REASONS, &reason) + u8::from(saved)
+                FIRST_EXITED + 2 * index_in(&EXIT_REASONS, &reason) + u8::from(saved)
             }
         }
     }
 }
 
-/// A number that is no [`TaskPhase`] of this version.
+/// A number on the wire that is not a [`TaskPhase`] of this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("no phase {0}")]
 pub struct UnknownPhase(pub u8);
@@ -74,7 +75,7 @@
     type Error = UnknownPhase;
 
     fn try_from(number: u8) -> Result<TaskPhase, UnknownPhase> {
-        let state = number.checked_sub(FIRST_ON).and_then(|n| STATES.get(n as usize));
+        let state = number.checked_sub(FIRST_ON).and_then(|n| TASK_STATES.get(n as usize));
         let reason =
             number.checked_sub(FIRST_EXITED).and_then(|n| EXIT_REASONS.get(n as usize / 2));
         match (number, state, reason) {
@@ -87,32 +88,32 @@
     }
 }
 
-/// News of an attempt, for its job's coordinator.
+/// A change of an attempt's phase, sent to the coordinator of its job.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct TaskEvent {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// The task's number within the job.
+    /// Number of the task within the job.
     pub task: u32,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// What became of it.
+    /// The new phase.
     pub phase: TaskPhase,
 }
 
-/// Names an attempt on a machine.
+/// Identifies an attempt on a machine.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct AttemptRef {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// The task's number within the job.
+    /// Number of the task within the job.
     pub task: u32,
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The worker's incarnation that it was decided for, where the sender knows it.
+    /// Incarnation of the worker that the attempt was decided for. `None`: the sender does not know it.
     pub incarnation: Option<u64>,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,25 +1,28 @@
-//! Messages between controllers and the state service.
+//! Messages between controllers and the key-value store.
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Path of the items: one (GET `/KEY`), or those with a prefix (GET `?under=PREFIX&after=KEY&limit=N`).
+/// Path of the items: a single one (GET `/KEY`), or those under a prefix
+/// (GET `?under=PREFIX&after=KEY&limit=N`).
 pub const KV: &str = "/store";
 /// Path of transactions (POST a [`Transaction`]).
 pub const TXN: &str = "/multi";
-/// Path of leases: new (POST a [`LeaseRequest`]), renewed (POST `/LEASE/touch`), ended (DELETE `/LEASE`).
+/// Path of leases: grant (POST a [`LeaseRequest`]), renew (POST `/LEASE/touch`) and revoke
+/// (DELETE `/LEASE`).
 pub const LEASES: &str = "/holds";
-/// Path of changes after a revision (GET `?under=PREFIX&after=REVISION&waitMs=MS`), which waits for one.
+/// Path for watching changes after a revision (GET `?under=PREFIX&after=REVISION&waitMs=MS`). The
+/// response is delayed until there is a change.
 pub const WATCH: &str = "/changes";
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its key, a path.
+    /// The key, a path.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its value, any JSON.
+    /// The value, any JSON.
     pub value: Value,
-    /// The revision that wrote it last.
+    /// The revision that last wrote the item.
     #[serde(rename = "entry")]
     pub version: u64,
     /// The item is deleted when this lease expires.
@@ -27,13 +30,13 @@
     pub lease: Option<u64>,
 }
 
-/// One page of the items with a prefix, in the order of their keys.
+/// One page of the items under a prefix, ordered by key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
     /// The items of this page.
     #[serde(rename = "entries")]
     pub items: Vec<Item>,
-    /// There are more, after the last key of this page.
+    /// More items follow, after the last key of this page.
     #[serde(rename = "truncated", default)]
     pub more: bool,
     /// The store's revision when the page was read.
@@ -41,13 +44,13 @@
     pub revision: u64,
 }
 
-/// What a transaction expects of a key.
+/// A condition of a transaction on one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The revision that wrote it last; 0: the key does not exist.
+    /// The revision that must have last written the key; 0: the key must not exist.
     #[serde(rename = "entry")]
     pub version: u64,
 }
@@ -58,13 +61,13 @@
 pub enum Change {
     /// Writes a value.
     Put {
-        /// The key, new or not.
+        /// The key, which may or may not exist.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value.
         value: Value,
-        /// Deletes the item when this lease expires. A lease that has expired makes the transaction invalid
-        /// (400).
+        /// The item is deleted when this lease expires. If the lease has already expired, the
+        /// transaction is invalid (400).
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -76,54 +79,54 @@
     },
 }
 
-/// Changes that are made together if all conditions hold, and else not at all.
+/// Changes that are made atomically if all conditions hold, and otherwise not at all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// All must hold.
+    /// The conditions, which must all hold.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// Made together, in one revision.
+    /// The changes, which are made in one revision.
     #[serde(rename = "then")]
     pub changes: Vec<Change>,
 }
 
-/// The answer to a transaction: committed (200) or not (409).
+/// The response to a transaction: committed (200) or not (409).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TransactionResult {
     /// The revision of the changes.
     #[serde(rename = "logbook", default)]
     pub revision: u64,
-    /// Keys of the conditions that do not hold.
+    /// The keys of the conditions that did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// Asks for a lease.
+/// A request to grant a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds from its grant, and from each renewal, to its expiry.
+    /// Time to live, in milliseconds. It starts at the grant and anew at each renewal.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// The answer to a [`LeaseRequest`].
+/// The response to a [`LeaseRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The lease's number.
+    /// The number of the lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// One change of an item: `put` or `delete` names its key.
+/// One change of an item. Either `put` or `delete` holds its key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Event {
-    /// The key, if it was written.
+    /// The key, if the item was written.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// The key, if it was deleted, or its lease expired.
+    /// The key, if the item was deleted or its lease expired.
     #[serde(rename = "delete", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// The value that was written; null if deleted.
+    /// The value that was written; null if the item was deleted.
     #[serde(default)]
     pub value: Value,
     /// The revision of the change.
@@ -131,13 +134,13 @@
     pub version: u64,
 }
 
-/// The changes after the revision that was asked for, in the order they were made.
+/// The changes after the requested revision, in the order in which they were made.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Events {
-    /// The revision up to which these are all changes: the next watch starts after it.
+    /// The revision up to which the changes are complete. The next watch starts after it.
     #[serde(rename = "logbook")]
     pub revision: u64,
-    /// The changes; none if none was made within the wait.
+    /// The changes; empty if none was made within the wait time.
     #[serde(default)]
     pub events: Vec<Event>,
 }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -4,25 +4,25 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Path of jobs: submit (POST), state (GET `/ID`), cancel (POST `/ID/abort`).
+/// Path of jobs: submit (POST), read the state (GET `/ID`) and cancel (POST `/ID/abort`).
 pub const JOBS: &str = "/submissions";
-/// Last part of the path that cancels a job.
+/// Last segment of the path that cancels a job.
 pub const CANCEL: &str = "abort";
 /// Path of the health check, for the load balancer.
 pub const HEALTH: &str = "/up";
-/// Bytes of a submission; a longer one is refused (400).
+/// Maximum size of a submission; a larger one is refused (400).
 pub const MAX_BODY: usize = 64 * 1024;
-/// Tasks of a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Digits of a job's name; numbers with fewer get zeros in front.
+/// Minimum number of digits in a job's name. Shorter numbers are padded with zeros.
 const MIN_ID_DIGITS: usize = 6;
-/// Digits of a job's name: any such number is less than 2^63.
+/// Maximum number of digits in a job's name, so that the number is less than 2^63.
 const MAX_ID_DIGITS: usize = 18;
-/// Any number of a job: processors, GPUs, GB or seconds.
+/// Maximum of each number in a job: processors, GPUs, GB or seconds.
 const MAX_NUMBER: f64 = 1e9;
-/// Bytes of any text of a job.
+/// Maximum size of each text in a job.
 const MAX_TEXT_BYTES: usize = 200;
-/// Machine types that a job names.
+/// Maximum number of machine types that a job may name.
 const MAX_TYPES: usize = 100;
 
 /// How the tasks of a job belong together.
@@ -31,7 +31,7 @@
     /// A job array: tasks that run independently of each other.
     #[serde(rename = "sweep")]
     Array,
-    /// Tasks that only run all at once.
+    /// Tasks that run all at the same time or not at all.
     #[serde(rename = "group")]
     Gang,
     /// Tasks that run until the job is cancelled.
@@ -39,38 +39,38 @@
     Service,
 }
 
-/// Importance of a job, from the least to the most, so that `Ord` compares it.
+/// Priority of a job. The variants are in ascending order, which `Ord` uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs on what others leave, and is preempted first.
+    /// Runs on capacity that no other job needs, and is preempted first.
     #[serde(rename = "best_effort")]
     Low,
-    /// The usual one.
+    /// The usual priority.
     #[serde(rename = "normal")]
     Normal,
-    /// Before the usual ones.
+    /// Served before the usual priority.
     #[serde(rename = "high")]
     High,
-    /// Before all others.
+    /// Served before all other priorities.
     #[serde(rename = "production")]
     Production,
 }
 
-/// A submission. [`Job::parse`] returns only ones whose values are in range.
+/// A job as submitted. [`Job::parse`] returns only jobs whose values are all in range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its name, as [`parse_job_id`] reads it.
+    /// Name of the job, in the form that [`parse_job_id`] accepts.
     pub id: String,
-    /// Its class, which the objectives of the settings refer to.
+    /// Class of the job, which the objectives in the settings refer to.
     #[serde(rename = "cargo")]
     pub class: String,
-    /// Its team, which the settings name.
+    /// Name of the team, which must be in the settings.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
+    /// How the tasks belong together.
     #[serde(rename = "rig")]
     pub kind: Kind,
-    /// How important it is.
+    /// Priority of the job.
     #[serde(rename = "precedence")]
     pub priority: Priority,
     /// Number of tasks, between 1 and [`MAX_TASKS`].
@@ -84,60 +84,62 @@
     /// Memory of a task, in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// Name of the image that its tasks run.
+    /// Name of the image that the tasks run.
     #[serde(rename = "manifest")]
     pub image: String,
-    /// The image's size, in GB.
+    /// Size of the image, in GB.
     #[serde(rename = "imageGb")]
     pub image_gb: f64,
-    /// Machine types that its tasks may run on; none: any.
+    /// Machine types that the tasks may run on. `None`: any.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The zone that its tasks must run in; none: any.
+    /// The zone that the tasks must run in. `None`: any.
     #[serde(rename = "harbor", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All its tasks must run in one zone.
+    /// All tasks must run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of its tasks, rounded up, may be in one zone.
+    /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// Its tasks may run on interruptible machines.
+    /// The tasks may run on spot machines, which the cloud may interrupt.
     #[serde(rename = "charter")]
     pub spot: bool,
     /// Expected run time of a task, in seconds.
     #[serde(rename = "passageS")]
     pub estimate_s: f64,
-    /// Interval at which a task saves its progress by itself, in seconds; 0: it saves none.
+    /// Interval at which a task saves its progress by itself, in seconds; 0: it does not.
     #[serde(rename = "fixS")]
     pub checkpoint_s: f64,
     /// Time that a task takes to save its progress when it is stopped, in seconds.
     #[serde(rename = "stowS")]
     pub save_s: f64,
-    /// From the submission to when the job should be done, in seconds.
+    /// Time from the submission within which the job should be done, in seconds. `None`: any.
     #[serde(rename = "tideS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// Why a submission is not a job. Always the caller's mistake (400): the same bytes never become one.
+/// Why a submission is invalid. This is always the caller's mistake (400): a retry with the same bytes
+/// can't succeed.
 #[derive(Debug, Error)]
 pub enum BadJob {
-    /// Not JSON, or a field is missing or of another type.
+    /// The body is not JSON, or a field is missing or has the wrong type.
     #[error("not a job: {0}")]
     Parse(#[from] serde_json::Error),
-    /// JSON, but no object.
+    /// The body is JSON, but not an object.
     #[error("not a job: not an object")]
     NotAnObject,
-    /// The value of this field is not one that a job may have.
+    /// The value of the named field is out of range.
     #[error("{0}: out of range")]
     Range(&'static str),
 }
 
 impl Job {
-    /// Reads a submission.
+    /// Parses and checks a submission.
     ///
     /// # Errors
-    /// If it is not the JSON of a job, or a value is out of range; then the first such field is named.
+    /// Returns an error if the body is not the JSON of a job, or if a value is out of range. The error
+    /// then names the first such field.
     pub fn parse(body: &[u8]) -> Result<Job, BadJob> {
         let value: Value = serde_json::from_slice(body)?;
         if !value.is_object() {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The name on the wire of a field whose value no job may have.
+    /// Returns the wire name of the first field whose value is out of range.
     fn field_out_of_range(&self) -> Option<&'static str> {
         if parse_job_id(&self.id).is_none() {
             return Some("id");
@@ -194,13 +196,13 @@
     }
 }
 
-/// A job's state as users see it.
+/// Status of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// Accepted, not done, and no task runs.
+    /// Accepted and not done, but no task is running.
     #[serde(rename = "queued")]
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
@@ -211,23 +213,23 @@
     Cancelled,
 }
 
-/// The answer to a submission, a request for the state, or a cancellation.
+/// The response to a submission, a request for the state, or a cancellation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobState {
-    /// The job's name.
+    /// Name of the job.
     pub id: String,
-    /// Its state.
+    /// Status of the job.
     pub status: Status,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     #[serde(default)]
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that are running.
     #[serde(default)]
     pub running: u32,
 }
 
-/// A job's number from its name: `wk-` and at least six digits, without needless zeros, so that names and
-/// numbers match one to one. None if it is not such a name.
+/// Returns the number of a job from its name: `wk-` and at least six digits, without further leading
+/// zeros, so that names and numbers map one to one. `None` if the name does not have this form.
 pub fn parse_job_id(id: &str) -> Option<u64> {
     let digits = id.strip_prefix("wk-")?;
     let length = digits.len();
@@ -241,7 +243,7 @@
     digits.parse().ok()
 }
 
-/// A job's name as text, from its number.
+/// A job's number that is displayed as the job's name.
 pub struct JobName(pub u64);
 
 impl fmt::Display for JobName {
@@ -250,7 +252,7 @@
     }
 }
 
-/// A job's name from its number; the reverse of [`parse_job_id`].
+/// Returns the name of a job from its number; the inverse of [`parse_job_id`].
 pub fn job_id(number: u64) -> String {
     JobName(number).to_string()
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -3,81 +3,82 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Path of workers' heartbeats at controllers (POST a [`WorkerHeartbeat`]).
+/// Path of worker heartbeats at controllers (POST a [`WorkerHeartbeat`]).
 pub const REPORT: &str = "/checkin";
 /// Path of command batches at workers (POST a [`CommandBatch`]).
 pub const COMMANDS: &str = "/orders";
 /// Path of a worker's status at the worker (GET).
 pub const STATUS: &str = "/show";
 
-/// What a worker reports of itself, at an interval and on changes; also its answer to commands.
+/// The heartbeat of a worker, sent at an interval and on changes. It is also the worker's response to a
+/// command batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// Its machine's name.
+    /// Name of the machine.
     #[serde(rename = "vessel")]
     pub machine: String,
-    /// `ADDRESS:PORT` where it takes commands.
+    /// `ADDRESS:PORT` where the worker takes command batches.
     #[serde(rename = "endpoint")]
     pub addr: String,
-    /// The machine's type in the catalog.
+    /// Name of the machine's type in the catalog.
     #[serde(rename = "hull")]
     pub type_name: String,
-    /// The machine's zone.
+    /// Name of the machine's zone.
     #[serde(rename = "harbor")]
     pub zone: String,
-    /// The machine is interruptible.
+    /// The machine is a spot instance, which the cloud may interrupt.
     #[serde(rename = "charter", default)]
     pub spot: bool,
-    /// Number of the worker process, counted up at each start on the machine.
+    /// Number of the worker process, which increases with each start on the machine.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Counts the heartbeats of an incarnation: the larger, the newer.
+    /// Sequence number of the heartbeat within the incarnation; a larger one is newer.
     #[serde(rename = "logline")]
     pub seq: u64,
-    /// The largest fencing token that it has seen. It refuses commands with a smaller one.
+    /// The largest fencing token that the worker has seen. It refuses commands with a smaller one.
     #[serde(rename = "helm", default)]
     pub token: u64,
-    /// The machine is taken back by the cloud in this many seconds; none: not that is known.
+    /// Seconds until the cloud interrupts the machine. `None`: no interruption is announced.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
-    /// All attempts on the machine that it has not been told to forget.
+    /// All attempts on the machine that the worker has not been told to forget.
     #[serde(rename = "hauls", default)]
     pub tasks: Vec<TaskReport>,
 }
 
-/// One attempt's state.
+/// The state of an attempt in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The task; none if the name is not one of this system.
+    /// The task. `None` if the name is not a task's name of this system.
     #[serde(rename = "haul", with = "task_or_none")]
     pub task: Option<TaskId>,
     /// Number of the attempt.
     #[serde(rename = "sailing")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it exited.
+    /// Why the attempt exited. `None`: it did not, or the worker gave no reason.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<ExitReason>,
-    /// It saved its progress before it exited.
+    /// Whether the attempt saved its progress before it exited.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// An attempt's state at its worker.
+/// State of an attempt at its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
     /// Its image is being fetched.
     Fetching,
-    /// A task of a gang that waits for the others to be ready.
+    /// It is a ready task of a gang that waits for the other tasks of the gang.
     Waiting,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It was told to stop and saves its progress.
+    /// It was told to stop, and is saving its progress.
     Saving,
-    /// It does not run any more, or never did.
+    /// It is no longer running, or was never started.
     Exited,
 }
 
@@ -85,31 +86,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExitReason {
-    /// Its work is done.
+    /// It completed its work.
     Done,
     /// It was told to stop.
     Stopped,
-    /// Other tasks of its gang were lost while it ran.
+    /// Other tasks of its gang were lost while it was running.
     Peers,
-    /// Other tasks of its gang did not come within the time that a gang waits.
+    /// Other tasks of its gang did not become ready within the time that a gang waits.
     Alone,
     /// It failed.
     Error,
-    /// Refused: the machine does not have the resources free.
+    /// The worker refused it: the machine does not have the free resources.
     Full,
-    /// Refused: another attempt of the task is still on the machine.
+    /// The worker refused it: another attempt of the task is still on the machine.
     Busy,
-    /// Refused: the worker does not find the task's job.
+    /// The worker refused it: it does not find the task's job.
     Unknown,
-    /// A cause that this version does not know: treated like an error.
+    /// A reason that this version does not know, treated like an error.
     #[serde(other)]
     Other,
 }
 
-/// One command to a worker.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// What to do.
+    /// Kind of the command.
     #[serde(rename = "order")]
     pub op: CommandKind,
     /// The task.
@@ -118,12 +119,12 @@
     /// Number of the attempt.
     #[serde(rename = "sailing")]
     pub attempt: u64,
-    /// With [`CommandKind::Stop`]: time to save its progress in, in seconds.
+    /// With [`CommandKind::Stop`]: seconds that the task has to save its progress.
     #[serde(rename = "mooringS", default, skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
 
-/// What a command does. Repeated, it has no further effect.
+/// What a command does. Commands are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
@@ -132,56 +133,56 @@
     Start,
     /// Stops an attempt.
     Stop,
-    /// Leaves an exited attempt out of the reports from now on.
+    /// Removes an exited attempt from the heartbeats from now on.
     Forget,
 }
 
-/// Answer to a heartbeat (200). It renews the lease of the worker.
+/// The response to a heartbeat (200). It renews the worker's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// The sender's fencing token: the epoch of the machine's shard.
     #[serde(rename = "helm")]
     pub token: u64,
-    /// Carried out in this order.
+    /// Commands, executed in this order.
     #[serde(rename = "orders")]
     pub orders: Vec<Command>,
 }
 
-/// Answer to a heartbeat by a controller that does not own the machine (421).
+/// The response to a heartbeat by a controller that does not own the machine's shard (421).
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the node to report to; none: not known.
+    /// Name of the node to send heartbeats to. `None`: not known.
     #[serde(rename = "harbormaster", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
 
-/// Commands sent straight to a worker, between its heartbeats. They do not renew its lease.
+/// Commands sent directly to a worker, between its heartbeats. They do not renew its lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The sender's fencing token. Refused (409) if the worker has seen a larger one.
+    /// The sender's fencing token. The worker refuses the batch (409) if it has seen a larger one.
     #[serde(rename = "helm")]
     pub token: u64,
-    /// The incarnation that the commands are for. Refused (409) by another one.
+    /// The incarnation that the commands are for. Any other incarnation refuses the batch (409).
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Carried out in this order.
+    /// Commands, executed in this order.
     pub orders: Vec<Command>,
 }
 
-/// A task's name, `wk-000412/3`, read and written as text without a copy of it: heartbeats name every task of a
-/// machine over and over.
+/// Identifies a task. On the wire it is text such as `wk-000412/3`, which is parsed and written without
+/// an allocation, since every heartbeat names each task of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// The task's number within the job, from 0.
+    /// Number of the task within the job, from 0.
     pub task: u32,
 }
 
 impl TaskId {
-    /// Reads a name; none if it is not of this form.
-    pub fn parse(s: &str) -> Option<TaskId> {
-        let (job, task) = s.split_once('/')?;
+    /// Parses a task's name; `None` if it does not have this form.
+    pub fn parse(name: &str) -> Option<TaskId> {
+        let (job, task) = name.split_once('/')?;
         Some(TaskId { job: crate::user::parse_job_id(job)?, task: task.parse().ok()? })
     }
 }
@@ -198,9 +199,10 @@
     }
 }
 
-struct TaskText;
+/// Reads a task's name from text; `None` if it does not have the form of a [`TaskId`].
+struct TaskIdVisitor;
 
-impl Visitor<'_> for TaskText {
+impl Visitor<'_> for TaskIdVisitor {
     type Value = Option<TaskId>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -214,21 +216,28 @@
 
 impl<'de> Deserialize<'de> for TaskId {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<TaskId, D::Error> {
-        d.deserialize_str(TaskText)?.ok_or_else(|| de::Error::custom("not a task's name"))
+        d.deserialize_str(TaskIdVisitor)?.ok_or_else(|| de::Error::custom("not a task's name"))
     }
 }
 
+/// Serialization of a task's name that may have any form: a name that is not a [`TaskId`] is read as
+/// `None`, so that it does not invalidate the whole heartbeat.
 mod task_or_none {
-    use super::{Deserializer, Serialize, Serializer, TaskId, TaskText};
-
-    pub fn serialize<S: Serializer>(t: &Option<TaskId>, s: S) -> Result<S::Ok, S::Error> {
-        match t {
-            Some(t) => t.serialize(s),
-            None => s.serialize_str(""),
+    use super::{Deserializer, Serialize, Serializer, TaskId, TaskIdVisitor};
+
+    pub fn serialize<S: Serializer>(
+        task: &Option<TaskId>,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        match task {
+            Some(task) => task.serialize(serializer),
+            None => serializer.serialize_str(""),
         }
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Option<TaskId>, D::Error> {
-        d.deserialize_str(TaskText)
+    pub fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Option<TaskId>, D::Error> {
+        deserializer.deserialize_str(TaskIdVisitor)
     }
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The odd names on the wire, as the protocol gives them.
+//! The names on the wire must be those of the protocols.
 use leaddeal_wire::mesh::{
     FirstInQueue, NodeMessage, QuotaAmount, ShardMessage, TaskEvent, TaskPhase, TeamGrant,
     TeamUsage,
@@ -9,30 +9,30 @@
 use serde_json::json;
 
 #[test]
-fn users_workers_cloud_and_state_speak_the_protocols_names() {
-    let j = Job::parse(
+fn formats_use_the_names_of_the_protocols() {
+    let job = Job::parse(
         br#"{"id":"wk-000412","cargo":"train","crew":"vision","rig":"group","precedence":"high",
         "hauls":16,"cores":8.0,"gpus":1.0,"memoryGb":64.0,"manifest":"img-07","imageGb":6.2,
         "hulls":["g8"],"harbor":null,"together":true,"scatter":false,"charter":true,
         "passageS":240.0,"fixS":30.0,"stowS":4.0,"tideS":900.0,"new":1}"#,
     )
     .expect("the protocol's example");
-    assert_eq!((j.kind, j.priority, j.tasks), (Kind::Gang, Priority::High, 16));
-    assert_eq!(j.deadline_s, Some(900.0));
+    assert_eq!((job.kind, job.priority, job.tasks), (Kind::Gang, Priority::High, 16));
+    assert_eq!(job.deadline_s, Some(900.0));
 
-    let r: WorkerHeartbeat = serde_json::from_value(json!({"vessel":"n-000231",
+    let heartbeat: WorkerHeartbeat = serde_json::from_value(json!({"vessel":"n-000231",
         "endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a","charter":true,"watch":1,
         "logline":88,"helm":41,"recallS":null,
         "hauls":[{"haul":"wk-000412/3","sailing":2,"status":"running"},
                  {"haul":"wk-000398/0","sailing":1,"status":"exited","cause":"new one"},
                  {"haul":"other","sailing":1,"status":"running"}]}))
-    .expect("a report");
-    assert_eq!((r.incarnation, r.seq, r.token), (1, 88, 41));
-    assert_eq!(r.tasks[0].state, TaskState::Running);
-    assert_eq!(r.tasks[1].why, Some(ExitReason::Other));
+    .expect("a heartbeat");
+    assert_eq!((heartbeat.incarnation, heartbeat.seq, heartbeat.token), (1, 88, 41));
+    assert_eq!(heartbeat.tasks[0].state, TaskState::Running);
+    assert_eq!(heartbeat.tasks[1].why, Some(ExitReason::Other));
     let task = |job, task| TaskId { job, task };
-    assert_eq!(r.tasks[0].task, Some(task(412, 3)));
-    assert_eq!(r.tasks[2].task, None, "one odd name does not spoil the report");
+    assert_eq!(heartbeat.tasks[0].task, Some(task(412, 3)));
+    assert_eq!(heartbeat.tasks[2].task, None, "an unknown name does not invalidate the heartbeat");
 
     let stop =
         Command { op: CommandKind::Stop, task: task(377, 1), attempt: 1, grace_s: Some(10.0) };
@@ -43,13 +43,13 @@
                {"order":"launch","haul":"wk-000377/1","sailing":1}])
     );
 
-    let l: cloud::InstanceList = serde_json::from_value(json!({"fleet":[{"id":"n-000231",
+    let list: cloud::InstanceList = serde_json::from_value(json!({"fleet":[{"id":"n-000231",
         "endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a","charter":true,
         "status":"starting","heldS":61.5}],"truncated":false}))
     .expect("a list");
-    assert_eq!(l.machines[0].status, cloud::InstanceStatus::Starting);
+    assert_eq!(list.machines[0].status, cloud::InstanceStatus::Starting);
 
-    let t = state::Transaction {
+    let transaction = state::Transaction {
         conditions: vec![state::Condition { key: "a/b".into(), version: 0 }],
         changes: vec![
             state::Change::Put { key: "a/b".into(), value: json!({}), lease: Some(7) },
@@ -57,14 +57,14 @@
         ],
     };
     assert_eq!(
-        json!(t),
+        json!(transaction),
         json!({"when":[{"path":"a/b","entry":0}],
                "then":[{"write":"a/b","value":{},"permit":7},{"delete":"c/d"}]})
     );
 }
 
 #[test]
-fn job_names_and_numbers_match_one_to_one() {
+fn job_names_and_numbers_map_one_to_one() {
     for n in [0, 1, 999_999, 1_000_000, 123_456_789] {
         assert_eq!(parse_job_id(&job_id(n)), Some(n));
     }
@@ -74,24 +74,24 @@
 }
 
 #[test]
-fn mesh_messages_are_what_they_were_after_cbor() {
-    let through = |msg| {
-        let m = NodeMessage::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
+fn mesh_messages_round_trip_through_cbor() {
+    let round_trip = |msg| {
+        let message = NodeMessage::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
         let mut bytes = Vec::new();
-        ciborium::into_writer(&m, &mut bytes).expect("written");
-        assert_eq!(ciborium::from_reader::<NodeMessage, _>(&bytes[..]).expect("read"), m);
+        ciborium::into_writer(&message, &mut bytes).expect("written");
+        assert_eq!(ciborium::from_reader::<NodeMessage, _>(&bytes[..]).expect("read"), message);
         bytes.len()
     };
-    through(ShardMessage::CloseNegotiation { negotiation: 1 << 40 });
+    round_trip(ShardMessage::CloseNegotiation { negotiation: 1 << 40 });
     let most = QuotaAmount { cpu: u64::MAX, gpu: 1 };
     let first = Some(FirstInQueue { need: most, waited_ms: 9 });
     let usage =
         TeamUsage { first: [None, first, None, first], wanted: [most; 4], ..TeamUsage::of(3) };
-    through(ShardMessage::TeamUsage { serial: 2, usage: vec![usage, TeamUsage::of(0)] });
+    round_trip(ShardMessage::TeamUsage { serial: 2, usage: vec![usage, TeamUsage::of(0)] });
     let granted = vec![TeamGrant { team: 3, may: most, due: QuotaAmount::default() }];
-    through(ShardMessage::TeamGrant { serial: 2, granted });
+    round_trip(ShardMessage::TeamGrant { serial: 2, granted });
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
-    let whys = [
+    let reasons = [
         ExitReason::Done,
         ExitReason::Stopped,
         ExitReason::Peers,
@@ -100,8 +100,9 @@
         ExitReason::Full,
         ExitReason::Busy,
     ];
-    let ends =
-        whys.iter().flat_map(|w| [TaskPhase::Exited(*w, false), TaskPhase::Exited(*w, true)]);
+    let ends = reasons
+        .iter()
+        .flat_map(|reason| [TaskPhase::Exited(*reason, false), TaskPhase::Exited(*reason, true)]);
     let others =
         [TaskPhase::Decided, TaskPhase::Gone, TaskPhase::Exited(ExitReason::Unknown, false)];
     let phases = states.into_iter().map(TaskPhase::On).chain(ends).chain(others);
@@ -115,26 +116,28 @@
         })
         .collect();
     let n = events.len();
-    let size = through(ShardMessage::TaskEvents { events });
-    assert!(size < 40 * n + 60, "{size} bytes for {n} events: most of the traffic is these");
+    let size = round_trip(ShardMessage::TaskEvents { events });
+    assert!(size < 40 * n + 60, "{size} bytes for {n} events, which are most of the traffic");
     let bad = ciborium::Value::Integer(255.into());
     assert!(bad.deserialized::<TaskPhase>().is_err());
 }
 
 #[test]
-fn settings_name_the_field_that_is_wrong() {
-    let e = Settings::parse("{}").expect_err("nothing is set").to_string();
-    assert!(e.contains("node_name"), "{e}");
-    let e = Settings::parse("not json").expect_err("not JSON").to_string();
-    assert!(e.contains("line 1"), "{e}");
+fn settings_errors_name_the_field() {
+    let error = Settings::parse("{}").expect_err("nothing is set").to_string();
+    assert!(error.contains("node_name"), "{error}");
+    let error = Settings::parse("not json").expect_err("not JSON").to_string();
+    assert!(error.contains("line 1"), "{error}");
 }
 
 #[test]
-fn settings_with_impossible_teams_are_refused_by_their_key() {
+fn rejects_invalid_teams_and_names_the_key() {
     let with = |teams: serde_json::Value| {
-        let mut s: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
-        s["cluster"]["teams"] = teams;
-        Settings::parse(&s.to_string()).map(|s| s.params.teams.len()).map_err(|e| e.to_string())
+        let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
+        settings["cluster"]["teams"] = teams;
+        Settings::parse(&settings.to_string())
+            .map(|settings| settings.params.teams.len())
+            .map_err(|error| error.to_string())
     };
     assert_eq!(with(json!([{"name": "a", "cpus_max": 0.5}, {"name": "b", "gpus_max": 2}])), Ok(2));
     for (teams, key) in [
@@ -149,8 +152,8 @@
         (json!([{"name": "a", "gpus": -0.5}]), "cluster.teams.gpus:"),
         (json!([{"name": "a", "gpus_max": 0.0009}]), "cluster.teams.gpus_max:"),
     ] {
-        let e = with(teams.clone()).expect_err(key);
-        assert!(e.contains(key), "{teams}: {e}");
+        let error = with(teams.clone()).expect_err(key);
+        assert!(error.contains(key), "{teams}: {error}");
     }
     let nan = SETTINGS
         .replace(r#""teams": [{"name": "a"}]"#, r#""teams": [{"name": "a", "cpus_max": NaN}]"#);
@@ -158,15 +161,15 @@
     assert!(Settings::parse(&nan).is_err());
 }
 
-/// What happens: a controller whose settings give it 1e300 MB of memory panics at its start, since the bound of its
-/// buffers is more than a semaphore can count; one with a single file descriptor starts and accepts no connection.
-/// Why: `cluster.resources` is read and not checked. What showed it: `leaddeal check` says "good" of both.
+/// Without a check of `cluster.resources`, `leaddeal check` accepts settings with which a controller
+/// can't work. With 1e300 MB of memory it panics at its start, since the limit of its buffers exceeds
+/// what a semaphore can count. With a single file descriptor it starts, but accepts no connection.
 #[test]
-fn settings_with_impossible_resources_are_refused_by_their_key() {
+fn rejects_invalid_resources_and_names_the_key() {
     let with = |resources: serde_json::Value| {
         let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
         settings["cluster"]["resources"] = resources;
-        Settings::parse(&settings.to_string()).map(|_| ()).map_err(|e| e.to_string())
+        Settings::parse(&settings.to_string()).map(|_| ()).map_err(|error| error.to_string())
     };
     for possible in [
         json!({}),
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -1,8 +1,9 @@
-//! Mesh messages as the version in production sends them: each is still decoded, and encoded again byte
-//! for byte, so that two versions understand each other while one replaces the other.
+//! Compatibility of mesh messages: each message that the version in production sends must be decoded,
+//! and encoded again byte for byte, so that controllers of two versions understand each other during
+//! an upgrade.
 //!
-//! `golden/mesh.txt` was recorded from simulated runs of that version: a line for each message, its kind
-//! and its bytes in hexadecimal. Lines are only ever added.
+//! `golden/mesh.txt` was recorded from simulated runs of that version, with one line for each message:
+//! its kind and its bytes in hexadecimal. Lines are only ever added.
 use leaddeal_wire::mesh::NodeMessage;
 
 const MESSAGES: &str = include_str!("golden/mesh.txt");
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn recorded_mesh_messages_are_decoded_and_encoded_as_they_were() {
+fn recorded_messages_round_trip_unchanged() {
     let mut kinds = std::collections::BTreeSet::new();
     for line in MESSAGES.lines() {
         let (kind, hexadecimal) = line.split_once(' ').expect("a kind and its bytes");
--- a/crates/wire/tests/odd_input.rs
+++ b/crates/wire/tests/odd_input.rs
@@ -1,5 +1,5 @@
-//! Whatever comes over the wire is read or refused: nothing ends the process, and what is accepted has
-//! every field, in range.
+//! Invalid input from the wire must be refused without a panic, and accepted input must have every
+//! field, in range.
 use leaddeal_wire::cloud::InstanceList;
 use leaddeal_wire::mesh::{Hello, NodeMessage};
 use leaddeal_wire::settings::Settings;
@@ -17,29 +17,29 @@
         "passageS":240.0,"fixS":30.0,"stowS":4.0,"tideS":900.0})
 }
 
-/// Those that may be null, and may be absent then.
+/// Fields of a job that may be null or absent.
 const MAY_BE_NULL: [&str; 3] = ["hulls", "harbor", "tideS"];
 
-fn parse(v: &Value) -> Option<Job> {
-    Job::parse(v.to_string().as_bytes()).ok()
+fn parse(value: &Value) -> Option<Job> {
+    Job::parse(value.to_string().as_bytes()).ok()
 }
 
-/// Found by reading: a job without `gpus` was taken for one that needs none.
+/// A job without `gpus` was once accepted as one that needs no GPUs.
 #[test]
-fn a_job_that_lacks_a_field_is_refused() {
+fn rejects_job_without_a_required_field() {
     let complete = job();
     assert!(parse(&complete).is_some());
     for name in complete.as_object().expect("an object").keys() {
-        let may = MAY_BE_NULL.contains(&name.as_str());
-        let mut lacks = complete.clone();
-        lacks.as_object_mut().expect("an object").remove(name);
-        assert_eq!(parse(&lacks).is_some(), may, "without {name}");
-        lacks[name] = Value::Null;
-        assert_eq!(parse(&lacks).is_some(), may, "{name} null");
+        let may_lack = MAY_BE_NULL.contains(&name.as_str());
+        let mut incomplete = complete.clone();
+        incomplete.as_object_mut().expect("an object").remove(name);
+        assert_eq!(parse(&incomplete).is_some(), may_lack, "without {name}");
+        incomplete[name] = Value::Null;
+        assert_eq!(parse(&incomplete).is_some(), may_lack, "{name} null");
     }
 }
 
-fn odd() -> impl Strategy<Value = Value> {
+fn odd_value() -> impl Strategy<Value = Value> {
     let numbers = prop_oneof![
         Just(json!(-1)),
         Just(json!(0)),
@@ -71,27 +71,27 @@
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Default::default() })]
 
     #[test]
-    fn a_job_that_is_accepted_is_in_range(at in 0usize..20, value in odd()) {
-        let mut v = job();
-        let names: Vec<String> = v.as_object().expect("an object").keys().cloned().collect();
-        v[&names[at % names.len()]] = value;
-        if let Some(j) = parse(&v) {
-            prop_assert!(parse_job_id(&j.id).is_some());
-            prop_assert!((1..=100_000).contains(&j.tasks));
-            let durations = [j.estimate_s, j.checkpoint_s, j.save_s, j.deadline_s.unwrap_or(0.0)];
-            let amounts = [j.cpus, j.gpus, j.memory_gb, j.image_gb];
+    fn accepted_jobs_are_in_range(at in 0usize..20, value in odd_value()) {
+        let mut submission = job();
+        let names: Vec<String> = submission.as_object().expect("an object").keys().cloned().collect();
+        submission[&names[at % names.len()]] = value;
+        if let Some(job) = parse(&submission) {
+            prop_assert!(parse_job_id(&job.id).is_some());
+            prop_assert!((1..=100_000).contains(&job.tasks));
+            let durations = [job.estimate_s, job.checkpoint_s, job.save_s, job.deadline_s.unwrap_or(0.0)];
+            let amounts = [job.cpus, job.gpus, job.memory_gb, job.image_gb];
             for n in durations.into_iter().chain(amounts) {
                 prop_assert!(n.is_finite() && n >= 0.0, "{n}");
             }
-            prop_assert!(j.cpus > 0.0 && !j.team.is_empty() && !j.image.is_empty());
-            // What is kept of it is read again after a takeover.
-            let kept = serde_json::to_value(&j).expect("written");
-            prop_assert_eq!(serde_json::from_value::<Job>(kept).expect("read"), j);
+            prop_assert!(job.cpus > 0.0 && !job.team.is_empty() && !job.image.is_empty());
+            // The stored record must decode to the same job after a failover.
+            let kept = serde_json::to_value(&job).expect("written");
+            prop_assert_eq!(serde_json::from_value::<Job>(kept).expect("read"), job);
         }
     }
 
     #[test]
-    fn bytes_from_anywhere_end_nothing(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Job::parse(&bytes);
         let _ = serde_json::from_slice::<WorkerHeartbeat>(&bytes);
         let _ = serde_json::from_slice::<HeartbeatResponse>(&bytes);
@@ -103,17 +103,17 @@
         let _ = Settings::parse(&String::from_utf8_lossy(&bytes));
     }
 
-    /// A frame that was good, with a byte changed or its end cut off.
+    /// A valid message with one byte changed or its end cut off.
     #[test]
-    fn spoilt_messages_end_nothing(at in 0usize..400, byte in any::<u8>(), cut in any::<bool>()) {
-        let v = json!({"vessel":"n-000231","endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a",
+    fn corrupted_messages_cause_no_panic(at in 0usize..400, byte in any::<u8>(), cut in any::<bool>()) {
+        let heartbeat = json!({"vessel":"n-000231","endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a",
             "charter":true,"watch":1,"logline":88,"helm":41,"recallS":null,
             "hauls":[{"haul":"wk-000412/3","sailing":2,"status":"running"}]});
-        let report: WorkerHeartbeat = serde_json::from_value(v.clone()).expect("a report");
+        let report: WorkerHeartbeat = serde_json::from_value(heartbeat.clone()).expect("a heartbeat");
         let mut frame = Vec::new();
-        let msg = NodeMessage::RelayedHeartbeat { call: 7, report: Box::new(report) };
-        ciborium::into_writer(&msg, &mut frame).expect("written");
-        for mut bytes in [frame, v.to_string().into_bytes()] {
+        let message = NodeMessage::RelayedHeartbeat { call: 7, report: Box::new(report) };
+        ciborium::into_writer(&message, &mut frame).expect("written");
+        for mut bytes in [frame, heartbeat.to_string().into_bytes()] {
             let at = at % bytes.len();
             if cut {
                 bytes.truncate(at);
