--- a/crates/leaddeal/src/driver/cloud_client.rs
+++ b/crates/leaddeal/src/driver/cloud_client.rs
@@ -6,7 +6,7 @@
 use crate::http_client::{CallError, HttpClient, HttpResponse};
 use hyper::StatusCode;
 use leaddeal_core::io::{CloudCall, CloudResult};
-use leaddeal_wire::cloud::{InstanceNames, CATALOG, MACHINES, RELEASE};
+use leaddeal_wire::cloud::{InstanceNames, CATALOG_PATH, INSTANCES_PATH, RELEASE_PATH};
 use std::time::Duration;
 
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(8);
@@ -43,13 +43,13 @@
 
     async fn send(&self, call: &CloudCall) -> Result<HttpResponse, CallError> {
         match call {
-            CloudCall::Catalog => self.http.get(CATALOG, CLOUD_TIMEOUT).await,
+            CloudCall::Catalog => self.http.get(CATALOG_PATH, CLOUD_TIMEOUT).await,
             CloudCall::Launch(request) => {
-                self.http.post_json(MACHINES, request, CLOUD_TIMEOUT).await
+                self.http.post_json(INSTANCES_PATH, request, CLOUD_TIMEOUT).await
             }
             CloudCall::Release(names) => {
                 let names = InstanceNames { machines: names.clone() };
-                self.http.post_json(RELEASE, &names, CLOUD_TIMEOUT).await
+                self.http.post_json(RELEASE_PATH, &names, CLOUD_TIMEOUT).await
             }
             CloudCall::List { after } => {
                 self.http.get(&list_path(after.as_deref()), CLOUD_TIMEOUT).await
@@ -60,7 +60,7 @@
 
 fn list_path(after: Option<&str>) -> String {
     let after = after.map(|name| format!("after={name}&")).unwrap_or_default();
-    format!("{MACHINES}?{after}limit={MAX_PAGE_INSTANCES}")
+    format!("{INSTANCES_PATH}?{after}limit={MAX_PAGE_INSTANCES}")
 }
 
 /// What a response says of its call; `None` if its status or body are not of the protocol.
--- a/crates/leaddeal/src/driver/store_client.rs
+++ b/crates/leaddeal/src/driver/store_client.rs
@@ -7,7 +7,8 @@
 use hyper::StatusCode;
 use leaddeal_core::io::{StoreCall, StoreResult};
 use leaddeal_wire::state::{
-    Change, LeaseGrant, LeaseRequest, Transaction, TransactionResult, KV, LEASES, TXN, WATCH,
+    Change, LeaseGrant, LeaseRequest, Transaction, TransactionResult, ITEMS_PATH, LEASES_PATH,
+    TRANSACTIONS_PATH, WATCH_PATH,
 };
 use std::time::Duration;
 
@@ -48,23 +49,25 @@
         match call {
             StoreCall::NewLease { ttl_ms } => {
                 let request = LeaseRequest { ttl_ms: *ttl_ms };
-                self.http.post_json(LEASES, &request, STORE_TIMEOUT).await
+                self.http.post_json(LEASES_PATH, &request, STORE_TIMEOUT).await
             }
             StoreCall::RenewLease { lease } => {
-                self.http.post(&format!("{LEASES}/{lease}/touch"), STORE_TIMEOUT).await
+                self.http.post(&format!("{LEASES_PATH}/{lease}/touch"), STORE_TIMEOUT).await
             }
             StoreCall::EndLease { lease } => {
-                self.http.delete(&format!("{LEASES}/{lease}"), STORE_TIMEOUT).await
+                self.http.delete(&format!("{LEASES_PATH}/{lease}"), STORE_TIMEOUT).await
             }
             StoreCall::Transaction(transaction) => {
-                self.http.post_json(TXN, transaction, STORE_TIMEOUT).await
+                self.http.post_json(TRANSACTIONS_PATH, transaction, STORE_TIMEOUT).await
+            }
+            StoreCall::Get { key } => {
+                self.http.get(&format!("{ITEMS_PATH}/{key}"), STORE_TIMEOUT).await
             }
-            StoreCall::Get { key } => self.http.get(&format!("{KV}/{key}"), STORE_TIMEOUT).await,
             StoreCall::List { prefix, after } => {
                 self.http.get(&list_path(prefix, after.as_deref()), STORE_TIMEOUT).await
             }
             StoreCall::Watch { prefix, after, wait_ms } => {
-                let path = format!("{WATCH}?under={prefix}&after={after}&waitMs={wait_ms}");
+                let path = format!("{WATCH_PATH}?under={prefix}&after={after}&waitMs={wait_ms}");
                 let timeout = Duration::from_millis(*wait_ms) + WATCH_EXTRA_TIMEOUT;
                 self.http.get(&path, timeout).await
             }
@@ -74,7 +77,7 @@
 
 fn list_path(prefix: &str, after: Option<&str>) -> String {
     let after = after.map(|key| format!("&after={key}")).unwrap_or_default();
-    format!("{KV}?under={prefix}{after}&limit={MAX_PAGE_ITEMS}")
+    format!("{ITEMS_PATH}?under={prefix}{after}&limit={MAX_PAGE_ITEMS}")
 }
 
 /// What a response says of its call; `None` if its status or body are not of the protocol.
--- a/crates/leaddeal/src/driver/worker_client.rs
+++ b/crates/leaddeal/src/driver/worker_client.rs
@@ -3,7 +3,7 @@
 use crate::http_client::{CallError, HttpClient};
 use hyper::StatusCode;
 use leaddeal_core::io::CommandOutcome;
-use leaddeal_wire::worker::{CommandBatch, WorkerHeartbeat, COMMANDS};
+use leaddeal_wire::worker::{CommandBatch, WorkerHeartbeat, COMMANDS_PATH};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
 
     /// Sends a batch of commands. Not repeated on failure: the core decides on retries.
     pub async fn send(&self, batch: &CommandBatch) -> CommandOutcome {
-        let response = match self.http.post_json(COMMANDS, batch, COMMAND_TIMEOUT).await {
+        let response = match self.http.post_json(COMMANDS_PATH, batch, COMMAND_TIMEOUT).await {
             Ok(response) => response,
             Err(CallError::NotSent(_)) => return CommandOutcome::NotSent,
             Err(CallError::Unknown(_)) => return CommandOutcome::Unknown,
--- a/crates/leaddeal/src/gateway/handlers.rs
+++ b/crates/leaddeal/src/gateway/handlers.rs
@@ -19,7 +19,7 @@
     State(gateway): State<Gateway>,
     request: Request,
 ) -> Result<Response, BodyError> {
-    let body = gateway.read_body(request, user::MAX_BODY).await?;
+    let body = gateway.read_body(request, user::MAX_BODY_BYTES).await?;
     let job = Job::parse(&body).map(Box::new);
     let id = match &job {
         Ok(job) => user::parse_job_id(&job.id),
--- a/crates/leaddeal/src/gateway/mod.rs
+++ b/crates/leaddeal/src/gateway/mod.rs
@@ -81,11 +81,14 @@
 
 fn router(gateway: Gateway) -> Router {
     Router::new()
-        .route(user::HEALTH, get(handlers::health))
-        .route(user::JOBS, post(handlers::submit))
-        .route(&format!("{}/{{id}}", user::JOBS), get(handlers::status))
-        .route(&format!("{}/{{id}}/{}", user::JOBS, user::CANCEL), post(handlers::cancel))
-        .route(worker::REPORT, post(handlers::worker_heartbeat))
+        .route(user::HEALTH_PATH, get(handlers::health))
+        .route(user::JOBS_PATH, post(handlers::submit))
+        .route(&format!("{}/{{id}}", user::JOBS_PATH), get(handlers::status))
+        .route(
+            &format!("{}/{{id}}/{}", user::JOBS_PATH, user::CANCEL_SEGMENT),
+            post(handlers::cancel),
+        )
+        .route(worker::HEARTBEAT_PATH, post(handlers::worker_heartbeat))
         .fallback(handlers::unknown_path)
         .method_not_allowed_fallback(handlers::unknown_method)
         .with_state(gateway)
--- a/crates/leaddeal/src/link/frame.rs
+++ b/crates/leaddeal/src/link/frame.rs
@@ -1,5 +1,5 @@
 //! Frames on a connection: four bytes of length, big-endian, and that many bytes of CBOR.
-use leaddeal_wire::mesh::MAX_FRAME;
+use leaddeal_wire::mesh::MAX_FRAME_BYTES;
 use serde::Serialize;
 use std::io;
 use std::time::Duration;
@@ -19,7 +19,9 @@
     Timeout(#[from] Elapsed),
     #[error("reading a frame: {0}")]
     Io(#[from] io::Error),
-    #[error("reading a frame: {length} bytes are announced, at most {MAX_FRAME} are allowed")]
+    #[error(
+        "reading a frame: {length} bytes are announced, at most {MAX_FRAME_BYTES} are allowed"
+    )]
     TooLong { length: usize },
 }
 
@@ -30,7 +32,7 @@
     let content_start = frame_start + LENGTH_BYTES;
     buffer.extend_from_slice(&[0; LENGTH_BYTES]);
     let written = ciborium::into_writer(message, &mut *buffer).is_ok();
-    if !written || buffer.len() - content_start > MAX_FRAME {
+    if !written || buffer.len() - content_start > MAX_FRAME_BYTES {
         buffer.truncate(frame_start);
         return;
     }
@@ -41,7 +43,7 @@
 /// Reads the next frame's content into `buffer`, in place of what it held.
 ///
 /// # Errors
-/// If the connection ends or is silent for [`READ_TIMEOUT`], or the frame is longer than [`MAX_FRAME`].
+/// If the connection ends or is silent for [`READ_TIMEOUT`], or the frame is longer than [`MAX_FRAME_BYTES`].
 pub(super) async fn read_frame<S: AsyncRead + Unpin>(
     stream: &mut S,
     buffer: &mut Vec<u8>,
@@ -49,7 +51,7 @@
     let mut length = [0; LENGTH_BYTES];
     timeout(READ_TIMEOUT, stream.read_exact(&mut length)).await??;
     let length = u32::from_be_bytes(length) as usize;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong { length });
     }
     buffer.resize(length, 0);
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -2,11 +2,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Path of the catalog of machine types (GET, returns a [`Catalog`]).
-pub const CATALOG: &str = "/catalog";
+pub const CATALOG_PATH: &str = "/catalog";
 /// Path of the instances: launch (POST an [`InstanceRequest`]) and list (GET `?after=NAME&limit=N`).
-pub const MACHINES: &str = "/hosts";
+pub const INSTANCES_PATH: &str = "/hosts";
 /// Path for releasing instances (POST [`InstanceNames`]).
-pub const RELEASE: &str = "/hosts/release";
+pub const RELEASE_PATH: &str = "/hosts/release";
 
 /// The machine types that the cloud offers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -34,7 +34,7 @@
 pub use task::{AttemptRef, TaskEvent, TaskPhase, UnknownPhase};
 
 /// Maximum size of a frame in bytes, without its length prefix.
-pub const MAX_FRAME: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// The first frame on a connection. A receiver accepts messages of a node only from the connection with
 /// the newest (boot, generation), so that they may be lost but are never reordered.
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -4,15 +4,15 @@
 
 /// Path of the items: a single one (GET `/KEY`), or those under a prefix
 /// (GET `?under=PREFIX&after=KEY&limit=N`).
-pub const KV: &str = "/store";
+pub const ITEMS_PATH: &str = "/store";
 /// Path of transactions (POST a [`Transaction`]).
-pub const TXN: &str = "/multi";
+pub const TRANSACTIONS_PATH: &str = "/multi";
 /// Path of leases: grant (POST a [`LeaseRequest`]), renew (POST `/LEASE/touch`) and revoke
 /// (DELETE `/LEASE`).
-pub const LEASES: &str = "/holds";
+pub const LEASES_PATH: &str = "/holds";
 /// Path for watching changes after a revision (GET `?under=PREFIX&after=REVISION&waitMs=MS`). The
 /// response is delayed until there is a change.
-pub const WATCH: &str = "/changes";
+pub const WATCH_PATH: &str = "/changes";
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -5,13 +5,13 @@
 use thiserror::Error;
 
 /// Path of jobs: submit (POST), read the state (GET `/ID`) and cancel (POST `/ID/abort`).
-pub const JOBS: &str = "/submissions";
+pub const JOBS_PATH: &str = "/submissions";
 /// Last segment of the path that cancels a job.
-pub const CANCEL: &str = "abort";
+pub const CANCEL_SEGMENT: &str = "abort";
 /// Path of the health check, for the load balancer.
-pub const HEALTH: &str = "/up";
+pub const HEALTH_PATH: &str = "/up";
 /// Maximum size of a submission; a larger one is refused (400).
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 /// Minimum number of digits in a job's name. Shorter numbers are padded with zeros.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -4,11 +4,11 @@
 use std::fmt;
 
 /// Path of worker heartbeats at controllers (POST a [`WorkerHeartbeat`]).
-pub const REPORT: &str = "/checkin";
+pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Path of command batches at workers (POST a [`CommandBatch`]).
-pub const COMMANDS: &str = "/orders";
+pub const COMMANDS_PATH: &str = "/orders";
 /// Path of a worker's status at the worker (GET).
-pub const STATUS: &str = "/show";
+pub const STATUS_PATH: &str = "/show";
 
 /// The heartbeat of a worker, sent at an interval and on changes. It is also the worker's response to a
 /// command batch.
