--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -9,7 +9,7 @@
 use crate::quota::phase::LimitPhase;
 use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::QuotaAmount;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A job that has found no machine during this time yields its quota: what it could take of its
@@ -74,7 +74,7 @@
     }
 
     fn is_gang(&self) -> bool {
-        self.job.wire.kind == Kind::Gang
+        self.job.wire.kind == JobKind::Gang
     }
 
     fn queue(&self) -> TeamQueue {
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -8,7 +8,7 @@
 use crate::preemption::{victims, Candidate};
 use crate::quota::admission::QuotaStatus;
 use crate::stored::QuotaUse;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// Lesser work is preempted for this many tasks of a job at a time.
 const MAX_TASKS_PREEMPTED_FOR: u32 = 16;
@@ -54,7 +54,7 @@
                 continue;
             }
             let loss = lost_work(job, placement, need, now);
-            if job.wire.kind == Kind::Gang {
+            if job.wire.kind == JobKind::Gang {
                 gang.need.add(need, 1);
                 gang.loss += loss;
             } else {
@@ -85,7 +85,7 @@
         }
         let Some(job) = self.jobs.get(&id) else { return };
         let Some(QuotaUse { team, amount }) = ctx.team_use(job) else { return };
-        let gang = job.wire.kind == Kind::Gang;
+        let gang = job.wire.kind == JobKind::Gang;
         let wanted = if gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
         let fewest = if gang { wanted } else { 1 };
         let priority = job.wire.priority;
@@ -115,7 +115,7 @@
         let mut lesser = LesserWork { stopping: Resources::default(), candidates: Vec::new() };
         let jobs = self.jobs.values();
         let of_team = jobs
-            .filter(|job| job.wire.kind != Kind::Service && job.wire.priority < priority)
+            .filter(|job| job.wire.kind != JobKind::Service && job.wire.priority < priority)
             .filter(|job| ctx.team_use(job).is_some_and(|usage| usage.team == team));
         for job in of_team {
             lesser.add(job, ctx.now);
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -9,7 +9,7 @@
 use crate::jobs::Job;
 use crate::quota::admission::Admitted;
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use std::collections::{BTreeSet, HashMap};
 
 /// Answers to a request for offers are not waited for any longer than this.
@@ -43,7 +43,7 @@
 /// For how many tasks to request offers, when the round has `left` of its `max` tasks left. None: a
 /// gang that does not fit in what is left.
 fn requested_count(job: &Job, admitted: Admitted, max: u32, left: u32) -> Option<u32> {
-    if job.wire.kind == Kind::Gang {
+    if job.wire.kind == JobKind::Gang {
         return (job.pending() <= left).then(|| job.pending());
     }
     // What the grant covers; else what would be let in if lesser work of the team gave way.
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -7,7 +7,7 @@
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::{Job, RequestOutcome};
 use crate::quota::admission::QuotaStatus;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that has found room, but is held back by its team's limit, asks again after this time.
@@ -133,9 +133,9 @@
         let room = job.zone_room(&ctx.names.zones);
         let offered = offers.count_by_zone(room.len());
         // Replicas of a service go to different machines where they can.
-        let max_per_turn = if job.wire.kind == Kind::Service { 1 } else { u32::MAX };
+        let max_per_turn = if job.wire.kind == JobKind::Service { 1 } else { u32::MAX };
         let taken = offers.take(wanted, restrict_to_one_zone(job, &room, &offered), max_per_turn);
-        let whole = job.wire.kind != Kind::Gang || taken.len() as u32 == job.pending();
+        let whole = job.wire.kind != JobKind::Gang || taken.len() as u32 == job.pending();
         if taken.is_empty() || !whole {
             self.refuse(item, job, &offered, &room);
         } else {
@@ -166,7 +166,7 @@
         let covered = if holds(Guard::GrantKept) { fits } else { wanted };
         let found_room = offers.count().min(wanted);
         let is_limited = match job.wire.kind {
-            Kind::Gang => covered < wanted && found_room == wanted,
+            JobKind::Gang => covered < wanted && found_room == wanted,
             _ => covered == 0,
         };
         if found_room == 0 || !is_limited {
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -7,7 +7,7 @@
 use crate::jobs::Job;
 use crate::placed::Placement;
 use leaddeal_wire::mesh::{AttemptRef, ShardMessage, TaskEvent, TaskPhase};
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use leaddeal_wire::worker::{ExitReason, TaskState};
 
 /// A task whose machine was full or busy is requested again after this time.
@@ -97,7 +97,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.placed.set_phase(event.task, event.phase);
         // A gang that is to save must be stopped whole, and soon.
-        if event.phase == TaskPhase::On(TaskState::Saving) && job.wire.kind == Kind::Gang {
+        if event.phase == TaskPhase::On(TaskState::Saving) && job.wire.kind == JobKind::Gang {
             job.placed.stop_rest(job.wire.save_s + SAVE_MARGIN_S);
             self.unsettled_jobs.insert(id);
             self.next_resend = ctx.now;
@@ -111,7 +111,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let Some(placement) = job.placed.remove(event.task) else { return false };
         let is_done = matches!(event.phase, TaskPhase::Exited(ExitReason::Done, _));
-        if is_done && job.wire.kind != Kind::Service && !job.cancelled {
+        if is_done && job.wire.kind != JobKind::Service && !job.cancelled {
             self.task_done(ctx, id, event.task, &placement);
             return false;
         }
@@ -150,7 +150,7 @@
         delay_next_try(ctx, job, event.phase, placement);
         job.give_back(event.task);
         self.unplaced_jobs.insert(id);
-        if job.wire.kind == Kind::Gang {
+        if job.wire.kind == JobKind::Gang {
             // Won whole or not at all: the rest of the attempt stops.
             job.placed.stop_rest(0.0);
             self.unsettled_jobs.insert(id);
@@ -171,7 +171,7 @@
     let suspicion = &mut job.failure_suspicion;
     match phase {
         TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
-            if job.wire.kind == Kind::Service && job.placed.running() > 0 {
+            if job.wire.kind == JobKind::Service && job.placed.running() > 0 {
                 suspicion.ran_well();
             }
             let was_suspected = suspicion.is_suspected();
--- a/crates/core/src/jobs/backoff.rs
+++ b/crates/core/src/jobs/backoff.rs
@@ -1,7 +1,7 @@
 //! When a job that no participant had capacity for is requested again.
 use super::Job;
 use crate::ids::Timestamp;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// A late service that no machine had capacity for during this time may use machines with GPUs.
 const GPU_MACHINES_ALLOWED_AFTER_MS: u64 = 9000;
@@ -104,6 +104,6 @@
     pub fn may_use_gpu_machines(&self, now: Timestamp) -> bool {
         let late = self.urgency(now).missed_objectives > 0;
         let long = self.demand_unmet_ms(now).is_some_and(|ms| ms >= GPU_MACHINES_ALLOWED_AFTER_MS);
-        self.wire.kind == Kind::Service && late && long
+        self.wire.kind == JobKind::Service && late && long
     }
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -7,7 +7,7 @@
 use crate::names::{Names, Shape};
 use crate::placed::Placed;
 use crate::task_set::TaskSet;
-use leaddeal_wire::user::{self, JobState, Kind, Status};
+use leaddeal_wire::user::{self, JobKind, JobState, Status};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -108,7 +108,7 @@
             id: user::job_id(id.0),
             class: String::new(),
             team: String::new(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             priority: user::Priority::Low,
             tasks: 100_000,
             cpus: 0.0,
@@ -145,7 +145,7 @@
     /// Gangs start whole, and a suspected job in one place at a time.
     pub fn may_start(&self) -> bool {
         self.placed.is_empty()
-            || (self.wire.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
+            || (self.wire.kind != JobKind::Gang && !self.failure_suspicion.is_suspected())
     }
 
     /// Takes the next task to be placed.
@@ -181,7 +181,8 @@
     /// All tasks are done. A service never is.
     pub fn complete(&self) -> bool {
         let all = self.done.len() == self.wire.tasks;
-        self.wire.kind != Kind::Service && (all || !self.done.is_empty() && !holds(Guard::AllDone))
+        self.wire.kind != JobKind::Service
+            && (all || !self.done.is_empty() && !holds(Guard::AllDone))
     }
 
     /// What users see of it.
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -3,7 +3,7 @@
 use crate::names::Names;
 use crate::placed::Placement;
 use leaddeal_wire::settings::Objective;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 #[test]
 fn a_gang_waits_for_one_zone_until_that_has_nothing() {
@@ -11,7 +11,7 @@
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.wire = user::Job {
         class: "c".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::Normal,
         tasks: 4,
         one_zone: true,
@@ -113,7 +113,7 @@
 fn gangs_that_missed_all_aims_keep_their_order() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
-    job.wire.kind = Kind::Gang;
+    job.wire.kind = JobKind::Gang;
     // When its turn was, as a participant reckons it from what it is told.
     let turn = |job: &Job, now: Timestamp| {
         let line = job.queue_position(now).expect("a gang's");
--- a/crates/core/src/jobs/urgency.rs
+++ b/crates/core/src/jobs/urgency.rs
@@ -2,7 +2,7 @@
 use super::Job;
 use crate::ids::Timestamp;
 use leaddeal_wire::mesh;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 
 /// A job that waits for its first start for longer comes first among those of its priority.
 const MAX_WAIT_FOR_FIRST_START_MS: u64 = 110_000;
@@ -49,7 +49,7 @@
 
     /// A gang's position in the gang queue of a participant; none for other kinds of jobs.
     pub fn queue_position(&self, now: Timestamp) -> Option<mesh::QueuePosition> {
-        if self.wire.kind != Kind::Gang {
+        if self.wire.kind != JobKind::Gang {
             return None;
         }
         let urgency = self.urgency(now);
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -10,7 +10,7 @@
 use crate::ids::{ImageIdx, MachineIdx, ZoneIdx};
 use leaddeal_wire::cloud::MachineType;
 use leaddeal_wire::mesh;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use std::sync::Arc;
 
 mod catalog;
@@ -40,7 +40,7 @@
 impl Shape {
     /// Returns whether a task is expected to run for a long time: services and tasks with GPUs are.
     pub fn is_long_running(&self) -> bool {
-        self.wire.kind == Kind::Service || self.need.gpu > 0
+        self.wire.kind == JobKind::Service || self.need.gpu > 0
     }
 }
 
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -88,7 +88,7 @@
             return false;
         };
         // An array may run task by task; all tasks of the others run at the same time.
-        let tasks = if job.kind == user::Kind::Array { 1.0 } else { f64::from(job.tasks) };
+        let tasks = if job.kind == user::JobKind::Array { 1.0 } else { f64::from(job.tasks) };
         let within =
             |max: f64, per_task: f64| max == 0.0 || per_task * tasks <= max + LIMIT_TOLERANCE;
         self.fits_a_machine_type(job)
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -6,7 +6,7 @@
 use crate::machine::Machine;
 use crate::names::{created_no_later_than, Names, Resources};
 use leaddeal_wire::mesh::OfferRequest;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 
 /// What holds for a job on a type of machine, ordinary or spot.
 #[derive(Clone, Copy, Debug)]
@@ -105,7 +105,7 @@
         request: &OfferRequest,
     ) -> bool {
         // Services run for a long time, and would keep it when that work is over.
-        if request.shape.kind != Kind::Service && machine.has_gpu_work() {
+        if request.shape.kind != JobKind::Service && machine.has_gpu_work() {
             return true;
         }
         let name = ctx.names.machine_name(idx);
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -7,14 +7,14 @@
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::Shape as WireShape;
 use leaddeal_wire::mesh::TaskPhase;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::TaskState;
 use std::sync::Arc;
 
 const GPU_TASK: GpuNeed = GpuNeed { cpu: 10_000, gpu: 2000, mem: 38_000 };
 const WHOLE: Resources = Resources { cpu: 12_000, gpu: 2000, mem: 48_000 };
 
-fn shape(kind: Kind, cpu: u64) -> Shape {
+fn shape(kind: JobKind, cpu: u64) -> Shape {
     let wire = WireShape {
         kind,
         priority: Priority::Production,
@@ -37,7 +37,7 @@
 #[test]
 fn services_leave_gpu_room_whatever_short_tasks_run_now() {
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
-    let service = shape(Kind::Service, 2000);
+    let service = shape(JobKind::Service, 2000);
     assert_eq!(
         participant
             .spare_for_service(WHOLE, GpuMachineAccess::BesideKnownGpuWork)
@@ -47,7 +47,7 @@
     );
     participant.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
     let mut machine = Machine::new(1);
-    for (task, shape) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
+    for (task, shape) in [(0, shape(JobKind::Array, 9000)), (1, service.clone())] {
         let placed = TaskOnMachine::new(Some(shape), TaskPhase::On(TaskState::Running), 1);
         machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
@@ -94,13 +94,14 @@
     let mut machine = Machine::new(1);
     machine.machine_type = names.type_idx("small");
     for task in 0..4 {
-        let mut placed = TaskOnMachine::new(Some(shape(Kind::Array, 1000)), TaskPhase::Decided, 1);
+        let mut placed =
+            TaskOnMachine::new(Some(shape(JobKind::Array, 1000)), TaskPhase::Decided, 1);
         placed.stop = (task == 0).then_some(StopRequest { grace_s: 0.0, since: 1 });
         machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
     machine.update_load();
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
-    let need = shape(Kind::Service, 1000).need;
+    let need = shape(JobKind::Service, 1000).need;
     let idx = MachineIdx(0);
     let room = |participant: &Participant| {
         let soon =
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -10,7 +10,7 @@
 use crate::machine::Machine;
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tasks without GPUs that are estimated to take longer, in seconds, keep off ordinary GPU machines
@@ -121,7 +121,7 @@
         let request = item.request;
         let priority = request.shape.priority;
         let none_kept = BTreeSet::new();
-        let kept_for_gangs = if request.shape.kind == Kind::Array && request.shape.gpu == 0 {
+        let kept_for_gangs = if request.shape.kind == JobKind::Array && request.shape.gpu == 0 {
             let kept = kept_for_gangs.entry(priority);
             &*kept.or_insert_with(|| self.machines_kept_for_gangs(ctx, priority))
         } else {
@@ -245,7 +245,7 @@
         if free.fits(need) == 0 {
             return Err(self.capacity_obstacle(idx, machine, score.whole, need));
         }
-        if score.gpu_waste > 0 && search.shape.wire.kind == Kind::Service {
+        if score.gpu_waste > 0 && search.shape.wire.kind == JobKind::Service {
             let lasting_free = self.lasting_free(idx, machine, score.whole);
             let spare = self.spare_for_service(lasting_free, GpuMachineAccess::of(request));
             free.cpu = free.cpu.min(spare.cpu);
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -10,7 +10,7 @@
 use crate::ids::{JobId, Negotiation, Shard, ZoneIdx};
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// A negotiation's request while it is answered.
 struct OfferRound<'a> {
@@ -30,7 +30,7 @@
     types: &'a Option<Vec<String>>,
     need: Resources,
     priority: Priority,
-    kind: Kind,
+    kind: JobKind,
     allows_spot: bool,
     urgent: bool,
     may_use_gpu_machines: bool,
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -13,7 +13,7 @@
 use crate::names::{Resources, Shape};
 use crate::preemption::{victims, Candidate};
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use leaddeal_wire::worker::TaskState;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -68,7 +68,7 @@
 
     /// Whether the job waits for tasks to end by themselves, if none may be stopped for it.
     fn may_wait(&self) -> bool {
-        self.shape.wire.kind == Kind::Gang || self.request.shape.gpu > 0
+        self.shape.wire.kind == JobKind::Gang || self.request.shape.gpu > 0
     }
 }
 
@@ -260,7 +260,7 @@
         whole: Resources,
     ) -> bool {
         let need = search.shape.need;
-        if need.gpu > 0 || whole.gpu == 0 || search.shape.wire.kind != Kind::Service {
+        if need.gpu > 0 || whole.gpu == 0 || search.shape.wire.kind != JobKind::Service {
             return true;
         }
         let lasting_free = self.lasting_free(idx, machine, whole);
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -10,7 +10,7 @@
 use crate::machine::{AttemptKey, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::TaskState;
 
 /// Time between two moves.
@@ -30,7 +30,7 @@
 
 fn is_replica(task: &TaskOnMachine) -> bool {
     let shape = task.shape.as_ref();
-    !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == Kind::Service)
+    !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == JobKind::Service)
 }
 
 /// Whether the task has run for long enough to be moved.
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -10,7 +10,7 @@
 use crate::shard::{Owner, ShardView};
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::{Assignment, OfferRequest, QueuePosition, Shape as WireShape};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -112,8 +112,13 @@
     }
 }
 
-fn wanted(job: u64, kind: Kind, count: u32, queue_position: Option<QueuePosition>) -> OfferRequest {
-    let gang = kind == Kind::Gang;
+fn wanted(
+    job: u64,
+    kind: JobKind,
+    count: u32,
+    queue_position: Option<QueuePosition>,
+) -> OfferRequest {
+    let gang = kind == JobKind::Gang;
     let shape = WireShape {
         kind,
         priority: Priority::Normal,
@@ -173,11 +178,11 @@
     };
     // Two of its four tasks would fit: it is queued for the zone.
     let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
-    ask(&mut participant, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
-    assert_eq!(ask(&mut participant, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
+    ask(&mut participant, 200, 1, wanted(7, JobKind::Gang, 4, Some(line)));
+    assert_eq!(ask(&mut participant, 300, 2, wanted(8, JobKind::Array, 20, None)), 0, "kept off");
     assert_eq!(participant.reservations.count(JobId(8)), 0, "and it claims nothing");
     assert_eq!(
-        ask(&mut participant, 400, 3, wanted(7, Kind::Gang, 4, Some(line))),
+        ask(&mut participant, 400, 3, wanted(7, JobKind::Gang, 4, Some(line))),
         2,
         "the gang may"
     );
@@ -242,7 +247,7 @@
                    participant: &mut Participant,
                    now: Timestamp,
                    negotiation| {
-        let items = vec![wanted(8, Kind::Array, 1, None)];
+        let items = vec![wanted(8, JobKind::Array, 1, None)];
         let ask = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
         let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, ask));
         world.at(now, |context| {
@@ -282,7 +287,7 @@
         let mut world = World::new();
         let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = wanted(7, Kind::Array, 1, None).shape;
+        let shape = wanted(7, JobKind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
         world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
@@ -316,7 +321,7 @@
             world.horizons.on_cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = wanted(7, Kind::Array, 1, None).shape;
+        let shape = wanted(7, JobKind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         world.at(1100, |context| {
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -11,7 +11,7 @@
 use crate::names::Resources;
 use leaddeal_wire::cloud::InstanceRequest;
 use leaddeal_wire::mesh::UnmetDemand;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
@@ -111,7 +111,7 @@
     }
 
     fn needs_one_zone(&self) -> bool {
-        self.demand.shape.kind == Kind::Gang && self.demand.count > 1
+        self.demand.shape.kind == JobKind::Gang && self.demand.count > 1
     }
 
     fn allow_only_zone(&mut self, only: usize) {
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -11,7 +11,7 @@
 };
 use leaddeal_wire::settings::Settings;
 use leaddeal_wire::state::{Events, Page};
-use leaddeal_wire::user::{job_id, parse_job_id, Job, JobState, Kind, Priority, Status};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, JobState, Priority, Status};
 use leaddeal_wire::worker::{
     ExitReason, HeartbeatResponse, TaskId, TaskReport, TaskState, WorkerHeartbeat,
 };
@@ -68,7 +68,7 @@
             && j.gpus <= t.gpus
             && j.memory_gb <= t.memory_gb
     });
-    let at_once = if j.kind == Kind::Array { 1.0 } else { f64::from(j.tasks) };
+    let at_once = if j.kind == JobKind::Array { 1.0 } else { f64::from(j.tasks) };
     let within = match j.team.as_str() {
         "free" => true,
         "tight" => j.cpus * at_once <= 6.0 && j.gpus * at_once <= 1.0,
@@ -186,8 +186,8 @@
     select(all)
 }
 
-fn kind() -> impl Strategy<Value = Kind> + Clone {
-    select(vec![Kind::Array, Kind::Gang, Kind::Service])
+fn kind() -> impl Strategy<Value = JobKind> + Clone {
+    select(vec![JobKind::Array, JobKind::Gang, JobKind::Service])
 }
 
 fn state() -> impl Strategy<Value = TaskState> + Clone {
--- a/crates/testkit/src/coscheduling.rs
+++ b/crates/testkit/src/coscheduling.rs
@@ -2,7 +2,7 @@
 //! no gang completes that did not run for as long as it has to.
 use crate::broken_rule::{BrokenRule, Rule};
 use crate::worker::{job_of_task, CompletedTasks, Worker};
-use leaddeal_wire::user::{Job, Kind};
+use leaddeal_wire::user::{Job, JobKind};
 use leaddeal_wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -53,7 +53,7 @@
         jobs: &BTreeMap<String, Job>,
     ) -> Result<(), BrokenRule> {
         for (&(id, attempt), &running) in gangs {
-            let Some(job) = jobs.get(id).filter(|job| job.kind == Kind::Gang) else { continue };
+            let Some(job) = jobs.get(id).filter(|job| job.kind == JobKind::Gang) else { continue };
             let is_whole = running == job.tasks as usize;
             if self.started.insert((id.into(), attempt)) && !is_whole {
                 return Err(Rule::HalfGang
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -6,7 +6,7 @@
 use crate::user_knowledge::{RequestKind, UserKnowledge, UserRequest};
 use crate::worker::{job_of_task, Attempt, CompletedTasks, Worker, WorkerTask, ROUNDING};
 use leaddeal_wire::settings::Team;
-use leaddeal_wire::user::{Job, JobState, Kind, Status};
+use leaddeal_wire::user::{Job, JobKind, JobState, Status};
 use leaddeal_wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -310,7 +310,7 @@
             return Err(Rule::Invented.broken(id));
         };
         match status {
-            Status::Done if !done.all_of(job) || job.kind == Kind::Service => {
+            Status::Done if !done.all_of(job) || job.kind == JobKind::Service => {
                 Err(Rule::NotDone.broken(id))
             }
             Status::Cancelled if !self.cancel_asked.contains(id) => {
--- a/crates/testkit/src/served.rs
+++ b/crates/testkit/src/served.rs
@@ -1,6 +1,6 @@
 //! Which share of the jobs is served: by class, by team, and the largest jobs of each class. A day fails if
 //! less than half of any of them is served.
-use leaddeal_wire::user::{Job, Kind};
+use leaddeal_wire::user::{Job, JobKind};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Within this time the largest jobs have to start.
@@ -64,9 +64,9 @@
     /// A user wants this job from now on.
     pub fn submitted(&mut self, job: &Job, now: u64) {
         let class = match job.kind {
-            Kind::Array => "array",
-            Kind::Gang => "gang",
-            Kind::Service => "service",
+            JobKind::Array => "array",
+            JobKind::Gang => "gang",
+            JobKind::Service => "service",
         };
         let wanted = WantedJob {
             class,
--- a/crates/testkit/src/sim/jobs.rs
+++ b/crates/testkit/src/sim/jobs.rs
@@ -1,6 +1,6 @@
 //! The jobs that users submit.
 use super::Sim;
-use leaddeal_wire::user::{job_id, Job, Kind, Priority};
+use leaddeal_wire::user::{job_id, Job, JobKind, Priority};
 use rand::Rng;
 
 /// Identifiers of submitted jobs are multiples of this.
@@ -13,7 +13,7 @@
             id: String::new(),
             class: "x".into(),
             team: "free".into(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             priority: Priority::Low,
             tasks: 3,
             cpus: 1.0,
@@ -36,11 +36,11 @@
     /// A new job. The order of its fields is the order of the draws.
     pub(super) fn random_job(&mut self) -> Job {
         self.next_job += 1;
-        let kind =
-            [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][self.rng.random_range(0..4)];
+        let kind = [JobKind::Array, JobKind::Array, JobKind::Gang, JobKind::Service]
+            [self.rng.random_range(0..4)];
         let tasks = self.random_task_count(kind);
-        let needs_gpus = kind == Kind::Gang && self.plan.scale > 1;
-        let spread = kind == Kind::Service;
+        let needs_gpus = kind == JobKind::Gang && self.plan.scale > 1;
+        let spread = kind == JobKind::Service;
         let job = Job {
             id: job_id(self.next_job * JOB_ID_STEP),
             class: "x".into(),
@@ -57,7 +57,7 @@
             zone: self.rng.random_bool(0.1).then(|| "b".to_string()),
             one_zone: !spread && self.rng.random_bool(self.plan.one_zone_share),
             spread,
-            spot: kind != Kind::Service,
+            spot: kind != JobKind::Service,
             estimate_s: self.random_duration_s(),
             checkpoint_s: if self.rng.random_bool(0.3) { 3.0 } else { 0.0 },
             save_s: 1.0,
@@ -66,13 +66,13 @@
         self.with_gpus(job)
     }
 
-    fn random_task_count(&mut self, kind: Kind) -> u32 {
+    fn random_task_count(&mut self, kind: JobKind) -> u32 {
         let max_gang_tasks = self.plan.max_gang_tasks;
         match kind {
-            Kind::Array => self.rng.random_range(1..self.plan.array_tasks_limit),
-            Kind::Gang if max_gang_tasks > 1 => self.rng.random_range(1..=max_gang_tasks),
-            Kind::Gang => 1,
-            Kind::Service => self.rng.random_range(1..4),
+            JobKind::Array => self.rng.random_range(1..self.plan.array_tasks_limit),
+            JobKind::Gang if max_gang_tasks > 1 => self.rng.random_range(1..=max_gang_tasks),
+            JobKind::Gang => 1,
+            JobKind::Service => self.rng.random_range(1..4),
         }
     }
 
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -18,7 +18,7 @@
 use event::{EventQueue, PendingRequest, RequestId};
 use fault_windows::ActiveWindows;
 use leaddeal_wire::settings::Team;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use query_bursts::QueryBursts;
 use rand::rngs::SmallRng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -114,7 +114,7 @@
     /// Tasks of services that run somewhere and are wanted.
     pub fn replicas(&self) -> BTreeSet<String> {
         let is_service = |task: &str| {
-            self.rules.jobs.get(job_of_task(task)).is_some_and(|job| job.kind == Kind::Service)
+            self.rules.jobs.get(job_of_task(task)).is_some_and(|job| job.kind == JobKind::Service)
         };
         let up = self.workers.values().filter(|w| !w.gone && self.now >= w.hung_until);
         up.flat_map(Worker::running_tasks)
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -8,7 +8,7 @@
 use crate::user_knowledge::RequestKind;
 use leaddeal_core::ids::JobId;
 use leaddeal_core::io::Input;
-use leaddeal_wire::user::{job_id, parse_job_id, BadJob, Job, Kind};
+use leaddeal_wire::user::{job_id, parse_job_id, BadJob, Job, JobKind};
 use rand::Rng;
 use std::ops::Range;
 
@@ -179,7 +179,7 @@
         if self.now < until {
             self.schedule(SINGLE_TASK_JOB_INTERVAL_MS, Event::SingleTaskJob { until });
         }
-        let one_task = Job { kind: Kind::Array, tasks: 1, cpus: 1.0, ..self.random_job() };
+        let one_task = Job { kind: JobKind::Array, tasks: 1, cpus: 1.0, ..self.random_job() };
         let job = Job { spread: false, ..one_task };
         self.add_job(&job);
         if self.rng.random_ratio(1, 4) {
--- a/crates/testkit/src/sim/teams.rs
+++ b/crates/testkit/src/sim/teams.rs
@@ -1,6 +1,6 @@
 //! Teams, their limits and who works with GPUs.
 use super::{Plan, Sim, ZONES};
-use leaddeal_wire::user::{Job, Kind};
+use leaddeal_wire::user::{Job, JobKind};
 use rand::Rng;
 use serde_json::{json, Value};
 
@@ -66,13 +66,13 @@
 
     /// Some gangs and a few arrays need GPUs, too.
     pub(super) fn with_gpus(&mut self, mut job: Job) -> Job {
-        if !self.plan.has_few_gpus() || job.kind == Kind::Service {
+        if !self.plan.has_few_gpus() || job.kind == JobKind::Service {
             return job;
         }
-        let chance = if job.kind == Kind::Gang { 0.4 } else { 0.1 };
+        let chance = if job.kind == JobKind::Gang { 0.4 } else { 0.1 };
         if self.rng.random_bool(chance) {
             job.gpus = 1.0;
-            let max_tasks = if job.kind == Kind::Gang { GPU_LIMIT as u32 } else { job.tasks };
+            let max_tasks = if job.kind == JobKind::Gang { GPU_LIMIT as u32 } else { job.tasks };
             job.tasks = job.tasks.min(max_tasks);
         }
         job
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -8,7 +8,7 @@
 use leaddeal_core::keys;
 use leaddeal_core::stored::TerminalState;
 use leaddeal_wire::state::{Change, Transaction};
-use leaddeal_wire::user::{job_id, parse_job_id, Job, Kind, Status};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, Status};
 use rand::Rng;
 
 /// Between a submission and the first query.
@@ -119,7 +119,7 @@
     pub(super) fn next_submission(&mut self) -> Result<(), BrokenRule> {
         let job = self.random_job();
         self.add_job(&job);
-        let is_service = job.kind == Kind::Service;
+        let is_service = job.kind == JobKind::Service;
         if self.plan.faults && !is_service && self.rng.random_bool(0.04) {
             self.done.always_failing.insert(job.id.clone());
             self.cancel_within(&job.id, 20_000..60_000);
--- a/crates/testkit/src/starvation.rs
+++ b/crates/testkit/src/starvation.rs
@@ -1,7 +1,7 @@
 //! Jobs that are left waiting though a machine that fits has capacity and their team is under its limit.
 use crate::worker::{job_of_task, CompletedTasks, Worker, ROUNDING};
 use leaddeal_wire::settings::Team;
-use leaddeal_wire::user::{Job, Kind};
+use leaddeal_wire::user::{Job, JobKind};
 use std::collections::BTreeMap;
 
 /// A job that waits for this long beside free capacity starves.
@@ -77,7 +77,7 @@
 
 /// How many tasks of a job start together.
 fn least_tasks(job: &Job) -> usize {
-    if job.kind == Kind::Gang {
+    if job.kind == JobKind::Gang {
         job.tasks as usize
     } else {
         1
@@ -176,7 +176,7 @@
                 *tasks = (*tasks).min(allowed);
             }
         }
-        let tasks: usize = if job.one_zone && job.kind == Kind::Gang {
+        let tasks: usize = if job.one_zone && job.kind == JobKind::Gang {
             zones.into_values().max().unwrap_or(0)
         } else {
             zones.into_values().sum()
@@ -277,7 +277,7 @@
     ) -> Option<WaitingJob> {
         let team = teams.iter().find(|team| team.name == job.team)?;
         let is_waiting =
-            placed < job.tasks as usize && (job.kind != Kind::Gang || usage.placed(job) == 0);
+            placed < job.tasks as usize && (job.kind != JobKind::Gang || usage.placed(job) == 0);
         if !is_waiting || usage.allowed(job, team) < least_tasks(job) {
             return None;
         }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,5 +1,5 @@
 //! A stand-in for a machine's worker.
-use leaddeal_wire::user::{Job, Kind};
+use leaddeal_wire::user::{Job, JobKind};
 use leaddeal_wire::worker::{
     Command, CommandKind, ExitReason, TaskId, TaskReport, TaskState, WorkerHeartbeat,
 };
@@ -349,7 +349,7 @@
             exit_reason: refused,
             saved: false,
             until: now + if is_cached { 0 } else { FETCH_MS },
-            gang: job.is_some_and(|job| job.kind == Kind::Gang && job.tasks > 1),
+            gang: job.is_some_and(|job| job.kind == JobKind::Gang && job.tasks > 1),
         };
         self.tasks.insert(key, task);
         self.has_news = true;
@@ -419,7 +419,7 @@
     } else {
         task.state = TaskState::Running;
         task.until = match job.kind {
-            Kind::Service => u64::MAX,
+            JobKind::Service => u64::MAX,
             _ => now + (job.estimate_s * 1000.0) as u64,
         };
     }
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Teams at their limits: the rules hold whatever fails meanwhile, and what may not run costs nothing.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
-use leaddeal_wire::user::{Kind, Priority, Status};
+use leaddeal_wire::user::{JobKind, Priority, Status};
 use std::collections::BTreeSet;
 
 /// Team "tight" asks for several times its limit.
@@ -34,7 +34,7 @@
     let jobs = sim.rules.jobs.values();
     let those = jobs.filter(|j| {
         j.team == "tight"
-            && j.kind == Kind::Array
+            && j.kind == JobKind::Array
             && j.priority == priority
             && !sim.rules.cancel_asked.contains(&j.id)
     });
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -2,7 +2,7 @@
 //! checked after each step. Each plays until what it is about has happened often enough to say something.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
-use leaddeal_wire::user::{Kind, Status};
+use leaddeal_wire::user::{JobKind, Status};
 
 /// Leases take so much of the 30 s of a cancellation as at the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
@@ -131,8 +131,8 @@
             let told = sim.rules.acknowledged.iter().filter(|t| t.1 .0 == Status::Done);
             told.filter(|t| of(t.0)).count()
         };
-        over += done(Kind::Array);
-        assert!(done(Kind::Gang) > 0, "seed {seed}: no gang is done");
+        over += done(JobKind::Array);
+        assert!(done(JobKind::Gang) > 0, "seed {seed}: no gang is done");
     }
     assert!(over > 12, "only {over} arrays are done");
 }
--- a/crates/wire/src/mesh/placement.rs
+++ b/crates/wire/src/mesh/placement.rs
@@ -1,5 +1,5 @@
 //! Placement: what tasks need, what participants offer, and what coordinators assign.
-use crate::user::{Kind, Priority};
+use crate::user::{JobKind, Priority};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Shape {
     /// How the tasks of the job belong together.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority of the job.
     pub priority: Priority,
     /// Processors, in thousandths.
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -27,7 +27,7 @@
 
 /// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// A job array: tasks that run independently of each other.
     #[serde(rename = "sweep")]
     Array,
@@ -69,7 +69,7 @@
     pub team: String,
     /// How the tasks belong together.
     #[serde(rename = "rig")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority of the job.
     #[serde(rename = "precedence")]
     pub priority: Priority,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -3,7 +3,7 @@
     FirstInQueue, NodeMessage, QuotaAmount, ShardMessage, TaskEvent, TaskPhase, TeamGrant,
     TeamUsage,
 };
-use leaddeal_wire::user::{job_id, parse_job_id, Job, Kind, Priority};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, Priority};
 use leaddeal_wire::worker::{Command, CommandKind, ExitReason, TaskId, TaskState, WorkerHeartbeat};
 use leaddeal_wire::{cloud, settings::Settings, state};
 use serde_json::json;
@@ -17,7 +17,7 @@
         "passageS":240.0,"fixS":30.0,"stowS":4.0,"tideS":900.0,"new":1}"#,
     )
     .expect("the protocol's example");
-    assert_eq!((job.kind, job.priority, job.tasks), (Kind::Gang, Priority::High, 16));
+    assert_eq!((job.kind, job.priority, job.tasks), (JobKind::Gang, Priority::High, 16));
     assert_eq!(job.deadline_s, Some(900.0));
 
     let heartbeat: WorkerHeartbeat = serde_json::from_value(json!({"vessel":"n-000231",
