--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -15,7 +15,7 @@
 use crate::stored::{OperatorMachinesRecord, QuotaUse};
 use leaddeal_wire::mesh::{JobAnswer, NodeMessage, QuotaAmount, ShardMessage};
 use leaddeal_wire::state::{Change, Condition, Transaction};
-use leaddeal_wire::user::{self, JobState, Status};
+use leaddeal_wire::user::{self, JobState, JobStatus};
 use leaddeal_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
@@ -428,5 +428,5 @@
 
 /// The state of a job of which nothing is known but that it is there.
 pub(crate) fn queued(id: JobId) -> JobState {
-    JobState { id: user::job_id(id.0), status: Status::Queued, done: 0, running: 0 }
+    JobState { id: user::job_id(id.0), status: JobStatus::Queued, done: 0, running: 0 }
 }
--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -10,7 +10,7 @@
 use crate::keys;
 use crate::stored::TerminalState;
 use crate::writes::{PendingWrite, WriteOutcome};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 
 /// Before a cancellation that the state service refused is tried again.
 const RETRY_DELAY_MS: u64 = 500;
@@ -19,7 +19,7 @@
 
 /// What the variant without the guard `CancelledDurable` does: answers before the write.
 fn answer_before_durable(ctx: &mut Context, id: JobId, job: &mut Job) {
-    let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
+    let terminal = TerminalState { status: JobStatus::Cancelled, done: job.done.len() };
     for request in std::mem::take(&mut job.termination.requests) {
         ctx.reply_state(request, 200, job_state(id, terminal));
     }
@@ -50,7 +50,7 @@
             answer_before_durable(ctx, id, job);
         }
         if job.termination.status.is_none() && !job.complete() {
-            job.termination.status = Some(Status::Cancelled);
+            job.termination.status = Some(JobStatus::Cancelled);
             self.cancelling.insert(id);
             self.write_cancellations(ctx);
         }
@@ -84,7 +84,7 @@
     }
 
     fn new_cancellation(&self, id: JobId) -> PendingWrite {
-        let changes = self.terminal_changes(id, Status::Cancelled);
+        let changes = self.terminal_changes(id, JobStatus::Cancelled);
         let write = self.write(WriteClass::Cancellation, changes);
         if holds(Guard::CancelVersion) {
             write.with_idempotency_key(keys::terminal_state_key(self.shard, id), 0)
--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -10,7 +10,7 @@
 use crate::stored::CompletionRecord;
 use crate::writes::PendingWrite;
 use leaddeal_wire::state::Change;
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 use std::cmp::Reverse;
 
 /// Users expect to be told of a completed job within this time; beyond it, the write budget is told
@@ -41,7 +41,7 @@
 impl Draft {
     /// A job's terminal state with the changes that write it.
     fn add_terminal_state(&mut self, job: &mut Job, changes: Vec<Change>) {
-        job.termination.status = Some(Status::Done);
+        job.termination.status = Some(JobStatus::Done);
         let completed = std::mem::take(&mut job.completion.uncompacted);
         self.contents.completed.push((job.id, completed));
         self.contents.complete_jobs.push(job.id);
@@ -129,7 +129,7 @@
             ctx.budget.terminal_states_delayed(ctx.now);
         }
         for (_, id) in complete {
-            let changes = self.terminal_changes(id, Status::Done);
+            let changes = self.terminal_changes(id, JobStatus::Done);
             // The largest job has more chunks than the smallest store takes changes at once: alone
             // it may go beyond what there is budget for.
             let fits = draft.changes.len() + changes.len() <= max_changes;
@@ -141,7 +141,7 @@
             self.compaction.dirty_jobs.remove(&id);
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             // Cancelled meanwhile: that is its terminal state.
-            if job.cancelled || job.termination.status == Some(Status::Cancelled) {
+            if job.cancelled || job.termination.status == Some(JobStatus::Cancelled) {
                 continue;
             }
             draft.add_terminal_state(job, changes);
--- a/crates/core/src/coordinator/compaction/outcome.rs
+++ b/crates/core/src/coordinator/compaction/outcome.rs
@@ -9,7 +9,7 @@
 use crate::stored::TerminalState;
 use crate::writes::WriteOutcome;
 use leaddeal_wire::mesh::{AttemptRef, ShardMessage};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 use std::collections::BTreeMap;
 
 /// Before a compaction that the state service refused is tried again.
@@ -64,7 +64,7 @@
         }
         for id in contents.complete_jobs {
             let Some(job) = self.jobs.remove(&id) else { continue };
-            let terminal = TerminalState { status: Status::Done, done: job.done.len() };
+            let terminal = TerminalState { status: JobStatus::Done, done: job.done.len() };
             for request in job.termination.requests {
                 ctx.reply_state(request, 200, job_state(id, terminal));
             }
--- a/crates/core/src/coordinator/terminal_state.rs
+++ b/crates/core/src/coordinator/terminal_state.rs
@@ -8,7 +8,7 @@
 use crate::stored::TerminalState;
 use crate::task_set::TASKS_PER_CHUNK;
 use leaddeal_wire::state::Change;
-use leaddeal_wire::user::{JobState, Status};
+use leaddeal_wire::user::{JobState, JobStatus};
 
 /// Tells users that wait for a job's terminal state to ask again: the outcome of its write is not
 /// known yet.
@@ -21,7 +21,7 @@
 impl Coordinator {
     /// The changes that write a job's terminal state and delete its other records; none if the job
     /// is not known.
-    pub(super) fn terminal_changes(&self, id: JobId, status: Status) -> Vec<Change> {
+    pub(super) fn terminal_changes(&self, id: JobId, status: JobStatus) -> Vec<Change> {
         let Some(job) = self.jobs.get(&id) else {
             return Vec::new();
         };
@@ -45,7 +45,7 @@
     /// A cancelled job without tasks left: only its terminal state remains.
     pub(super) fn drop_cancelled(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id).filter(|job| !job.is_tombstone()) else { return };
-        let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
+        let terminal = TerminalState { status: JobStatus::Cancelled, done: job.done.len() };
         self.closed.insert(id, terminal);
     }
 
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -7,7 +7,7 @@
 use crate::names::{Names, Shape};
 use crate::placed::Placed;
 use crate::task_set::TaskSet;
-use leaddeal_wire::user::{self, JobKind, JobState, Status};
+use leaddeal_wire::user::{self, JobKind, JobState, JobStatus};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -189,9 +189,9 @@
     pub fn state(&self) -> JobState {
         let running = self.placed.running();
         let status = match (self.cancelled, running) {
-            (true, _) => Status::Cancelled,
-            (false, 0) => Status::Queued,
-            (false, _) => Status::Running,
+            (true, _) => JobStatus::Cancelled,
+            (false, 0) => JobStatus::Queued,
+            (false, _) => JobStatus::Running,
         };
         JobState { id: user::job_id(self.id.0), status, done: self.done.len(), running }
     }
--- a/crates/core/src/stored.rs
+++ b/crates/core/src/stored.rs
@@ -5,7 +5,7 @@
 //! a later version adds are ignored.
 use crate::ids::{Attempt, JobId, ZoneIdx};
 use leaddeal_wire::mesh::QuotaAmount;
-use leaddeal_wire::user::{self, Status};
+use leaddeal_wire::user::{self, JobStatus};
 use serde::ser::SerializeSeq;
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::Value;
@@ -186,8 +186,8 @@
 /// The terminal state of a job: its final status, and how many of its tasks are done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TerminalState {
-    /// [`Status::Done`] or [`Status::Cancelled`].
-    pub status: Status,
+    /// [`JobStatus::Done`] or [`JobStatus::Cancelled`].
+    pub status: JobStatus,
     /// How many tasks are done.
     pub done: u32,
 }
@@ -198,7 +198,7 @@
 impl TerminalState {
     /// Encodes the record as the value to store.
     pub fn encode(&self) -> Value {
-        let status = if self.status == Status::Done { DONE } else { CANCELLED };
+        let status = if self.status == JobStatus::Done { DONE } else { CANCELLED };
         encode(&(status, self.done))
     }
 
@@ -206,8 +206,8 @@
     pub fn decode(value: &Value) -> Result<TerminalState, RecordError> {
         let invalid = |part| RecordError::InvalidPart { kind: "terminal state", part };
         let status = match value[0].as_str() {
-            Some(DONE) => Status::Done,
-            Some(CANCELLED) => Status::Cancelled,
+            Some(DONE) => JobStatus::Done,
+            Some(CANCELLED) => JobStatus::Cancelled,
             _ => return Err(invalid("status")),
         };
         let done = value[1].as_u64().ok_or_else(|| invalid("number of tasks"))?;
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -11,7 +11,7 @@
 };
 use leaddeal_wire::settings::Settings;
 use leaddeal_wire::state::{Events, Page};
-use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, JobState, Priority, Status};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, JobState, JobStatus, Priority};
 use leaddeal_wire::worker::{
     ExitReason, HeartbeatResponse, TaskId, TaskReport, TaskState, WorkerHeartbeat,
 };
@@ -513,7 +513,7 @@
         Just(JobAnswer::Later),
         Just(JobAnswer::State(JobState {
             id: "x".into(),
-            status: Status::Done,
+            status: JobStatus::Done,
             done: 1,
             running: 9
         })),
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -6,7 +6,7 @@
 use crate::user_knowledge::{RequestKind, UserKnowledge, UserRequest};
 use crate::worker::{job_of_task, Attempt, CompletedTasks, Worker, WorkerTask, ROUNDING};
 use leaddeal_wire::settings::Team;
-use leaddeal_wire::user::{Job, JobKind, JobState, Status};
+use leaddeal_wire::user::{Job, JobKind, JobState, JobStatus};
 use leaddeal_wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -77,7 +77,7 @@
     /// Jobs whose users want them cancelled.
     pub cancel_asked: BTreeSet<String>,
     /// Terminal states that users were told, and when.
-    pub acknowledged: BTreeMap<String, (Status, u64)>,
+    pub acknowledged: BTreeMap<String, (JobStatus, u64)>,
     placements: BTreeSet<Placement>,
     /// How many attempts started.
     pub starts: usize,
@@ -147,7 +147,7 @@
     /// How long ago the task's user was told that its job is cancelled.
     fn ms_since_confirmed_cancel(&self, now: u64, task: &str) -> Option<u64> {
         match self.acknowledged.get(job_of_task(task)) {
-            Some((Status::Cancelled, at)) => Some(now - at),
+            Some((JobStatus::Cancelled, at)) => Some(now - at),
             _ => None,
         }
     }
@@ -292,7 +292,7 @@
         if request.kind == RequestKind::Cancel {
             self.unanswered_cancels.remove(id);
         }
-        if matches!(state.status, Status::Done | Status::Cancelled) {
+        if matches!(state.status, JobStatus::Done | JobStatus::Cancelled) {
             self.acknowledge(now, id, state.status)?;
         }
         self.accepted.insert(id.into());
@@ -303,28 +303,30 @@
     fn check_status(
         &self,
         id: &str,
-        status: Status,
+        status: JobStatus,
         done: &CompletedTasks,
     ) -> Result<(), BrokenRule> {
         let Some(job) = self.jobs.get(id) else {
             return Err(Rule::Invented.broken(id));
         };
         match status {
-            Status::Done if !done.all_of(job) || job.kind == JobKind::Service => {
+            JobStatus::Done if !done.all_of(job) || job.kind == JobKind::Service => {
                 Err(Rule::NotDone.broken(id))
             }
-            Status::Cancelled if !self.cancel_asked.contains(id) => {
+            JobStatus::Cancelled if !self.cancel_asked.contains(id) => {
                 Err(Rule::WentBack.broken(format!("{id} cancelled by nobody")))
             }
-            Status::Done | Status::Cancelled | Status::Queued | Status::Running => Ok(()),
+            JobStatus::Done | JobStatus::Cancelled | JobStatus::Queued | JobStatus::Running => {
+                Ok(())
+            }
         }
     }
 
     /// A user is told a terminal state. Of two answers that were asked for before either came, both can't
     /// be true.
-    fn acknowledge(&mut self, now: u64, id: &str, status: Status) -> Result<(), BrokenRule> {
+    fn acknowledge(&mut self, now: u64, id: &str, status: JobStatus) -> Result<(), BrokenRule> {
         let is_first = !self.acknowledged.contains_key(id);
-        let had_ended = status == Status::Cancelled && self.ended_before_cancel.contains(id);
+        let had_ended = status == JobStatus::Cancelled && self.ended_before_cancel.contains(id);
         self.ended_but_cancelled += usize::from(is_first && had_ended);
         let (was, _) = *self.acknowledged.entry(id.into()).or_insert((status, now));
         if was != status {
--- a/crates/testkit/src/sim/preload.rs
+++ b/crates/testkit/src/sim/preload.rs
@@ -6,7 +6,7 @@
 use leaddeal_core::keys;
 use leaddeal_core::stored::TerminalState;
 use leaddeal_wire::state::{Change, Transaction};
-use leaddeal_wire::user::{job_id, Job, Status};
+use leaddeal_wire::user::{job_id, Job, JobStatus};
 use serde_json::{json, Value};
 
 /// Identifiers of jobs whose records do not decode begin here.
@@ -49,7 +49,7 @@
         for number in 0..self.plan.preloaded_terminal_jobs {
             let id = JobId(FIRST_TERMINAL_JOB + number);
             let key = keys::terminal_state_key(shard_of_job(id, NODES), id);
-            let done = TerminalState { status: Status::Done, done: 1 };
+            let done = TerminalState { status: JobStatus::Done, done: 1 };
             put(&mut self.state, key, done.encode());
         }
         for number in 0..self.plan.preloaded_open_jobs {
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -8,7 +8,7 @@
 use leaddeal_core::keys;
 use leaddeal_core::stored::TerminalState;
 use leaddeal_wire::state::{Change, Transaction};
-use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, Status};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, JobStatus};
 use rand::Rng;
 
 /// Between a submission and the first query.
@@ -39,7 +39,7 @@
             let Some(id) = keys::parse_job_key(key).filter(|_| key.starts_with("f/")) else {
                 continue;
             };
-            if let (Ok(TerminalState { status: Status::Done, .. }), Some(ended_at)) =
+            if let (Ok(TerminalState { status: JobStatus::Done, .. }), Some(ended_at)) =
                 (TerminalState::decode(value), self.done.last(&job_id(id.0)))
             {
                 self.observations.finals.push((self.now, self.now.saturating_sub(ended_at)));
--- a/crates/testkit/src/user_knowledge.rs
+++ b/crates/testkit/src/user_knowledge.rs
@@ -1,6 +1,6 @@
 //! What a user knows of its job, and which answers are older than that.
 use crate::broken_rule::{BrokenRule, Rule};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 
 /// The newest thing that any controller told a user of its job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -11,7 +11,7 @@
     /// The job was accepted.
     Accepted,
     /// The job has reached this terminal state.
-    Over(Status),
+    Over(JobStatus),
 }
 
 /// The kinds of requests that users send.
@@ -39,7 +39,7 @@
 
 impl UserRequest {
     /// The rule that an answer with this HTTP status and this state of the job breaks, if any.
-    pub fn broken_by(&self, http_status: u16, reported: Option<Status>) -> Option<BrokenRule> {
+    pub fn broken_by(&self, http_status: u16, reported: Option<JobStatus>) -> Option<BrokenRule> {
         let (id, kind) = (&self.job, self.kind);
         match (self.knew, reported) {
             (UserKnowledge::Nothing, None) => None,
@@ -53,7 +53,7 @@
                 Some(Rule::AcceptedTwice.broken(format!("{id} after {knew:?}")))
             }
             (_, Some(status)) if kind == RequestKind::Cancel => {
-                (!matches!(status, Status::Done | Status::Cancelled))
+                (!matches!(status, JobStatus::Done | JobStatus::Cancelled))
                     .then(|| Rule::NotCancelled.broken(format!("{id} is answered {status:?}")))
             }
             _ => None,
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Teams at their limits: the rules hold whatever fails meanwhile, and what may not run costs nothing.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
-use leaddeal_wire::user::{JobKind, Priority, Status};
+use leaddeal_wire::user::{JobKind, JobStatus, Priority};
 use std::collections::BTreeSet;
 
 /// Team "tight" asks for several times its limit.
@@ -41,7 +41,7 @@
     let (mut n, mut of) = (0, 0);
     for j in those {
         of += 1;
-        n += usize::from(sim.rules.acknowledged.get(&j.id).is_some_and(|t| t.0 == Status::Done));
+        n += usize::from(sim.rules.acknowledged.get(&j.id).is_some_and(|t| t.0 == JobStatus::Done));
     }
     (n, of)
 }
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -3,7 +3,7 @@
 use common::{cancel, crash, plan, played, CANCEL_MS};
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sabotage, Sim, BEGIN};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 
 mod common;
 
@@ -23,7 +23,8 @@
         let mut sim = Sim::new(plan(seed, 140, script.to_vec()));
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         let window = BEGIN + 60_000..BEGIN + 64_000;
-        let cancelled = |t: &&(Status, u64)| t.0 == Status::Cancelled && window.contains(&t.1);
+        let cancelled =
+            |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && window.contains(&t.1);
         told += sim.rules.acknowledged.values().filter(cancelled).count();
     }
     assert!(told > 20, "{what}: only {told} cancellations were told");
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -3,7 +3,7 @@
 use common::{cancel, crash, plan, played, CANCEL_MS, LEASE_MS};
 use leaddeal_testkit::script::{Fault, OwnerChange, Written};
 use leaddeal_testkit::sim::{Plan, Sim, BEGIN};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 
 mod common;
 
@@ -193,7 +193,7 @@
         sim.run_to(46_000).unwrap_or_else(|e| panic!("{e}"));
         let cancelled = |task: &String| {
             let told = sim.rules.acknowledged.get(task.split('/').next().unwrap_or_default());
-            told.is_some_and(|t| t.0 == Status::Cancelled && t.1 < BEGIN + 43_500)
+            told.is_some_and(|t| t.0 == JobStatus::Cancelled && t.1 < BEGIN + 43_500)
         };
         let late: Vec<_> =
             sim.tasks_behind_outbound_partitions().into_iter().filter(cancelled).collect();
@@ -339,7 +339,7 @@
                 sim.run().unwrap_or_else(|e| panic!("in the very moment: {e}"));
                 let window = BEGIN + 60_000..BEGIN + 64_000;
                 let cancelled =
-                    |t: &&(Status, u64)| t.0 == Status::Cancelled && window.contains(&t.1);
+                    |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && window.contains(&t.1);
                 told += sim.rules.acknowledged.values().filter(cancelled).count();
             }
         }
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -2,7 +2,7 @@
 //! checked after each step. Each plays until what it is about has happened often enough to say something.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
-use leaddeal_wire::user::{JobKind, Status};
+use leaddeal_wire::user::{JobKind, JobStatus};
 
 /// Leases take so much of the 30 s of a cancellation as at the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
@@ -33,7 +33,7 @@
             let most = sim.rules.peak_usage.get(&t.name).copied().unwrap_or_default();
             assert!(most.0 >= t.cpus_max - 1.0, "{what}: {} used {most:?} at the most", t.name);
         }
-        let cancelled = |t: &&(Status, u64)| t.0 == Status::Cancelled && t.1 > BEGIN + from;
+        let cancelled = |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && t.1 > BEGIN + from;
         told += sim.rules.acknowledged.values().filter(cancelled).count();
     }
     assert!(told > 20, "{what}: only {told} cancellations were told");
@@ -128,7 +128,7 @@
         let done = |kind| {
             let of =
                 |id: &String| sim.rules.jobs.get(id).is_some_and(|j| j.kind == kind && j.tasks > 1);
-            let told = sim.rules.acknowledged.iter().filter(|t| t.1 .0 == Status::Done);
+            let told = sim.rules.acknowledged.iter().filter(|t| t.1 .0 == JobStatus::Done);
             told.filter(|t| of(t.0)).count()
         };
         over += done(JobKind::Array);
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -2,7 +2,7 @@
 //! The rules are checked after each step, and each answer against what its user knew before it asked.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, Teams};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 
 const LEASE_MS: u64 = 17_000;
 const SECONDS: u64 = 110;
@@ -36,8 +36,8 @@
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         assert_eq!(sim.unacknowledged(UNTOLD_MS), Vec::<String>::new(), "{what}, seed {seed}");
         let told = |status| sim.rules.acknowledged.values().filter(|t| t.0 == status).count();
-        all.done += told(Status::Done);
-        all.cancelled += told(Status::Cancelled);
+        all.done += told(JobStatus::Done);
+        all.cancelled += told(JobStatus::Cancelled);
         all.starts += sim.rules.starts;
         all.slips += sim.rules.starts_after_cancel;
         all.latest_slip_ms = all.latest_slip_ms.max(sim.rules.latest_start_after_cancel_ms);
@@ -255,7 +255,7 @@
     let mut sim = Sim::new(Plan { team_cpu_limit: 6.0, lease_ms: LEASE_MS, ..plan });
     sim.run().unwrap_or_else(|e| panic!("{e}"));
     let told = |status| sim.rules.acknowledged.values().filter(|t| t.0 == status).count();
-    let (done, cancelled) = (told(Status::Done), told(Status::Cancelled));
+    let (done, cancelled) = (told(JobStatus::Done), told(JobStatus::Cancelled));
     println!("{done} done, {cancelled} cancelled, {} slips", sim.rules.starts_after_cancel);
     assert!(done > 300 && cancelled > 120, "{done} done, {cancelled} cancelled");
 }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -198,7 +198,7 @@
 
 /// Status of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Status {
+pub enum JobStatus {
     /// Accepted and not done, but no task is running.
     #[serde(rename = "queued")]
     Queued,
@@ -219,7 +219,7 @@
     /// Name of the job.
     pub id: String,
     /// Status of the job.
-    pub status: Status,
+    pub status: JobStatus,
     /// Number of tasks that are done.
     #[serde(default)]
     pub done: u32,
