--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -2,7 +2,7 @@
 use crate::ids::{JobId, Timestamp};
 use leaddeal_wire::mesh::NodeMessage;
 use leaddeal_wire::state::{Events, Item, Page, Transaction};
-use leaddeal_wire::user::{BadJob, Job, JobState};
+use leaddeal_wire::user::{Job, JobError, JobState};
 use leaddeal_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
 use leaddeal_wire::{cloud, mesh};
 
@@ -23,7 +23,7 @@
         /// The job's number.
         id: Option<JobId>,
         /// The job, or why it can't be read.
-        job: Result<Box<Job>, BadJob>,
+        job: Result<Box<Job>, JobError>,
     },
     /// A user asks for a job's state.
     Get {
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -28,7 +28,7 @@
         effects: &mut Effects,
         req: RequestId,
         id: Option<JobId>,
-        job: Result<Box<user::Job>, user::BadJob>,
+        job: Result<Box<user::Job>, user::JobError>,
     ) {
         let Some(id) = id else {
             let rejection = SubmissionRejection::Malformed;
--- a/crates/testkit/src/invalid_submissions.rs
+++ b/crates/testkit/src/invalid_submissions.rs
@@ -1,5 +1,5 @@
 //! Submissions that must never be accepted: they lack a field, have an impossible value, or can never run.
-use leaddeal_wire::user::{BadJob, Job};
+use leaddeal_wire::user::{Job, JobError};
 use serde_json::{json, Value};
 
 /// A submission that a controller must refuse.
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     /// The reason why the body is not a job, if it is malformed.
-    pub fn parse(&self) -> Result<Job, BadJob> {
+    pub fn parse(&self) -> Result<Job, JobError> {
         Job::parse(&self.body)
     }
 }
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -8,7 +8,7 @@
 use crate::user_knowledge::RequestKind;
 use leaddeal_core::ids::JobId;
 use leaddeal_core::io::Input;
-use leaddeal_wire::user::{job_id, parse_job_id, BadJob, Job, JobKind};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobError, JobKind};
 use rand::Rng;
 use std::ops::Range;
 
@@ -163,14 +163,14 @@
     }
 
     /// What the gateway gives to the core; with sabotage, what is wrong with the submission is mistaken.
-    fn parse_invalid(&self, invalid: &InvalidSubmission, valid: Job) -> Result<Job, BadJob> {
+    fn parse_invalid(&self, invalid: &InvalidSubmission, valid: Job) -> Result<Job, JobError> {
         if self.plan.sabotage != Sabotage::MisparsedSubmissions {
             return invalid.parse();
         }
         if invalid.status == 400 {
             Ok(valid)
         } else {
-            Err(BadJob::Range("any"))
+            Err(JobError::Range("any"))
         }
     }
 
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -122,7 +122,7 @@
 /// Why a submission is invalid. This is always the caller's mistake (400): a retry with the same bytes
 /// can't succeed.
 #[derive(Debug, Error)]
-pub enum BadJob {
+pub enum JobError {
     /// The body is not JSON, or a field is missing or has the wrong type.
     #[error("not a job: {0}")]
     Parse(#[from] serde_json::Error),
@@ -140,14 +140,14 @@
     /// # Errors
     /// Returns an error if the body is not the JSON of a job, or if a value is out of range. The error
     /// then names the first such field.
-    pub fn parse(body: &[u8]) -> Result<Job, BadJob> {
+    pub fn parse(body: &[u8]) -> Result<Job, JobError> {
         let value: Value = serde_json::from_slice(body)?;
         if !value.is_object() {
-            return Err(BadJob::NotAnObject);
+            return Err(JobError::NotAnObject);
         }
         let job: Job = serde_json::from_value(value)?;
         match job.field_out_of_range() {
-            Some(field) => Err(BadJob::Range(field)),
+            Some(field) => Err(JobError::Range(field)),
             None => Ok(job),
         }
     }
