--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -170,7 +170,7 @@
     let now = ctx.now;
     let suspicion = &mut job.failure_suspicion;
     match phase {
-        TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
+        TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::JobNotFound, _) => {
             if job.wire.kind == JobKind::Service && job.placed.running() > 0 {
                 suspicion.ran_well();
             }
@@ -181,7 +181,10 @@
                 ctx.effects.log(LogLevel::Info, "job_suspected", || name.clone());
             }
         }
-        TaskPhase::Exited(ExitReason::Full | ExitReason::Busy, _) => {
+        TaskPhase::Exited(
+            ExitReason::InsufficientResources | ExitReason::OtherAttemptPresent,
+            _,
+        ) => {
             job.not_before = now + BUSY_RETRY_INTERVAL_MS;
         }
         _ if suspicion.is_suspected() => {}
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -66,7 +66,7 @@
                 self.ran_well.push(job);
                 self.images.extend(shape.map(image_of));
             }
-            TaskPhase::Exited(ExitReason::Full, _) => self.disk_full = true,
+            TaskPhase::Exited(ExitReason::InsufficientResources, _) => self.disk_full = true,
             _ => {}
         }
     }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -199,13 +199,13 @@
     let all = [
         ExitReason::Done,
         ExitReason::Stopped,
-        ExitReason::Peers,
-        ExitReason::Alone,
+        ExitReason::GangMembersLost,
+        ExitReason::GangIncomplete,
         ExitReason::Error,
-        ExitReason::Full,
-        ExitReason::Busy,
+        ExitReason::InsufficientResources,
+        ExitReason::OtherAttemptPresent,
     ];
-    select([&all[..], &[ExitReason::Unknown, ExitReason::Other]].concat())
+    select([&all[..], &[ExitReason::JobNotFound, ExitReason::Other]].concat())
 }
 
 fn report() -> impl Strategy<Value = WorkerHeartbeat> {
--- a/crates/testkit/src/gangs.rs
+++ b/crates/testkit/src/gangs.rs
@@ -121,7 +121,7 @@
     /// The members on workers that act exit; a machine that hangs notices when it goes on.
     fn exit_where_noticed(&mut self) {
         let here: Vec<Member> = self.members.iter().filter(|m| self.acts(m)).cloned().collect();
-        exit(self.workers, &here, ExitReason::Peers, false);
+        exit(self.workers, &here, ExitReason::GangMembersLost, false);
     }
 }
 
@@ -157,7 +157,7 @@
         for worker in workers.values().filter(|w| !w.gone) {
             for (key, task) in worker.tasks.iter().filter(|(_, task)| task.gang) {
                 let member = (key.clone(), worker.name.clone());
-                if task.exit_reason == Some(ExitReason::Alone) {
+                if task.exit_reason == Some(ExitReason::GangIncomplete) {
                     self.alone.insert(member.clone());
                 }
                 if matches!(task.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -285,7 +285,7 @@
                         start_fetched(task, name, job, now, done);
                     }
                 }
-                TaskState::Waiting => task.exit(ExitReason::Alone),
+                TaskState::Waiting => task.exit(ExitReason::GangIncomplete),
                 // Gangs advance together.
                 TaskState::Running | TaskState::Saving if task.gang => continue,
                 TaskState::Running => {
@@ -362,14 +362,14 @@
         job: Option<&Job>,
         jobs: &BTreeMap<String, Job>,
     ) -> Option<ExitReason> {
-        let Some(job) = job else { return Some(ExitReason::Unknown) };
+        let Some(job) = job else { return Some(ExitReason::JobNotFound) };
         if self.tasks.iter().any(|(key, task)| key.0 == name && task.is_on_machine()) {
-            return Some(ExitReason::Busy);
+            return Some(ExitReason::OtherAttemptPresent);
         }
         let (cpus, gpus) = self.used(jobs);
         let is_full =
             cpus + job.cpus > self.cpus + ROUNDING || gpus + job.gpus > self.gpus + ROUNDING;
-        is_full.then_some(ExitReason::Full)
+        is_full.then_some(ExitReason::InsufficientResources)
     }
 
     /// Stops a task, which saves its progress if it can and is given the time.
--- a/crates/wire/src/mesh/task.rs
+++ b/crates/wire/src/mesh/task.rs
@@ -30,12 +30,12 @@
 const EXIT_REASONS: [ExitReason; 9] = [
     ExitReason::Done,
     ExitReason::Stopped,
-    ExitReason::Peers,
-    ExitReason::Alone,
+    ExitReason::GangMembersLost,
+    ExitReason::GangIncomplete,
     ExitReason::Error,
-    ExitReason::Full,
-    ExitReason::Busy,
-    ExitReason::Unknown,
+    ExitReason::InsufficientResources,
+    ExitReason::OtherAttemptPresent,
+    ExitReason::JobNotFound,
     ExitReason::Other,
 ];
 /// Number of [`TaskPhase::Decided`].
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -91,17 +91,22 @@
     /// It was told to stop.
     Stopped,
     /// Other tasks of its gang were lost while it was running.
-    Peers,
+    #[serde(rename = "peers")]
+    GangMembersLost,
     /// Other tasks of its gang did not become ready within the time that a gang waits.
-    Alone,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     /// It failed.
     Error,
     /// The worker refused it: the machine does not have the free resources.
-    Full,
+    #[serde(rename = "full")]
+    InsufficientResources,
     /// The worker refused it: another attempt of the task is still on the machine.
-    Busy,
+    #[serde(rename = "busy")]
+    OtherAttemptPresent,
     /// The worker refused it: it does not find the task's job.
-    Unknown,
+    #[serde(rename = "unknown")]
+    JobNotFound,
     /// A reason that this version does not know, treated like an error.
     #[serde(other)]
     Other,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -94,17 +94,17 @@
     let reasons = [
         ExitReason::Done,
         ExitReason::Stopped,
-        ExitReason::Peers,
-        ExitReason::Alone,
+        ExitReason::GangMembersLost,
+        ExitReason::GangIncomplete,
         ExitReason::Error,
-        ExitReason::Full,
-        ExitReason::Busy,
+        ExitReason::InsufficientResources,
+        ExitReason::OtherAttemptPresent,
     ];
     let ends = reasons
         .iter()
         .flat_map(|reason| [TaskPhase::Exited(*reason, false), TaskPhase::Exited(*reason, true)]);
     let others =
-        [TaskPhase::Decided, TaskPhase::Gone, TaskPhase::Exited(ExitReason::Unknown, false)];
+        [TaskPhase::Decided, TaskPhase::Gone, TaskPhase::Exited(ExitReason::JobNotFound, false)];
     let phases = states.into_iter().map(TaskPhase::On).chain(ends).chain(others);
     let events: Vec<TaskEvent> = phases
         .map(|phase| TaskEvent {
