--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -176,7 +176,7 @@
 fn reported_phase(report: &TaskReport) -> TaskPhase {
     match report.state {
         TaskState::Exited => {
-            let reason = report.why.unwrap_or(ExitReason::Other);
+            let reason = report.exit_reason.unwrap_or(ExitReason::Other);
             TaskPhase::Exited(reason, report.saved.unwrap_or(false))
         }
         state => TaskPhase::On(state),
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -195,7 +195,7 @@
     select([&all[..], &[TaskState::Exited]].concat())
 }
 
-fn why() -> impl Strategy<Value = ExitReason> + Clone {
+fn exit_reason() -> impl Strategy<Value = ExitReason> + Clone {
     let all = [
         ExitReason::Done,
         ExitReason::Stopped,
@@ -209,14 +209,15 @@
 }
 
 fn report() -> impl Strategy<Value = WorkerHeartbeat> {
-    let task = (prop::option::of((number(), small())), number(), state(), prop::option::of(why()))
-        .prop_map(|(task, attempt, state, why)| TaskReport {
-            task: task.map(|(job, task)| TaskId { job, task }),
-            attempt,
-            state,
-            why,
-            saved: None,
-        });
+    let task =
+        (prop::option::of((number(), small())), number(), state(), prop::option::of(exit_reason()))
+            .prop_map(|(task, attempt, state, exit_reason)| TaskReport {
+                task: task.map(|(job, task)| TaskId { job, task }),
+                attempt,
+                state,
+                exit_reason,
+                saved: None,
+            });
     let who = (name(), kind_of_machine(), zone(), any::<bool>());
     let when = (number(), number(), number(), prop::option::of(amount()));
     (who, when, prop::collection::vec(task, 0..4)).prop_map(
@@ -344,7 +345,7 @@
         Just(TaskPhase::Decided),
         Just(TaskPhase::Gone),
         state().prop_map(TaskPhase::On),
-        (why(), any::<bool>()).prop_map(|(w, saved)| TaskPhase::Exited(w, saved)),
+        (exit_reason(), any::<bool>()).prop_map(|(w, saved)| TaskPhase::Exited(w, saved)),
     ];
     let event = (number(), small(), number(), name(), phase).prop_map(
         |(job, task, attempt, machine, phase)| TaskEvent { job, task, attempt, machine, phase },
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -245,7 +245,7 @@
             task: TaskId::parse(name),
             attempt: *attempt,
             state: task.state,
-            why: task.exit_reason,
+            exit_reason: task.exit_reason,
             saved: (task.state == TaskState::Exited).then_some(task.saved),
         };
         WorkerHeartbeat {
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -60,7 +60,7 @@
     pub state: TaskState,
     /// Why the attempt exited. `None`: it did not, or the worker gave no reason.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether the attempt saved its progress before it exited.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -29,7 +29,7 @@
     .expect("a heartbeat");
     assert_eq!((heartbeat.incarnation, heartbeat.seq, heartbeat.token), (1, 88, 41));
     assert_eq!(heartbeat.tasks[0].state, TaskState::Running);
-    assert_eq!(heartbeat.tasks[1].why, Some(ExitReason::Other));
+    assert_eq!(heartbeat.tasks[1].exit_reason, Some(ExitReason::Other));
     let task = |job, task| TaskId { job, task };
     assert_eq!(heartbeat.tasks[0].task, Some(task(412, 3)));
     assert_eq!(heartbeat.tasks[2].task, None, "an unknown name does not invalidate the heartbeat");
