--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -120,14 +120,14 @@
         machine.lease_granted_at = ctx.now;
         let newest = (heartbeat.incarnation, heartbeat.seq) == (machine.incarnation, machine.seq);
         if !newest {
-            return Some(HeartbeatResponse { token, orders: Vec::new() });
+            return Some(HeartbeatResponse { token, commands: Vec::new() });
         }
         // Stops go on while our lease is uncertain: what was to stop is durable, and a stop is never
         // wrong. (Found by the simulator: a cancelled task ran on with an owner that the store's
         // outage had caught between the cancellation and the worker's first heartbeat to it.)
         let lease = if ctx.lease_valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
-        let orders = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
-        Some(HeartbeatResponse { token, orders })
+        let commands = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
+        Some(HeartbeatResponse { token, commands })
     }
 
     /// The outcome of a command batch: the worker's answer, or none if it was not sent, or if it is
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -157,13 +157,13 @@
         }
         self.last_batch += 1;
         let batch = self.last_batch;
-        let orders = machine.direct_commands(batch, MAX_COMMANDS);
-        if orders.is_empty() {
+        let commands = machine.direct_commands(batch, MAX_COMMANDS);
+        if commands.is_empty() {
             return;
         }
         machine.direct_batch = Some(batch);
         let incarnation = machine.incarnation;
-        let commands = CommandBatch { token: self.epoch.0, incarnation, orders };
-        ctx.send_commands(idx, machine.addr.clone(), batch, commands);
+        let command_batch = CommandBatch { token: self.epoch.0, incarnation, commands };
+        ctx.send_commands(idx, machine.addr.clone(), batch, command_batch);
     }
 }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -519,7 +519,7 @@
             running: 9
         })),
     ];
-    let answer = number().prop_map(|token| HeartbeatResponse { token, orders: Vec::new() });
+    let answer = number().prop_map(|token| HeartbeatResponse { token, commands: Vec::new() });
     let node =
         prop_oneof![
             (number(), number(), any::<bool>())
--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -28,7 +28,7 @@
                 (200, Ok(a)) if a.token >= w.token => {
                     w.token = a.token;
                     w.lease_granted_at = sent;
-                    w.execute(now(), &a.orders, &jobs);
+                    w.execute(now(), &a.commands, &jobs);
                 }
                 _ => {
                     let named = nodes.iter().position(|n| Some(&n.0) == to.as_ref());
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -115,7 +115,7 @@
     fn send_commands(&mut self, mut sent: SentCommands, latency_ms: u64) {
         let node = sent.process.node;
         if self.trace {
-            let orders = &sent.commands.orders;
+            let orders = &sent.commands.commands;
             eprintln!("{} n-{node} direct {} {orders:?}", self.now, sent.machine);
         }
         self.note_commands(node, &sent.machine);
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -168,11 +168,11 @@
         worker.heartbeat_sent_at = None;
         worker.next_heartbeat = now + HEARTBEAT_INTERVAL_MS;
         match reply {
-            WorkerReply::HeartbeatResponse(HeartbeatResponse { token, orders }) => {
+            WorkerReply::HeartbeatResponse(HeartbeatResponse { token, commands }) => {
                 worker.advance(now, &mut self.done, &self.rules.jobs);
                 if worker.accepts(token, incarnation) {
                     worker.lease_granted_at = worker.lease_granted_at.max(sent_at);
-                    worker.take_commands(now, token, &orders, &mut self.done, &self.rules.jobs);
+                    worker.take_commands(now, token, &commands, &mut self.done, &self.rules.jobs);
                 }
             }
             WorkerReply::Redirect(Some(to)) => {
@@ -239,7 +239,7 @@
         worker.advance(now, &mut self.done, jobs);
         let is_accepted = worker.accepts(commands.token, commands.incarnation);
         if is_accepted {
-            worker.take_commands(now, commands.token, &commands.orders, &mut self.done, jobs);
+            worker.take_commands(now, commands.token, &commands.commands, &mut self.done, jobs);
         }
         let state = Box::new(worker.heartbeat());
         if sent.answer_lost {
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -150,7 +150,7 @@
     pub token: u64,
     /// Commands, executed in this order.
     #[serde(rename = "orders")]
-    pub orders: Vec<Command>,
+    pub commands: Vec<Command>,
 }
 
 /// The response to a heartbeat by a controller that does not own the machine's shard (421).
@@ -171,7 +171,8 @@
     #[serde(rename = "watch")]
     pub incarnation: u64,
     /// Commands, executed in this order.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Identifies a task. On the wire it is text such as `wk-000412/3`, which is parsed and written without
