--- a/crates/core/src/machine/commands.rs
+++ b/crates/core/src/machine/commands.rs
@@ -89,8 +89,8 @@
     }
 }
 
-fn command(op: CommandKind, key: &AttemptKey, grace_s: Option<f64>) -> Command {
-    Command { op, task: key.task_id(), attempt: key.attempt.0, grace_s }
+fn command(kind: CommandKind, key: &AttemptKey, grace_s: Option<f64>) -> Command {
+    Command { kind, task: key.task_id(), attempt: key.attempt.0, grace_s }
 }
 
 /// Returns whether a stop with this grace period may be sent to a task in this state. A task that
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -80,7 +80,7 @@
         machine
             .response_commands(0, 9, lease)
             .iter()
-            .map(|command| (command.op, command.task.task))
+            .map(|command| (command.kind, command.task.task))
             .collect()
     };
     assert_eq!(sent(&mut machine, OwnerLease::Uncertain), [(CommandKind::Stop, 1)]);
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -326,7 +326,7 @@
     /// Executes commands in their order.
     pub fn execute(&mut self, now: u64, commands: &[Command], jobs: &BTreeMap<String, Job>) {
         for command in commands {
-            match command.op {
+            match command.kind {
                 CommandKind::Start => self.start_task(now, command, jobs),
                 CommandKind::Stop if self.ignores_stops => {}
                 CommandKind::Stop => self.stop_task(now, command, jobs),
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -117,7 +117,7 @@
 pub struct Command {
     /// Kind of the command.
     #[serde(rename = "order")]
-    pub op: CommandKind,
+    pub kind: CommandKind,
     /// The task.
     #[serde(rename = "haul")]
     pub task: TaskId,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -35,8 +35,8 @@
     assert_eq!(heartbeat.tasks[2].task, None, "an unknown name does not invalidate the heartbeat");
 
     let stop =
-        Command { op: CommandKind::Stop, task: task(377, 1), attempt: 1, grace_s: Some(10.0) };
-    let start = Command { op: CommandKind::Start, grace_s: None, ..stop.clone() };
+        Command { kind: CommandKind::Stop, task: task(377, 1), attempt: 1, grace_s: Some(10.0) };
+    let start = Command { kind: CommandKind::Start, grace_s: None, ..stop.clone() };
     assert_eq!(
         json!([stop, start]),
         json!([{"order":"stop","haul":"wk-000377/1","sailing":1,"mooringS":10.0},
