--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -95,7 +95,7 @@
     /// Handles a message from a coordinator or a participant.
     pub fn on_message(&mut self, ctx: &mut Context, from: Shard, message: ShardMessage) {
         match message {
-            ShardMessage::UnmetDemand { lacks } => self.demand.set(from, lacks),
+            ShardMessage::UnmetDemand { demands } => self.demand.set(from, demands),
             ShardMessage::Inventory { serial, first, machines, gone } => {
                 let update = InventoryUpdate { serial, is_first: first, machines, gone };
                 if let Err(MissedUpdate) = self.inventory.on_update(from, update, ctx.now) {
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -385,7 +385,7 @@
         });
     let gone = prop::collection::vec(name(), 0..3);
     prop_oneof![
-        prop::collection::vec(lack, 0..4).prop_map(|lacks| ShardMessage::UnmetDemand { lacks }),
+        prop::collection::vec(lack, 0..4).prop_map(|demands| ShardMessage::UnmetDemand { demands }),
         (number(), any::<bool>(), prop::collection::vec(info, 0..4), gone).prop_map(
             |(serial, first, machines, gone)| ShardMessage::Inventory {
                 serial,
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -208,7 +208,8 @@
     #[serde(rename = "Lacks")]
     UnmetDemand {
         /// The unmet demand of each job.
-        lacks: Vec<UnmetDemand>,
+        #[serde(rename = "lacks")]
+        demands: Vec<UnmetDemand>,
     },
     /// Participant to the provisioner's shard: what changed since the message with the previous serial
     /// number.
