--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -164,13 +164,13 @@
             ShardMessage::CloseNegotiation { negotiation } => {
                 self.holds.release(|hold| hold.belongs_to(from, Negotiation(negotiation)));
             }
-            ShardMessage::Place { job, shape, picks, adopt } => {
+            ShardMessage::Place { job, shape, assignments, adopt } => {
                 let job = JobId(job);
                 self.gang_queue.remove(job);
                 ctx.horizons.on_job_continued(job, epoch);
                 let order =
                     task_commands::PlaceOrder { from, job, shape: ctx.names.shape(&shape), adopt };
-                for assignment in &picks {
+                for assignment in &assignments {
                     self.place_unless_over(ctx, &order, assignment);
                 }
             }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -327,7 +327,12 @@
         ),
         number().prop_map(|negotiation| ShardMessage::CloseNegotiation { negotiation }),
         (number(), shape(), prop::collection::vec(pick, 0..3), any::<bool>()).prop_map(
-            |(job, shape, picks, adopt)| ShardMessage::Place { job, shape, picks, adopt }
+            |(job, shape, assignments, adopt)| ShardMessage::Place {
+                job,
+                shape,
+                assignments,
+                adopt
+            }
         ),
         (attempt_ref(), amount()).prop_map(|(what, grace_s)| ShardMessage::Stop { what, grace_s }),
         prop::collection::vec(attempt_ref(), 0..3).prop_map(|what| ShardMessage::Forget { what }),
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -141,7 +141,8 @@
         /// What each of the tasks needs.
         shape: Arc<Shape>,
         /// The attempts.
-        picks: Vec<Assignment>,
+        #[serde(rename = "picks")]
+        assignments: Vec<Assignment>,
         /// The decision is from an older epoch, and the sender does not know whether the attempts were
         /// started, or have ended already. Those that are on their machines are kept, but none is
         /// started any more.
