--- a/crates/core/src/provisioner/inventory.rs
+++ b/crates/core/src/provisioner/inventory.rs
@@ -15,7 +15,7 @@
 pub(super) struct InventoryUpdate {
     pub(super) serial: u64,
     /// The update holds the whole inventory and replaces what was sent before.
-    pub(super) is_first: bool,
+    pub(super) is_full: bool,
     pub(super) machines: Vec<MachineInfo>,
     /// Names of machines that are no longer in the inventory.
     pub(super) gone: Vec<String>,
@@ -61,10 +61,10 @@
         now: Timestamp,
     ) -> Result<(), MissedUpdate> {
         let view = self.participants.entry(from).or_default();
-        if !update.is_first && view.serial.checked_add(1) != Some(update.serial) {
+        if !update.is_full && view.serial.checked_add(1) != Some(update.serial) {
             return Err(MissedUpdate);
         }
-        if update.is_first {
+        if update.is_full {
             view.machines.clear();
         }
         view.updated_at = now;
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -394,9 +394,9 @@
         (number(), any::<bool>(), prop::collection::vec(info, 0..4), gone).prop_map(
             |(serial, first, machines, gone)| ShardMessage::Inventory {
                 serial,
-                first,
+                is_full: first,
                 machines,
-                gone
+                removed: gone
             }
         ),
         Just(ShardMessage::ResendInventory),
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -219,11 +219,13 @@
         /// Serial number of the message.
         serial: u64,
         /// The message holds all machines, and replaces what was sent before.
-        first: bool,
+        #[serde(rename = "first")]
+        is_full: bool,
         /// Machines that are new or changed.
         machines: Vec<MachineInfo>,
         /// Names of machines that are no longer in the inventory.
-        gone: Vec<String>,
+        #[serde(rename = "gone")]
+        removed: Vec<String>,
     },
     /// Provisioner to participant: a message was lost, so all machines are to be sent again.
     #[serde(rename = "MachinesAgain")]
