--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -96,8 +96,8 @@
     pub fn on_message(&mut self, ctx: &mut Context, from: Shard, message: ShardMessage) {
         match message {
             ShardMessage::UnmetDemand { demands } => self.demand.set(from, demands),
-            ShardMessage::Inventory { serial, is_full: first, machines, removed: gone } => {
-                let update = InventoryUpdate { serial, is_full: first, machines, gone };
+            ShardMessage::Inventory { serial, is_full, machines, removed } => {
+                let update = InventoryUpdate { serial, is_full, machines, removed };
                 if let Err(MissedUpdate) = self.inventory.on_update(from, update, ctx.now) {
                     ctx.send(PROVISIONER_SHARD, from, ShardMessage::ResendInventory);
                 }
