--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -334,8 +334,10 @@
                 adopt
             }
         ),
-        (attempt_ref(), amount()).prop_map(|(what, grace_s)| ShardMessage::Stop { what, grace_s }),
-        prop::collection::vec(attempt_ref(), 0..3).prop_map(|what| ShardMessage::Forget { what }),
+        (attempt_ref(), amount())
+            .prop_map(|(what, grace_s)| ShardMessage::Stop { attempt: what, grace_s }),
+        prop::collection::vec(attempt_ref(), 0..3)
+            .prop_map(|what| ShardMessage::Forget { attempts: what }),
     ]
 }
 
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -151,7 +151,8 @@
     /// Coordinator to participant: stops an attempt.
     Stop {
         /// The attempt.
-        what: AttemptRef,
+        #[serde(rename = "what")]
+        attempt: AttemptRef,
         /// Seconds that the task has to save its progress.
         grace_s: f64,
     },
@@ -159,7 +160,8 @@
     /// reported to it any more.
     Forget {
         /// The attempts.
-        what: Vec<AttemptRef>,
+        #[serde(rename = "what")]
+        attempts: Vec<AttemptRef>,
     },
     /// Participant to coordinator: the response to [`ShardMessage::RequestOffers`].
     Offers {
