--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -113,7 +113,7 @@
                 self.answer_job_query(effects, from, call, JobQuery { id: JobId(job), cancel });
             }
             NodeMessage::JobAnswer { call, answer } => self.job_answered(effects, call, answer),
-            NodeMessage::RelayedHeartbeat { call, report } => {
+            NodeMessage::RelayedHeartbeat { call, heartbeat: report } => {
                 self.answer_relayed_heartbeat(effects, node, call, &report);
             }
             NodeMessage::RelayedResponse { call, answer } => {
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -527,17 +527,19 @@
         })),
     ];
     let answer = number().prop_map(|token| HeartbeatResponse { token, commands: Vec::new() });
-    let node =
-        prop_oneof![
-            (number(), number(), any::<bool>())
-                .prop_map(|(call, job, cancel)| NodeMessage::QueryJob { call, job, cancel }),
-            (number(), told).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
-            any::<u8>().prop_map(|shard| NodeMessage::ReclaimShard { shard }),
-            (number(), report())
-                .prop_map(|(call, r)| NodeMessage::RelayedHeartbeat { call, report: Box::new(r) }),
-            (number(), prop::option::of(answer))
-                .prop_map(|(call, answer)| NodeMessage::RelayedResponse { call, answer }),
-        ];
+    let node = prop_oneof![
+        (number(), number(), any::<bool>()).prop_map(|(call, job, cancel)| NodeMessage::QueryJob {
+            call,
+            job,
+            cancel
+        }),
+        (number(), told).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
+        any::<u8>().prop_map(|shard| NodeMessage::ReclaimShard { shard }),
+        (number(), report())
+            .prop_map(|(call, r)| NodeMessage::RelayedHeartbeat { call, heartbeat: Box::new(r) }),
+        (number(), prop::option::of(answer))
+            .prop_map(|(call, answer)| NodeMessage::RelayedResponse { call, answer }),
+    ];
     let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner(), quota()];
     prop_oneof![
         report().prop_map(Odd::WorkerHeartbeat),
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -99,7 +99,8 @@
         /// Number of the call, which the response repeats.
         call: u64,
         /// The heartbeat as received.
-        report: Box<WorkerHeartbeat>,
+        #[serde(rename = "report")]
+        heartbeat: Box<WorkerHeartbeat>,
     },
     /// The response to [`NodeMessage::RelayedHeartbeat`].
     #[serde(rename = "Answered")]
