--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -104,7 +104,7 @@
         self.shared.health.record_contact(node, effects.now);
         match msg {
             NodeMessage::Heartbeat(heartbeat) => self.heartbeat_received(effects, node, &heartbeat),
-            NodeMessage::Shard { from, from_epoch, to, to_epoch, msg } => {
+            NodeMessage::Shard { from, from_epoch, to, to_epoch, message: msg } => {
                 let (from, to, from_epoch) = (Shard(from), Shard(to), Epoch(from_epoch));
                 let incoming = IncomingMessage { from, from_epoch, to, message: msg };
                 self.shard_message(effects, Epoch(to_epoch), incoming);
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -592,7 +592,7 @@
                         owned.iter().find(|o| o.0 .0 == s).map_or(0, |o| o.1 .0)
                     };
                     let (from_epoch, to_epoch) = (epoch(from), epoch(to));
-                    sent(NodeMessage::Shard { from, from_epoch, to, to_epoch, msg })
+                    sent(NodeMessage::Shard { from, from_epoch, to, to_epoch, message: msg })
                 }
                 Odd::Node(msg) => sent(msg),
                 Odd::Pass(ms) => {
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -66,7 +66,8 @@
         /// The epoch of the receiver's shard, as far as the sender knows.
         to_epoch: u64,
         /// The message.
-        msg: ShardMessage,
+        #[serde(rename = "msg")]
+        message: ShardMessage,
     },
     /// Asks the owner of a job's shard for the state of the job.
     #[serde(rename = "Ask")]
