--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -174,8 +174,8 @@
                     self.place_unless_over(ctx, &order, assignment);
                 }
             }
-            ShardMessage::Stop { attempt: what, grace_s } => self.stop(ctx, &what, grace_s),
-            ShardMessage::Forget { attempts: what } => self.acknowledge_ends(ctx, &what),
+            ShardMessage::Stop { attempt, grace_s } => self.stop(ctx, &attempt, grace_s),
+            ShardMessage::Forget { attempts } => self.acknowledge_ends(ctx, &attempts),
             _ => {}
         }
     }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -335,9 +335,9 @@
             }
         ),
         (attempt_ref(), amount())
-            .prop_map(|(what, grace_s)| ShardMessage::Stop { attempt: what, grace_s }),
+            .prop_map(|(attempt, grace_s)| ShardMessage::Stop { attempt, grace_s }),
         prop::collection::vec(attempt_ref(), 0..3)
-            .prop_map(|what| ShardMessage::Forget { attempts: what }),
+            .prop_map(|attempts| ShardMessage::Forget { attempts }),
     ]
 }
 
@@ -394,11 +394,11 @@
     prop_oneof![
         prop::collection::vec(lack, 0..4).prop_map(|demands| ShardMessage::UnmetDemand { demands }),
         (number(), any::<bool>(), prop::collection::vec(info, 0..4), gone).prop_map(
-            |(serial, first, machines, gone)| ShardMessage::Inventory {
+            |(serial, is_full, machines, removed)| ShardMessage::Inventory {
                 serial,
-                is_full: first,
+                is_full,
                 machines,
-                removed: gone
+                removed
             }
         ),
         Just(ShardMessage::ResendInventory),
