--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -67,7 +67,7 @@
             job: job.id.0,
             shape: job.shape.wire.clone(),
             count,
-            zone_room: job.zone_room(&ctx.names.zones),
+            max_per_zone: job.max_per_zone(&ctx.names.zones),
             preempt: false,
             urgent: job.is_urgent(ctx.now),
             may_use_gpu_machines: job.may_use_gpu_machines(ctx.now),
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -47,12 +47,12 @@
         counts
     }
 
-    /// Takes offers for at most `wanted` tasks, each zone's within what is left in `zone_room`, and in
+    /// Takes offers for at most `wanted` tasks, each zone's within what is left in `max_per_zone`, and in
     /// each turn through the offers at most `max_per_turn` of each machine.
     fn take(
         &mut self,
         wanted: u32,
-        mut zone_room: Vec<u32>,
+        mut max_per_zone: Vec<u32>,
         max_per_turn: u32,
     ) -> Vec<ReceivedOffer> {
         let mut taken = Vec::new();
@@ -61,7 +61,7 @@
             progress = false;
             for received in &mut self.0 {
                 let offer = &mut received.offer;
-                let Some(room) = zone_room.get_mut(offer.zone as usize) else {
+                let Some(room) = max_per_zone.get_mut(offer.zone as usize) else {
                     continue;
                 };
                 let left = wanted - taken.len() as u32;
@@ -130,7 +130,7 @@
         let Some(wanted) = self.within_quota(ctx, job, &offers, wanted) else {
             return;
         };
-        let room = job.zone_room(&ctx.names.zones);
+        let room = job.max_per_zone(&ctx.names.zones);
         let offered = offers.count_by_zone(room.len());
         // Replicas of a service go to different machines where they can.
         let max_per_turn = if job.wire.kind == JobKind::Service { 1 } else { u32::MAX };
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -47,7 +47,7 @@
             job: job.id.0,
             shape: job.shape.wire.clone(),
             count: worth(ctx, &admitted, job),
-            zone_room: job.zone_room(&ctx.names.zones),
+            max_per_zone: job.max_per_zone(&ctx.names.zones),
             waited_ms: ctx.now.saturating_sub(job.created),
             urgent: job.is_urgent(ctx.now),
         };
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -98,13 +98,13 @@
         adopted: true,
         quota: None,
     };
-    assert_eq!(job.zone_room(&zones), [9, 9, 9]);
+    assert_eq!(job.max_per_zone(&zones), [9, 9, 9]);
     job.placed.insert(0, placement(1));
-    assert_eq!(job.zone_room(&zones), [0, 9, 0]);
+    assert_eq!(job.max_per_zone(&zones), [0, 9, 0]);
     job.placed.insert(3, placement(0));
-    assert_eq!(job.zone_room(&zones), [0, 0, 0]);
+    assert_eq!(job.max_per_zone(&zones), [0, 0, 0]);
     job.placed.remove(3);
-    assert_eq!(job.zone_room(&zones), [0, 9, 0]);
+    assert_eq!(job.max_per_zone(&zones), [0, 9, 0]);
 }
 
 /// Found on a day of our own: of gangs that had missed all aims each took itself for later than
--- a/crates/core/src/jobs/zones.rs
+++ b/crates/core/src/jobs/zones.rs
@@ -15,16 +15,16 @@
     /// Chooses the zone that a gang waits for, from how many of its tasks each zone offered capacity
     /// for and may take. It stays where it is offered something, so that what is reserved for it
     /// there is not reserved in vain.
-    pub fn choose_target_zone(&mut self, offered: &[u32], zone_room: &[u32]) {
+    pub fn choose_target_zone(&mut self, offered: &[u32], max_per_zone: &[u32]) {
         if !self.needs_one_zone() {
             self.target_zone = None;
             return;
         }
-        let usable = |zone: usize| offered[zone].min(zone_room[zone]);
+        let usable = |zone: usize| offered[zone].min(max_per_zone[zone]);
         let current = self
             .target_zone
             .map(|zone| zone.0 as usize)
-            .filter(|&zone| zone < offered.len() && zone_room[zone] > 0);
+            .filter(|&zone| zone < offered.len() && max_per_zone[zone] > 0);
         if current.is_some_and(|zone| usable(zone) > 0) {
             return;
         }
@@ -37,14 +37,15 @@
             {
                 Some(zone)
             }
-            _ => self.zone_in_turn(zone_room),
+            _ => self.zone_in_turn(max_per_zone),
         };
         self.target_zone = next.map(|zone| ZoneIdx(zone as u8));
     }
 
     /// The zone whose turn it is of those that may take tasks. Jobs begin with different ones.
-    fn zone_in_turn(&self, zone_room: &[u32]) -> Option<usize> {
-        let open: Vec<usize> = (0..zone_room.len()).filter(|&zone| zone_room[zone] > 0).collect();
+    fn zone_in_turn(&self, max_per_zone: &[u32]) -> Option<usize> {
+        let open: Vec<usize> =
+            (0..max_per_zone.len()).filter(|&zone| max_per_zone[zone] > 0).collect();
         if open.is_empty() {
             return None;
         }
@@ -53,7 +54,7 @@
     }
 
     /// How many more tasks each zone may take, given those that may still be in one.
-    pub fn zone_room(&self, zones: &[String]) -> Vec<u32> {
+    pub fn max_per_zone(&self, zones: &[String]) -> Vec<u32> {
         let zones_used = (0..zones.len()).filter(|&zone| self.placed.in_zone(zone) > 0).count();
         let rooms = zones.iter().enumerate();
         rooms.map(|(zone, name)| self.room_in_zone(zone, name, zones_used)).collect()
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -155,9 +155,9 @@
         group: MachineGroup,
     ) -> Result<GroupScore, OfferObstacle> {
         let request = search.request;
-        let zone_room = request.zone_room.get(group.zone.0 as usize).copied().unwrap_or(0);
+        let max_per_zone = request.max_per_zone.get(group.zone.0 as usize).copied().unwrap_or(0);
         let behind = |rank| self.gang_queue.is_behind(rank, group);
-        if zone_room == 0 {
+        if max_per_zone == 0 {
             return Err(OfferObstacle::ZoneRule);
         }
         if search.rank.is_some_and(behind) {
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -64,8 +64,8 @@
 
 impl FailedSearch<'_> {
     /// Whether this search must fail too.
-    fn covers(&self, kind: &SearchKind, zone_room: &[u32]) -> bool {
-        let mut zones = self.open_zones.iter().zip(zone_room);
+    fn covers(&self, kind: &SearchKind, max_per_zone: &[u32]) -> bool {
+        let mut zones = self.open_zones.iter().zip(max_per_zone);
         self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
     }
 }
@@ -145,20 +145,20 @@
         let shape = ctx.names.shape(&request.shape);
         let MachineChoices { choices, obstacles } =
             self.choose_machines(ctx, &mut round.kept_for_gangs, item, &shape);
-        let mut zone_room = request.zone_room.clone();
-        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut zone_room);
+        let mut max_per_zone = request.max_per_zone.clone();
+        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut max_per_zone);
         if missing == 0 {
             return;
         }
         self.offer_obstacles.add(&obstacles);
         self.capacity_notices.note_shortage(round.from, priority);
         if request.preempt {
-            self.preempt_for_item(ctx, round, item, &shape, zone_room, missing);
+            self.preempt_for_item(ctx, round, item, &shape, max_per_zone, missing);
         }
     }
 
     /// Holds and offers as much of the choices as the item asks for and its zones may take, which
-    /// is taken off `zone_room`. Says how many tasks are still without a machine.
+    /// is taken off `max_per_zone`. Says how many tasks are still without a machine.
     fn hold_choices(
         &mut self,
         ctx: &Context,
@@ -166,11 +166,11 @@
         item: &Item,
         shape: &Shape,
         choices: &[Choice],
-        zone_room: &mut [u32],
+        max_per_zone: &mut [u32],
     ) -> u32 {
         let mut missing = item.request.count;
         for choice in choices {
-            let Some(room) = zone_room.get_mut(choice.zone.0 as usize) else { continue };
+            let Some(room) = max_per_zone.get_mut(choice.zone.0 as usize) else { continue };
             let capacity = choice.capacity.min(u64::from(u32::MAX)) as u32;
             let count = capacity.min(missing).min(*room);
             if count == 0 {
@@ -202,7 +202,7 @@
         round: &mut OfferRound<'a>,
         item: &Item<'a>,
         shape: &Shape,
-        mut zone_room: Vec<u32>,
+        mut max_per_zone: Vec<u32>,
         missing: u32,
     ) {
         let request = item.request;
@@ -211,7 +211,7 @@
         // Tasks are preempted for a gang only in the zone that it waits for.
         if let Some(waited_zone) = waited_zone {
             let others =
-                zone_room.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
+                max_per_zone.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
             others.for_each(|(_, room)| *room = 0);
         }
         let search = PreemptionSearch {
@@ -219,15 +219,16 @@
             shape,
             eligibility: &item.eligibility,
             rank: self.gang_queue.rank(job),
-            zone_room: &zone_room,
+            max_per_zone: &max_per_zone,
             includes_gpu_machines: true,
         };
         // What cannot be done for one job cannot be done for the next of its kind either, which is
         // served after it. (At three times a fleet most requests asked in vain.)
         let kind = SearchKind::of(request, &search);
-        let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
+        let hopeless =
+            round.failed_searches.iter().any(|failed| failed.covers(&kind, &max_per_zone));
         if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
-            let open_zones = zone_room.iter().map(|&room| room > 0).collect();
+            let open_zones = max_per_zone.iter().map(|&room| room > 0).collect();
             round.failed_searches.push(FailedSearch { kind, open_zones });
         }
         if self.reservations.count(job) >= missing {
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -45,7 +45,7 @@
     /// The job's rank in the gang queue, if it is queued.
     pub rank: Option<QueueRank>,
     /// How many tasks each zone may take.
-    pub zone_room: &'a [u32],
+    pub max_per_zone: &'a [u32],
     /// Machines with GPUs are searched too.
     pub includes_gpu_machines: bool,
 }
@@ -63,7 +63,7 @@
     }
 
     fn zone_is_open(&self, group: MachineGroup) -> bool {
-        self.zone_room.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
+        self.max_per_zone.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
     }
 
     /// Whether the job waits for tasks to end by themselves, if none may be stopped for it.
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -115,13 +115,13 @@
     /// Reserves capacity for the replica on a machine without GPUs in its zone. False: there is none.
     fn reserve_elsewhere(&mut self, ctx: &mut Context, replica: &BlockingReplica) -> bool {
         let job = replica.key.job;
-        let mut zone_room = vec![0; ctx.names.zones.len()];
-        zone_room[replica.zone.0 as usize] = 1;
+        let mut max_per_zone = vec![0; ctx.names.zones.len()];
+        max_per_zone[replica.zone.0 as usize] = 1;
         let request = OfferRequest {
             job: job.0,
             shape: replica.shape.wire.clone(),
             count: 1,
-            zone_room,
+            max_per_zone,
             preempt: true,
             urgent: false,
             may_use_gpu_machines: false,
@@ -133,7 +133,7 @@
             shape: &replica.shape,
             eligibility: &EligibilityTable::of(ctx.names, &request),
             rank: None,
-            zone_room: &request.zone_room,
+            max_per_zone: &request.max_per_zone,
             includes_gpu_machines: false,
         };
         self.preempt(ctx, &search, reserved_before + 1);
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -137,7 +137,7 @@
         job,
         shape: Arc::new(shape),
         count,
-        zone_room: vec![count],
+        max_per_zone: vec![count],
         preempt: true,
         urgent: false,
         may_use_gpu_machines: false,
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -76,14 +76,14 @@
 
     /// Assigns free capacity to as many tasks of the demand as fit and may run here.
     fn assign(&mut self, ctx: &Context, open: &mut OpenDemand) {
-        let zone = self.zone.and_then(|zone| open.zone_limits.get_mut(usize::from(zone.0)));
-        let Some(zone_limit) = zone.filter(|limit| **limit > 0) else { return };
-        let tasks = self.free.fits(open.need).min(open.tasks).min(*zone_limit);
+        let zone = self.zone.and_then(|zone| open.max_per_zone.get_mut(usize::from(zone.0)));
+        let Some(max_in_zone) = zone.filter(|limit| **limit > 0) else { return };
+        let tasks = self.free.fits(open.need).min(open.tasks).min(*max_in_zone);
         if tasks == 0 || !ctx.names.allows(&open.demand.shape, self.machine_type, self.spot) {
             return;
         }
         self.free.sub(open.need, tasks);
-        *zone_limit -= tasks;
+        *max_in_zone -= tasks;
         open.tasks -= tasks;
     }
 }
@@ -97,7 +97,7 @@
     /// Number of tasks without capacity.
     tasks: u64,
     /// How many more tasks may run in each zone, by zone number.
-    zone_limits: Vec<u64>,
+    max_per_zone: Vec<u64>,
 }
 
 impl<'a> OpenDemand<'a> {
@@ -106,7 +106,7 @@
             demand,
             need: Resources::of(&demand.shape),
             tasks: u64::from(demand.count),
-            zone_limits: demand.zone_room.iter().map(|&limit| u64::from(limit)).collect(),
+            max_per_zone: demand.max_per_zone.iter().map(|&limit| u64::from(limit)).collect(),
         }
     }
 
@@ -115,7 +115,7 @@
     }
 
     fn allow_only_zone(&mut self, only: usize) {
-        for (zone, limit) in self.zone_limits.iter_mut().enumerate() {
+        for (zone, limit) in self.max_per_zone.iter_mut().enumerate() {
             if zone != only {
                 *limit = 0;
             }
@@ -125,7 +125,7 @@
     /// Returns how many of the tasks without capacity may run in this zone.
     fn tasks_in_zone(&self, ctx: &Context, zone: &str) -> u64 {
         let zone = ctx.names.zone(zone);
-        let limit = zone.and_then(|zone| self.zone_limits.get(usize::from(zone.0)));
+        let limit = zone.and_then(|zone| self.max_per_zone.get(usize::from(zone.0)));
         limit.copied().unwrap_or(0).min(self.tasks)
     }
 
@@ -250,17 +250,17 @@
         gang: &OpenDemand,
         pending: &[PendingInstance],
     ) -> Option<usize> {
-        let zones = gang.zone_limits.len();
+        let zones = gang.max_per_zone.len();
         let count = u64::from(gang.demand.count);
         let pending_tasks = pending_tasks_by_zone(ctx, gang, pending);
         let mut order: Vec<usize> =
-            (0..zones).filter(|&zone| gang.zone_limits[zone] >= count).collect();
+            (0..zones).filter(|&zone| gang.max_per_zone[zone] >= count).collect();
         order.sort_by_key(|&zone| Reverse(pending_tasks[zone].min(count)));
         order.into_iter().find(|&zone| {
             let missing = count.saturating_sub(pending_tasks[zone]);
-            let mut zone_limits = vec![0; zones];
-            zone_limits[zone] = count;
-            let rest = OpenDemand { tasks: missing, zone_limits, ..*gang };
+            let mut max_per_zone = vec![0; zones];
+            max_per_zone[zone] = count;
+            let rest = OpenDemand { tasks: missing, max_per_zone, ..*gang };
             missing == 0 || self.cheapest(ctx, boots, &rest).is_some()
         })
     }
@@ -349,7 +349,7 @@
     open: &OpenDemand,
     pending: &[PendingInstance],
 ) -> Vec<u64> {
-    let mut pending_tasks = vec![0; open.zone_limits.len()];
+    let mut pending_tasks = vec![0; open.max_per_zone.len()];
     let shape = &open.demand.shape;
     let allowed =
         |instance: &&PendingInstance| ctx.names.allows(shape, instance.machine_type, instance.spot);
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -295,14 +295,14 @@
             job,
             shape,
             count,
-            zone_room,
+            max_per_zone,
             (preempt, urgent, may_use_gpu_machines),
             queue_position,
         )| OfferRequest {
             job,
             shape,
             count,
-            zone_room,
+            max_per_zone,
             preempt,
             urgent,
             may_use_gpu_machines,
@@ -372,11 +372,11 @@
 
 fn to_provisioner() -> impl Strategy<Value = ShardMessage> {
     let lack = (number(), shape(), small(), prop::collection::vec(small(), 0..4), number())
-        .prop_map(|(job, shape, count, zone_room, waited_ms)| UnmetDemand {
+        .prop_map(|(job, shape, count, max_per_zone, waited_ms)| UnmetDemand {
             job,
             shape,
             count,
-            zone_room,
+            max_per_zone,
             waited_ms,
             urgent: waited_ms % 2 == 0,
         });
--- a/crates/wire/src/mesh/machines.rs
+++ b/crates/wire/src/mesh/machines.rs
@@ -13,7 +13,7 @@
     /// Number of tasks.
     pub count: u32,
     /// How many more tasks may run in each zone, by zone number.
-    pub zone_room: Vec<u32>,
+    pub max_per_zone: Vec<u32>,
     /// Time since the job's submission, in milliseconds.
     pub waited_ms: u64,
     /// More than a third of the time that the job's objective allows has passed.
--- a/crates/wire/src/mesh/placement.rs
+++ b/crates/wire/src/mesh/placement.rs
@@ -42,7 +42,7 @@
     /// Number of tasks.
     pub count: u32,
     /// How many more tasks may run in each zone, by zone number.
-    pub zone_room: Vec<u32>,
+    pub max_per_zone: Vec<u32>,
     /// No participant had capacity lately: preempt tasks of lower priority for the job, if that frees
     /// enough capacity.
     pub preempt: bool,
