--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -88,7 +88,7 @@
 
     /// A task of it, or the gang as a whole, is no larger than the limit.
     fn can_fit(&self, limits: &BTreeMap<u8, QuotaAmount>) -> bool {
-        limits.get(&self.team).is_some_and(|limit| self.next_need().within(*limit))
+        limits.get(&self.team).is_some_and(|limit| self.next_need().is_within(*limit))
     }
 }
 
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -102,7 +102,10 @@
                 .filter(|received| Some(received.epoch) == epoch || !holds(Guard::GrantEpoch));
             let Some(ReceivedGrant { grant, .. }) = valid else { continue };
             let used = used.remove(&team).unwrap_or_default();
-            statuses.insert(team, QuotaStatus { may: grant.may, due: grant.due, used });
+            statuses.insert(
+                team,
+                QuotaStatus { may: grant.granted, due: grant.granted_after_preemption, used },
+            );
         }
         statuses
     }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -135,12 +135,12 @@
             LimitPhase::Filling => FirstThatLacks::IsPassedOver,
         };
         let additional = plan::additional_shares(limit, &usages, lacking)[asking];
-        let may = used.plus(additional).least(limit.minus(others));
-        let share = may.most(used);
+        let may = used.plus(additional).component_min(limit.minus(others));
+        let share = may.component_max(used);
         debug_assert!(within_limit(limit, used, share, others), "more is granted than there is");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
         let due = plan::shares_after_preemption(limit, &usages)[asking];
-        Some(TeamGrant { team, may, due })
+        Some(TeamGrant { team, granted: may, granted_after_preemption: due })
     }
 
     /// The shares that all other coordinators have of a team's limit.
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -154,7 +154,7 @@
             (QuotaClaim::All, LimitPhase::Keeping) => now.max(next),
             (QuotaClaim::All, LimitPhase::Filling) => now,
         };
-        self.now = self.now.plus(job.task.times(kept).least(free));
+        self.now = self.now.plus(job.task.times(kept).component_min(free));
         let in_turn_kept = match claim {
             QuotaClaim::Nothing => 0,
             QuotaClaim::Next => in_turn.min(next),
@@ -162,7 +162,7 @@
         };
         self.in_turn = self.in_turn.plus(job.task.times(in_turn_kept));
         self.worth = self.worth.plus(job.task.times(worth));
-        debug_assert!(job.task.times(now).within(free), "more is let in than the grant covers");
+        debug_assert!(job.task.times(now).is_within(free), "more is let in than the grant covers");
         Admitted { now, in_turn, worth }
     }
 }
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -57,7 +57,7 @@
 
     /// Gives a coordinator this amount, as far as it goes.
     fn give(&mut self, coordinator: usize, amount: QuotaAmount) {
-        let amount = amount.least(self.left);
+        let amount = amount.component_min(self.left);
         self.left = self.left.minus(amount);
         self.shares[coordinator] = self.shares[coordinator].plus(amount);
     }
@@ -87,7 +87,7 @@
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
             let share = fair.shares[coordinator].minus(self.shares[coordinator]);
-            if share != QuotaAmount::default() && first.need.within(self.left) {
+            if share != QuotaAmount::default() && first.need.is_within(self.left) {
                 self.give(coordinator, first.need);
             }
         }
@@ -106,12 +106,12 @@
             .iter()
             .enumerate()
             .filter_map(|(coordinator, usage)| Some((coordinator, usage.first[priority]?)))
-            .filter(|(_, first)| first.need.within(limit))
+            .filter(|(_, first)| first.need.is_within(limit))
             .collect();
         firsts.sort_by_key(|(coordinator, first)| (Reverse(first.waited_ms), *coordinator));
         for (coordinator, first) in firsts {
             match lacking {
-                _ if first.need.within(self.left) => self.give(coordinator, first.need),
+                _ if first.need.is_within(self.left) => self.give(coordinator, first.need),
                 FirstThatLacks::Waits => self.left = self.left.minus(first.need),
                 FirstThatLacks::IsPassedOver => {}
                 FirstThatLacks::TakesPart => self.give(coordinator, first.need),
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -41,7 +41,7 @@
     }
 
     fn may(&mut self, from: u8, u: TeamUsage) -> QuotaAmount {
-        self.report(from, u).map_or(NONE, |g| g.may)
+        self.report(from, u).map_or(NONE, |g| g.granted)
     }
 }
 
@@ -52,7 +52,7 @@
     let mut may = |from: u8, epoch: u64, serial: u64, used, wanted| {
         now += 100;
         let g = manager.report(now, Shard(from), Epoch(epoch), serial, &[told(used, wanted)])?;
-        Some(g.first().map_or(0, |g| g.may.cpu))
+        Some(g.first().map_or(0, |g| g.granted.cpu))
     };
     assert_eq!(may(0, 5, 1, 0, 9000), Some(0), "others are unknown yet");
     assert_eq!(may(1, 6, 1, 4000, 0), Some(0));
@@ -199,7 +199,7 @@
     other.team = 200;
     assert!(shard.report(0, other).is_none());
     assert_eq!(shard.may(1, told(2000, 1000)), cpus(3000), "nobody's report is not missed");
-    assert!(shard.may(1, told(u64::MAX, u64::MAX)).within(cpus(10_000)));
+    assert!(shard.may(1, told(u64::MAX, u64::MAX)).is_within(cpus(10_000)));
     shard.report(0, TeamUsage::of(0));
     assert_eq!(shard.may(2, told(0, 2000)), NONE, "what is told to be in use counts");
 }
@@ -343,7 +343,7 @@
 
     fn receive(&mut self, c: usize, r: (u64, u64, TeamUsage)) -> Option<QuotaAmount> {
         let g = self.quota.report(self.now, Shard(c as u8), Epoch(r.0), r.1, &[r.2])?;
-        g.first().map(|g| g.may)
+        g.first().map(|g| g.granted)
     }
 
     fn report(&mut self, c: usize, arrives: bool, answered: bool) {
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -424,7 +424,9 @@
             TeamUsage { team, used, wanted, unplaceable, first }
         });
     let granted =
-        (0u8..4, amounts(), amounts()).prop_map(|(team, may, due)| TeamGrant { team, may, due });
+        (0u8..4, amounts(), amounts()).prop_map(|(team, granted, granted_after_preemption)| {
+            TeamGrant { team, granted, granted_after_preemption }
+        });
     prop_oneof![
         (number(), prop::collection::vec(used, 0..4))
             .prop_map(|(serial, usage)| ShardMessage::TeamUsage { serial, usage }),
--- a/crates/wire/src/mesh/quota.rs
+++ b/crates/wire/src/mesh/quota.rs
@@ -30,12 +30,12 @@
     }
 
     /// Returns the smaller value of each resource.
-    pub fn least(self, other: QuotaAmount) -> QuotaAmount {
+    pub fn component_min(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount { cpu: self.cpu.min(other.cpu), gpu: self.gpu.min(other.gpu) }
     }
 
     /// Returns the larger value of each resource.
-    pub fn most(self, other: QuotaAmount) -> QuotaAmount {
+    pub fn component_max(self, other: QuotaAmount) -> QuotaAmount {
         QuotaAmount { cpu: self.cpu.max(other.cpu), gpu: self.gpu.max(other.gpu) }
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Returns whether no resource exceeds that of `limit`.
-    pub fn within(self, limit: QuotaAmount) -> bool {
+    pub fn is_within(self, limit: QuotaAmount) -> bool {
         self.cpu <= limit.cpu && self.gpu <= limit.gpu
     }
 
@@ -106,8 +106,8 @@
     /// Index of the team in the settings.
     pub team: u8,
     /// What the coordinator's tasks may use in total.
-    pub may: QuotaAmount,
+    pub granted: QuotaAmount,
     /// What they could use in total if tasks of lower priority of the team were preempted at all
     /// coordinators.
-    pub due: QuotaAmount,
+    pub granted_after_preemption: QuotaAmount,
 }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -88,7 +88,11 @@
     let usage =
         TeamUsage { first: [None, first, None, first], wanted: [most; 4], ..TeamUsage::of(3) };
     round_trip(ShardMessage::TeamUsage { serial: 2, usage: vec![usage, TeamUsage::of(0)] });
-    let granted = vec![TeamGrant { team: 3, may: most, due: QuotaAmount::default() }];
+    let granted = vec![TeamGrant {
+        team: 3,
+        granted: most,
+        granted_after_preemption: QuotaAmount::default(),
+    }];
     round_trip(ShardMessage::TeamGrant { serial: 2, granted });
     let states = [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving];
     let reasons = [
