--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -162,7 +162,7 @@
         };
         // What is granted is not known just now: it soon is.
         let free = self.quotas.get(&quota.team)?.free();
-        let fits = free.fits(quota.amount).min(u64::from(wanted)) as u32;
+        let fits = free.fit_count(quota.amount).min(u64::from(wanted)) as u32;
         let covered = if holds(Guard::GrantKept) { fits } else { wanted };
         let found_room = offers.count().min(wanted);
         let is_limited = match job.wire.kind {
--- a/crates/core/src/names/catalog.rs
+++ b/crates/core/src/names/catalog.rs
@@ -82,7 +82,7 @@
         machine_type: TypeIdx,
         spot: bool,
     ) -> Option<f64> {
-        let fits = self.resources_of_type(machine_type).fits(Resources::of(shape));
+        let fits = self.resources_of_type(machine_type).fit_count(Resources::of(shape));
         let possible = fits > 0 && self.allows(shape, machine_type, spot);
         possible.then(|| self.price(machine_type, spot) / fits as f64)
     }
--- a/crates/core/src/names/resources.rs
+++ b/crates/core/src/names/resources.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns how many times `need` fits into these resources; `u64::MAX` if it needs nothing.
-    pub fn fits(&self, need: Resources) -> u64 {
+    pub fn fit_count(&self, need: Resources) -> u64 {
         let times = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
         let cpu = times(self.cpu, need.cpu);
         let gpu = times(self.gpu, need.gpu);
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -103,7 +103,7 @@
         names.catalog.iter().enumerate().any(|(index, machine_type)| {
             let type_idx = TypeIdx(index as u8);
             names.allows(&shape, type_idx, false)
-                && names.resources_of_type(type_idx).fits(need) > 0
+                && names.resources_of_type(type_idx).fit_count(need) > 0
                 && job.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
         })
     }
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -38,7 +38,7 @@
             let whole = names.resources_of_type(machine_type);
             let wastes_gpus = shape.gpu == 0 && whole.gpu > 0;
             Eligibility {
-                allowed: names.allows(shape, machine_type, spot) && whole.fits(need) > 0,
+                allowed: names.allows(shape, machine_type, spot) && whole.fit_count(need) > 0,
                 too_expensive: wastes_gpus && !names.affordable(shape, machine_type, spot, urgent),
             }
         };
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/figures.rs
@@ -45,7 +45,7 @@
 /// `needs`: of the GPU work that was asked for recently.
 fn machine_use(ctx: &Context, gpu_machine: &GpuMachine, needs: &[Resources]) -> GpuMachineUse {
     let machine = gpu_machine.machine;
-    let fits = |free: Resources| needs.iter().any(|&need| free.fits(need) > 0);
+    let fits = |free: Resources| needs.iter().any(|&need| free.fit_count(need) > 0);
     let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.quiet_ms;
     let Some(used) = machine.used().filter(|_| machine.token_confirmed && !silent) else {
         return GpuMachineUse::Away;
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -131,7 +131,7 @@
         let mut spare = lasting_free;
         for need in self.gpu_demand.needs() {
             let mut remainder = lasting_free;
-            remainder.sub(need, lasting_free.fits(need));
+            remainder.sub(need, lasting_free.fit_count(need));
             spare.cpu = spare.cpu.min(remainder.cpu);
             spare.mem = spare.mem.min(remainder.mem);
         }
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -41,7 +41,7 @@
     assert_eq!(
         participant
             .spare_for_service(WHOLE, GpuMachineAccess::BesideKnownGpuWork)
-            .fits(service.need),
+            .fit_count(service.need),
         0,
         "not known yet"
     );
@@ -56,7 +56,7 @@
     assert_eq!(
         participant
             .spare_for_service(empty, GpuMachineAccess::BesideKnownGpuWork)
-            .fits(service.need),
+            .fit_count(service.need),
         1,
         "one beside it"
     );
@@ -64,11 +64,12 @@
     assert_eq!(
         participant
             .spare_for_service(later, GpuMachineAccess::BesideKnownGpuWork)
-            .fits(service.need),
+            .fit_count(service.need),
         0
     );
     assert!(
-        participant.spare_for_service(later, GpuMachineAccess::Unlimited).fits(service.need) > 0,
+        participant.spare_for_service(later, GpuMachineAccess::Unlimited).fit_count(service.need)
+            > 0,
         "asked in vain for long"
     );
 }
@@ -106,7 +107,7 @@
     let room = |participant: &Participant| {
         let soon =
             participant.free_with(machine.stopping(), idx, &machine, &names, JobId(u64::MAX), None);
-        soon.expect("known tasks").fits(need)
+        soon.expect("known tasks").fit_count(need)
     };
     assert_eq!(room(&participant), 1);
     let reservation =
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -210,7 +210,7 @@
                     continue;
                 }
             };
-            let capacity = free.fits(search.shape.need);
+            let capacity = free.fit_count(search.shape.need);
             missing = missing.saturating_sub(capacity);
             found.choices.push(Choice {
                 gpu_waste: score.gpu_waste,
@@ -242,7 +242,7 @@
         }
         let free = self.free(idx, machine, ctx.names, JobId(request.job), search.rank);
         let mut free = free.unwrap_or_default();
-        if free.fits(need) == 0 {
+        if free.fit_count(need) == 0 {
             return Err(self.capacity_obstacle(idx, machine, score.whole, need));
         }
         if score.gpu_waste > 0 && search.shape.wire.kind == JobKind::Service {
@@ -251,7 +251,7 @@
             free.cpu = free.cpu.min(spare.cpu);
             free.mem = free.mem.min(spare.mem);
         }
-        match free.fits(need) {
+        match free.fit_count(need) {
             0 => Err(OfferObstacle::GpuWorkWaits),
             _ => Ok(free),
         }
@@ -268,13 +268,13 @@
         let Some(used) = machine.used() else { return OfferObstacle::NoCapacity };
         let mut free = whole;
         free.sub(used, 1);
-        if free.fits(need) == 0 {
+        if free.fit_count(need) == 0 {
             return OfferObstacle::NoCapacity;
         }
         for hold in self.holds.on(idx) {
             free.sub(hold.need, hold.count);
         }
-        match free.fits(need) {
+        match free.fit_count(need) {
             0 => OfferObstacle::Held,
             _ => OfferObstacle::Reserved,
         }
@@ -328,7 +328,7 @@
             let Some(machine) = self.machines.get(&idx) else { continue };
             let lasting_free = self.lasting_free(idx, machine, whole);
             let mut needs = self.gang_queue.needs(group, priority);
-            let wanted = needs.any(|need| lasting_free.fits(need) > 0);
+            let wanted = needs.any(|need| lasting_free.fit_count(need) > 0);
             if let (true, Some(used)) = (wanted, machine.used()) {
                 machines.push((used.cpu, idx));
                 left -= 1;
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -211,7 +211,7 @@
         // (Found in a run of a whole day: arrays that were kept off machines for the sake of gangs
         // reserved the same machines over and over, 100 to 300 reservations a zone, which kept the
         // gangs off.)
-        if self.free(idx, machine, ctx.names, job, rank)?.fits(need) > 0 {
+        if self.free(idx, machine, ctx.names, job, rank)?.fit_count(need) > 0 {
             return None;
         }
         // What is being stopped already will be free soon.
@@ -265,7 +265,7 @@
         }
         let lasting_free = self.lasting_free(idx, machine, whole);
         let access = GpuMachineAccess::of(search.request);
-        self.spare_for_service(lasting_free, access).fits(need) > 0
+        self.spare_for_service(lasting_free, access).fit_count(need) > 0
     }
 
     /// No task may be stopped for the job, but those on the machine will end some time: the machine
@@ -288,7 +288,7 @@
             free_later.sub(other.need, 1);
         }
         let busy_cpu = whole.cpu.saturating_sub(free_soon.cpu);
-        (free_later.fits(search.shape.need) > 0).then_some(MIN_WAITING_LOSS + busy_cpu)
+        (free_later.fit_count(search.shape.need) > 0).then_some(MIN_WAITING_LOSS + busy_cpu)
     }
 }
 
@@ -303,7 +303,7 @@
     let gpu_tasks = if need.gpu > 0 { GpuTasks::Included } else { GpuTasks::Excluded };
     let mut reach = free_soon;
     reach.add(machine.preemptible(search.shape.wire.priority, gpu_tasks), 1);
-    reach.fits(need) > 0
+    reach.fit_count(need) > 0
 }
 
 /// The tasks on a machine that could be stopped for work with this need, whatever their priority.
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -109,7 +109,7 @@
             without_replicas.add(shape.need, 1);
         }
         let mut needs = self.gang_queue.needs(gpu_machine.group, Priority::Low);
-        needs.any(|need| with_replicas.fits(need) == 0 && without_replicas.fits(need) > 0)
+        needs.any(|need| with_replicas.fit_count(need) == 0 && without_replicas.fit_count(need) > 0)
     }
 
     /// Reserves capacity for the replica on a machine without GPUs in its zone. False: there is none.
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -29,13 +29,13 @@
     let mut freed = free;
     let mut chosen = Vec::new();
     for candidate in candidates {
-        if freed.fits(need) >= 1 {
+        if freed.fit_count(need) >= 1 {
             break;
         }
         freed.add(candidate.need, 1);
         chosen.push(candidate);
     }
-    if freed.fits(need) < 1 {
+    if freed.fit_count(need) < 1 {
         return None;
     }
     spare_unneeded(&mut chosen, freed, need);
@@ -49,7 +49,7 @@
     chosen.retain(|victim| {
         let mut without = freed;
         without.sub(victim.need, 1);
-        let unneeded = without.fits(need) >= 1;
+        let unneeded = without.fit_count(need) >= 1;
         if unneeded {
             freed = without;
         }
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -78,7 +78,7 @@
     fn assign(&mut self, ctx: &Context, open: &mut OpenDemand) {
         let zone = self.zone.and_then(|zone| open.max_per_zone.get_mut(usize::from(zone.0)));
         let Some(max_in_zone) = zone.filter(|limit| **limit > 0) else { return };
-        let tasks = self.free.fits(open.need).min(open.tasks).min(*max_in_zone);
+        let tasks = self.free.fit_count(open.need).min(open.tasks).min(*max_in_zone);
         if tasks == 0 || !ctx.names.allows(&open.demand.shape, self.machine_type, self.spot) {
             return;
         }
@@ -302,7 +302,7 @@
         zone: &str,
         spot: bool,
     ) -> Option<PricedRequest> {
-        let fits = ctx.names.resources_of_type(type_idx).fits(open.need);
+        let fits = ctx.names.resources_of_type(type_idx).fit_count(open.need);
         let tasks = open.tasks_in_zone(ctx, zone);
         let shape = &open.demand.shape;
         if fits == 0 || tasks == 0 || !ctx.names.allows(shape, type_idx, spot) {
@@ -356,7 +356,7 @@
     for instance in pending.iter().filter(allowed) {
         let tasks = instance.zone.and_then(|zone| pending_tasks.get_mut(usize::from(zone.0)));
         if let Some(tasks) = tasks {
-            *tasks = u64::saturating_add(*tasks, instance.free.fits(open.need));
+            *tasks = u64::saturating_add(*tasks, instance.free.fit_count(open.need));
         }
     }
     pending_tasks
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -104,7 +104,7 @@
 
 /// How many tasks of the job this amount covers; of a gang all or none.
 fn covered(amount: QuotaAmount, job: &AdmissionRequest) -> u32 {
-    let count = amount.fits(job.task).min(u64::from(job.count)) as u32;
+    let count = amount.fit_count(job.task).min(u64::from(job.count)) as u32;
     if job.all_or_nothing && count < job.count {
         0
     } else {
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -82,7 +82,7 @@
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
             let share = fair.shares[coordinator].minus(self.shares[coordinator]);
-            self.give(coordinator, first.need.times(share.fits(first.need) as u32));
+            self.give(coordinator, first.need.times(share.fit_count(first.need) as u32));
         }
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
--- a/crates/wire/src/mesh/quota.rs
+++ b/crates/wire/src/mesh/quota.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns how many times `task` fits into this amount; [`u64::MAX`] if it needs nothing.
-    pub fn fits(self, task: QuotaAmount) -> u64 {
+    pub fn fit_count(self, task: QuotaAmount) -> u64 {
         let times = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
         times(self.cpu, task.cpu).min(times(self.gpu, task.gpu))
     }
