--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -59,7 +59,7 @@
     let makes_room =
         job.wire.priority > Priority::Low && !job.failure_suspicion.is_suspected() && covered;
     let queue_position = job.queue_position(ctx.now).map(|position| QueuePosition {
-        holds_position: position.holds_position && covered,
+        blocks_gangs_behind: position.blocks_gangs_behind && covered,
         ..position
     });
     RoundRequest {
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -17,20 +17,23 @@
         one_zone: true,
         ..job.wire
     };
-    assert!(!job.queue_position(0).expect("a gang's").holds_position, "asks for the first time");
+    assert!(
+        !job.queue_position(0).expect("a gang's").blocks_gangs_behind,
+        "asks for the first time"
+    );
     let room = [4, 4, 4];
     job.backoff.failed_tries = 1;
     job.choose_target_zone(&[0, 2, 1], &room);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)));
     job.choose_target_zone(&[3, 1, 0], &room);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)), "what is kept for it there is not kept in vain");
-    assert!(job.queue_position(0).expect("a gang's").holds_position);
+    assert!(job.queue_position(0).expect("a gang's").blocks_gangs_behind);
     job.choose_target_zone(&[3, 0, 0], &room);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
     job.wire.tasks = 1;
     job.choose_target_zone(&[0, 0, 0], &room);
     assert_eq!(job.target_zone, None, "a lone task needs no zone to itself");
-    assert!(!job.queue_position(0).expect("a gang's").holds_position);
+    assert!(!job.queue_position(0).expect("a gang's").blocks_gangs_behind);
 }
 
 /// Found by counting: with a fleet that was booting, asking in vain took most of the time.
@@ -117,7 +120,7 @@
     // When its turn was, as a participant reckons it from what it is told.
     let turn = |job: &Job, now: Timestamp| {
         let line = job.queue_position(now).expect("a gang's");
-        (line.late, now.saturating_add_signed(line.time_left_ms))
+        (line.missed_objectives, now.saturating_add_signed(line.time_left_ms))
     };
     let (older, younger) = (1_000_000, 1_005_000);
     for now in [1_100_000, 1_900_000, 3_000_000] {
--- a/crates/core/src/jobs/urgency.rs
+++ b/crates/core/src/jobs/urgency.rs
@@ -54,11 +54,11 @@
         }
         let urgency = self.urgency(now);
         Some(mesh::QueuePosition {
-            late: urgency.missed_objectives,
+            missed_objectives: urgency.missed_objectives,
             // Below zero once it is over: cut off there, each gang that was late took itself for
             // later than those that had asked before it, and none was ever first.
             time_left_ms: urgency.due as i64 - now as i64,
-            holds_position: self.backoff.failed_tries > 0 && self.target_zone.is_some(),
+            blocks_gangs_behind: self.backoff.failed_tries > 0 && self.target_zone.is_some(),
             zone: self.target_zone.map(|zone| zone.0),
         })
     }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -126,7 +126,7 @@
     ) -> QueueRank {
         let job = JobId(request.job);
         let rank = QueueRank::new(request.shape.priority, position, job, ctx.now);
-        if let Some(zone) = position.zone.filter(|_| position.holds_position) {
+        if let Some(zone) = position.zone.filter(|_| position.blocks_gangs_behind) {
             let gang = WaitingGang {
                 rank,
                 zone: ZoneIdx(zone),
--- a/crates/core/src/participant/queue_rank.rs
+++ b/crates/core/src/participant/queue_rank.rs
@@ -22,7 +22,7 @@
     pub fn new(priority: Priority, position: QueuePosition, job: JobId, now: Timestamp) -> Self {
         QueueRank {
             priority: Reverse(priority),
-            missed_objectives: position.late,
+            missed_objectives: position.missed_objectives,
             due_at: now.saturating_add_signed(position.time_left_ms),
             job,
         }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -177,7 +177,12 @@
         offered.expect("an answer")
     };
     // Two of its four tasks would fit: it is queued for the zone.
-    let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
+    let line = QueuePosition {
+        missed_objectives: 0,
+        time_left_ms: 9000,
+        blocks_gangs_behind: true,
+        zone: Some(0),
+    };
     ask(&mut participant, 200, 1, wanted(7, JobKind::Gang, 4, Some(line)));
     assert_eq!(ask(&mut participant, 300, 2, wanted(8, JobKind::Array, 20, None)), 0, "kept off");
     assert_eq!(participant.reservations.count(JobId(8)), 0, "and it claims nothing");
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -282,10 +282,10 @@
 
 fn wanted() -> impl Strategy<Value = OfferRequest> {
     let queue_position = (any::<u8>(), any::<i64>(), any::<bool>(), prop::option::of(any::<u8>()))
-        .prop_map(|(late, time_left_ms, holds_position, zone)| QueuePosition {
-            late,
+        .prop_map(|(missed_objectives, time_left_ms, blocks_gangs_behind, zone)| QueuePosition {
+            missed_objectives,
             time_left_ms,
-            holds_position,
+            blocks_gangs_behind,
             zone,
         });
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
--- a/crates/wire/src/mesh/placement.rs
+++ b/crates/wire/src/mesh/placement.rs
@@ -59,13 +59,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct QueuePosition {
     /// Number of objectives that the gang has missed already.
-    pub late: u8,
+    pub missed_objectives: u8,
     /// Time until the gang's next objective is missed, in milliseconds; negative if it is missed
     /// already.
     pub time_left_ms: i64,
     /// Gangs behind this one get no capacity in its zone until it is served. Not set by a gang that
     /// requests offers for the first time, or has one task.
-    pub holds_position: bool,
+    pub blocks_gangs_behind: bool,
     /// The zone that a gang of several tasks waits for.
     pub zone: Option<u8>,
 }
