--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -27,7 +27,7 @@
 impl JobOffers {
     /// Those with the image cached come first, then those with the higher score.
     fn new(mut offers: Vec<ReceivedOffer>) -> JobOffers {
-        offers.sort_by_key(|received| (!received.offer.cached, -received.offer.score));
+        offers.sort_by_key(|received| (!received.offer.has_image, -received.offer.score));
         JobOffers(offers)
     }
 
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -96,7 +96,7 @@
             incarnation: self.incarnation,
             zone: self.zone.0,
             count,
-            cached: self.fetch_steps == 0,
+            has_image: self.fetch_steps == 0,
             score: self.score(),
         }
     }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -344,8 +344,8 @@
 fn to_coordinator() -> impl Strategy<Value = ShardMessage> {
     let offer = (any::<u16>(), name(), number(), any::<u8>(), small(), any::<i64>()).prop_map(
         |(item, machine, incarnation, zone, count, score)| {
-            let cached = score % 2 == 0;
-            Offer { item, machine, incarnation, zone, count, cached, score }
+            let has_image = score % 2 == 0;
+            Offer { item, machine, incarnation, zone, count, has_image, score }
         },
     );
     let phase = prop_oneof![
--- a/crates/wire/src/mesh/placement.rs
+++ b/crates/wire/src/mesh/placement.rs
@@ -84,8 +84,8 @@
     /// Number of tasks that there is capacity for.
     pub count: u32,
     /// The image is in the machine's cache.
-    pub cached: bool,
-    /// Score among offers of equal `cached`; a higher one is better.
+    pub has_image: bool,
+    /// Score among offers of equal `has_image`; a higher one is better.
     pub score: i64,
 }
 
