--- a/crates/core/src/coordinator/compaction/outcome.rs
+++ b/crates/core/src/coordinator/compaction/outcome.rs
@@ -113,7 +113,7 @@
         }
         for (shard, attempts) in by_shard {
             for chunk in attempts.chunks(MAX_ATTEMPTS_PER_MESSAGE) {
-                ctx.send(self.shard, shard, ShardMessage::Forget { attempts: chunk.to_vec() });
+                ctx.send(self.shard, shard, ShardMessage::Forget { what: chunk.to_vec() });
             }
         }
     }
--- a/crates/core/src/coordinator/place_batch.rs
+++ b/crates/core/src/coordinator/place_batch.rs
@@ -25,15 +25,15 @@
     /// All of it in one message.
     pub fn into_message(self) -> ShardMessage {
         let PlaceTarget { job, adopt, .. } = self.target;
-        ShardMessage::Place { job: job.0, shape: self.shape, assignments: self.assignments, adopt }
+        ShardMessage::Place { job: job.0, shape: self.shape, picks: self.assignments, adopt }
     }
 
     /// Several messages, of at most `max_tasks` tasks each.
     pub fn messages(&self, max_tasks: usize) -> impl Iterator<Item = ShardMessage> + '_ {
         let PlaceTarget { job, adopt, .. } = self.target;
         self.assignments.chunks(max_tasks).map(move |part| {
-            let (shape, assignments) = (self.shape.clone(), part.to_vec());
-            ShardMessage::Place { job: job.0, shape, assignments, adopt }
+            let (shape, picks) = (self.shape.clone(), part.to_vec());
+            ShardMessage::Place { job: job.0, shape, picks, adopt }
         })
     }
 }
--- a/crates/core/src/coordinator/resend.rs
+++ b/crates/core/src/coordinator/resend.rs
@@ -107,7 +107,7 @@
             }
         }
         for StopMessage { participant, what, grace_s } in self.stops {
-            ctx.send(from, participant, ShardMessage::Stop { attempt: what, grace_s });
+            ctx.send(from, participant, ShardMessage::Stop { what, grace_s });
         }
     }
 }
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -24,7 +24,7 @@
             forgettable.extend(self.task_event(ctx, from, &event));
         }
         if !forgettable.is_empty() {
-            ctx.send(self.shard, from, ShardMessage::Forget { attempts: forgettable });
+            ctx.send(self.shard, from, ShardMessage::Forget { what: forgettable });
         }
     }
 
@@ -48,7 +48,7 @@
                 // Already noted as done, but not durably yet: the worker must not forget it.
                 return (!self.is_uncompacted(event)).then_some(what);
             }
-            ctx.send(self.shard, from, ShardMessage::Stop { attempt: what, grace_s: 0.0 });
+            ctx.send(self.shard, from, ShardMessage::Stop { what, grace_s: 0.0 });
             return None;
         }
         self.note_first_start(ctx.now, event);
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -161,10 +161,7 @@
         let timeout_at = effects.now + CALL_TIMEOUT_MS;
         self.calls.relays.insert(call, PendingRelay { req, timeout_at });
         let to = self.shared.node_name(owner);
-        effects.push(Effect::Mesh {
-            to,
-            msg: NodeMessage::RelayedHeartbeat { call, heartbeat: report },
-        });
+        effects.push(Effect::Mesh { to, msg: NodeMessage::RelayedHeartbeat { call, report } });
     }
 
     /// The owner's answer to a relayed heartbeat; if it has none to give, the worker asks the next
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -76,7 +76,7 @@
             from_epoch: from_epoch.0,
             to: to.0,
             to_epoch: owner.epoch.0,
-            message,
+            msg: message,
         };
         effects.push(Effect::Mesh { to: self.shared.node_name(owner.node), msg });
     }
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -104,17 +104,17 @@
         self.shared.health.record_contact(node, effects.now);
         match msg {
             NodeMessage::Heartbeat(heartbeat) => self.heartbeat_received(effects, node, &heartbeat),
-            NodeMessage::Shard { from, from_epoch, to, to_epoch, message } => {
+            NodeMessage::Shard { from, from_epoch, to, to_epoch, msg } => {
                 let (from, to, from_epoch) = (Shard(from), Shard(to), Epoch(from_epoch));
-                let incoming = IncomingMessage { from, from_epoch, to, message };
+                let incoming = IncomingMessage { from, from_epoch, to, message: msg };
                 self.shard_message(effects, Epoch(to_epoch), incoming);
             }
             NodeMessage::QueryJob { call, job, cancel } => {
                 self.answer_job_query(effects, from, call, JobQuery { id: JobId(job), cancel });
             }
             NodeMessage::JobAnswer { call, answer } => self.job_answered(effects, call, answer),
-            NodeMessage::RelayedHeartbeat { call, heartbeat } => {
-                self.answer_relayed_heartbeat(effects, node, call, &heartbeat);
+            NodeMessage::RelayedHeartbeat { call, report } => {
+                self.answer_relayed_heartbeat(effects, node, call, &report);
             }
             NodeMessage::RelayedResponse { call, answer } => {
                 self.relay_answered(effects, call, answer);
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -133,10 +133,10 @@
         for (shard, slot) in self.shared.shards().zip(&mut self.owned) {
             let Some(active) = slot else { continue };
             let mut context = self.shared.context(effects);
-            let demands = active.coordinator.unmet_demand(&context);
+            let lacks = active.coordinator.unmet_demand(&context);
             let inventory = active.participant.inventory(&context);
             if active.coordinator.ready() {
-                context.send(shard, PROVISIONER_SHARD, ShardMessage::UnmetDemand { demands });
+                context.send(shard, PROVISIONER_SHARD, ShardMessage::UnmetDemand { lacks });
             }
             for message in inventory {
                 context.send(shard, PROVISIONER_SHARD, message);
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -108,9 +108,9 @@
             self.serial += 1;
             messages.push(ShardMessage::Inventory {
                 serial: self.serial,
-                is_full: first,
+                first,
                 machines: take_front(&mut machines),
-                removed: take_front(&mut gone),
+                gone: take_front(&mut gone),
             });
             first = false;
             if machines.is_empty() && gone.is_empty() {
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -15,7 +15,7 @@
 /// How many machines the messages name as present, and as gone.
 fn named(messages: &[ShardMessage]) -> (usize, usize) {
     let counts = messages.iter().map(|message| match message {
-        ShardMessage::Inventory { machines, removed, .. } => (machines.len(), removed.len()),
+        ShardMessage::Inventory { machines, gone, .. } => (machines.len(), gone.len()),
         other => panic!("not an inventory: {other:?}"),
     });
     counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -164,18 +164,18 @@
             ShardMessage::CloseNegotiation { negotiation } => {
                 self.holds.release(|hold| hold.belongs_to(from, Negotiation(negotiation)));
             }
-            ShardMessage::Place { job, shape, assignments, adopt } => {
+            ShardMessage::Place { job, shape, picks, adopt } => {
                 let job = JobId(job);
                 self.gang_queue.remove(job);
                 ctx.horizons.on_job_continued(job, epoch);
                 let order =
                     task_commands::PlaceOrder { from, job, shape: ctx.names.shape(&shape), adopt };
-                for assignment in &assignments {
+                for assignment in &picks {
                     self.place_unless_over(ctx, &order, assignment);
                 }
             }
-            ShardMessage::Stop { attempt, grace_s } => self.stop(ctx, &attempt, grace_s),
-            ShardMessage::Forget { attempts } => self.acknowledge_ends(ctx, &attempts),
+            ShardMessage::Stop { what, grace_s } => self.stop(ctx, &what, grace_s),
+            ShardMessage::Forget { what } => self.acknowledge_ends(ctx, &what),
             _ => {}
         }
     }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -293,7 +293,7 @@
         let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, JobKind::Array, 1, None).shape;
-        let place = ShardMessage::Place { job: 7, shape, assignments: vec![pick], adopt: true };
+        let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
         world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
             if let_go.is_some_and(|at| now >= at) {
@@ -327,7 +327,7 @@
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
         let shape = wanted(7, JobKind::Array, 1, None).shape;
-        let place = ShardMessage::Place { job: 7, shape, assignments: vec![pick], adopt: false };
+        let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         world.at(1100, |context| {
             participant.handle(context, Shard(0), Epoch(epoch), place);
--- a/crates/core/src/provisioner/inventory.rs
+++ b/crates/core/src/provisioner/inventory.rs
@@ -18,7 +18,7 @@
     pub(super) is_full: bool,
     pub(super) machines: Vec<MachineInfo>,
     /// Names of machines that are no longer in the inventory.
-    pub(super) removed: Vec<String>,
+    pub(super) gone: Vec<String>,
 }
 
 /// An update before this one was lost, so the whole inventory is needed.
@@ -69,7 +69,7 @@
         }
         view.updated_at = now;
         view.serial = update.serial;
-        for name in &update.removed {
+        for name in &update.gone {
             view.machines.remove(name);
         }
         for info in update.machines {
--- a/crates/core/src/provisioner/mod.rs
+++ b/crates/core/src/provisioner/mod.rs
@@ -95,9 +95,9 @@
     /// Handles a message from a coordinator or a participant.
     pub fn on_message(&mut self, ctx: &mut Context, from: Shard, message: ShardMessage) {
         match message {
-            ShardMessage::UnmetDemand { demands } => self.demand.set(from, demands),
-            ShardMessage::Inventory { serial, is_full, machines, removed } => {
-                let update = InventoryUpdate { serial, is_full, machines, removed };
+            ShardMessage::UnmetDemand { lacks } => self.demand.set(from, lacks),
+            ShardMessage::Inventory { serial, first, machines, gone } => {
+                let update = InventoryUpdate { serial, is_full: first, machines, gone };
                 if let Err(MissedUpdate) = self.inventory.on_update(from, update, ctx.now) {
                     ctx.send(PROVISIONER_SHARD, from, ShardMessage::ResendInventory);
                 }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -327,17 +327,10 @@
         ),
         number().prop_map(|negotiation| ShardMessage::CloseNegotiation { negotiation }),
         (number(), shape(), prop::collection::vec(pick, 0..3), any::<bool>()).prop_map(
-            |(job, shape, assignments, adopt)| ShardMessage::Place {
-                job,
-                shape,
-                assignments,
-                adopt
-            }
+            |(job, shape, picks, adopt)| ShardMessage::Place { job, shape, picks, adopt }
         ),
-        (attempt_ref(), amount())
-            .prop_map(|(attempt, grace_s)| ShardMessage::Stop { attempt, grace_s }),
-        prop::collection::vec(attempt_ref(), 0..3)
-            .prop_map(|attempts| ShardMessage::Forget { attempts }),
+        (attempt_ref(), amount()).prop_map(|(what, grace_s)| ShardMessage::Stop { what, grace_s }),
+        prop::collection::vec(attempt_ref(), 0..3).prop_map(|what| ShardMessage::Forget { what }),
     ]
 }
 
@@ -392,13 +385,13 @@
         });
     let gone = prop::collection::vec(name(), 0..3);
     prop_oneof![
-        prop::collection::vec(lack, 0..4).prop_map(|demands| ShardMessage::UnmetDemand { demands }),
+        prop::collection::vec(lack, 0..4).prop_map(|lacks| ShardMessage::UnmetDemand { lacks }),
         (number(), any::<bool>(), prop::collection::vec(info, 0..4), gone).prop_map(
-            |(serial, is_full, machines, removed)| ShardMessage::Inventory {
+            |(serial, first, machines, gone)| ShardMessage::Inventory {
                 serial,
-                is_full,
+                first,
                 machines,
-                removed
+                gone
             }
         ),
         Just(ShardMessage::ResendInventory),
@@ -529,19 +522,17 @@
         })),
     ];
     let answer = number().prop_map(|token| HeartbeatResponse { token, commands: Vec::new() });
-    let node = prop_oneof![
-        (number(), number(), any::<bool>()).prop_map(|(call, job, cancel)| NodeMessage::QueryJob {
-            call,
-            job,
-            cancel
-        }),
-        (number(), told).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
-        any::<u8>().prop_map(|shard| NodeMessage::ReclaimShard { shard }),
-        (number(), report())
-            .prop_map(|(call, r)| NodeMessage::RelayedHeartbeat { call, heartbeat: Box::new(r) }),
-        (number(), prop::option::of(answer))
-            .prop_map(|(call, answer)| NodeMessage::RelayedResponse { call, answer }),
-    ];
+    let node =
+        prop_oneof![
+            (number(), number(), any::<bool>())
+                .prop_map(|(call, job, cancel)| NodeMessage::QueryJob { call, job, cancel }),
+            (number(), told).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
+            any::<u8>().prop_map(|shard| NodeMessage::ReclaimShard { shard }),
+            (number(), report())
+                .prop_map(|(call, r)| NodeMessage::RelayedHeartbeat { call, report: Box::new(r) }),
+            (number(), prop::option::of(answer))
+                .prop_map(|(call, answer)| NodeMessage::RelayedResponse { call, answer }),
+        ];
     let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner(), quota()];
     prop_oneof![
         report().prop_map(Odd::WorkerHeartbeat),
@@ -594,7 +585,7 @@
                         owned.iter().find(|o| o.0 .0 == s).map_or(0, |o| o.1 .0)
                     };
                     let (from_epoch, to_epoch) = (epoch(from), epoch(to));
-                    sent(NodeMessage::Shard { from, from_epoch, to, to_epoch, message: msg })
+                    sent(NodeMessage::Shard { from, from_epoch, to, to_epoch, msg })
                 }
                 Odd::Node(msg) => sent(msg),
                 Odd::Pass(ms) => {
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -16,7 +16,7 @@
 const MAX_TRACED_CHANGES: usize = 8;
 
 fn is_grant(msg: &NodeMessage) -> bool {
-    matches!(msg, NodeMessage::Shard { message: ShardMessage::TeamGrant { .. }, .. })
+    matches!(msg, NodeMessage::Shard { msg: ShardMessage::TeamGrant { .. }, .. })
 }
 
 impl Sim {
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -83,7 +83,7 @@
                 let mut bytes = Vec::new();
                 let _ = ciborium::into_writer(msg, &mut bytes);
                 let kind = match msg {
-                    NodeMessage::Shard { message, .. } => shard_msg(message),
+                    NodeMessage::Shard { msg, .. } => shard_msg(msg),
                     NodeMessage::Heartbeat(_) => "mesh Beat",
                     NodeMessage::QueryJob { .. } => "mesh Ask",
                     NodeMessage::JobAnswer { .. } => "mesh Told",
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -66,8 +66,7 @@
         /// The epoch of the receiver's shard, as far as the sender knows.
         to_epoch: u64,
         /// The message.
-        #[serde(rename = "msg")]
-        message: ShardMessage,
+        msg: ShardMessage,
     },
     /// Asks the owner of a job's shard for the state of the job.
     #[serde(rename = "Ask")]
@@ -100,8 +99,7 @@
         /// Number of the call, which the response repeats.
         call: u64,
         /// The heartbeat as received.
-        #[serde(rename = "report")]
-        heartbeat: Box<WorkerHeartbeat>,
+        report: Box<WorkerHeartbeat>,
     },
     /// The response to [`NodeMessage::RelayedHeartbeat`].
     #[serde(rename = "Answered")]
@@ -143,8 +141,7 @@
         /// What each of the tasks needs.
         shape: Arc<Shape>,
         /// The attempts.
-        #[serde(rename = "picks")]
-        assignments: Vec<Assignment>,
+        picks: Vec<Assignment>,
         /// The decision is from an older epoch, and the sender does not know whether the attempts were
         /// started, or have ended already. Those that are on their machines are kept, but none is
         /// started any more.
@@ -153,8 +150,7 @@
     /// Coordinator to participant: stops an attempt.
     Stop {
         /// The attempt.
-        #[serde(rename = "what")]
-        attempt: AttemptRef,
+        what: AttemptRef,
         /// Seconds that the task has to save its progress.
         grace_s: f64,
     },
@@ -162,8 +158,7 @@
     /// reported to it any more.
     Forget {
         /// The attempts.
-        #[serde(rename = "what")]
-        attempts: Vec<AttemptRef>,
+        what: Vec<AttemptRef>,
     },
     /// Participant to coordinator: the response to [`ShardMessage::RequestOffers`].
     Offers {
@@ -213,8 +208,7 @@
     #[serde(rename = "Lacks")]
     UnmetDemand {
         /// The unmet demand of each job.
-        #[serde(rename = "lacks")]
-        demands: Vec<UnmetDemand>,
+        lacks: Vec<UnmetDemand>,
     },
     /// Participant to the provisioner's shard: what changed since the message with the previous serial
     /// number.
@@ -223,13 +217,11 @@
         /// Serial number of the message.
         serial: u64,
         /// The message holds all machines, and replaces what was sent before.
-        #[serde(rename = "first")]
-        is_full: bool,
+        first: bool,
         /// Machines that are new or changed.
         machines: Vec<MachineInfo>,
         /// Names of machines that are no longer in the inventory.
-        #[serde(rename = "gone")]
-        removed: Vec<String>,
+        gone: Vec<String>,
     },
     /// Provisioner to participant: a message was lost, so all machines are to be sent again.
     #[serde(rename = "MachinesAgain")]
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -75,8 +75,8 @@
 
 #[test]
 fn mesh_messages_round_trip_through_cbor() {
-    let round_trip = |message| {
-        let message = NodeMessage::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, message };
+    let round_trip = |msg| {
+        let message = NodeMessage::Shard { from: 1, from_epoch: 7, to: 2, to_epoch: 9, msg };
         let mut bytes = Vec::new();
         ciborium::into_writer(&message, &mut bytes).expect("written");
         assert_eq!(ciborium::from_reader::<NodeMessage, _>(&bytes[..]).expect("read"), message);
--- a/crates/wire/tests/odd_input.rs
+++ b/crates/wire/tests/odd_input.rs
@@ -111,7 +111,7 @@
             "hauls":[{"haul":"wk-000412/3","sailing":2,"status":"running"}]});
         let report: WorkerHeartbeat = serde_json::from_value(heartbeat.clone()).expect("a heartbeat");
         let mut frame = Vec::new();
-        let message = NodeMessage::RelayedHeartbeat { call: 7, heartbeat: Box::new(report) };
+        let message = NodeMessage::RelayedHeartbeat { call: 7, report: Box::new(report) };
         ciborium::into_writer(&message, &mut frame).expect("written");
         for mut bytes in [frame, heartbeat.to_string().into_bytes()] {
             let at = at % bytes.len();
