--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -7,7 +7,7 @@
 //! | `heartbeat` | applies heartbeats, and tracks the worker's lease |
 //! | `commands` | the commands to send to the worker |
 //! | `load` | the resources that the attempts use |
-use crate::ids::{ImageIdx, JobId, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{ImageIdx, JobId, MachineTypeIdx, Timestamp, ZoneIdx};
 use crate::reachability::Reachability;
 use load::Load;
 use std::collections::{BTreeMap, VecDeque};
@@ -51,7 +51,7 @@
     /// Address at which the worker takes command batches.
     pub addr: String,
     /// Type in the catalog. `None`: not reported yet, or not in the catalog.
-    pub machine_type: Option<TypeIdx>,
+    pub machine_type: Option<MachineTypeIdx>,
     /// Zone. `None`: not reported yet, or not in the settings.
     pub zone: Option<ZoneIdx>,
     /// The machine is a spot instance.
