--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -1,8 +1,8 @@
 //! What a coordinator knows of the quotas of teams: its grants, and what its tasks use of them.
-use super::quota_admission::WaitingJob;
+use super::quota_admission::JobAdmission;
 use super::Coordinator;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, JobId, Shard, Timestamp};
 use crate::quota::admission::QuotaStatus;
 use crate::quota::{self, shard_of_team};
@@ -23,8 +23,8 @@
     /// Number of the last report. Only grants that answer it are valid.
     pub(super) report_serial: u64,
     pub(super) next_report_at: Timestamp,
-    /// Pending jobs of teams with a quota as of the last report, for the log.
-    pub(super) waiting: Vec<WaitingJob>,
+    /// Admissions of the pending jobs of teams with a quota as of the last report, for the log.
+    pub(super) admissions: Vec<JobAdmission>,
     /// Jobs for which lower-priority work of their team was preempted, with the time of that.
     pub(super) preempted_for: BTreeMap<JobId, Timestamp>,
     /// Number of tasks preempted within their team since the last statistics line of the log.
@@ -42,7 +42,7 @@
 /// Returns the quotas of the teams that have one, by the team's index in the settings.
 pub(super) fn team_quotas(ctx: &Context) -> BTreeMap<u8, QuotaAmount> {
     let teams = ctx.config.teams.iter().enumerate();
-    teams.filter_map(|(team, settings)| Some((team as u8, quota::limit(settings)?))).collect()
+    teams.filter_map(|(team, settings)| Some((team as u8, quota::team_quota(settings)?))).collect()
 }
 
 impl Coordinator {
@@ -61,7 +61,7 @@
         for grant in granted {
             self.quota.grants.insert(grant.team, ReceivedGrant { epoch, grant });
         }
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
     /// Returns how much of each team's quota is used by the tasks that are or may be on machines,
@@ -78,13 +78,13 @@
         };
         for job in self.jobs.values() {
             for usage in job.placed.values().filter_map(|placement| placement.quota) {
-                count(job.wire.priority, usage);
+                count(job.spec.priority, usage);
             }
         }
         for choice in self.pending_decision.iter().flat_map(|decision| &decision.selected) {
             let Some(job) = self.jobs.get(&choice.job) else { continue };
-            if let Some(usage) = ctx.team_use(job) {
-                count(job.wire.priority, usage);
+            if let Some(usage) = ctx.quota_use(job) {
+                count(job.spec.priority, usage);
             }
         }
         used
@@ -99,13 +99,18 @@
         for team in team_quotas(ctx).into_keys() {
             let epoch = ctx.owner(shard_of_team(team, shards)).map(|owner| owner.epoch);
             let received = self.quota.grants.get(&team);
-            let valid = received
-                .filter(|received| Some(received.epoch) == epoch || !holds(Guard::GrantEpoch));
+            let valid = received.filter(|received| {
+                Some(received.epoch) == epoch || !is_enforced(Guard::GrantBoundToEpoch)
+            });
             let Some(ReceivedGrant { grant, .. }) = valid else { continue };
             let used = used.remove(&team).unwrap_or_default();
             statuses.insert(
                 team,
-                QuotaStatus { may: grant.granted, due: grant.granted_after_preemption, used },
+                QuotaStatus {
+                    granted: grant.granted,
+                    granted_after_preemption: grant.granted_after_preemption,
+                    used,
+                },
             );
         }
         statuses
--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -16,14 +16,14 @@
 type DemandOrder = (Reverse<Priority>, Timestamp, JobId);
 
 fn demand_order(job: &Job) -> DemandOrder {
-    (Reverse(job.wire.priority), job.created, job.id)
+    (Reverse(job.spec.priority), job.submitted_at, job.id)
 }
 
 /// Returns for how many pending tasks of the job a machine is worth launching: all, or as many as
 /// its team's quota would cover.
 fn tasks_worth_machine(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
-    match ctx.team_use(job) {
-        Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.worth),
+    match ctx.quota_use(job) {
+        Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.launchable),
         None => job.pending(),
     }
 }
@@ -51,7 +51,7 @@
             shape: job.shape.wire.clone(),
             count: tasks_worth_machine(ctx, &admitted, job),
             max_per_zone: job.max_per_zone(&ctx.names.zones),
-            waited_ms: ctx.now.saturating_sub(job.created),
+            waited_ms: ctx.now.saturating_sub(job.submitted_at),
             urgent: job.is_urgent(ctx.now),
         };
         unmet.into_iter().map(demand).collect()
--- a/crates/core/src/horizon/tests/search.rs
+++ b/crates/core/src/horizon/tests/search.rs
@@ -1,29 +1,32 @@
-//! A bounded search: every history of up to a number of faults, at every step, of three controllers, a
-//! store, one machine and one cancelled job, over the real transition functions.
+//! A bounded search over fault sequences: all sequences of up to a number of faults at given steps,
+//! with three controllers, a store, one machine and one cancelled job, run on the real transition
+//! functions.
 use super::*;
 use crate::shard::{Lease, LEASE_TTL_MS};
 
 const STEP_MS: u64 = 1000;
 
-/// A fault in a history, from a step on.
+/// A fault that begins at a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    Outage(u64),
+    /// The store is down for this number of steps.
+    StoreOutage(u64),
     /// The store refuses this controller.
-    Refuse(usize),
-    /// This controller ends, and is back after that number of steps.
+    StoreRefuses(usize),
+    /// This controller crashes, and restarts after this number of steps.
     Crash(usize, u64),
+    /// These two controllers can't reach each other.
     LinkDown(usize, usize),
     /// This controller reaches the worker, but neither the store nor another controller.
     Isolated(usize),
 }
 
 const FAULTS: [Fault; 14] = [
-    Fault::Outage(2),
-    Fault::Outage(20),
-    Fault::Refuse(0),
-    Fault::Refuse(1),
-    Fault::Refuse(2),
+    Fault::StoreOutage(2),
+    Fault::StoreOutage(20),
+    Fault::StoreRefuses(0),
+    Fault::StoreRefuses(1),
+    Fault::StoreRefuses(2),
     Fault::Crash(0, 1),
     Fault::Crash(1, 1),
     Fault::Crash(1, 99),
@@ -35,22 +38,25 @@
     Fault::Isolated(1),
 ];
 
-/// What is made wrong on purpose.
+/// A bug that is introduced on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SeededBug {
-    Nothing,
+    NoBug,
     /// A process that has not read the store makes statements about earlier processes of its node.
-    Restarts,
-    /// A controller that is `heard_at` is taken to know all, as before there were horizons.
-    Silence,
+    IgnoresPredecessors,
+    /// A worker is answered without regard to horizons, as before they existed, while the other
+    /// controllers are heard.
+    IgnoresHorizons,
 }
 
-/// How the job is cancelled: at this step, and whether the transaction's answer is lost, so that it is
-/// executed later and acknowledged by any controller that reads the store.
+/// How the job is cancelled.
 #[derive(Clone, Copy, Debug)]
-struct Cancel {
-    at: u64,
-    late: bool,
+struct Cancellation {
+    /// The step at which its user cancels it.
+    at_step: u64,
+    /// Whether the transaction's answer is lost, so that the transaction is executed later and any
+    /// controller that reads the store acknowledges it.
+    is_late: bool,
 }
 
 struct Node {
@@ -61,7 +67,7 @@
     lease: Lease,
     lease_id: u64,
     owned_epochs: [Option<Epoch>; NODES],
-    heard_at: [Timestamp; NODES],
+    last_contact_at: [Timestamp; NODES],
 }
 
 #[derive(Clone, Copy)]
@@ -79,18 +85,22 @@
     nodes: Vec<Node>,
     revision: u64,
     keys: [Option<Key>; NODES],
-    /// When a key was last there.
+    /// When each shard last had a key in the store, by shard.
     last_owned_at: [Timestamp; NODES],
-    /// When the leases of the store end, by number.
+    /// When the leases in the store end, by number.
     leases: Vec<Timestamp>,
     is_terminal_in_store: bool,
+    /// The step at which a delayed cancellation is executed, and the epoch under which it was
+    /// written.
     late_write: Option<(u64, u64)>,
     acknowledged_at: Option<Timestamp>,
-    /// The worker: the controller that it sends heartbeats to, the newest fencing token that it saw, when
-    /// its lease was last granted, and whether the task is on it.
+    /// The controller that the worker sends heartbeats to.
     worker_at: usize,
+    /// The newest fencing token that the worker saw.
     token: u64,
+    /// When the worker's lease was last granted.
     lease_granted_at: Timestamp,
+    /// Whether the task is on the machine.
     task_on_machine: bool,
 }
 
@@ -104,7 +114,7 @@
             lease: Lease::default(),
             lease_id: 0,
             owned_epochs: [None; NODES],
-            heard_at: [0; NODES],
+            last_contact_at: [0; NODES],
         };
         World {
             now: 100_000,
@@ -134,12 +144,12 @@
     }
 
     fn store_is_down(&self) -> bool {
-        self.faults.iter().any(|t| matches!(t.1, Fault::Outage(n) if self.is_active(n, t.0)))
+        self.faults.iter().any(|t| matches!(t.1, Fault::StoreOutage(n) if self.is_active(n, t.0)))
     }
 
     fn reaches_store(&self, n: usize) -> bool {
         let off = |t: &(u64, Fault)| match t.1 {
-            Fault::Refuse(k) => k == n && self.is_active(9, t.0),
+            Fault::StoreRefuses(k) => k == n && self.is_active(9, t.0),
             Fault::Isolated(k) => k == n && self.is_active(16, t.0),
             _ => false,
         };
@@ -169,7 +179,7 @@
             let boot = self.nodes[n].boot + 10;
             let horizons = Horizons { boot, ..horizons(n as u8) };
             let (view, lease) = (views(), Lease::default());
-            let (owned_epochs, heard_at) = ([None; NODES], [0; NODES]);
+            let (owned_epochs, last_contact_at) = ([None; NODES], [0; NODES]);
             self.nodes[n] = Node {
                 up_from_step: step + back,
                 boot,
@@ -178,9 +188,9 @@
                 lease,
                 lease_id: 0,
                 owned_epochs,
-                heard_at,
+                last_contact_at,
             };
-            if self.bug == SeededBug::Restarts {
+            if self.bug == SeededBug::IgnoresPredecessors {
                 for s in 0..NODES as u8 {
                     self.nodes[n].horizons.on_shard_key_read(Shard(s), 0);
                 }
@@ -223,7 +233,8 @@
                 }
             }
             let before = self.keys[s].is_some_and(|k| k.node == n && k.boot != node.boot);
-            // The third controller acquires a vacant shard at once, before the others have seen that it is.
+            // The third controller acquires a vacant shard at once, before the others have seen
+            // that the shard is vacant.
             let waited = now > self.last_owned_at[s] + if n == 2 { 0 } else { STEP_MS };
             let home = s == n && now == 100_000;
             if (self.keys[s].is_none() && (home || (waited && now > 100_000))) || before {
@@ -271,7 +282,7 @@
                 let known: Vec<(usize, Owner)> =
                     last.filter_map(|(s, v)| Some((s, v.newest_owner?))).collect();
                 let to = &mut self.nodes[b];
-                to.heard_at[a] = now;
+                to.last_contact_at[a] = now;
                 for (s, o) in known {
                     if o.node.0 as usize != b
                         && to.view[s].accept_claim(Owner { boot: 0, ..o }, now)
@@ -284,7 +295,7 @@
         }
     }
 
-    fn cancel_job(&mut self, c: Cancel) {
+    fn cancel_job(&mut self, cancellation: Cancellation) {
         let step = self.step_no();
         if let Some((_, epoch)) = self.late_write.filter(|p| step >= p.0) {
             let fenced = self.keys[JOBS.0 as usize].is_none_or(|k| k.epoch != epoch);
@@ -297,7 +308,7 @@
         if self.is_terminal_in_store && self.acknowledged_at.is_none() && reads {
             self.acknowledged_at = Some(self.now);
         }
-        if step != c.at {
+        if step != cancellation.at_step {
             return;
         }
         let Some(key) = self.keys[JOBS.0 as usize] else { return };
@@ -308,7 +319,7 @@
             return;
         }
         node.horizons.on_cancelled(JOBS, Epoch(key.epoch), JOB, self.now);
-        if c.late {
+        if cancellation.is_late {
             self.late_write = Some((step + 3, key.epoch));
         } else if self.reaches_store(n) && self.is_up(n) {
             self.is_terminal_in_store = true;
@@ -320,16 +331,16 @@
         let (now, n) = (self.now, self.worker_at);
         let up = self.is_up(n);
         let node = &self.nodes[n];
-        let all = (0..NODES).all(|k| k == n || now < node.heard_at[k] + 3000);
-        let may = match self.bug {
-            SeededBug::Silence => all && now < node.lease.renewed_at + 45_000,
+        let hears_all = (0..NODES).all(|k| k == n || now < node.last_contact_at[k] + 3000);
+        let permits_answer = match self.bug {
+            SeededBug::IgnoresHorizons => hears_all && now < node.lease.renewed_at + 45_000,
             _ => {
                 node.horizons.permits_answer(MACHINES, now)
                     && node.horizons.permits_answer(JOBS, now)
             }
         };
         let epoch = node.owned_epochs[MACHINES.0 as usize].filter(|e| e.0 >= self.token);
-        match epoch.filter(|_| up && may) {
+        match epoch.filter(|_| up && permits_answer) {
             Some(e) => {
                 (self.token, self.lease_granted_at) = (e.0, now);
                 self.task_on_machine &= !node.horizons.is_terminal(JOB);
@@ -338,12 +349,12 @@
         }
     }
 
-    /// Runs the history; false: the task was on its machine for too long.
-    fn holds_the_rule(&mut self, cancel: Cancel) -> bool {
+    /// Runs the fault sequence. False: the cancelled task ran on its machine for too long.
+    fn ends_task_in_time(&mut self, cancel: Cancellation) -> bool {
         for _ in 0..38 {
             let now = self.now;
             if !self.store_is_down() {
-                // Leases ran out at their time, and none while the store was down.
+                // Leases expire at their time, but not while the store is down.
                 for k in &mut self.keys {
                     if k.is_some_and(|k| self.leases[k.lease as usize] <= now) {
                         *k = None;
@@ -380,7 +391,7 @@
                 }
             }
             self.cancel_job(cancel);
-            // A crash may come right after the acknowledgement.
+            // A crash may follow right after the acknowledgement.
             self.apply_crashes();
             self.exchange_heartbeats();
             for n in 0..NODES {
@@ -402,17 +413,17 @@
     }
 }
 
-/// All histories of up to `depth` faults at these steps. Returns their number, and one that broke the
-/// rule.
+/// Runs all sequences of up to `depth` faults at these steps. Returns their number, and one in
+/// which the cancelled task ran for too long, if there is one.
 fn search(depth: usize, steps: &[u64], bug: SeededBug) -> (u64, Option<String>) {
     let all: Vec<(u64, Fault)> = steps.iter().flat_map(|&at| FAULTS.map(|t| (at, t))).collect();
     let mut histories = 0;
     let mut open: Vec<(usize, Vec<(u64, Fault)>)> = vec![(0, Vec::new())];
     while let Some((from, faults)) = open.pop() {
-        for late in [false, true] {
-            let cancel = Cancel { at: 6, late };
+        for is_late in [false, true] {
+            let cancel = Cancellation { at_step: 6, is_late };
             histories += 1;
-            if !World::new(faults.clone(), bug).holds_the_rule(cancel) {
+            if !World::new(faults.clone(), bug).ends_task_in_time(cancel) {
                 return (histories, Some(format!("{cancel:?} {faults:?}")));
             }
         }
@@ -427,46 +438,46 @@
 }
 
 #[test]
-fn no_history_of_faults_keeps_a_cancelled_task_for_too_long() {
-    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::Nothing);
+fn cancelled_task_ends_in_time_under_faults() {
+    let (pairs, broken) = search(2, &[2, 3, 4, 5, 6, 7, 8, 9, 10], SeededBug::NoBug);
     assert_eq!(broken, None);
     let depth = std::env::var("LEADDEAL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(3);
-    let (more, broken) = search(depth, &[3, 6, 7], SeededBug::Nothing);
+    let (more, broken) = search(depth, &[3, 6, 7], SeededBug::NoBug);
     assert_eq!(broken, None);
-    assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} histories");
+    assert!(pairs > 15_000 && more > 20_000, "{pairs} and {more} sequences");
 }
 
 #[test]
-fn the_search_finds_seeded_bugs() {
-    for bug in [SeededBug::Silence, SeededBug::Restarts] {
+fn search_finds_seeded_bugs() {
+    for bug in [SeededBug::IgnoresHorizons, SeededBug::IgnoresPredecessors] {
         let found = search(3, &[3, 6, 7], bug).1;
-        assert!(found.is_some(), "{bug:?} went unnoticed");
+        assert!(found.is_some(), "{bug:?} was not found");
     }
 }
 
-/// The search would prove nothing if tasks ended that may run on.
+/// The search would prove nothing if tasks were stopped that may run on.
 #[test]
-fn a_task_that_is_not_cancelled_outlives_an_outage() {
-    let mut world = World::new(vec![(4, Fault::Outage(20))], SeededBug::Nothing);
-    assert!(world.holds_the_rule(Cancel { at: 999, late: false }));
+fn uncancelled_task_survives_store_outage() {
+    let mut world = World::new(vec![(4, Fault::StoreOutage(20))], SeededBug::NoBug);
+    assert!(world.ends_task_in_time(Cancellation { at_step: 999, is_late: false }));
     assert!(
         world.task_on_machine && world.lease_granted_at + 2 * STEP_MS > world.now,
-        "its worker got no answers"
+        "the worker got no answers"
     );
 }
 
 #[cfg(feature = "guards")]
 #[test]
-fn the_search_finds_a_guard_that_is_out() {
-    use crate::guards::{without, Guard};
+fn search_finds_disabled_guards() {
+    use crate::guards::{with_guards_disabled, Guard};
     for guard in [
-        Guard::HorizonStops,
-        Guard::HorizonDoubt,
-        Guard::HorizonVouched,
-        Guard::HorizonFloor,
-        Guard::BeatsName,
+        Guard::AnswersStopAfterGracePeriod,
+        Guard::HorizonExcludesUncertainLease,
+        Guard::HorizonNeedsPeerStatements,
+        Guard::HorizonNeedsPredecessorLimit,
+        Guard::HeartbeatsNameCancellations,
     ] {
-        let found = without(&[guard], || search(3, &[3, 6, 7], SeededBug::Nothing).1);
-        assert!(found.is_some(), "{guard:?} is not missed");
+        let found = with_guards_disabled(&[guard], || search(3, &[3, 6, 7], SeededBug::NoBug).1);
+        assert!(found.is_some(), "no failure with {guard:?} disabled");
     }
 }
--- a/crates/core/src/machine/attempt.rs
+++ b/crates/core/src/machine/attempt.rs
@@ -1,5 +1,5 @@
 //! An attempt of a task on a machine.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
 use crate::names::Shape;
 use leaddeal_wire::mesh::{AttemptRef, TaskPhase};
@@ -97,18 +97,18 @@
 
     /// Returns whether the attempt was decided for this incarnation of the machine's worker.
     pub(super) fn belongs_to(&self, incarnation: u64) -> bool {
-        self.incarnation == incarnation || !holds(Guard::OfferSession)
+        self.incarnation == incarnation || !is_enforced(Guard::StartBoundToIncarnation)
     }
 
     /// Returns whether the start command is in a command batch in flight, so that it may still be
     /// executed.
     pub(super) fn start_in_flight(&self) -> bool {
-        self.direct_batch.is_some() && holds(Guard::ForgetLater)
+        self.direct_batch.is_some() && is_enforced(Guard::StartInFlightRemembered)
     }
 
     /// Returns whether a start command may be sent for the attempt at all.
     pub(super) fn may_start(&self) -> bool {
-        !self.adopted || !holds(Guard::Adopted)
+        !self.adopted || !is_enforced(Guard::AdoptedTaskNotStarted)
     }
 
     /// Returns whether this owner has sent a start command that may have been executed or may still
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -1,6 +1,6 @@
 //! The heartbeats of a machine's worker, and the worker's lease.
 use super::{AttemptKey, Machine, TaskOnMachine};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
 use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::TaskPhase;
@@ -25,7 +25,7 @@
         let number = (heartbeat.incarnation, heartbeat.seq);
         let newest = number > self.last_periodic && heartbeat.incarnation >= self.incarnation;
         self.last_periodic = self.last_periodic.max(number);
-        newest || !holds(Guard::Waits)
+        newest || !is_enforced(Guard::LateHeartbeatGrantsNoLease)
     }
 
     /// Returns the time from which the worker's lease of `lease_ms` has surely expired, unless it is
@@ -68,7 +68,7 @@
 
     fn is_news(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let known = (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.seq);
-        if (known && holds(Guard::NewestReport)) || self.released {
+        if (known && is_enforced(Guard::OlderStatusIgnored)) || self.released {
             return false;
         }
         // A worker ends its incarnation when its lease expires, so a further heartbeat of that
@@ -78,7 +78,7 @@
 
     fn begin_incarnation(&mut self, incarnation: u64, now: Timestamp) {
         if self.incarnation > 0 {
-            self.reachability.lease_ended(now);
+            self.reachability.mark_unreachable(now);
         }
         for task in self.tasks.values_mut().filter(|task| task.incarnation < incarnation) {
             task.end_with_incarnation();
@@ -88,7 +88,7 @@
         // was granted to the previous one. Otherwise, when a node that was short of processor time
         // learned of the new incarnation from a response to commands and started a task in it, the
         // expiry of the old incarnation's lease marked that task as gone.
-        if holds(Guard::SessionLease) {
+        if is_enforced(Guard::LeasePerIncarnation) {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
     }
@@ -107,14 +107,17 @@
         // A worker that restarted without the token accepts responses of previous owners again.
         let confirmed = token == epoch.0;
         if confirmed && self.reported_token < token {
-            self.reachability.proven();
+            self.reachability.record_proof();
         }
         self.reported_token = token;
         // When a worker reports our token for the first time, previous owners may have renewed its
         // lease until now, whatever this owner granted. A delayed copy of a heartbeat made the new
         // owner send commands to a worker that an older owner, on the same side of a partition as
         // the worker, still responded to (found by the simulator with seed 173).
-        if confirmed && !self.token_confirmed && holds(Guard::FirstSight) {
+        if confirmed
+            && !self.token_confirmed
+            && is_enforced(Guard::LeaseCountedFromTokenConfirmation)
+        {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
         self.token_confirmed = confirmed;
@@ -137,7 +140,7 @@
         let task = self.tasks.entry(key).or_insert_with(unknown);
         // Our command started the attempt, which proves that the worker receives what we send.
         if task.phase == TaskPhase::Decided && task.start_sent() {
-            self.reachability.proven();
+            self.reachability.record_proof();
         }
         task.reported = true;
         if task.phase == TaskPhase::Gone {
@@ -151,7 +154,7 @@
 
     /// Updates the attempts that the heartbeat does not contain.
     fn apply_missing_tasks(&mut self, incarnation: u64, kind: HeartbeatKind) {
-        let confirmed = self.token_confirmed || !holds(Guard::TokenShown);
+        let confirmed = self.token_confirmed || !is_enforced(Guard::AbsenceNeedsConfirmedToken);
         for task in self.tasks.values_mut().filter(|task| !task.reported) {
             match task.phase {
                 TaskPhase::Decided => {
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -125,12 +125,24 @@
 #[cfg(feature = "guards")]
 #[test]
 fn tests_fail_without_their_guards() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::FirstSight, first_report_of_token_restarts_lease);
-    missed_by(Guard::SessionLease, new_incarnation_starts_a_new_lease);
-    missed_by(Guard::DoubtStarts, uncertain_lease_sends_stops_but_no_starts);
-    missed_by(Guard::DoubtStops, uncertain_lease_sends_stops_but_no_starts);
-    missed_by(Guard::Adopted, starts_only_own_decisions_for_this_incarnation);
-    missed_by(Guard::OfferSession, starts_only_own_decisions_for_this_incarnation);
-    missed_by(Guard::ForgetLater, keeps_attempt_while_its_start_is_in_flight);
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(
+        Guard::LeaseCountedFromTokenConfirmation,
+        first_report_of_token_restarts_lease,
+    );
+    assert_fails_without(Guard::LeasePerIncarnation, new_incarnation_starts_a_new_lease);
+    assert_fails_without(Guard::StartNeedsValidLease, uncertain_lease_sends_stops_but_no_starts);
+    assert_fails_without(Guard::StopIgnoresLease, uncertain_lease_sends_stops_but_no_starts);
+    assert_fails_without(
+        Guard::AdoptedTaskNotStarted,
+        starts_only_own_decisions_for_this_incarnation,
+    );
+    assert_fails_without(
+        Guard::StartBoundToIncarnation,
+        starts_only_own_decisions_for_this_incarnation,
+    );
+    assert_fails_without(
+        Guard::StartInFlightRemembered,
+        keeps_attempt_while_its_start_is_in_flight,
+    );
 }
--- a/crates/core/src/node/lease.rs
+++ b/crates/core/src/node/lease.rs
@@ -1,7 +1,7 @@
 //! Requests and renews this node's lease at the state service.
 use super::Node;
 use crate::context::Operation;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel, StoreCall, StoreResult};
 use crate::shard::{Lease, LEASE_RENEWAL_INTERVAL_MS, LEASE_TTL_MS};
@@ -25,9 +25,11 @@
         let id = lease.id;
         let mut context = self.shared.context(effects);
         match id {
-            Some(lease) => context
-                .store(Operation::RenewLease { sent: now, lease }, StoreCall::RenewLease { lease }),
-            None => context.store(
+            Some(lease) => context.call_store(
+                Operation::RenewLease { sent: now, lease },
+                StoreCall::RenewLease { lease },
+            ),
+            None => context.call_store(
                 Operation::NewLease { sent: now },
                 StoreCall::NewLease { ttl_ms: LEASE_TTL_MS },
             ),
@@ -68,7 +70,7 @@
         lease.call_sent_at = None;
         match result {
             StoreResult::LeaseRenewed => {
-                let from = if holds(Guard::LeaseFromSent) { sent } else { now };
+                let from = if is_enforced(Guard::LeaseCountedFromSend) { sent } else { now };
                 lease.renewed_at = lease.renewed_at.max(from);
             }
             StoreResult::NoLease => {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -137,7 +137,7 @@
     /// than that all of them failed.
     pub fn is_healthy(&self, now: Timestamp) -> bool {
         let health = &self.shared.health;
-        let is_best_available = !health.another_is_ready(now) && health.hears_any_sibling(now);
+        let is_best_available = !health.has_ready_sibling(now) && health.reaches_any_sibling(now);
         self.is_ready(now) || (now >= self.timers.started + STARTUP_LISTEN_MS && is_best_available)
     }
 
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -48,7 +48,7 @@
         }
         list.list_in_flight = true;
         let call = StoreCall::List { prefix: keys::SHARD_PREFIX.into(), after: None };
-        self.shared.context(effects).store(Operation::ListShards, call);
+        self.shared.context(effects).call_store(Operation::ListShards, call);
     }
 
     /// Handles the list of the shards' keys, and starts the watch.
@@ -75,7 +75,7 @@
     fn watch_shards(&mut self, effects: &mut Effects, after: u64) {
         let prefix = keys::SHARD_PREFIX.into();
         let call = StoreCall::Watch { prefix, after, wait_ms: WATCH_WAIT_MS };
-        self.shared.context(effects).store(Operation::WatchShards, call);
+        self.shared.context(effects).call_store(Operation::WatchShards, call);
     }
 
     /// Handles the events of the watch and continues it. After a failure the keys are listed again.
--- a/crates/core/src/node/step.rs
+++ b/crates/core/src/node/step.rs
@@ -36,7 +36,7 @@
     /// Handles an answer of the state service. It is ignored if this process made no such call, or if
     /// the call was answered already.
     fn on_store_result(&mut self, effects: &mut Effects, op: OperationId, result: StoreResult) {
-        let Some(operation) = self.shared.operations.open.remove(&op) else { return };
+        let Some(operation) = self.shared.operations.by_id.remove(&op) else { return };
         if !matches!(result, StoreResult::Refused | StoreResult::RateLimited | StoreResult::Unknown)
         {
             self.store_answered_at = effects.now;
@@ -56,7 +56,7 @@
     /// Handles an answer of the cloud service. It is ignored if this process made no such call, or if
     /// the call was answered already.
     fn on_cloud_result(&mut self, effects: &mut Effects, op: OperationId, result: CloudResult) {
-        let Some(operation) = self.shared.operations.open.remove(&op) else { return };
+        let Some(operation) = self.shared.operations.by_id.remove(&op) else { return };
         match (operation, result) {
             (Operation::Catalog, CloudResult::Catalog(catalog)) => {
                 self.shared.names.set_catalog(catalog);
--- a/crates/core/src/provisioner/instance_list.rs
+++ b/crates/core/src/provisioner/instance_list.rs
@@ -137,7 +137,7 @@
     /// Requests the list of instances, if that is due.
     pub(super) fn request_list(&mut self, ctx: &mut Context) {
         if self.listed.is_due(ctx.now) && self.call_pacing.is_ready(ctx.now) {
-            self.call_pacing.on_call(ctx.now, ctx.config.cloud_gap_ms);
+            self.call_pacing.on_call(ctx.now, ctx.config.cloud_call_interval_ms);
             self.listed.on_call(ctx.now);
             self.send_list_call(ctx, None);
         }
@@ -145,13 +145,13 @@
 
     fn send_list_call(&self, ctx: &mut Context, after: Option<String>) {
         let operation = Operation::Provisioner(self.epoch, ProvisionerOperation::List);
-        ctx.cloud(operation, CloudCall::List { after });
+        ctx.call_cloud(operation, CloudCall::List { after });
     }
 
     pub(super) fn on_list_page(&mut self, ctx: &mut Context, page: InstanceList) {
         match self.listed.on_page(page, self.scale_in.released()) {
             ListProgress::NextPage { after } => {
-                self.call_pacing.on_unpaced_call(ctx.now, ctx.config.cloud_gap_ms);
+                self.call_pacing.on_unpaced_call(ctx.now, ctx.config.cloud_call_interval_ms);
                 self.send_list_call(ctx, Some(after));
             }
             ListProgress::Complete => self.reconcile(ctx),
@@ -208,7 +208,7 @@
     /// service, or reads the name if it is stored already.
     fn find_operator_machines(&mut self, ctx: &mut Context) {
         if self.operator_machines.begin_read() {
-            ctx.find_operator_machines(self.listed.newest().cloned().unwrap_or_default());
+            ctx.put_operator_machines(self.listed.newest().cloned().unwrap_or_default());
         }
     }
 }
--- a/crates/core/src/provisioner/instance_requests.rs
+++ b/crates/core/src/provisioner/instance_requests.rs
@@ -10,7 +10,7 @@
 //!
 //! With only one request pending at a time, waits grew in proportion to the fleet when it was scaled
 //! out from empty, however many calls the cloud allowed.
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Timestamp};
 use crate::io::CloudResult;
 use leaddeal_wire::cloud::InstanceRequest;
@@ -69,7 +69,7 @@
         self.last_number += 1;
         // The epoch makes the name unique among all owners of the provisioner's shard. Without it the
         // cloud would take a new owner's request for a retry of an older one.
-        let epoch = if holds(Guard::RentalEpoch) { epoch } else { Epoch(0) };
+        let epoch = if is_enforced(Guard::InstanceRequestNamedByEpoch) { epoch } else { Epoch(0) };
         request.request = format!("r-{}-{}", epoch.0, self.last_number);
         request.count = request.count.clamp(1, MAX_INSTANCES_PER_REQUEST);
         let pending = PendingRequest {
--- a/crates/core/src/writes/tests.rs
+++ b/crates/core/src/writes/tests.rs
@@ -69,7 +69,10 @@
 #[cfg(feature = "guards")]
 #[test]
 fn tests_fail_without_their_guards() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Epoch, new_owner_fences_and_first_refusal_is_final);
-    missed_by(Guard::OutcomeKnown, idempotency_key_proves_earlier_commit);
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(Guard::WritesFencedByEpoch, new_owner_fences_and_first_refusal_is_final);
+    assert_fails_without(
+        Guard::RefusalInconclusiveAfterUnknownTry,
+        idempotency_key_proves_earlier_commit,
+    );
 }
