--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -139,7 +139,7 @@
         zone: zone.unwrap_or_default(),
         spot: summary.spot,
         idle_ms: summary.idle_since.map(|since| now.saturating_sub(since)),
-        dead: summary.dead,
+        unusable: summary.dead,
         draining: summary.draining,
     }
 }
--- a/crates/core/src/provisioner/scale_in.rs
+++ b/crates/core/src/provisioner/scale_in.rs
@@ -145,7 +145,7 @@
             if self.scale_in.released.contains(name) || self.scale_in.to_release.contains(name) {
                 continue;
             }
-            if !info.dead {
+            if !info.unusable {
                 if self.may_drain(ctx, machine) {
                     idle.push(name.clone());
                 }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -380,7 +380,7 @@
             zone,
             spot: dead,
             idle_ms,
-            dead,
+            unusable: dead,
             draining: dead,
         });
     let gone = prop::collection::vec(name(), 0..3);
--- a/crates/wire/src/mesh/machines.rs
+++ b/crates/wire/src/mesh/machines.rs
@@ -35,7 +35,7 @@
     /// busy.
     pub idle_ms: Option<u64>,
     /// The machine is unusable: it has sent no heartbeat for long, or is known to be broken.
-    pub dead: bool,
+    pub unusable: bool,
     /// The machine gets no new tasks, and is released when idle.
     pub draining: bool,
 }
