--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -60,7 +60,7 @@
     pub fn record_heartbeat(&mut self, node: NodeIdx, heartbeat: &NodeHeartbeat) {
         let Some(statement) = self.statements.get_mut(node.0 as usize) else { return };
         statement.ready = heartbeat.ready;
-        for &(shard, _, epoch) in &heartbeat.known {
+        for &(shard, _, epoch) in &heartbeat.known_owners {
             if let Some(known) = statement.known_epochs.get_mut(shard as usize) {
                 *known = (*known).max(Epoch(epoch));
             }
--- a/crates/core/src/health/tests.rs
+++ b/crates/core/src/health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn heartbeat(known: &[(u8, u8, u64)], ready: bool) -> NodeHeartbeat {
-    NodeHeartbeat { known: known.to_vec(), ready, ..NodeHeartbeat::default() }
+    NodeHeartbeat { known_owners: known.to_vec(), ready, ..NodeHeartbeat::default() }
 }
 
 #[test]
--- a/crates/core/src/horizon/heartbeats.rs
+++ b/crates/core/src/horizon/heartbeats.rs
@@ -53,9 +53,9 @@
         }
         peer.stamp = Some(heartbeat.stamp);
         peer.take_acknowledgements(heartbeat, shards);
-        if let Some(made_after) = made_after.filter(|_| heartbeat.newest.len() == shards) {
+        if let Some(made_after) = made_after.filter(|_| heartbeat.newest_epochs.len() == shards) {
             let statement = |&epoch| EpochStatement { epoch: Epoch(epoch), made_after };
-            peer.newest_epochs = heartbeat.newest.iter().map(statement).collect();
+            peer.newest_epochs = heartbeat.newest_epochs.iter().map(statement).collect();
         }
         for assertion in &heartbeat.assertions {
             self.on_assertion(assertion, view, made_after, now);
@@ -103,7 +103,7 @@
         heartbeat.stamp = Stamp { boot: self.boot, at: now };
         let Some(peer) = self.peers.get(usize::from(to.0)) else { return };
         heartbeat.echo = peer.stamp;
-        heartbeat.newest = self.newest_epochs(view).unwrap_or_default();
+        heartbeat.newest_epochs = self.newest_epochs(view).unwrap_or_default();
         heartbeat.acknowledged = self.acknowledgements();
         for (index, (state, owned)) in self.shards.iter().zip(owned).enumerate() {
             let Some(owned) = owned else { continue };
@@ -150,13 +150,14 @@
             return;
         }
         self.received = LogPosition { epoch, number: received.max(assertion.up_to) };
-        let Some(made_after) = made_after.filter(|_| assertion.complete) else { return };
+        let Some(made_after) = made_after.filter(|_| assertion.is_complete) else { return };
         self.owner_statement = Some(EpochStatement { epoch, made_after });
         // The owner's statement counts up to the time until which its lease was certain. The
         // owner's clock may be slow, so the uncertain time is taken as longer than stated.
         let lease_uncertain =
-            assertion.doubt_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
-        let uncertain_ms = if lease_uncertain { plus_clock_drift(assertion.doubt_ms) } else { 0 };
+            assertion.lease_uncertain_ms > 0 && is_enforced(Guard::HorizonExcludesUncertainLease);
+        let uncertain_ms =
+            if lease_uncertain { plus_clock_drift(assertion.lease_uncertain_ms) } else { 0 };
         let certain_until = made_after.checked_sub(uncertain_ms);
         self.horizon = self.horizon.max(certain_until);
         self.confirmed_at = self.confirmed_at.max(certain_until.filter(|_| uncertain_ms == 0));
@@ -171,10 +172,10 @@
         ShardAssertion {
             shard,
             epoch: owned.epoch.0,
-            doubt_ms: owned.lease_uncertain_ms,
+            lease_uncertain_ms: owned.lease_uncertain_ms,
             after,
             up_to,
-            complete: self.log.ends_at(up_to),
+            is_complete: self.log.ends_at(up_to),
             cancelled: named.iter().map(|entry| entry.job.0).collect(),
         }
     }
--- a/crates/core/src/horizon/tests.rs
+++ b/crates/core/src/horizon/tests.rs
@@ -124,7 +124,7 @@
     let assertion = ShardAssertion {
         shard: 99,
         epoch: u64::MAX,
-        complete: true,
+        is_complete: true,
         up_to: u64::MAX,
         ..ShardAssertion::default()
     };
@@ -132,7 +132,7 @@
     let acknowledged = vec![(200, u64::MAX, u64::MAX)];
     let heartbeat = NodeHeartbeat {
         echo,
-        newest: vec![0; 900],
+        newest_epochs: vec![0; 900],
         assertions: vec![assertion.clone()],
         acknowledged,
         ..NodeHeartbeat::default()
@@ -140,7 +140,7 @@
     a.on_heartbeat(NodeIdx(1), &heartbeat, &view, 5000);
     a.on_heartbeat(NodeIdx(77), &heartbeat, &view, 5000);
     // The lease has been uncertain for longer than the clock has run.
-    let uncertain = ShardAssertion { shard: 1, doubt_ms: 1 << 60, ..assertion };
+    let uncertain = ShardAssertion { shard: 1, lease_uncertain_ms: 1 << 60, ..assertion };
     let past = Some(Stamp { boot: 1, at: 4000 });
     a.on_heartbeat(
         NodeIdx(1),
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -45,7 +45,7 @@
         });
         NodeHeartbeat {
             owned,
-            known: known.collect(),
+            known_owners: known.collect(),
             ready: self.is_ready(now),
             ..NodeHeartbeat::default()
         }
@@ -59,7 +59,7 @@
         heartbeat: &NodeHeartbeat,
     ) {
         let owned = heartbeat.owned.iter().map(|&(shard, epoch)| (shard, from.0, epoch));
-        for (shard, node, epoch) in owned.chain(heartbeat.known.iter().copied()) {
+        for (shard, node, epoch) in owned.chain(heartbeat.known_owners.iter().copied()) {
             let claimed = Owner { node: NodeIdx(node), boot: 0, epoch: Epoch(epoch) };
             self.on_owner_claim(effects, Shard(shard), claimed);
         }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -431,10 +431,10 @@
 fn beat() -> impl Strategy<Value = NodeHeartbeat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
     let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
-        |(shard, epoch, doubt_ms, after, up_to, complete)| ShardAssertion {
+        |(shard, epoch, lease_uncertain_ms, after, up_to, complete)| ShardAssertion {
             shard,
             epoch,
-            doubt_ms,
+            lease_uncertain_ms,
             after,
             up_to,
             complete,
@@ -450,7 +450,7 @@
     (owned, known, any::<bool>(), times, newest, (assertions, acknowledged)).prop_map(
         |(owned, known, ready, (stamp, echo), newest, (assertions, acknowledged))| NodeHeartbeat {
             owned,
-            known,
+            known_owners: known,
             ready,
             stamp,
             echo,
--- a/crates/wire/src/mesh/heartbeat.rs
+++ b/crates/wire/src/mesh/heartbeat.rs
@@ -9,7 +9,7 @@
     /// The newest owner that the sender knows of each shard: shard, node in the order of the names,
     /// epoch. A sender that owned a shard under an older epoch and names a newer one here has given up
     /// the shard.
-    pub known: Vec<(u8, u8, u64)>,
+    pub known_owners: Vec<(u8, u8, u64)>,
     /// The sender can serve user requests.
     pub ready: bool,
     /// When the heartbeat was sent.
@@ -19,7 +19,7 @@
     pub echo: Option<Stamp>,
     /// By shard, an epoch such that neither the sender nor an earlier process of its node has acted
     /// under a newer one. Empty: the sender has not read the keys of the shards yet.
-    pub newest: Vec<u64>,
+    pub newest_epochs: Vec<u64>,
     /// Cancellations in the shards that the sender owns and has loaded completely.
     pub assertions: Vec<ShardAssertion>,
     /// Up to which number the sender has received the cancellations of each shard: shard, epoch, number.
@@ -44,14 +44,14 @@
     /// The owner's epoch.
     pub epoch: u64,
     /// How long the owner's lease has been uncertain, in milliseconds; 0: it is valid.
-    pub doubt_ms: u64,
+    pub lease_uncertain_ms: u64,
     /// `cancelled` starts after the cancellation with this number. Older ones are acknowledged, or
     /// their jobs ended long ago.
     pub after: u64,
     /// `cancelled` ends with the cancellation with this number.
     pub up_to: u64,
     /// There are no cancellations after `up_to`.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Numbers of the cancelled jobs.
     pub cancelled: Vec<u64>,
 }
