--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -99,7 +99,8 @@
         self.last_heartbeat_at = now;
         self.addr.clone_from(&heartbeat.addr);
         self.spot = heartbeat.spot;
-        let notice_ms = heartbeat.notice_s.map(|seconds| (seconds.max(0.0) * 1000.0) as u64);
+        let notice_ms =
+            heartbeat.interruption_notice_s.map(|seconds| (seconds.max(0.0) * 1000.0) as u64);
         self.interruption_at = notice_ms.map(|notice_ms| now.saturating_add(notice_ms));
     }
 
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -13,7 +13,7 @@
         incarnation,
         seq: 1,
         token,
-        notice_s: None,
+        interruption_notice_s: None,
         tasks: Vec::new(),
     }
 }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -107,7 +107,7 @@
         incarnation: 1,
         seq,
         token: EPOCH.0,
-        notice_s: None,
+        interruption_notice_s: None,
         tasks: Vec::new(),
     }
 }
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -221,7 +221,11 @@
     let who = (name(), kind_of_machine(), zone(), any::<bool>());
     let when = (number(), number(), number(), prop::option::of(amount()));
     (who, when, prop::collection::vec(task, 0..4)).prop_map(
-        |((machine, type_name, zone, spot), (incarnation, seq, token, notice_s), tasks)| {
+        |(
+            (machine, type_name, zone, spot),
+            (incarnation, seq, token, interruption_notice_s),
+            tasks,
+        )| {
             WorkerHeartbeat {
                 machine,
                 addr: "10.9.0.1:1".into(),
@@ -231,7 +235,7 @@
                 incarnation,
                 seq,
                 token,
-                notice_s,
+                interruption_notice_s,
                 tasks,
             }
         },
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -257,7 +257,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
             token: self.token,
-            notice_s: None,
+            interruption_notice_s: None,
             tasks: self.tasks.iter().map(report).collect(),
         }
     }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -40,7 +40,7 @@
     pub token: u64,
     /// Seconds until the cloud interrupts the machine. `None`: no interruption is announced.
     #[serde(rename = "recallS", default)]
-    pub notice_s: Option<f64>,
+    pub interruption_notice_s: Option<f64>,
     /// All attempts on the machine that the worker has not been told to forget.
     #[serde(rename = "hauls", default)]
     pub tasks: Vec<TaskReport>,
