--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -126,7 +126,7 @@
         job.cancelled = true;
         // Completions of a cancelled job do not count any more, so participants may forget them.
         let completed = std::mem::take(&mut job.completion.uncompacted);
-        job.placed.stop_all();
+        job.placed.kill_all();
         self.unsettled_jobs.insert(id);
         let state = job.state();
         let nothing_placed = job.placed.is_empty();
--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -132,12 +132,12 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let saves_progress = job.spec.checkpoint_s > 0.0;
         let grace_s = if saves_progress { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
-        let before = job.placed.stopping();
+        let before = job.placed.stopping_count();
         match victim {
             Victim::Task { task, .. } => job.placed.stop(task, grace_s),
-            Victim::Gang { .. } => job.placed.stop_rest(grace_s),
+            Victim::Gang { .. } => job.placed.stop_all(grace_s),
         }
-        self.quota.preempted_tasks += (job.placed.stopping() - before) as u64;
+        self.quota.preempted_tasks += (job.placed.stopping_count() - before) as u64;
         self.unsettled_jobs.insert(id);
     }
 }
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -107,7 +107,7 @@
         // If one task of a gang is saving its progress before it stops, the whole gang must save
         // and stop, too, and soon.
         if event.phase == TaskPhase::On(TaskState::Saving) && job.spec.kind == JobKind::Gang {
-            job.placed.stop_rest(job.spec.save_s + SAVE_MARGIN_S);
+            job.placed.stop_all(job.spec.save_s + SAVE_MARGIN_S);
             self.unsettled_jobs.insert(id);
             self.next_resend_at = ctx.now;
             self.resend(ctx);
@@ -162,7 +162,7 @@
         self.unplaced_jobs.insert(id);
         if job.spec.kind == JobKind::Gang {
             // A gang runs as a whole or not at all, so its other tasks stop.
-            job.placed.stop_rest(0.0);
+            job.placed.stop_all(0.0);
             self.unsettled_jobs.insert(id);
             self.next_resend_at = ctx.now;
         }
@@ -181,7 +181,7 @@
     let suspicion = &mut job.failure_suspicion;
     match phase {
         TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::JobNotFound, _) => {
-            if job.spec.kind == JobKind::Service && job.placed.running() > 0 {
+            if job.spec.kind == JobKind::Service && job.placed.running_count() > 0 {
                 suspicion.record_good_run();
             }
             let was_suspected = suspicion.is_suspected();
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -5,7 +5,7 @@
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Timestamp, ZoneIdx};
 use crate::names::{Names, Shape};
-use crate::placed::Placed;
+use crate::placed::Placements;
 use crate::task_set::TaskSet;
 use leaddeal_wire::user::{self, JobKind, JobState, JobStatus};
 use std::collections::BTreeSet;
@@ -34,7 +34,7 @@
     /// Completed tasks.
     pub done: TaskSet,
     /// Tasks that are or may be on machines.
-    pub placed: Placed,
+    pub placed: Placements,
     unplaced: UnplacedTasks,
 
     /// The job's tasks are not requested before this time.
@@ -88,7 +88,7 @@
             spec,
             first_started_at: None,
             done: TaskSet::default(),
-            placed: Placed::default(),
+            placed: Placements::default(),
             unplaced: UnplacedTasks::default(),
             not_before: 0,
             backoff: PlacementBackoff::default(),
@@ -190,7 +190,7 @@
 
     /// Returns the state shown to users.
     pub fn state(&self) -> JobState {
-        let running = self.placed.running();
+        let running = self.placed.running_count();
         let status = match (self.cancelled, running) {
             (true, _) => JobStatus::Cancelled,
             (false, 0) => JobStatus::Queued,
--- a/crates/core/src/placed.rs
+++ b/crates/core/src/placed.rs
@@ -69,7 +69,7 @@
 /// or the phase of a placement. The sums are maintained because computing them at every user request
 /// and twice in each round took time in proportion to the size of the job.
 #[derive(Clone, Debug, Default)]
-pub struct Placed {
+pub struct Placements {
     by_task: BTreeMap<u32, Placement>,
     /// Number of placements by zone number, up to the highest zone that ever had one.
     in_zone: Vec<u32>,
@@ -77,7 +77,7 @@
     running: u32,
 }
 
-impl Placed {
+impl Placements {
     /// Returns how many tasks are, or may be, on machines.
     pub fn len(&self) -> u32 {
         self.by_task.len() as u32
@@ -99,7 +99,7 @@
     }
 
     /// Returns all tasks with their placements, ordered by task, to record what was sent and stopped.
-    /// Zone and phase must not be changed through this: see [`Placed::set_phase`].
+    /// Zone and phase must not be changed through this: see [`Placements::set_phase`].
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut Placement)> {
         self.by_task.iter_mut().map(|(task, placement)| (*task, placement))
     }
@@ -117,21 +117,21 @@
     }
 
     /// Requests that all tasks stop. Tasks that are to stop already keep their grace period.
-    pub fn stop_rest(&mut self, grace_s: f64) {
+    pub fn stop_all(&mut self, grace_s: f64) {
         for placement in self.by_task.values_mut() {
             placement.stop_unless_stopping(grace_s);
         }
     }
 
     /// Requests that all tasks stop without a grace period, also those that were granted one.
-    pub fn stop_all(&mut self) {
+    pub fn kill_all(&mut self) {
         for placement in self.by_task.values_mut() {
             placement.stop = Some(PendingStop::new(0.0));
         }
     }
 
     /// Returns how many tasks are to stop.
-    pub fn stopping(&self) -> usize {
+    pub fn stopping_count(&self) -> usize {
         self.values().filter(|placement| placement.stop.is_some()).count()
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Returns how many tasks users see as running.
-    pub fn running(&self) -> u32 {
+    pub fn running_count(&self) -> u32 {
         debug_assert!(self.sums_hold());
         self.running
     }
