--- a/crates/core/src/machine/attempt.rs
+++ b/crates/core/src/machine/attempt.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns whether the worker knows the attempt or may still learn of it.
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn may_be_at_worker(&self) -> bool {
         self.reported || self.start_uncertain || self.direct_batch.is_some()
     }
 
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -30,7 +30,11 @@
 
     /// Returns the time from which the worker's lease of `lease_ms` has surely expired, unless it is
     /// renewed. Previous owners of the shard may have renewed it until `previous_owners_until`.
-    pub fn lease_over_at(&self, lease_ms: u64, previous_owners_until: Timestamp) -> Timestamp {
+    pub fn lease_surely_expired_at(
+        &self,
+        lease_ms: u64,
+        previous_owners_until: Timestamp,
+    ) -> Timestamp {
         let granted_at = if self.token_confirmed {
             self.lease_granted_at
         } else {
@@ -48,7 +52,7 @@
         kind: HeartbeatKind,
         now: Timestamp,
     ) -> bool {
-        if !self.is_news(heartbeat) {
+        if !self.is_new(heartbeat) {
             return false;
         }
         if heartbeat.incarnation > self.incarnation {
@@ -66,7 +70,7 @@
         true
     }
 
-    fn is_news(&self, heartbeat: &WorkerHeartbeat) -> bool {
+    fn is_new(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let known = (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.seq);
         if (known && is_enforced(Guard::OlderStatusIgnored)) || self.released {
             return false;
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -142,7 +142,9 @@
     /// Removes the attempts whose end the coordinator has acknowledged and that the worker has
     /// forgotten.
     pub fn drop_forgotten(&mut self) {
-        self.tasks.retain(|_, task| !(task.end_acknowledged && task.is_over() && !task.is_open()));
+        self.tasks.retain(|_, task| {
+            !(task.end_acknowledged && task.is_over() && !task.may_be_at_worker())
+        });
     }
 
     /// Ends all attempts on the machine, because the worker's lease has expired or the machine was
@@ -162,7 +164,7 @@
     }
 
     /// Records that tasks of these jobs failed here. A failure counts for `remember_ms` milliseconds.
-    pub fn note_failures(&mut self, jobs: &[JobId], now: Timestamp, remember_ms: u64) {
+    pub fn record_failures(&mut self, jobs: &[JobId], now: Timestamp, remember_ms: u64) {
         if jobs.is_empty() {
             return;
         }
@@ -176,7 +178,7 @@
 
     /// Records that the worker used this image. Its cache holds `cache_gb` GB and evicts the least
     /// recently used images.
-    pub fn note_image(&mut self, used: CachedImage, cache_gb: f64) {
+    pub fn record_image_use(&mut self, used: CachedImage, cache_gb: f64) {
         self.cached_images.retain(|cached| cached.image != used.image);
         self.cached_images.push_back(used);
         while self.cached_images.len() > 1 && self.cached_gb() > cache_gb {
--- a/crates/core/src/machine/tests.rs
+++ b/crates/core/src/machine/tests.rs
@@ -22,7 +22,7 @@
 fn new_incarnation_starts_a_new_lease() {
     let mut machine = Machine::new(1000);
     assert!(machine.apply_heartbeat(&heartbeat(1, 5), Epoch(5), HeartbeatKind::Periodic, 2000));
-    let first = machine.lease_over_at(8000, 0);
+    let first = machine.lease_surely_expired_at(8000, 0);
     assert!(machine.apply_heartbeat(
         &heartbeat(2, 5),
         Epoch(5),
@@ -30,7 +30,7 @@
         first - 10
     ));
     assert!(
-        machine.lease_over_at(8000, 0) >= first - 10 + 8000,
+        machine.lease_surely_expired_at(8000, 0) >= first - 10 + 8000,
         "the incarnation may have started just now"
     );
 }
@@ -43,7 +43,7 @@
     machine.apply_heartbeat(&heartbeat(1, 5), Epoch(5), HeartbeatKind::Periodic, 1000);
     assert!(machine.token_confirmed);
     machine.apply_heartbeat(&heartbeat(2, 0), Epoch(5), HeartbeatKind::Periodic, 2000);
-    assert!(!machine.token_confirmed && machine.lease_over_at(8000, 40_000) > 48_000);
+    assert!(!machine.token_confirmed && machine.lease_surely_expired_at(8000, 40_000) > 48_000);
 }
 
 /// The worker learned our token from a command, which does not renew its lease. A previous owner may
@@ -60,7 +60,7 @@
     let shown = WorkerHeartbeat { seq: 9, ..heartbeat(1, 5) };
     assert!(machine.apply_heartbeat(&shown, Epoch(5), HeartbeatKind::CommandResponse, 4000));
     assert!(
-        machine.token_confirmed && machine.lease_over_at(8000, 90_000) >= 12_000,
+        machine.token_confirmed && machine.lease_surely_expired_at(8000, 90_000) >= 12_000,
         "the lease counts from the first report of the token"
     );
 }
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -204,11 +204,11 @@
         if !observed.ran_well.is_empty() {
             machine.clear_failures();
         }
-        machine.note_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
+        machine.record_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
         let machine_type = machine.machine_type;
         let cache_gb = machine_type.map_or(0.0, |t| ctx.names.catalog[t.0 as usize].cache_gb);
         for &image in &observed.images {
-            machine.note_image(image, cache_gb);
+            machine.record_image_use(image, cache_gb);
         }
         if machine.interruption_at.is_some() {
             save_before_interruption(machine, now);
@@ -218,7 +218,7 @@
     fn check_at_lease_end(&mut self, ctx: &Context, idx: MachineIdx) {
         let previous_owners_until = self.previous_owners_until;
         let lease_ms = ctx.config.worker_lease_ms;
-        let over_at = self.machine(idx).lease_over_at(lease_ms, previous_owners_until);
+        let over_at = self.machine(idx).lease_surely_expired_at(lease_ms, previous_owners_until);
         self.check_by(idx, over_at);
     }
 
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -90,7 +90,8 @@
     fn check_machine(&mut self, ctx: &mut Context, idx: MachineIdx) -> Option<Timestamp> {
         let now = ctx.now;
         let machine = self.machines.get_mut(&idx)?;
-        let over_at = machine.lease_over_at(ctx.config.worker_lease_ms, self.previous_owners_until);
+        let over_at =
+            machine.lease_surely_expired_at(ctx.config.worker_lease_ms, self.previous_owners_until);
         let lease_over = !machine.lease_expired && !machine.released && now > over_at;
         // Not while our own lease is uncertain: a newer owner may answer the worker by now, and its
         // lease goes on. (Found by the simulator, seed 186: a task ran twice.)
