--- a/crates/core/src/names/catalog.rs
+++ b/crates/core/src/names/catalog.rs
@@ -60,7 +60,7 @@
     /// Returns whether a task on such a machine costs no more than a multiple of its lowest price on
     /// a machine that is not spot, whether or not the cloud has capacity for that now. The multiple
     /// depends on the priority and on `urgent`.
-    pub fn affordable(
+    pub fn is_affordable(
         &self,
         shape: &mesh::Shape,
         machine_type: MachineTypeIdx,
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -39,7 +39,8 @@
             let wastes_gpus = shape.gpu == 0 && whole.gpu > 0;
             Eligibility {
                 allowed: names.allows(shape, machine_type, spot) && whole.fit_count(need) > 0,
-                too_expensive: wastes_gpus && !names.affordable(shape, machine_type, spot, urgent),
+                too_expensive: wastes_gpus
+                    && !names.is_affordable(shape, machine_type, spot, urgent),
             }
         };
         let types = (0..names.catalog.len() as u8).map(MachineTypeIdx);
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -312,7 +312,7 @@
         let zone = zone.to_string();
         let kind = InstanceKind { type_name: type_name.clone(), zone: zone.clone(), spot };
         if self.no_capacity_until.contains_key(&kind)
-            || !ctx.names.affordable(shape, type_idx, spot, open.demand.urgent)
+            || !ctx.names.is_affordable(shape, type_idx, spot, open.demand.urgent)
         {
             return None;
         }
