--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -435,32 +435,34 @@
 fn beat() -> impl Strategy<Value = NodeHeartbeat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
     let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
-        |(shard, epoch, lease_uncertain_ms, after, up_to, complete)| ShardAssertion {
+        |(shard, epoch, lease_uncertain_ms, after, up_to, is_complete)| ShardAssertion {
             shard,
             epoch,
             lease_uncertain_ms,
             after,
             up_to,
-            complete,
+            is_complete,
             cancelled: vec![after, up_to],
         },
     );
     let owned = prop::collection::vec((0u8..5, number()), 0..3);
-    let known = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
-    let newest = prop::collection::vec(number(), 0..5);
+    let known_owners = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
+    let newest_epochs = prop::collection::vec(number(), 0..5);
     let assertions = prop::collection::vec(word, 0..3);
     let acknowledged = prop::collection::vec((0u8..5, number(), number()), 0..3);
     let times = (stamp(), prop::option::of(stamp()));
-    (owned, known, any::<bool>(), times, newest, (assertions, acknowledged)).prop_map(
-        |(owned, known, ready, (stamp, echo), newest, (assertions, acknowledged))| NodeHeartbeat {
-            owned,
-            known_owners: known,
-            ready,
-            stamp,
-            echo,
-            newest,
-            assertions,
-            acknowledged,
+    (owned, known_owners, any::<bool>(), times, newest_epochs, (assertions, acknowledged)).prop_map(
+        |(owned, known_owners, ready, (stamp, echo), newest_epochs, (assertions, acknowledged))| {
+            NodeHeartbeat {
+                owned,
+                known_owners,
+                ready,
+                stamp,
+                echo,
+                newest_epochs,
+                assertions,
+                acknowledged,
+            }
         },
     )
 }
