--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -124,26 +124,27 @@
             .collect()
     }
 
+    /// Updates a coordinator's share of a team's quota and returns its grant.
     fn grant(&mut self, now: Timestamp, from: Shard, team: u8) -> Option<TeamGrant> {
         let quota = (*self.quotas.get(team as usize)?)?;
         let others = self.shares_of_others(from, team);
         let (shards, usages): (Vec<Shard>, Vec<TeamUsage>) =
             self.current_usages(now, team).into_iter().unzip();
-        let asking = shards.iter().position(|shard| *shard == from)?;
-        let used = usages[asking].in_use();
-        // All that may be in use after a failover is counted, so the usage can exceed the quota. A
-        // grant must not exceed it, as the simulator found.
+        let requester = shards.iter().position(|shard| *shard == from)?;
+        let used = usages[requester].in_use();
         let uncovered_first = match self.phase {
             QuotaPhase::Reserving => UncoveredFirstJob::Waits,
             QuotaPhase::Backfilling => UncoveredFirstJob::Skipped,
         };
-        let additional = plan::additional_shares(quota, &usages, uncovered_first)[asking];
+        let additional = plan::additional_shares(quota, &usages, uncovered_first)[requester];
+        // All that may be in use after a failover is counted, so the usage can exceed the quota. A
+        // grant must not (seen in the simulator).
         let granted = used.plus(additional).component_min(quota.minus(others));
         let share = granted.component_max(used);
         debug_assert!(is_within_quota(quota, used, share, others), "the shares exceed the quota");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
-        let granted_after_preemption = plan::shares_after_preemption(quota, &usages)[asking];
-        Some(TeamGrant { team, granted, granted_after_preemption })
+        let after_preemption = plan::shares_after_preemption(quota, &usages)[requester];
+        Some(TeamGrant { team, granted, granted_after_preemption: after_preemption })
     }
 
     /// Returns the sum of all other coordinators' shares of a team's quota.
