--- a/crates/core/src/coordinator/compaction/draft.rs
+++ b/crates/core/src/coordinator/compaction/draft.rs
@@ -10,7 +10,7 @@
 use crate::stored::CompletionRecord;
 use crate::writes::PendingWrite;
 use leaddeal_wire::state::Change;
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 use std::cmp::Reverse;
 
 /// Users expect to see a job's terminal state within this time of its completion. If one waits for
@@ -42,7 +42,7 @@
 impl Draft {
     /// Adds the terminal state of a complete job; `changes` write it.
     fn add_terminal_state(&mut self, job: &mut Job, changes: Vec<Change>) {
-        job.termination.status = Some(Status::Done);
+        job.termination.status = Some(JobStatus::Done);
         let completed = std::mem::take(&mut job.completion.uncompacted);
         self.contents.completed.push((job.id, completed));
         self.contents.complete_jobs.push(job.id);
@@ -135,7 +135,7 @@
             ctx.budget.on_terminal_states_delayed(ctx.now);
         }
         for (_, id) in complete {
-            let changes = self.terminal_changes(id, Status::Done);
+            let changes = self.terminal_changes(id, JobStatus::Done);
             // The largest job has more chunks than the smallest transaction limit allows changes,
             // so it would never fit. Written alone, a job may exceed the available changes.
             let fits = draft.changes.len() + changes.len() <= max_changes;
@@ -147,7 +147,7 @@
             self.compaction.dirty_jobs.remove(&id);
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             // The job was cancelled in the meantime, and `Cancelled` is its terminal state.
-            if job.cancelled || job.termination.status == Some(Status::Cancelled) {
+            if job.cancelled || job.termination.status == Some(JobStatus::Cancelled) {
                 continue;
             }
             draft.add_terminal_state(job, changes);
--- a/crates/core/src/coordinator/quota_state.rs
+++ b/crates/core/src/coordinator/quota_state.rs
@@ -106,7 +106,11 @@
             let used = used.remove(&team).unwrap_or_default();
             statuses.insert(
                 team,
-                QuotaStatus { granted: grant.may, granted_after_preemption: grant.due, used },
+                QuotaStatus {
+                    granted: grant.granted,
+                    granted_after_preemption: grant.granted_after_preemption,
+                    used,
+                },
             );
         }
         statuses
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -6,7 +6,7 @@
 use crate::machine::Machine;
 use crate::names::{created_no_later_than, Names, Resources};
 use leaddeal_wire::mesh::OfferRequest;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 
 /// Whether a job may use machines of one type, either ordinary or spot ones.
 #[derive(Clone, Copy, Debug)]
@@ -38,9 +38,9 @@
             let total = names.resources_of_type(machine_type);
             let wastes_gpus = shape.gpu == 0 && total.gpu > 0;
             Eligibility {
-                is_allowed: names.allows(shape, machine_type, spot) && total.fits(need) > 0,
+                is_allowed: names.allows(shape, machine_type, spot) && total.fit_count(need) > 0,
                 is_too_expensive: wastes_gpus
-                    && !names.affordable(shape, machine_type, spot, urgent),
+                    && !names.is_affordable(shape, machine_type, spot, urgent),
             }
         };
         let types = (0..names.catalog.len() as u8).map(MachineTypeIdx);
@@ -109,7 +109,7 @@
         request: &OfferRequest,
     ) -> bool {
         // Services run for a long time and would keep the machine after the GPU work has ended.
-        if request.shape.kind != Kind::Service && machine.has_gpu_work() {
+        if request.shape.kind != JobKind::Service && machine.has_gpu_work() {
             return true;
         }
         let name = ctx.names.machine_name(idx);
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -70,7 +70,7 @@
                 self.succeeded.push(job);
                 self.images.extend(shape.map(image_of));
             }
-            TaskPhase::Exited(ExitReason::Full, _) => self.is_disk_full = true,
+            TaskPhase::Exited(ExitReason::InsufficientResources, _) => self.is_disk_full = true,
             _ => {}
         }
     }
@@ -126,14 +126,14 @@
         machine.lease_granted_at = ctx.now;
         let newest = (heartbeat.incarnation, heartbeat.seq) == (machine.incarnation, machine.seq);
         if !newest {
-            return Some(HeartbeatResponse { token, orders: Vec::new() });
+            return Some(HeartbeatResponse { token, commands: Vec::new() });
         }
         // Stops are still sent while this node's lease is uncertain: the decision to stop is durable
         // and holds under any owner. Otherwise a cancelled task runs on if an outage of the store
         // begins between the cancellation and the worker's first heartbeat to this owner.
         let lease = if ctx.lease_valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
-        let orders = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
-        Some(HeartbeatResponse { token, orders })
+        let commands = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
+        Some(HeartbeatResponse { token, commands })
     }
 
     /// Handles the outcome of a command batch. `response` is the worker's heartbeat in response; it is
@@ -210,11 +210,11 @@
         if !observed.succeeded.is_empty() {
             machine.clear_failures();
         }
-        machine.note_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
+        machine.record_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
         let machine_type = machine.machine_type;
         let cache_gb = machine_type.map_or(0.0, |t| ctx.names.catalog[t.0 as usize].cache_gb);
         for &image in &observed.images {
-            machine.note_image(image, cache_gb);
+            machine.record_image_use(image, cache_gb);
         }
         if machine.interruption_at.is_some() {
             save_before_interruption(machine, now);
@@ -224,7 +224,8 @@
     fn schedule_lease_check(&mut self, ctx: &Context, idx: MachineIdx) {
         let previous_owners_until = self.previous_owners_until;
         let lease_ms = ctx.config.worker_lease_ms;
-        let expires_at = self.machine_or_insert(idx).lease_over_at(lease_ms, previous_owners_until);
+        let expires_at =
+            self.machine_or_insert(idx).lease_surely_expired_at(lease_ms, previous_owners_until);
         self.schedule_check(idx, expires_at);
     }
 
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -98,7 +98,7 @@
         let now = ctx.now;
         let machine = self.machines.get_mut(&idx)?;
         let expires_at =
-            machine.lease_over_at(ctx.config.worker_lease_ms, self.previous_owners_until);
+            machine.lease_surely_expired_at(ctx.config.worker_lease_ms, self.previous_owners_until);
         let has_expired = !machine.lease_expired && !machine.released && now > expires_at;
         // While this node's own lease is uncertain, a newer owner may already be renewing the worker's
         // lease, so the machine is not declared lost. Otherwise a task can run twice (simulator seed
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -10,7 +10,7 @@
 use crate::machine::{AttemptKey, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::TaskState;
 
 /// Minimum time in ms between two moves.
@@ -30,7 +30,7 @@
 
 fn is_replica(task: &TaskOnMachine) -> bool {
     let shape = task.shape.as_ref();
-    !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == Kind::Service)
+    !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == JobKind::Service)
 }
 
 /// Returns whether the task is running, has run for long enough to be moved, and is not being stopped.
@@ -109,20 +109,20 @@
             without_replicas.add(shape.need, 1);
         }
         let mut needs = self.gang_queue.needs(gpu_machine.group, Priority::Low);
-        needs.any(|need| with_replicas.fits(need) == 0 && without_replicas.fits(need) > 0)
+        needs.any(|need| with_replicas.fit_count(need) == 0 && without_replicas.fit_count(need) > 0)
     }
 
     /// Reserves capacity for the replica on a machine without GPUs in the same zone. Returns false if no
     /// such capacity was found.
     fn reserve_elsewhere(&mut self, ctx: &mut Context, replica: &BlockingReplica) -> bool {
         let job = replica.key.job;
-        let mut zone_room = vec![0; ctx.names.zones.len()];
-        zone_room[replica.zone.0 as usize] = 1;
+        let mut max_per_zone = vec![0; ctx.names.zones.len()];
+        max_per_zone[replica.zone.0 as usize] = 1;
         let request = OfferRequest {
             job: job.0,
             shape: replica.shape.wire.clone(),
             count: 1,
-            zone_room,
+            max_per_zone,
             preempt: true,
             urgent: false,
             may_use_gpu_machines: false,
@@ -134,7 +134,7 @@
             shape: &replica.shape,
             eligibility: &EligibilityTable::of(ctx.names, &request),
             rank: None,
-            zone_room: &request.zone_room,
+            max_per_zone: &request.max_per_zone,
             includes_gpu_machines: false,
         };
         self.preempt(ctx, &search, reserved_before + 1);
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -11,7 +11,7 @@
 use crate::shard::{Owner, ShardView};
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::{Assignment, OfferRequest, QueuePosition, Shape as WireShape};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -108,18 +108,18 @@
         incarnation: 1,
         seq,
         token: EPOCH.0,
-        notice_s: None,
+        interruption_notice_s: None,
         tasks: Vec::new(),
     }
 }
 
 fn offer_request(
     job: u64,
-    kind: Kind,
+    kind: JobKind,
     count: u32,
     queue_position: Option<QueuePosition>,
 ) -> OfferRequest {
-    let gang = kind == Kind::Gang;
+    let gang = kind == JobKind::Gang;
     let shape = WireShape {
         kind,
         priority: Priority::Normal,
@@ -138,7 +138,7 @@
         job,
         shape: Arc::new(shape),
         count,
-        zone_room: vec![count],
+        max_per_zone: vec![count],
         preempt: true,
         urgent: false,
         may_use_gpu_machines: false,
@@ -180,17 +180,26 @@
             offered.expect("a response")
         };
     // Two of the gang's four tasks would fit, so it is queued for the zone.
-    let position =
-        QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
-    request_offers(&mut participant, 200, 1, offer_request(7, Kind::Gang, 4, Some(position)));
+    let position = QueuePosition {
+        missed_objectives: 0,
+        time_left_ms: 9000,
+        blocks_gangs_behind: true,
+        zone: Some(0),
+    };
+    request_offers(&mut participant, 200, 1, offer_request(7, JobKind::Gang, 4, Some(position)));
     assert_eq!(
-        request_offers(&mut participant, 300, 2, offer_request(8, Kind::Array, 20, None)),
+        request_offers(&mut participant, 300, 2, offer_request(8, JobKind::Array, 20, None)),
         0,
         "the machines are kept for the gang"
     );
     assert_eq!(participant.reservations.count(JobId(8)), 0, "the array reserves nothing");
     assert_eq!(
-        request_offers(&mut participant, 400, 3, offer_request(7, Kind::Gang, 4, Some(position))),
+        request_offers(
+            &mut participant,
+            400,
+            3,
+            offer_request(7, JobKind::Gang, 4, Some(position))
+        ),
         2,
         "the gang gets the machines"
     );
@@ -262,7 +271,7 @@
                    participant: &mut Participant,
                    now: Timestamp,
                    negotiation| {
-        let items = vec![offer_request(8, Kind::Array, 1, None)];
+        let items = vec![offer_request(8, JobKind::Array, 1, None)];
         let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
         let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
         world.at(now, |context| {
@@ -310,7 +319,7 @@
         let mut world = World::new();
         let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PREVIOUS_OWNER_GRACE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = offer_request(7, Kind::Array, 1, None).shape;
+        let shape = offer_request(7, JobKind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
         world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
@@ -344,7 +353,7 @@
             world.horizons.on_cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = offer_request(7, Kind::Array, 1, None).shape;
+        let shape = offer_request(7, JobKind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         world.at(1100, |context| {
--- a/crates/core/src/quota/tests.rs
+++ b/crates/core/src/quota/tests.rs
@@ -41,7 +41,7 @@
     }
 
     fn granted(&mut self, from: u8, u: TeamUsage) -> QuotaAmount {
-        self.report(from, u).map_or(NONE, |g| g.may)
+        self.report(from, u).map_or(NONE, |g| g.granted)
     }
 }
 
@@ -53,7 +53,7 @@
         now += 100;
         let g =
             manager.report(now, Shard(from), Epoch(epoch), serial, &[team_usage(used, wanted)])?;
-        Some(g.first().map_or(0, |g| g.may.cpu))
+        Some(g.first().map_or(0, |g| g.granted.cpu))
     };
     assert_eq!(granted(0, 5, 1, 0, 9000), Some(0), "the other coordinators have not reported yet");
     assert_eq!(granted(1, 6, 1, 4000, 0), Some(0));
@@ -215,7 +215,7 @@
         cpus(3000),
         "no report of a missing coordinator is waited for"
     );
-    assert!(shard.granted(1, team_usage(u64::MAX, u64::MAX)).within(cpus(10_000)));
+    assert!(shard.granted(1, team_usage(u64::MAX, u64::MAX)).is_within(cpus(10_000)));
     shard.report(0, TeamUsage::of(0));
     assert_eq!(shard.granted(2, team_usage(0, 2000)), NONE, "the reported usage counts");
 }
@@ -372,7 +372,7 @@
 
     fn receive(&mut self, c: usize, r: (u64, u64, TeamUsage)) -> Option<QuotaAmount> {
         let g = self.manager.report(self.now, Shard(c as u8), Epoch(r.0), r.1, &[r.2])?;
-        g.first().map(|g| g.may)
+        g.first().map(|g| g.granted)
     }
 
     fn report(&mut self, c: usize, arrives: bool, answered: bool) {
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -11,7 +11,7 @@
 };
 use leaddeal_wire::settings::Settings;
 use leaddeal_wire::state::{Events, Page};
-use leaddeal_wire::user::{job_id, parse_job_id, Job, JobState, Kind, Priority, Status};
+use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, JobState, JobStatus, Priority};
 use leaddeal_wire::worker::{
     ExitReason, HeartbeatResponse, TaskId, TaskReport, TaskState, WorkerHeartbeat,
 };
@@ -68,7 +68,7 @@
             && j.gpus <= t.gpus
             && j.memory_gb <= t.memory_gb
     });
-    let at_once = if j.kind == Kind::Array { 1.0 } else { f64::from(j.tasks) };
+    let at_once = if j.kind == JobKind::Array { 1.0 } else { f64::from(j.tasks) };
     let within = match j.team.as_str() {
         "free" => true,
         "tight" => j.cpus * at_once <= 6.0 && j.gpus * at_once <= 1.0,
@@ -186,8 +186,8 @@
     select(all)
 }
 
-fn kind() -> impl Strategy<Value = Kind> + Clone {
-    select(vec![Kind::Array, Kind::Gang, Kind::Service])
+fn kind() -> impl Strategy<Value = JobKind> + Clone {
+    select(vec![JobKind::Array, JobKind::Gang, JobKind::Service])
 }
 
 fn state() -> impl Strategy<Value = TaskState> + Clone {
@@ -195,32 +195,37 @@
     select([&all[..], &[TaskState::Exited]].concat())
 }
 
-fn why() -> impl Strategy<Value = ExitReason> + Clone {
+fn exit_reason() -> impl Strategy<Value = ExitReason> + Clone {
     let all = [
         ExitReason::Done,
         ExitReason::Stopped,
-        ExitReason::Peers,
-        ExitReason::Alone,
+        ExitReason::GangMembersLost,
+        ExitReason::GangIncomplete,
         ExitReason::Error,
-        ExitReason::Full,
-        ExitReason::Busy,
+        ExitReason::InsufficientResources,
+        ExitReason::OtherAttemptPresent,
     ];
-    select([&all[..], &[ExitReason::Unknown, ExitReason::Other]].concat())
+    select([&all[..], &[ExitReason::JobNotFound, ExitReason::Other]].concat())
 }
 
 fn report() -> impl Strategy<Value = WorkerHeartbeat> {
-    let task = (prop::option::of((number(), small())), number(), state(), prop::option::of(why()))
-        .prop_map(|(task, attempt, state, why)| TaskReport {
-            task: task.map(|(job, task)| TaskId { job, task }),
-            attempt,
-            state,
-            why,
-            saved: None,
-        });
+    let task =
+        (prop::option::of((number(), small())), number(), state(), prop::option::of(exit_reason()))
+            .prop_map(|(task, attempt, state, exit_reason)| TaskReport {
+                task: task.map(|(job, task)| TaskId { job, task }),
+                attempt,
+                state,
+                exit_reason,
+                saved: None,
+            });
     let who = (name(), kind_of_machine(), zone(), any::<bool>());
     let when = (number(), number(), number(), prop::option::of(amount()));
     (who, when, prop::collection::vec(task, 0..4)).prop_map(
-        |((machine, type_name, zone, spot), (incarnation, seq, token, notice_s), tasks)| {
+        |(
+            (machine, type_name, zone, spot),
+            (incarnation, seq, token, interruption_notice_s),
+            tasks,
+        )| {
             WorkerHeartbeat {
                 machine,
                 addr: "10.9.0.1:1".into(),
@@ -230,7 +235,7 @@
                 incarnation,
                 seq,
                 token,
-                notice_s,
+                interruption_notice_s,
                 tasks,
             }
         },
@@ -281,10 +286,10 @@
 
 fn wanted() -> impl Strategy<Value = OfferRequest> {
     let queue_position = (any::<u8>(), any::<i64>(), any::<bool>(), prop::option::of(any::<u8>()))
-        .prop_map(|(late, time_left_ms, holds_position, zone)| QueuePosition {
-            late,
+        .prop_map(|(missed_objectives, time_left_ms, blocks_gangs_behind, zone)| QueuePosition {
+            missed_objectives,
             time_left_ms,
-            holds_position,
+            blocks_gangs_behind,
             zone,
         });
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
@@ -294,14 +299,14 @@
             job,
             shape,
             count,
-            zone_room,
+            max_per_zone,
             (preempt, urgent, may_use_gpu_machines),
             queue_position,
         )| OfferRequest {
             job,
             shape,
             count,
-            zone_room,
+            max_per_zone,
             preempt,
             urgent,
             may_use_gpu_machines,
@@ -336,15 +341,15 @@
 fn to_coordinator() -> impl Strategy<Value = ShardMessage> {
     let offer = (any::<u16>(), name(), number(), any::<u8>(), small(), any::<i64>()).prop_map(
         |(item, machine, incarnation, zone, count, score)| {
-            let cached = score % 2 == 0;
-            Offer { item, machine, incarnation, zone, count, cached, score }
+            let has_image = score % 2 == 0;
+            Offer { item, machine, incarnation, zone, count, has_image, score }
         },
     );
     let phase = prop_oneof![
         Just(TaskPhase::Decided),
         Just(TaskPhase::Gone),
         state().prop_map(TaskPhase::On),
-        (why(), any::<bool>()).prop_map(|(w, saved)| TaskPhase::Exited(w, saved)),
+        (exit_reason(), any::<bool>()).prop_map(|(w, saved)| TaskPhase::Exited(w, saved)),
     ];
     let event = (number(), small(), number(), name(), phase).prop_map(
         |(job, task, attempt, machine, phase)| TaskEvent { job, task, attempt, machine, phase },
@@ -364,11 +369,11 @@
 
 fn to_provisioner() -> impl Strategy<Value = ShardMessage> {
     let lack = (number(), shape(), small(), prop::collection::vec(small(), 0..4), number())
-        .prop_map(|(job, shape, count, zone_room, waited_ms)| UnmetDemand {
+        .prop_map(|(job, shape, count, max_per_zone, waited_ms)| UnmetDemand {
             job,
             shape,
             count,
-            zone_room,
+            max_per_zone,
             waited_ms,
             urgent: waited_ms % 2 == 0,
         });
@@ -379,7 +384,7 @@
             zone,
             spot: dead,
             idle_ms,
-            dead,
+            unusable: dead,
             draining: dead,
         });
     let gone = prop::collection::vec(name(), 0..3);
@@ -416,7 +421,9 @@
             TeamUsage { team, used, wanted, unplaceable, first }
         });
     let granted =
-        (0u8..4, amounts(), amounts()).prop_map(|(team, may, due)| TeamGrant { team, may, due });
+        (0u8..4, amounts(), amounts()).prop_map(|(team, granted, granted_after_preemption)| {
+            TeamGrant { team, granted, granted_after_preemption }
+        });
     prop_oneof![
         (number(), prop::collection::vec(used, 0..4))
             .prop_map(|(serial, usage)| ShardMessage::TeamUsage { serial, usage }),
@@ -428,32 +435,34 @@
 fn beat() -> impl Strategy<Value = NodeHeartbeat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
     let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
-        |(shard, epoch, doubt_ms, after, up_to, complete)| ShardAssertion {
+        |(shard, epoch, lease_uncertain_ms, after, up_to, is_complete)| ShardAssertion {
             shard,
             epoch,
-            doubt_ms,
+            lease_uncertain_ms,
             after,
             up_to,
-            complete,
+            is_complete,
             cancelled: vec![after, up_to],
         },
     );
     let owned = prop::collection::vec((0u8..5, number()), 0..3);
-    let known = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
-    let newest = prop::collection::vec(number(), 0..5);
+    let known_owners = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
+    let newest_epochs = prop::collection::vec(number(), 0..5);
     let assertions = prop::collection::vec(word, 0..3);
     let acknowledged = prop::collection::vec((0u8..5, number(), number()), 0..3);
     let times = (stamp(), prop::option::of(stamp()));
-    (owned, known, any::<bool>(), times, newest, (assertions, acknowledged)).prop_map(
-        |(owned, known, ready, (stamp, echo), newest, (assertions, acknowledged))| NodeHeartbeat {
-            owned,
-            known,
-            ready,
-            stamp,
-            echo,
-            newest,
-            assertions,
-            acknowledged,
+    (owned, known_owners, any::<bool>(), times, newest_epochs, (assertions, acknowledged)).prop_map(
+        |(owned, known_owners, ready, (stamp, echo), newest_epochs, (assertions, acknowledged))| {
+            NodeHeartbeat {
+                owned,
+                known_owners,
+                ready,
+                stamp,
+                echo,
+                newest_epochs,
+                assertions,
+                acknowledged,
+            }
         },
     )
 }
@@ -513,12 +522,12 @@
         Just(JobAnswer::Later),
         Just(JobAnswer::State(JobState {
             id: "x".into(),
-            status: Status::Done,
+            status: JobStatus::Done,
             done: 1,
             running: 9
         })),
     ];
-    let answer = number().prop_map(|token| HeartbeatResponse { token, orders: Vec::new() });
+    let answer = number().prop_map(|token| HeartbeatResponse { token, commands: Vec::new() });
     let node =
         prop_oneof![
             (number(), number(), any::<bool>())
