--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -3,7 +3,7 @@
 //! Types that end in `Idx` are indices into tables of this process and are valid only in it. On the
 //! wire and in the store, the name stands in place of the index.
 
-macro_rules! id {
+macro_rules! id_type {
     ($(#[$m:meta])* $name:ident, $t:ty) => {
         $(#[$m])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -11,37 +11,37 @@
     };
 }
 
-id!(
+id_type!(
     /// Number of a job: the numeric part of the name that its submission gives it.
     JobId, u64);
-id!(
+id_type!(
     /// Index of a machine in [`crate::names::Names`].
     MachineIdx, u32);
-id!(
+id_type!(
     /// Index of an image in [`crate::names::Names`].
     ImageIdx, u32);
-id!(
+id_type!(
     /// Index of a machine type: its position in [`crate::names::Names::catalog`].
     MachineTypeIdx, u8);
-id!(
+id_type!(
     /// Index of a zone: its position in the settings.
     ZoneIdx, u8);
-id!(
+id_type!(
     /// Index of a controller: its position in the settings, which is the same on all controllers.
     NodeIdx, u8);
-id!(
+id_type!(
     /// Number of a shard, from 0. Jobs and machines are partitioned into as many shards as there
     /// are controllers.
     Shard, u8);
-id!(
+id_type!(
     /// Store revision at which a shard was acquired. The owner's writes are conditional on it, and
     /// it is the fencing token of the owner's commands to workers.
     Epoch, u64);
-id!(
+id_type!(
     /// Number of one attempt to run a task. It combines the epoch and the decision round, so a task
     /// never gets the same number twice.
     Attempt, u64);
-id!(
+id_type!(
     /// Number of one negotiation (an exchange of requests and offers between a coordinator and the
     /// participants), assigned by the coordinator.
     NegotiationId, u64);
@@ -65,9 +65,9 @@
     }
 }
 
-/// Hashes a number with the finalizer of `MurmurHash3`. The result must be the same on every node
-/// and in every version, because it determines the shard of a job.
-fn mix(mut value: u64) -> u64 {
+/// Hashes a number with the finalizer of `MurmurHash3`. The result must be the same on every node and
+/// in every version, because it determines the shard of a job.
+fn murmur3_finalizer(mut value: u64) -> u64 {
     value ^= value >> 33;
     value = value.wrapping_mul(0xff51_afd7_ed55_8ccd);
     value ^= value >> 33;
@@ -77,13 +77,13 @@
 
 /// Returns the shard whose coordinator schedules the job. `shards` must not be 0.
 pub fn shard_of_job(job: JobId, shards: usize) -> Shard {
-    Shard((mix(job.0) % shards as u64) as u8)
+    Shard((murmur3_finalizer(job.0) % shards as u64) as u8)
 }
 
 /// Returns the shard whose participant manages the machine. `shards` must not be 0.
 pub fn shard_of_machine(name: &str, shards: usize) -> Shard {
     // Machines are numbered consecutively, so the remainder distributes them evenly over the shards.
-    let number = number_in_name(name).unwrap_or_else(|| mix(hash_of_name(name)));
+    let number = number_in_name(name).unwrap_or_else(|| murmur3_finalizer(hash_of_name(name)));
     Shard((number % shards as u64) as u8)
 }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -60,7 +60,7 @@
 /// A shard that this node owns, with the components that act for it.
 ///
 /// Invariant: its epoch is newer than every epoch of the shard that this process relinquished
-/// ([`AcquisitionState::relinquished`]).
+/// ([`AcquisitionState::relinquished_epoch`]).
 #[derive(Debug)]
 struct ActiveShard {
     epoch: Epoch,
@@ -68,9 +68,9 @@
     participant: Participant,
     quota: QuotaManager,
     /// Whether the transaction that releases the shard is in flight.
-    releasing: bool,
+    release_in_flight: bool,
     /// Deadline of the handover that the home node requested: after it the handover is abandoned.
-    handover_until: Timestamp,
+    handover_deadline: Timestamp,
 }
 
 /// A controller's core: a state machine without I/O (see the crate's documentation).
@@ -138,7 +138,8 @@
     pub fn is_healthy(&self, now: Timestamp) -> bool {
         let health = &self.shared.health;
         let is_best_available = !health.has_ready_sibling(now) && health.reaches_any_sibling(now);
-        self.is_ready(now) || (now >= self.timers.started + STARTUP_LISTEN_MS && is_best_available)
+        self.is_ready(now)
+            || (now >= self.timers.started_at + STARTUP_LISTEN_MS && is_best_available)
     }
 
     /// Returns the shards that this node owns, with the epochs under which it owns them.
--- a/crates/core/src/node/ownership.rs
+++ b/crates/core/src/node/ownership.rs
@@ -34,9 +34,9 @@
 pub(super) struct AcquisitionState {
     /// The newest epoch that this process has owned the shard under and relinquished; 0: none.
     /// Invariant: the process never again acts under this epoch or an older one.
-    pub(super) relinquished: Epoch,
+    pub(super) relinquished_epoch: Epoch,
     /// The next acquisition is not tried before this time.
-    next_try: Timestamp,
+    next_try_at: Timestamp,
 }
 
 impl Node {
@@ -46,7 +46,7 @@
     pub(super) fn own_assertions(&self, now: Timestamp) -> Vec<Option<OwnedShard>> {
         let lease_uncertain_ms = self.shared.lease.uncertain_ms(now);
         let assertion = |active: &ActiveShard| {
-            let complete = active.coordinator.is_ready() && !active.releasing;
+            let complete = active.coordinator.is_ready() && !active.release_in_flight;
             complete.then_some(OwnedShard { epoch: active.epoch, lease_uncertain_ms })
         };
         self.owned.iter().map(|active| active.as_ref().and_then(assertion)).collect()
@@ -57,13 +57,13 @@
     pub(super) fn begin_ownership(&mut self, effects: &mut Effects, shard: Shard, epoch: Epoch) {
         let index = shard.0 as usize;
         let owner = self.shared.owner(shard);
-        let relinquished = self.acquisitions[index].relinquished;
+        let relinquished_epoch = self.acquisitions[index].relinquished_epoch;
         // The second condition guards against a late answer of the store, after this node has learned
         // of a newer owner.
         if self.active_epoch(shard).is_some_and(|active| active >= epoch)
             || (is_enforced(Guard::OlderEpochNotOwned)
                 && owner.is_some_and(|owner| owner.epoch > epoch))
-            || (is_enforced(Guard::RelinquishedEpochRejected) && epoch <= relinquished)
+            || (is_enforced(Guard::RelinquishedEpochRejected) && epoch <= relinquished_epoch)
         {
             return;
         }
@@ -94,8 +94,8 @@
             coordinator: Coordinator::new(shard, epoch, shards),
             participant: Participant::new(shard, epoch, now, shards, grace_period_ms),
             quota: QuotaManager::new(shard, &self.shared.config.teams, shards),
-            releasing: false,
-            handover_until: 0,
+            release_in_flight: false,
+            handover_deadline: 0,
         }
     }
 
@@ -104,7 +104,7 @@
         if let Some(mut active) = self.owned[shard.0 as usize].take() {
             // This process must never act under the epoch again: it would reuse numbers of rounds and
             // attempts, and the transaction that releases the shard may still be executed.
-            self.acquisitions[shard.0 as usize].relinquished = active.epoch;
+            self.acquisitions[shard.0 as usize].relinquished_epoch = active.epoch;
             active.coordinator.abandon(&mut self.shared.context(effects));
             effects.log(LogLevel::Info, "shard_lost", || {
                 format!("shard={} epoch={}", shard.0, active.epoch.0)
@@ -154,7 +154,7 @@
             let index = shard.0 as usize;
             let Some(version) = self.acquirable_version(shard, now) else { continue };
             if self.owned[index].is_some()
-                || now < self.acquisitions[index].next_try
+                || now < self.acquisitions[index].next_try_at
                 || self.shared.shard_views[index].acquisition_in_flight
             {
                 continue;
@@ -176,9 +176,9 @@
         };
         // This node owned the shard and no longer acts for it: either the owner was an earlier process
         // of this node, which has ended, or this process has relinquished the epoch.
-        let relinquished = self.acquisitions[shard.0 as usize].relinquished;
+        let relinquished_epoch = self.acquisitions[shard.0 as usize].relinquished_epoch;
         let is_own_former_epoch = owner.node == self.shared.this_node
-            && (owner.boot != self.shared.boot || owner.epoch <= relinquished);
+            && (owner.boot != self.shared.boot || owner.epoch <= relinquished_epoch);
         is_own_former_epoch.then_some(owner.epoch.0)
     }
 
@@ -206,7 +206,7 @@
     /// has this version.
     fn acquire(&mut self, effects: &mut Effects, shard: Shard, version: u64) {
         let index = shard.0 as usize;
-        self.acquisitions[index].next_try = effects.now + ACQUIRE_INTERVAL_MS;
+        self.acquisitions[index].next_try_at = effects.now + ACQUIRE_INTERVAL_MS;
         self.shared.shard_views[index].acquisition_in_flight = true;
         let key = keys::shard_key(shard);
         let node = self.shared.node_name(self.shared.this_node);
@@ -246,7 +246,7 @@
     pub(super) fn begin_handover(&mut self, shard: Shard, now: Timestamp) {
         if let Some(active) = self.active_shard(shard) {
             active.coordinator.is_relinquishing = true;
-            active.handover_until = now + HANDOVER_TIMEOUT_MS;
+            active.handover_deadline = now + HANDOVER_TIMEOUT_MS;
         }
     }
 
@@ -254,17 +254,17 @@
     /// or abandons the handover after its deadline.
     fn tick_handover(&mut self, effects: &mut Effects, shard: Shard) {
         let Some(active) = self.active_shard(shard) else { return };
-        if !active.coordinator.is_relinquishing || active.releasing {
+        if !active.coordinator.is_relinquishing || active.release_in_flight {
             return;
         }
-        if effects.now > active.handover_until {
+        if effects.now > active.handover_deadline {
             active.coordinator.is_relinquishing = false;
             return;
         }
         if !active.coordinator.is_idle() {
             return;
         }
-        active.releasing = true;
+        active.release_in_flight = true;
         let epoch = active.epoch;
         let key = keys::shard_key(shard);
         let transaction = Transaction {
@@ -293,7 +293,7 @@
             StoreResult::Committed(revision) => {
                 self.drop_shard(effects, shard);
                 self.shared.shard_views[index].vacate(*revision, effects.now);
-                self.acquisitions[index].next_try = effects.now + REACQUIRE_DELAY_MS;
+                self.acquisitions[index].next_try_at = effects.now + REACQUIRE_DELAY_MS;
             }
             StoreResult::Conflict(_) => self.drop_shard(effects, shard),
             // The shard may have been released already, so this node stops acting for it. The lease or
@@ -303,7 +303,7 @@
             }
             _ => {
                 if let Some(active) = &mut self.owned[index] {
-                    active.releasing = false;
+                    active.release_in_flight = false;
                 }
             }
         }
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -19,7 +19,7 @@
 /// Time for which a worker's heartbeats are relayed before the worker is redirected again, in ms. It
 /// doubles after each redirect that fails.
 const INITIAL_RELAY_MS: u64 = 15_000;
-/// Upper bound of the time between two redirects of a worker, in ms.
+/// Upper bound of the time for which a worker is relayed after a failed redirect, in ms.
 const MAX_RELAY_MS: u64 = 120_000;
 /// A worker's lease outlasts a failed redirect if a relayed heartbeat renewed it within this time, in
 /// ms.
--- a/crates/core/src/node/shard_list.rs
+++ b/crates/core/src/node/shard_list.rs
@@ -23,19 +23,19 @@
     /// Whether the keys were listed and every change since then was watched.
     pub(super) is_known: bool,
     /// The keys are not listed before this time.
-    next_list: Timestamp,
+    next_list_at: Timestamp,
     list_in_flight: bool,
 }
 
 impl ShardListState {
     pub(super) fn new(now: Timestamp) -> ShardListState {
-        ShardListState { is_known: false, next_list: now, list_in_flight: false }
+        ShardListState { is_known: false, next_list_at: now, list_in_flight: false }
     }
 
     /// Schedules a new list of the shards' keys at that time.
     pub(super) fn relist_from(&mut self, at: Timestamp) {
         self.is_known = false;
-        self.next_list = at;
+        self.next_list_at = at;
     }
 }
 
@@ -43,7 +43,7 @@
     /// Lists the shards' keys when that is due.
     pub(super) fn tick_shard_list(&mut self, effects: &mut Effects) {
         let list = &mut self.shard_list;
-        if list.is_known || list.list_in_flight || effects.now < list.next_list {
+        if list.is_known || list.list_in_flight || effects.now < list.next_list_at {
             return;
         }
         list.list_in_flight = true;
@@ -55,7 +55,7 @@
     pub(super) fn on_shard_list(&mut self, effects: &mut Effects, result: &StoreResult) {
         self.shard_list.list_in_flight = false;
         let StoreResult::Page(page) = result else {
-            self.shard_list.next_list = effects.now + LIST_RETRY_DELAY_MS;
+            self.shard_list.next_list_at = effects.now + LIST_RETRY_DELAY_MS;
             return;
         };
         for shard in self.shared.shards() {
@@ -129,7 +129,7 @@
 
     fn parse_owner(&self, value: &serde_json::Value, version: u64) -> Option<Owner> {
         let record = OwnerRecord::decode(value).ok()?;
-        let node = self.shared.nodes.iter().position(|name| *name == record.node)?;
+        let node = self.shared.node_names.iter().position(|name| *name == record.node)?;
         Some(Owner { node: NodeIdx(node as u8), boot: record.boot, epoch: Epoch(version) })
     }
 
--- a/crates/core/src/node/shared.rs
+++ b/crates/core/src/node/shared.rs
@@ -19,7 +19,7 @@
     /// Distinguishes this process from earlier ones of the same node.
     pub(super) boot: u64,
     /// Names of all nodes, in the order of the settings, which is the same on all nodes.
-    pub(super) nodes: Vec<String>,
+    pub(super) node_names: Vec<String>,
     /// Wall-clock time of the input that is being handled, in ms since 1970.
     pub(super) wall_clock_ms: u64,
     pub(super) config: Config,
@@ -84,9 +84,9 @@
 
 impl SharedState {
     pub(super) fn new(settings: &Settings, boot: u64, now: Timestamp) -> SharedState {
-        let nodes = settings.nodes();
-        let count = nodes.len();
-        let index = nodes.iter().position(|name| *name == settings.node).unwrap_or(0);
+        let node_names = settings.nodes();
+        let count = node_names.len();
+        let index = node_names.iter().position(|name| *name == settings.node).unwrap_or(0);
         let this_node = NodeIdx(index as u8);
         let config = config(&settings.params, count);
         let mut names = Names::default();
@@ -94,7 +94,7 @@
         SharedState {
             this_node,
             boot,
-            nodes,
+            node_names,
             wall_clock_ms: 0,
             names,
             budget: WriteBudget::new(settings.params.state.write_rps, count, now),
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn node_name(&self, node: NodeIdx) -> String {
-        self.nodes[node.0 as usize].clone()
+        self.node_names[node.0 as usize].clone()
     }
 
     /// Whether so many calls to outside services are in flight that none is begun for a user.
--- a/crates/core/src/node/siblings.rs
+++ b/crates/core/src/node/siblings.rs
@@ -16,7 +16,7 @@
     pub(super) fn send_heartbeats(&self, effects: &mut Effects, to: impl Fn(NodeIdx) -> bool) {
         let own_assertions = self.own_assertions(effects.now);
         let heartbeat = self.heartbeat(effects.now);
-        for (index, name) in self.shared.nodes.iter().enumerate() {
+        for (index, name) in self.shared.node_names.iter().enumerate() {
             let node = NodeIdx(index as u8);
             if node == self.shared.this_node || !to(node) {
                 continue;
@@ -85,7 +85,7 @@
     /// 1498): it had stalled and lost its lease, and the previous owner kept answering workers whose
     /// tasks had been cancelled in the meantime.
     fn on_owner_claim(&mut self, effects: &mut Effects, shard: Shard, claimed: Owner) {
-        let known_node = (claimed.node.0 as usize) < self.shared.nodes.len();
+        let known_node = (claimed.node.0 as usize) < self.shared.node_names.len();
         let view = self.shared.shard_views.get_mut(shard.0 as usize);
         let Some(view) = view.filter(|_| known_node) else { return };
         // This node knows its own present and former epochs already.
@@ -101,7 +101,9 @@
     /// Handles a message from another controller. A message from a node that the settings don't name is
     /// ignored.
     pub(super) fn on_mesh_message(&mut self, effects: &mut Effects, from: &str, msg: NodeMessage) {
-        let Some(index) = self.shared.nodes.iter().position(|name| name == from) else { return };
+        let Some(index) = self.shared.node_names.iter().position(|name| name == from) else {
+            return;
+        };
         let node = NodeIdx(index as u8);
         self.shared.health.record_contact(node, effects.now);
         match msg {
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -12,7 +12,7 @@
 pub(super) struct Statistics {
     /// How often a machine was evaluated for a job since the start of the process.
     pub(super) machines_evaluated: u64,
-    next_log: Timestamp,
+    next_log_at: Timestamp,
     /// By class of the write budget: the number of changes at the last log.
     logged_changes: [u64; WRITE_CLASSES.len()],
 }
@@ -21,7 +21,7 @@
     pub(super) fn new(now: Timestamp) -> Statistics {
         Statistics {
             machines_evaluated: 0,
-            next_log: now + STATISTICS_INTERVAL_MS,
+            next_log_at: now + STATISTICS_INTERVAL_MS,
             logged_changes: [0; WRITE_CLASSES.len()],
         }
     }
@@ -30,10 +30,10 @@
 impl Node {
     /// Logs the statistics of this node and of the shards that it owns, when that is due.
     pub(super) fn tick_statistics(&mut self, effects: &mut Effects) {
-        if effects.now < self.statistics.next_log {
+        if effects.now < self.statistics.next_log_at {
             return;
         }
-        self.statistics.next_log = effects.now + STATISTICS_INTERVAL_MS;
+        self.statistics.next_log_at = effects.now + STATISTICS_INTERVAL_MS;
         self.log_changes(effects);
         let relayed = self.relay_table.relayed_workers(effects.now);
         if relayed > 0 {
--- a/crates/core/src/node/terminal_states.rs
+++ b/crates/core/src/node/terminal_states.rs
@@ -24,8 +24,8 @@
     reader: RecordReader,
     /// When the last call was made; it identifies the call.
     called_at: Timestamp,
-    /// When the first call of the present list, or the last watch call, was made. Once it is answered
-    /// completely, everything that was written before this time has been read.
+    /// When the first call of the present list, or the last watch call, was made. Once the list or the
+    /// watch call is answered completely, everything written before this time has been read.
     as_of: Timestamp,
 }
 
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct Timers {
     /// When this process started.
-    pub(super) started: Timestamp,
+    pub(super) started_at: Timestamp,
     last_tick: Timestamp,
     next_slow_tick: Timestamp,
     next_catalog_request: Timestamp,
@@ -32,7 +32,7 @@
 impl Timers {
     pub(super) fn new(now: Timestamp) -> Timers {
         Timers {
-            started: now,
+            started_at: now,
             last_tick: now,
             next_slow_tick: now,
             next_catalog_request: now,
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -51,7 +51,7 @@
             self.shared.shards().filter(|&shard| !horizons.permits_answer(shard, now)).collect();
         // A process that has just started first has to receive heartbeats of all shard owners.
         let is_active = self.owned.iter().any(Option::is_some)
-            && now >= self.timers.started + FIRST_HEARTBEATS_MS;
+            && now >= self.timers.started_at + FIRST_HEARTBEATS_MS;
         let refused = !behind.is_empty() && is_active;
         if refused == std::mem::replace(&mut self.heartbeats_refused, refused) {
             return;
