--- a/crates/core/src/coordinator/quota_preemption.rs
+++ b/crates/core/src/coordinator/quota_preemption.rs
@@ -9,7 +9,7 @@
 use crate::preemption::{choose_victims, Candidate};
 use crate::quota::admission::QuotaStatus;
 use crate::stored::QuotaUse;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// Work is preempted for at most this many tasks of a job at a time.
 const MAX_TASKS_PREEMPTED_FOR: u32 = 16;
@@ -55,7 +55,7 @@
                 continue;
             }
             let loss = lost_work(job, placement, need, now);
-            if job.spec.kind == Kind::Gang {
+            if job.spec.kind == JobKind::Gang {
                 gang.need.add(need, 1);
                 gang.loss += loss;
             } else {
@@ -88,7 +88,7 @@
         }
         let Some(job) = self.jobs.get(&id) else { return };
         let Some(QuotaUse { team, amount }) = ctx.quota_use(job) else { return };
-        let is_gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         let wanted = if is_gang { tasks } else { tasks.min(MAX_TASKS_PREEMPTED_FOR) };
         let min_wanted = if is_gang { wanted } else { 1 };
         let priority = job.spec.priority;
@@ -119,7 +119,7 @@
             PreemptibleWork { stopping: Resources::default(), candidates: Vec::new() };
         let jobs = self.jobs.values();
         let of_team = jobs
-            .filter(|job| job.spec.kind != Kind::Service && job.spec.priority < priority)
+            .filter(|job| job.spec.kind != JobKind::Service && job.spec.priority < priority)
             .filter(|job| ctx.quota_use(job).is_some_and(|usage| usage.team == team));
         for job in of_team {
             preemptible.add(job, ctx.now);
@@ -132,12 +132,12 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let saves_progress = job.spec.checkpoint_s > 0.0;
         let grace_s = if saves_progress { job.spec.save_s + SAVE_MARGIN_S } else { 0.0 };
-        let before = job.placed.stopping();
+        let before = job.placed.stopping_count();
         match victim {
             Victim::Task { task, .. } => job.placed.stop(task, grace_s),
-            Victim::Gang { .. } => job.placed.stop_rest(grace_s),
+            Victim::Gang { .. } => job.placed.stop_all(grace_s),
         }
-        self.quota.preempted_tasks += (job.placed.stopping() - before) as u64;
+        self.quota.preempted_tasks += (job.placed.stopping_count() - before) as u64;
         self.unsettled_jobs.insert(id);
     }
 }
--- a/crates/core/src/coordinator/round.rs
+++ b/crates/core/src/coordinator/round.rs
@@ -9,7 +9,7 @@
 use crate::jobs::Job;
 use crate::quota::admission::Admitted;
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use std::collections::{BTreeSet, HashMap};
 
 /// The coordinator decides without the participants that have not answered a request for offers
@@ -46,7 +46,7 @@
 /// Returns for how many tasks of a job to request offers if `left` of the round's `max` tasks are
 /// left. `None`: the job is a gang with more tasks than are left.
 fn requested_count(job: &Job, admitted: Admitted, max: u32, left: u32) -> Option<u32> {
-    if job.spec.kind == Kind::Gang {
+    if job.spec.kind == JobKind::Gang {
         return (job.pending() <= left).then(|| job.pending());
     }
     // The tasks that the grant covers; if none, those that it would cover after lower-priority work
@@ -63,7 +63,7 @@
     let may_preempt =
         job.spec.priority > Priority::Low && !job.failure_suspicion.is_suspected() && is_covered;
     let queue_position = job.queue_position(ctx.now).map(|position| QueuePosition {
-        holds_position: position.holds_position && is_covered,
+        blocks_gangs_behind: position.blocks_gangs_behind && is_covered,
         ..position
     });
     RoundRequest {
@@ -71,7 +71,7 @@
             job: job.id.0,
             shape: job.shape.wire.clone(),
             count,
-            zone_room: job.max_per_zone(&ctx.names.zones),
+            max_per_zone: job.max_per_zone(&ctx.names.zones),
             preempt: false,
             urgent: job.is_urgent(ctx.now),
             may_use_gpu_machines: job.may_use_gpu_machines(ctx.now),
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -5,9 +5,9 @@
 use crate::guards::{is_enforced, Guard};
 use crate::ids::{JobId, Timestamp, ZoneIdx};
 use crate::names::{Names, Shape};
-use crate::placed::Placed;
+use crate::placed::Placements;
 use crate::task_set::TaskSet;
-use leaddeal_wire::user::{self, JobState, Kind, Status};
+use leaddeal_wire::user::{self, JobKind, JobState, JobStatus};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
     /// Completed tasks.
     pub done: TaskSet,
     /// Tasks that are or may be on machines.
-    pub placed: Placed,
+    pub placed: Placements,
     unplaced: UnplacedTasks,
 
     /// The job's tasks are not requested before this time.
@@ -88,7 +88,7 @@
             spec,
             first_started_at: None,
             done: TaskSet::default(),
-            placed: Placed::default(),
+            placed: Placements::default(),
             unplaced: UnplacedTasks::default(),
             not_before: 0,
             backoff: PlacementBackoff::default(),
@@ -110,7 +110,7 @@
             id: user::job_id(id.0),
             class: String::new(),
             team: String::new(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             priority: user::Priority::Low,
             tasks: 100_000,
             cpus: 0.0,
@@ -148,7 +148,7 @@
     /// nor those of a suspected job, which is tried on one machine at a time.
     pub fn may_start(&self) -> bool {
         self.placed.is_empty()
-            || (self.spec.kind != Kind::Gang && !self.failure_suspicion.is_suspected())
+            || (self.spec.kind != JobKind::Gang && !self.failure_suspicion.is_suspected())
     }
 
     /// Takes the next task to be placed; `None`: all are taken, placed or completed.
@@ -184,17 +184,17 @@
     /// Whether all tasks are completed. A service is never complete.
     pub fn is_complete(&self) -> bool {
         let all = self.done.len() == self.spec.tasks;
-        self.spec.kind != Kind::Service
+        self.spec.kind != JobKind::Service
             && (all || !self.done.is_empty() && !is_enforced(Guard::CompletionNeedsAllTasks))
     }
 
     /// Returns the state shown to users.
     pub fn state(&self) -> JobState {
-        let running = self.placed.running();
+        let running = self.placed.running_count();
         let status = match (self.cancelled, running) {
-            (true, _) => Status::Cancelled,
-            (false, 0) => Status::Queued,
-            (false, _) => Status::Running,
+            (true, _) => JobStatus::Cancelled,
+            (false, 0) => JobStatus::Queued,
+            (false, _) => JobStatus::Running,
         };
         JobState { id: user::job_id(self.id.0), status, done: self.done.len(), running }
     }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -3,7 +3,7 @@
 use super::eligibility::EligibilityTable;
 use super::gang_queue::WaitingGang;
 use super::holds::Hold;
-use super::machine_choice::{Choice, Item, KeptForGangs, MachineChoices};
+use super::machine_choice::{Choice, KeptForGangs, MachineChoices, RequestItem};
 use super::preemption::{PreemptionOutcome, PreemptionSearch};
 use super::queue_rank::QueueRank;
 use super::Participant;
@@ -11,11 +11,11 @@
 use crate::ids::{JobId, NegotiationId, Shard, ZoneIdx};
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// The state of one request for offers while it is being answered.
 struct OfferRound<'a> {
-    from: Shard,
+    coordinator: Shard,
     negotiation: NegotiationId,
     offers: Vec<Offer>,
     /// Numbers of the items for which tasks are being preempted.
@@ -31,12 +31,12 @@
     types: &'a Option<Vec<String>>,
     need: Resources,
     priority: Priority,
-    kind: Kind,
+    kind: JobKind,
     allows_spot: bool,
-    urgent: bool,
+    is_urgent: bool,
     may_use_gpu_machines: bool,
     waits_for_zone: bool,
-    queued: bool,
+    is_queued: bool,
 }
 
 impl<'a> SearchKind<'a> {
@@ -48,10 +48,10 @@
             priority: shape.priority,
             kind: shape.kind,
             allows_spot: shape.spot,
-            urgent: request.urgent,
+            is_urgent: request.urgent,
             may_use_gpu_machines: request.may_use_gpu_machines,
             waits_for_zone: request.queue_position.is_some_and(|position| position.zone.is_some()),
-            queued: search.rank.is_some(),
+            is_queued: search.rank.is_some(),
         }
     }
 }
@@ -66,8 +66,8 @@
 impl FailedSearch<'_> {
     /// Returns whether a search of this kind and with these zones must fail as well: it is of the same
     /// kind and includes no zone that this search did not include.
-    fn covers(&self, kind: &SearchKind, zone_room: &[u32]) -> bool {
-        let mut zones = self.open_zones.iter().zip(zone_room);
+    fn covers(&self, kind: &SearchKind, max_per_zone: &[u32]) -> bool {
+        let mut zones = self.open_zones.iter().zip(max_per_zone);
         self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
     }
 }
@@ -75,10 +75,10 @@
 impl Participant {
     /// Answers a request for offers. Holds the offered capacity for the negotiation, and preempts tasks
     /// for items that ask for it and got less than they need.
-    pub(super) fn offer(
+    pub(super) fn answer_offer_request(
         &mut self,
         ctx: &mut Context,
-        from: Shard,
+        coordinator: Shard,
         negotiation: NegotiationId,
         requests: &[OfferRequest],
     ) {
@@ -86,11 +86,11 @@
         self.reservations.expire(ctx.now);
         self.reindex(ctx.names);
         let numbered = requests.iter().enumerate();
-        let items: Vec<Item> =
-            numbered.map(|(i, request)| self.enter_item(ctx, i as u16, request)).collect();
+        let items: Vec<RequestItem> =
+            numbered.map(|(i, request)| self.prepare_item(ctx, i as u16, request)).collect();
         self.gang_queue.refresh(ctx.now, self.capacity_index.groups());
         let mut round = OfferRound {
-            from,
+            coordinator,
             negotiation,
             offers: Vec::new(),
             preempting: Vec::new(),
@@ -102,22 +102,22 @@
         }
         let OfferRound { offers, preempting, .. } = round;
         let answer = ShardMessage::Offers { negotiation: negotiation.0, offers, preempting };
-        ctx.send(self.shard, from, answer);
+        ctx.send(self.shard, coordinator, answer);
     }
 
     /// Computes which machines an item may use. If the item is for a gang, also computes its rank and
     /// enters it in the gang queue.
-    fn enter_item<'a>(
+    fn prepare_item<'a>(
         &mut self,
         ctx: &Context,
         number: u16,
         request: &'a OfferRequest,
-    ) -> Item<'a> {
+    ) -> RequestItem<'a> {
         let eligibility = EligibilityTable::of(ctx.names, request);
         let rank = request
             .queue_position
             .map(|position| self.enter_queue(ctx, request, position, &eligibility));
-        Item { number, request, eligibility, rank }
+        RequestItem { number, request, eligibility, rank }
     }
 
     /// Returns the rank of a gang, and adds it to the queue if it has a zone and holds its position.
@@ -130,7 +130,7 @@
     ) -> QueueRank {
         let job = JobId(request.job);
         let rank = QueueRank::new(request.shape.priority, position, job, ctx.now);
-        if let Some(zone) = position.zone.filter(|_| position.holds_position) {
+        if let Some(zone) = position.zone.filter(|_| position.blocks_gangs_behind) {
             let gang = WaitingGang {
                 rank,
                 zone: ZoneIdx(zone),
@@ -144,38 +144,43 @@
     }
 
     /// Offers machines for one item, and records the shortage if they are not enough.
-    fn offer_item<'a>(&mut self, ctx: &mut Context, round: &mut OfferRound<'a>, item: &Item<'a>) {
+    fn offer_item<'a>(
+        &mut self,
+        ctx: &mut Context,
+        round: &mut OfferRound<'a>,
+        item: &RequestItem<'a>,
+    ) {
         let request = item.request;
         let priority = request.shape.priority;
         let shape = ctx.names.shape(&request.shape);
         let MachineChoices { choices, obstacles } =
             self.choose_machines(ctx, &mut round.kept_for_gangs, item, &shape);
-        let mut zone_room = request.zone_room.clone();
-        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut zone_room);
+        let mut max_per_zone = request.max_per_zone.clone();
+        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut max_per_zone);
         if missing == 0 {
             return;
         }
         self.offer_obstacles.add(&obstacles);
-        self.capacity_notices.note_shortage(round.from, priority);
+        self.capacity_notices.note_shortage(round.coordinator, priority);
         if request.preempt {
-            self.preempt_for_item(ctx, round, item, &shape, zone_room, missing);
+            self.preempt_for_item(ctx, round, item, &shape, max_per_zone, missing);
         }
     }
 
     /// Offers and holds the choices in their order, up to the item's task count and the limits in
-    /// `zone_room`, which are reduced accordingly. Returns the number of tasks that got no machine.
+    /// `max_per_zone`, which are reduced accordingly. Returns the number of tasks that got no machine.
     fn hold_choices(
         &mut self,
         ctx: &Context,
         round: &mut OfferRound,
-        item: &Item,
+        item: &RequestItem,
         shape: &Shape,
         choices: &[Choice],
-        zone_room: &mut [u32],
+        max_per_zone: &mut [u32],
     ) -> u32 {
         let mut missing = item.request.count;
         for choice in choices {
-            let Some(room) = zone_room.get_mut(choice.zone.0 as usize) else { continue };
+            let Some(room) = max_per_zone.get_mut(choice.zone.0 as usize) else { continue };
             let capacity = choice.capacity.min(u64::from(u32::MAX)) as u32;
             let count = capacity.min(missing).min(*room);
             if count == 0 {
@@ -184,12 +189,12 @@
             *room -= count;
             missing -= count;
             let hold = Hold {
-                shard: round.from,
+                coordinator: round.coordinator,
                 negotiation: round.negotiation,
                 job: JobId(item.request.job),
                 need: shape.need,
                 count: u64::from(count),
-                lasting: shape.is_long_running(),
+                is_long_running: shape.is_long_running(),
             };
             self.holds.add(choice.machine, hold);
             round.offers.push(choice.offer(ctx, item, count));
@@ -205,9 +210,9 @@
         &mut self,
         ctx: &mut Context,
         round: &mut OfferRound<'a>,
-        item: &Item<'a>,
+        item: &RequestItem<'a>,
         shape: &Shape,
-        mut zone_room: Vec<u32>,
+        mut max_per_zone: Vec<u32>,
         missing: u32,
     ) {
         let request = item.request;
@@ -216,7 +221,7 @@
         // A gang that waits for a zone gets tasks preempted in that zone only.
         if let Some(waited_zone) = waited_zone {
             let others =
-                zone_room.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
+                max_per_zone.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
             others.for_each(|(_, room)| *room = 0);
         }
         let search = PreemptionSearch {
@@ -224,15 +229,17 @@
             shape,
             eligibility: &item.eligibility,
             rank: self.gang_queue.rank(job),
-            zone_room: &zone_room,
+            max_per_zone: &max_per_zone,
             includes_gpu_machines: true,
         };
         // If a search found no machine for one job, it finds none for a later job of the same kind. With
         // a fleet three times as large, most requests found none.
         let kind = SearchKind::of(request, &search);
-        let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
-        if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
-            let open_zones = zone_room.iter().map(|&room| room > 0).collect();
+        let is_known_to_fail =
+            round.failed_searches.iter().any(|failed| failed.covers(&kind, &max_per_zone));
+        if !is_known_to_fail && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine
+        {
+            let open_zones = max_per_zone.iter().map(|&room| room > 0).collect();
             round.failed_searches.push(FailedSearch { kind, open_zones });
         }
         if self.reservations.count(job) >= missing {
--- a/crates/core/src/participant/replica_moves.rs
+++ b/crates/core/src/participant/replica_moves.rs
@@ -10,7 +10,7 @@
 use crate::machine::{AttemptKey, StopRequest, TaskOnMachine};
 use crate::names::Shape;
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::TaskState;
 
 /// Minimum time in ms between two moves.
@@ -30,11 +30,11 @@
 
 fn is_replica(task: &TaskOnMachine) -> bool {
     let shape = task.shape.as_ref();
-    !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == Kind::Service)
+    !task.is_over() && shape.is_some_and(|shape| shape.wire.kind == JobKind::Service)
 }
 
 /// Returns whether the task is running, has run for long enough to be moved, and is not being stopped.
-fn is_settled(task: &TaskOnMachine, now: Timestamp) -> bool {
+fn is_movable(task: &TaskOnMachine, now: Timestamp) -> bool {
     task.stop.is_none()
         && task.phase == TaskPhase::On(TaskState::Running)
         && task.running_since.is_some_and(|since| now > since + MIN_RUN_BEFORE_MOVE_MS)
@@ -43,7 +43,7 @@
 /// Returns the first replica on the machine that can be moved.
 fn movable_replica(gpu_machine: &GpuMachine, now: Timestamp) -> Option<BlockingReplica> {
     let tasks = &gpu_machine.machine.tasks;
-    let (key, task) = tasks.iter().find(|(_, task)| is_replica(task) && is_settled(task, now))?;
+    let (key, task) = tasks.iter().find(|(_, task)| is_replica(task) && is_movable(task, now))?;
     Some(BlockingReplica {
         replicas: tasks.values().filter(|task| is_replica(task)).count(),
         machine: gpu_machine.idx,
@@ -102,27 +102,27 @@
     /// Returns whether a task of a waiting gang would fit on the machine, once the other tasks have ended,
     /// if the replicas were not on it.
     fn replicas_block_gang(&self, gpu_machine: &GpuMachine) -> bool {
-        let with_replicas = gpu_machine.lasting_free;
+        let with_replicas = gpu_machine.long_term_free;
         let mut without_replicas = with_replicas;
         let replicas = gpu_machine.machine.tasks.values().filter(|task| is_replica(task));
         for shape in replicas.filter_map(|task| task.shape.as_ref()) {
             without_replicas.add(shape.need, 1);
         }
         let mut needs = self.gang_queue.needs(gpu_machine.group, Priority::Low);
-        needs.any(|need| with_replicas.fits(need) == 0 && without_replicas.fits(need) > 0)
+        needs.any(|need| with_replicas.fit_count(need) == 0 && without_replicas.fit_count(need) > 0)
     }
 
     /// Reserves capacity for the replica on a machine without GPUs in the same zone. Returns false if no
     /// such capacity was found.
     fn reserve_elsewhere(&mut self, ctx: &mut Context, replica: &BlockingReplica) -> bool {
         let job = replica.key.job;
-        let mut zone_room = vec![0; ctx.names.zones.len()];
-        zone_room[replica.zone.0 as usize] = 1;
+        let mut max_per_zone = vec![0; ctx.names.zones.len()];
+        max_per_zone[replica.zone.0 as usize] = 1;
         let request = OfferRequest {
             job: job.0,
             shape: replica.shape.wire.clone(),
             count: 1,
-            zone_room,
+            max_per_zone,
             preempt: true,
             urgent: false,
             may_use_gpu_machines: false,
@@ -134,7 +134,7 @@
             shape: &replica.shape,
             eligibility: &EligibilityTable::of(ctx.names, &request),
             rank: None,
-            zone_room: &request.zone_room,
+            max_per_zone: &request.max_per_zone,
             includes_gpu_machines: false,
         };
         self.preempt(ctx, &search, reserved_before + 1);
