--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -14,8 +14,9 @@
 
 /// A task of a service or with GPUs counts as a success of its job once it has run for this long, in ms.
 const SUCCESS_AFTER_MS: u64 = 30_000;
-/// Time in ms for which a machine is not offered after its disk was too full for a task.
-const DISK_FULL_QUARANTINE_MS: u64 = 2000;
+/// Time in ms for which a machine is not offered after its worker refused a task for lack of free
+/// resources.
+const REFUSAL_QUARANTINE_MS: u64 = 2000;
 /// Time in ms for which no command batch is sent to a worker after one that it did not answer.
 const BATCH_RETRY_DELAY_MS: u64 = 2000;
 /// Time in seconds that a task on a machine with an interruption notice gets in addition to the time
@@ -34,8 +35,8 @@
     succeeded: Vec<JobId>,
     /// Whether any attempt ended since the previous heartbeat.
     has_ended_attempt: bool,
-    /// Whether a task exited because the machine's disk was too full.
-    is_disk_full: bool,
+    /// Whether the worker refused a task because the machine lacks the free resources.
+    lacked_resources: bool,
 }
 
 impl Observations {
@@ -70,7 +71,7 @@
                 self.succeeded.push(job);
                 self.images.extend(shape.map(image_of));
             }
-            TaskPhase::Exited(ExitReason::InsufficientResources, _) => self.is_disk_full = true,
+            TaskPhase::Exited(ExitReason::InsufficientResources, _) => self.lacked_resources = true,
             _ => {}
         }
     }
@@ -203,8 +204,8 @@
     fn apply_observations(&mut self, ctx: &Context, idx: MachineIdx, observed: &Observations) {
         let now = ctx.now;
         let machine = self.machine_or_insert(idx);
-        if observed.is_disk_full {
-            let until = now + DISK_FULL_QUARANTINE_MS;
+        if observed.lacked_resources {
+            let until = now + REFUSAL_QUARANTINE_MS;
             machine.quarantined_until = machine.quarantined_until.max(until);
         }
         if !observed.succeeded.is_empty() {
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -13,9 +13,9 @@
 /// Maximum number of present machines, and of removed ones, in one message; a frame can hold several
 /// times as many.
 const MAX_MACHINES_PER_MESSAGE: usize = 1000;
-/// Time in ms after which a machine that does not receive what is sent to it is listed as dead.
-const UNREACHABLE_DEAD_AFTER_MS: u64 = 60_000;
-/// Unreachable machines are listed as dead only if fewer than one machine in this many is unreachable.
+/// Time in ms after which a machine that does not receive what is sent to it is listed as unusable.
+const UNREACHABLE_TIMEOUT_MS: u64 = 60_000;
+/// Unreachable machines are listed as unusable only if fewer than one machine in this many is unreachable.
 /// If more are, the fault is on the controllers' side, and the machines should not be replaced.
 const MIN_MACHINES_PER_UNREACHABLE: usize = 4;
 
@@ -31,7 +31,7 @@
     /// When the last task left the machine; `None` if a task is, or may come to be, on it.
     pub idle_since: Option<Timestamp>,
     /// Whether the machine has to be replaced.
-    pub dead: bool,
+    pub unusable: bool,
     /// Whether the machine gets no new tasks.
     pub draining: bool,
 }
@@ -83,7 +83,7 @@
             self.published.clear();
             self.changed = self.current.keys().copied().collect();
         }
-        let (mut machines, mut gone) = (Vec::new(), Vec::new());
+        let (mut machines, mut removed) = (Vec::new(), Vec::new());
         for idx in std::mem::take(&mut self.changed) {
             match self.current.get(&idx) {
                 Some(summary) if self.published.get(&idx) != Some(summary) => {
@@ -91,12 +91,12 @@
                     machines.push(machine_info(idx, summary, now, names));
                 }
                 None if self.published.remove(&idx).is_some() => {
-                    gone.push(names.machine_name(idx).to_string());
+                    removed.push(names.machine_name(idx).to_string());
                 }
                 Some(_) | None => {}
             }
         }
-        self.split_into_messages(machines, gone, first)
+        self.split_into_messages(machines, removed, first)
     }
 
     /// Splits the lists into messages with consecutive serial numbers. `first` is set in the first of
@@ -104,7 +104,7 @@
     fn split_into_messages(
         &mut self,
         mut machines: Vec<MachineInfo>,
-        mut gone: Vec<String>,
+        mut removed: Vec<String>,
         mut first: bool,
     ) -> Vec<ShardMessage> {
         let mut messages = Vec::new();
@@ -114,10 +114,10 @@
                 serial: self.serial,
                 first,
                 machines: take_front(&mut machines),
-                gone: take_front(&mut gone),
+                gone: take_front(&mut removed),
             });
             first = false;
-            if machines.is_empty() && gone.is_empty() {
+            if machines.is_empty() && removed.is_empty() {
                 return messages;
             }
         }
@@ -143,14 +143,14 @@
         zone: zone.unwrap_or_default(),
         spot: summary.spot,
         idle_ms: summary.idle_since.map(|since| now.saturating_sub(since)),
-        unusable: summary.dead,
+        unusable: summary.unusable,
         draining: summary.draining,
     }
 }
 
 fn is_long_unreachable(machine: &Machine, now: Timestamp) -> bool {
     let unreachable_since = machine.reachability.unreachable_since();
-    unreachable_since.is_some_and(|since| now >= since + UNREACHABLE_DEAD_AFTER_MS)
+    unreachable_since.is_some_and(|since| now >= since + UNREACHABLE_TIMEOUT_MS)
 }
 
 impl Participant {
@@ -163,8 +163,8 @@
         let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
         for (&idx, machine) in &self.machines {
             let is_lost = machine.lease_expired && now > machine.last_heartbeat_at + lease_ms;
-            let is_dead = is_lost || (few_unreachable && is_long_unreachable(machine, now));
-            self.inventory_publisher.set(idx, self.summary(idx, machine, is_dead));
+            let is_unusable = is_lost || (few_unreachable && is_long_unreachable(machine, now));
+            self.inventory_publisher.set(idx, self.summary(idx, machine, is_unusable));
         }
         self.inventory_publisher.next_messages(now, ctx.names)
     }
@@ -174,7 +174,12 @@
         self.inventory_publisher.publish_all_again();
     }
 
-    fn summary(&self, idx: MachineIdx, machine: &Machine, is_dead: bool) -> Option<MachineSummary> {
+    fn summary(
+        &self,
+        idx: MachineIdx,
+        machine: &Machine,
+        is_unusable: bool,
+    ) -> Option<MachineSummary> {
         let machine_type = machine.machine_type.filter(|_| !machine.released)?;
         let is_idle =
             !self.holds.has_any_on(idx) && machine.tasks.values().all(TaskOnMachine::is_over);
@@ -183,7 +188,7 @@
             zone: machine.zone,
             spot: machine.spot,
             idle_since: is_idle.then_some(machine.last_busy_at),
-            dead: is_dead,
+            unusable: is_unusable,
             draining: machine.draining,
         })
     }
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -7,7 +7,7 @@
         zone: None,
         spot: false,
         idle_since: None,
-        dead: false,
+        unusable: false,
         draining: false,
     }
 }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -68,7 +68,7 @@
     /// kind and includes no zone that this search did not include.
     fn covers(&self, kind: &SearchKind, max_per_zone: &[u32]) -> bool {
         let mut zones = self.open_zones.iter().zip(max_per_zone);
-        self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
+        self.kind == *kind && zones.all(|(was_open, limit)| *was_open || *limit == 0)
     }
 }
 
@@ -180,13 +180,13 @@
     ) -> u32 {
         let mut missing = item.request.count;
         for choice in choices {
-            let Some(room) = max_per_zone.get_mut(choice.zone.0 as usize) else { continue };
+            let Some(zone_limit) = max_per_zone.get_mut(choice.zone.0 as usize) else { continue };
             let capacity = choice.capacity.min(u64::from(u32::MAX)) as u32;
-            let count = capacity.min(missing).min(*room);
+            let count = capacity.min(missing).min(*zone_limit);
             if count == 0 {
                 continue;
             }
-            *room -= count;
+            *zone_limit -= count;
             missing -= count;
             let hold = Hold {
                 coordinator: round.coordinator,
@@ -222,7 +222,7 @@
         if let Some(waited_zone) = waited_zone {
             let others =
                 max_per_zone.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
-            others.for_each(|(_, room)| *room = 0);
+            others.for_each(|(_, limit)| *limit = 0);
         }
         let search = PreemptionSearch {
             request,
@@ -239,7 +239,7 @@
             round.failed_searches.iter().any(|failed| failed.covers(&kind, &max_per_zone));
         if !is_known_to_fail && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine
         {
-            let open_zones = max_per_zone.iter().map(|&room| room > 0).collect();
+            let open_zones = max_per_zone.iter().map(|&limit| limit > 0).collect();
             round.failed_searches.push(FailedSearch { kind, open_zones });
         }
         if self.reservations.count(job) >= missing {
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -65,7 +65,7 @@
     }
 
     fn is_zone_open(&self, group: MachineGroup) -> bool {
-        self.max_per_zone.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
+        self.max_per_zone.get(group.zone.0 as usize).is_some_and(|&limit| limit > 0)
     }
 
     /// Returns whether machines are reserved for the job until tasks end by themselves, if none can be
