--- a/crates/leaddeal/src/driver/cloud_client.rs
+++ b/crates/leaddeal/src/driver/cloud_client.rs
@@ -1,6 +1,6 @@
 //! Calls to the cloud.
 //!
-//! A call has a result whatever happens: [`CloudResult::Refused`] if it certainly was not executed,
+//! A failed call has a result too: [`CloudResult::Refused`] if it certainly was not executed,
 //! [`CloudResult::Unknown`] if it may have been.
 use super::CONNECT_TIMEOUT;
 use crate::http_client::{CallError, HttpClient, HttpResponse};
@@ -10,24 +10,25 @@
 use std::time::Duration;
 
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(8);
-/// Instances of one page of a list.
+/// Maximum number of instances on one page of a list.
 const MAX_PAGE_INSTANCES: usize = 500;
-/// In the body of a 503 to a launch: there are no such instances now. Without it, it is an outage.
+/// Text in the body of a 503 to a launch if no such instances are available now. A 503 without it means an
+/// outage.
 const NO_CAPACITY_TEXT: &str = "no capacity";
 
-/// The cloud, with connections that clones share.
+/// Client of the cloud. Clones share its connections.
 #[derive(Clone)]
 pub(super) struct CloudClient {
     http: HttpClient,
 }
 
 impl CloudClient {
-    /// A client for the cloud at `addr` (`ADDRESS:PORT`).
+    /// Creates a client for the cloud at `addr` (`ADDRESS:PORT`).
     pub fn new(addr: &str) -> CloudClient {
         CloudClient { http: HttpClient::new(addr, CONNECT_TIMEOUT) }
     }
 
-    /// Makes one call. Not repeated on failure: the core decides on retries.
+    /// Makes one call. Does not retry on failure: the core decides on retries.
     pub async fn execute(&self, call: CloudCall) -> CloudResult {
         let response = match self.send(&call).await {
             Ok(response) => response,
@@ -63,14 +64,16 @@
     format!("{MACHINES}?{after}limit={MAX_PAGE_INSTANCES}")
 }
 
-/// What a response says of its call; `None` if its status or body are not of the protocol.
+/// Converts the response to a call. Returns `None` if its status or body violates the protocol.
 fn result_of(call: &CloudCall, response: &HttpResponse) -> Option<CloudResult> {
     match (call, response.status) {
         (CloudCall::Catalog, StatusCode::OK) => response.json().map(CloudResult::Catalog),
         (CloudCall::Launch(_), StatusCode::OK) => {
             response.json::<InstanceNames>().map(|names| CloudResult::Launched(names.machines))
         }
-        (CloudCall::Launch(_), StatusCode::SERVICE_UNAVAILABLE) => Some(unavailable(response)),
+        (CloudCall::Launch(_), StatusCode::SERVICE_UNAVAILABLE) => {
+            Some(launch_unavailable(response))
+        }
         (CloudCall::Release(_), StatusCode::OK) => Some(CloudResult::Released),
         (CloudCall::List { .. }, StatusCode::OK) => response.json().map(CloudResult::InstanceList),
         (
@@ -83,7 +86,8 @@
     }
 }
 
-fn unavailable(response: &HttpResponse) -> CloudResult {
+/// Tells missing capacity from an outage, by the body of a 503 to a launch.
+fn launch_unavailable(response: &HttpResponse) -> CloudResult {
     if String::from_utf8_lossy(&response.body).contains(NO_CAPACITY_TEXT) {
         CloudResult::NoCapacity
     } else {
--- a/crates/leaddeal/src/driver/effects.rs
+++ b/crates/leaddeal/src/driver/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the core decides: replies, messages to peers, calls to the outside services.
+//! Carries out the core's effects: replies, messages to peers, calls to workers and external services.
 use super::cloud_client::CloudClient;
 use super::store_client::StoreClient;
 use super::worker_client::WorkerClients;
@@ -11,34 +11,34 @@
 use std::future::Future;
 use tokio::sync::{mpsc, oneshot};
 
-/// The world outside the core.
+/// Carries out the effects of the core.
 ///
-/// Nothing here waits: calls run in tasks of their own, which send their result to the event loop.
+/// Nothing here blocks the event loop: calls run in tasks of their own, which send their results to it.
 pub(super) struct EffectHandler {
-    /// To the event loop.
+    /// Queue of the event loop.
     pub events: mpsc::Sender<Event>,
     pub store: StoreClient,
     pub cloud: CloudClient,
     pub workers: WorkerClients,
-    /// Queues of messages to the peers, by node name.
+    /// Outgoing message queues, by the peer's node name.
     pub peers: HashMap<String, mpsc::Sender<NodeMessage>>,
-    /// Where the replies to open requests go.
-    pub open_requests: HashMap<RequestId, oneshot::Sender<Reply>>,
+    /// Channels for the replies to requests that the core has not replied to yet.
+    pub pending_requests: HashMap<RequestId, oneshot::Sender<Reply>>,
 }
 
 impl EffectHandler {
-    /// Remembers where the reply to a request goes.
-    pub fn await_reply(&mut self, id: RequestId, reply_to: oneshot::Sender<Reply>) {
-        self.open_requests.insert(id, reply_to);
+    /// Registers the channel for the reply to a request.
+    pub fn register_request(&mut self, id: RequestId, reply_to: oneshot::Sender<Reply>) {
+        self.pending_requests.insert(id, reply_to);
     }
 
-    /// Forgets the requests that nobody waits for any more, and idle connections to workers.
+    /// Removes requests whose HTTP handler no longer waits, and closes idle connections to workers.
     pub fn remove_expired(&mut self) {
-        self.open_requests.retain(|_, reply_to| !reply_to.is_closed());
+        self.pending_requests.retain(|_, reply_to| !reply_to.is_closed());
         self.workers.remove_idle();
     }
 
-    /// Carries out one effect, or starts the task that does.
+    /// Carries out one effect, or starts a task that does.
     pub fn handle(&mut self, effect: Effect) {
         match effect {
             Effect::User { req, reply } => self.reply(req, Reply::User(reply)),
@@ -74,20 +74,20 @@
     }
 
     fn reply(&mut self, id: RequestId, reply: Reply) {
-        if let Some(reply_to) = self.open_requests.remove(&id) {
-            // Fails if the request has timed out meanwhile.
+        if let Some(reply_to) = self.pending_requests.remove(&id) {
+            // Fails if the request has timed out in the meantime.
             let _ = reply_to.send(reply);
         }
     }
 
-    /// Drops the message if the peer's queue is full, as a lossy network would.
+    /// Queues a message to a peer, or drops it if the queue is full: peers must tolerate lost messages anyway.
     fn send_to_peer(&self, node: &str, message: NodeMessage) {
         if let Some(queue) = self.peers.get(node) {
             let _ = queue.try_send(message);
         }
     }
 
-    /// Makes a call to an outside service in a task of its own, and gives its result to the core.
+    /// Makes a call in a task of its own, and sends its result to the event loop.
     fn spawn_call(&self, call: impl Future<Output = Input> + Send + 'static) {
         let events = self.events.clone();
         tokio::spawn(async move {
--- a/crates/leaddeal/src/driver/event_loop.rs
+++ b/crates/leaddeal/src/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that feeds events to the core, one at a time, and carries out what it decides.
+//! The loop that passes events to the core, one at a time, and carries out the resulting effects.
 use super::clock::{wall_clock_ms, SteadyClock};
 use super::effects::EffectHandler;
 use crate::event::Event;
@@ -11,23 +11,24 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The core and what it is connected with.
+/// The core, its sources of inputs and the handler of its effects.
 pub(super) struct EventLoop {
     pub core: Node,
     pub clock: SteadyClock,
     pub events: mpsc::Receiver<Event>,
     pub effects: EffectHandler,
-    /// Read by the HTTP front for the load balancer; set at each tick.
+    /// Set at each tick; read by the HTTP gateway for the load balancer.
     pub healthy: Arc<AtomicBool>,
 }
 
 impl EventLoop {
-    /// Runs until all senders of events are gone, which is never while [`EffectHandler`] has one.
+    /// Runs until all senders of events are dropped. [`EffectHandler`] has one, so this does not happen.
     pub async fn run(mut self) {
         let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            // Ticks go first: a full queue must not keep the core from noticing that time passes.
+            // Ticks have priority: otherwise, while the queue stays full, the core would not notice that time
+            // passes.
             let input = tokio::select! {
                 biased;
                 _ = tick.tick() => self.before_tick(),
@@ -50,7 +51,7 @@
         match event {
             Event::Input(input) => input,
             Event::Request { id, reply_to, input } => {
-                self.effects.await_reply(id, reply_to);
+                self.effects.register_request(id, reply_to);
                 input
             }
         }
--- a/crates/leaddeal/src/driver/limits.rs
+++ b/crates/leaddeal/src/driver/limits.rs
@@ -1,31 +1,31 @@
-//! What the controller takes of its machine, from the settings' `cluster.resources`.
+//! Limits on the controller's own use of resources, from `cluster.resources` in the settings.
 use leaddeal_wire::settings::Limits;
 
-/// Without a limit in the settings: enough for 4,500 workers at one controller, and users.
+/// Used if the settings have no limit: enough for 4,500 workers at one controller, and users.
 const DEFAULT_MAX_CONNECTIONS: usize = 5000;
-/// Of the allowed file descriptors, those for everything but users' and workers' connections.
+/// File descriptors kept for everything but the connections of users and workers.
 const RESERVED_FILE_DESCRIPTORS: usize = 100;
-/// One connection in this many of those allowed may be an idle one to a worker.
+/// Divides the connection limit; the result is the limit on cached clients of workers.
 const WORKER_CONNECTIONS_DIVISOR: usize = 4;
 
-/// Without a limit in the settings.
+/// Used if the settings have no memory limit.
 const DEFAULT_BODY_MEMORY_KIB: usize = 8 * 1024;
 const MIN_BODY_MEMORY_KIB: usize = 1024;
-/// An eighth of the controller's memory.
+/// Makes an eighth of the controller's memory available for request bodies.
 const BODY_MEMORY_KIB_PER_MB: f64 = 128.0;
 
-/// The bounds of this controller.
+/// The resource limits of this controller.
 pub(super) struct ResourceLimits {
-    /// Connections of users and workers at a time; more are refused.
+    /// Concurrent connections of users and workers; further ones are refused.
     pub max_connections: usize,
-    /// Idle clients of workers.
+    /// Cached clients of workers, with their idle connections.
     pub max_worker_clients: usize,
-    /// KiB for the bodies of requests that are coming in; more are refused.
+    /// KiB for large request bodies that are being read; further ones are refused.
     pub body_memory_kib: usize,
 }
 
 impl ResourceLimits {
-    /// The bounds for what the settings allow; a limit that is not set is 0 there.
+    /// Derives the limits from the settings, in which 0 means that a limit is not set.
     pub fn from_settings(limits: &Limits) -> ResourceLimits {
         let max_connections = max_connections(limits.max_connections);
         ResourceLimits {
--- a/crates/leaddeal/src/driver/startup.rs
+++ b/crates/leaddeal/src/driver/startup.rs
@@ -1,4 +1,4 @@
-//! Starts a controller: listeners, connections to the peers, the event loop.
+//! Starts a controller: its listeners, the connections to its peers and the event loop.
 use super::clock::{wall_clock_ms, SteadyClock, STEADY_CLOCK_START_MS};
 use super::cloud_client::CloudClient;
 use super::effects::EffectHandler;
@@ -23,29 +23,31 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Events that wait for the core. When the queue is full, requests of users and workers are refused at
-/// once; results of calls and messages of peers wait, and with them the peers' connections.
+/// Capacity of the event queue. When the queue is full, requests of users and workers are refused at once, while
+/// results of calls and messages of peers wait, so that the peers' connections are not read either.
 ///
-/// It does not follow the size of the fleet: a refused worker turns to the next controller a second
-/// later, long before its lease expires. (Tried with up to 4,182 machines and a place for each
-/// connection: workers stayed with the busiest controller until it had no sockets left.)
+/// The capacity does not depend on the size of the fleet: a refused worker turns to the next controller a second
+/// later, long before its lease expires. With one slot for each connection and up to 4,182 machines, workers
+/// stayed with the busiest controller until it had no sockets left.
 const MAX_QUEUED_EVENTS: usize = 1000;
-/// A port that is in use is asked for again this often, ...
+/// Delay between attempts to bind an address that is in use.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// ... and for no longer than this.
+/// Time after which binding an address that is in use fails.
 const BIND_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a controller until it fails.
 ///
-/// All work is in tasks of the runtime, the event loop too: a future outside of them, woken by tasks, costs
-/// a look at the sockets between each two of its turns. This one only waits for a task's end.
+/// All work runs in tasks of the runtime, the event loop included: with a future outside of the tasks that tasks
+/// wake, the runtime polls the sockets before each poll of this future. The future of this function only waits
+/// for the end of a task.
 ///
 /// # Errors
-/// [`DriverError::Listen`] if a port can't be listened on within [`BIND_TIMEOUT`]; else which task ended.
+/// [`DriverError::Listen`] if an address can't be listened on within [`BIND_TIMEOUT`]; otherwise the error of the
+/// task that ended.
 pub(crate) async fn run(settings: Settings) -> Result<(), DriverError> {
     let clock = SteadyClock::start();
     let boot = new_boot_number();
-    let user_listener = bind(&settings.listen, "users and workers").await?;
+    let gateway_listener = bind(&settings.listen, "users and workers").await?;
     let peer_listener = bind(&settings.peer_listen, "peers").await?;
     let limits = ResourceLimits::from_settings(&settings.params.limits);
     let (events, event_queue) = mpsc::channel(MAX_QUEUED_EVENTS);
@@ -53,8 +55,8 @@
     let mut tasks = ServiceTasks::default();
 
     let gateway = Gateway::new(events.clone(), healthy.clone(), limits.body_memory_kib);
-    let listen = gateway::listen(user_listener, gateway, limits.max_connections);
-    tasks.spawn("HTTP front".into(), listen);
+    let listen = gateway::listen(gateway_listener, gateway, limits.max_connections);
+    tasks.spawn("HTTP gateway".into(), listen);
     let peers = start_links(&settings, boot, peer_listener, &events, &mut tasks);
     let effects = EffectHandler {
         events,
@@ -62,7 +64,7 @@
         cloud: CloudClient::new(&settings.services.cloud),
         workers: WorkerClients::new(limits.max_worker_clients),
         peers,
-        open_requests: HashMap::new(),
+        pending_requests: HashMap::new(),
     };
     let core = Node::new(&settings, boot, STEADY_CLOCK_START_MS);
     tracing::info!(node = %settings.node, "started");
@@ -74,25 +76,26 @@
     }
 }
 
-/// Identifies this process of the node. It begins with the time of day, so that a later process has a
-/// larger one unless the clock stepped back; two processes that start within a millisecond differ too.
+/// Returns the boot number, which identifies this process of the node. The upper bits are the time of day, so
+/// that a later process has a larger number unless the clock stepped back. The lower 12 bits are random, to
+/// distinguish two processes that start within a millisecond.
 fn new_boot_number() -> u64 {
     let random = RandomState::new().build_hasher().finish();
     (wall_clock_ms() << 12) | (random >> 52)
 }
 
-/// Takes the port, which the process before this one may hold for a moment longer: started again
-/// within a fraction of a second, a controller must not end because of that.
-async fn bind(addr: &str, from: &'static str) -> Result<TcpListener, DriverError> {
-    let give_up_at = Instant::now() + BIND_TIMEOUT;
+/// Binds an address, and retries while it is in use: when a controller is restarted within a fraction of a second,
+/// its previous process may still hold the port, and the new one must not end because of that.
+async fn bind(addr: &str, clients: &'static str) -> Result<TcpListener, DriverError> {
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match TcpListener::bind(addr).await {
             Ok(listener) => return Ok(listener),
-            Err(error) if is_in_use(&error) && Instant::now() < give_up_at => {
+            Err(error) if is_in_use(&error) && Instant::now() < deadline => {
                 tokio::time::sleep(BIND_RETRY_INTERVAL).await;
             }
             Err(source) => {
-                return Err(DriverError::Listen { addr: addr.to_string(), from, source })
+                return Err(DriverError::Listen { addr: addr.to_string(), clients, source })
             }
         }
     }
@@ -102,7 +105,8 @@
     error.kind() == ErrorKind::AddrInUse
 }
 
-/// Starts to listen to the peers and to connect to them. Returns the queues of messages to them.
+/// Starts the listener for the peers and the connections to them. Returns the outgoing message queues, by the
+/// peer's node name.
 fn start_links(
     settings: &Settings,
     boot: u64,
@@ -123,8 +127,8 @@
             peer_restarted: restarts[&peer.node].clone(),
             read_signal_timeout: link::READ_SIGNAL_TIMEOUT,
         };
-        let (queue, work) = dialer.connect();
-        tasks.spawn(format!("connection to {}", peer.node), work);
+        let (queue, send_task) = dialer.connect();
+        tasks.spawn(format!("connection to {}", peer.node), send_task);
         queues.insert(peer.node.clone(), queue);
     }
     queues
--- a/crates/leaddeal/src/driver/store_client.rs
+++ b/crates/leaddeal/src/driver/store_client.rs
@@ -1,6 +1,6 @@
 //! Calls to the key-value store.
 //!
-//! A call has a result whatever happens: [`StoreResult::Refused`] if it certainly was not executed,
+//! A failed call has a result too: [`StoreResult::Refused`] if it certainly was not executed,
 //! [`StoreResult::Unknown`] if it may have been.
 use super::CONNECT_TIMEOUT;
 use crate::http_client::{CallError, HttpClient, HttpResponse};
@@ -12,25 +12,25 @@
 use std::time::Duration;
 
 const STORE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Beyond the time that the store is asked to wait for changes. Watches stay open through an outage of the
-/// store, and then wait on.
+/// Added to the time that the store is asked to wait for changes. Watches stay open during an outage of the
+/// store, and continue to wait after it.
 const WATCH_EXTRA_TIMEOUT: Duration = Duration::from_secs(5);
-/// Items of one page of a list.
+/// Maximum number of items on one page of a list.
 const MAX_PAGE_ITEMS: usize = 300;
 
-/// The key-value store, with connections that clones share.
+/// Client of the key-value store. Clones share its connections.
 #[derive(Clone)]
 pub(super) struct StoreClient {
     http: HttpClient,
 }
 
 impl StoreClient {
-    /// A client for the store at `addr` (`ADDRESS:PORT`).
+    /// Creates a client for the store at `addr` (`ADDRESS:PORT`).
     pub fn new(addr: &str) -> StoreClient {
         StoreClient { http: HttpClient::new(addr, CONNECT_TIMEOUT) }
     }
 
-    /// Makes one call. Not repeated on failure: the core decides on retries.
+    /// Makes one call. Does not retry on failure: the core decides on retries.
     pub async fn execute(&self, call: StoreCall) -> StoreResult {
         let response = match self.send(&call).await {
             Ok(response) => response,
@@ -77,7 +77,7 @@
     format!("{KV}?under={prefix}{after}&limit={MAX_PAGE_ITEMS}")
 }
 
-/// What a response says of its call; `None` if its status or body are not of the protocol.
+/// Converts the response to a call. Returns `None` if its status or body violates the protocol.
 fn result_of(call: &StoreCall, response: &HttpResponse) -> Option<StoreResult> {
     match (call, response.status) {
         (_, StatusCode::SERVICE_UNAVAILABLE) => Some(StoreResult::Refused),
@@ -114,11 +114,11 @@
     }
 }
 
-/// The store takes a transaction for invalid if it names a lease that has expired.
+/// Converts a 400 to a transaction: the store rejects a transaction as invalid if it names an expired lease.
 fn invalid_transaction(transaction: &Transaction, response: &HttpResponse) -> StoreResult {
     tracing::error!(event = "store_refused", "{}", String::from_utf8_lossy(&response.body));
-    let with_lease = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
-    if transaction.changes.iter().any(with_lease) {
+    let has_lease = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
+    if transaction.changes.iter().any(has_lease) {
         StoreResult::NoLease
     } else {
         StoreResult::Refused
--- a/crates/leaddeal/src/driver/tasks/tests.rs
+++ b/crates/leaddeal/src/driver/tasks/tests.rs
@@ -2,7 +2,7 @@
 use std::future::pending;
 
 #[tokio::test]
-async fn a_task_that_ends_is_named_with_the_cause() {
+async fn reports_the_ended_task_and_its_cause() {
     let mut tasks = ServiceTasks::default();
     tasks.spawn("runs on".into(), pending());
     tasks.spawn("returns".into(), async {});
--- a/crates/leaddeal/src/driver/worker_client.rs
+++ b/crates/leaddeal/src/driver/worker_client.rs
@@ -1,4 +1,4 @@
-//! Commands sent straight to workers, on connections that are kept for a while.
+//! Commands sent directly to workers, on connections that are reused for a while.
 use super::CONNECT_TIMEOUT;
 use crate::http_client::{CallError, HttpClient};
 use hyper::StatusCode;
@@ -8,11 +8,12 @@
 use std::time::{Duration, Instant};
 
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A connection to a worker is used again within this time. Making one takes as much as several commands;
-/// but an older one may have died unnoticed, and then the outcome is unknown.
+/// A client that sent no command to its worker for this long is removed, and its connection closed. Opening a
+/// connection costs as much as several commands, but one that was idle for longer may have failed unnoticed,
+/// and then the outcome of the next command is unknown.
 const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One worker, with connections that clones share.
+/// Client of one worker. Clones share its connections.
 #[derive(Clone)]
 pub(super) struct WorkerClient {
     http: HttpClient,
@@ -23,7 +24,7 @@
         WorkerClient { http: HttpClient::new(addr, CONNECT_TIMEOUT) }
     }
 
-    /// Sends a batch of commands. Not repeated on failure: the core decides on retries.
+    /// Sends a batch of commands. Does not retry on failure: the core decides on retries.
     pub async fn send(&self, batch: &CommandBatch) -> CommandOutcome {
         let response = match self.http.post_json(COMMANDS, batch, COMMAND_TIMEOUT).await {
             Ok(response) => response,
@@ -43,20 +44,20 @@
     last_used: Instant,
 }
 
-/// Clients of the workers that were commanded lately, by address.
+/// Clients of the workers to which commands were sent recently, by worker address.
 pub(super) struct WorkerClients {
     cached: HashMap<String, CachedClient>,
-    /// Beyond this number, a worker's client is used once and its connection is closed.
+    /// A client beyond this number is not cached: its connection is closed after one batch of commands.
     max_cached: usize,
 }
 
 impl WorkerClients {
-    /// An empty cache of at most `max_cached` clients.
+    /// Creates an empty cache of at most `max_cached` clients.
     pub fn new(max_cached: usize) -> WorkerClients {
         WorkerClients { cached: HashMap::new(), max_cached }
     }
 
-    /// The client for a worker, with the connection of its last command if that was lately.
+    /// Returns the client for a worker, with the connections of its recent commands if it is cached.
     pub fn client(&mut self, addr: &str) -> WorkerClient {
         let now = Instant::now();
         if let Some(cached) = self.cached.get_mut(addr) {
@@ -71,7 +72,7 @@
         client
     }
 
-    /// Forgets the clients that were not used for [`WORKER_IDLE_TIMEOUT`].
+    /// Removes the clients that were not used for [`WORKER_IDLE_TIMEOUT`].
     pub fn remove_idle(&mut self) {
         let now = Instant::now();
         self.cached.retain(|_, cached| now.duration_since(cached.last_used) < WORKER_IDLE_TIMEOUT);
--- a/crates/leaddeal/src/event.rs
+++ b/crates/leaddeal/src/event.rs
@@ -1,18 +1,19 @@
-//! What reaches the event loop from the HTTP front, the peers' connections and the outside services.
+//! Events from the HTTP gateway, the peers' connections and the external services to the event loop.
 use leaddeal_core::io::{RequestId, UserReply, WorkerReply};
 use leaddeal_core::Input;
 use tokio::sync::oneshot;
 
-/// The core's reply to a request that the HTTP front waits for.
+/// A reply from the core to a request for which an HTTP handler is waiting.
 pub(crate) enum Reply {
     User(UserReply),
     Worker(WorkerReply),
 }
 
-/// One turn of the event loop.
+/// What the event loop processes in one iteration.
 pub(crate) enum Event {
-    /// An input that nobody waits for.
+    /// An input that no HTTP handler is waiting on.
     Input(Input),
-    /// An input with a reply: `input` carries `id`, and so does the core's reply, which goes to `reply_to`.
+    /// A request from an HTTP handler. `input` contains `id`, and the core's reply to that `id` is sent to
+    /// `reply_to`.
     Request { id: RequestId, reply_to: oneshot::Sender<Reply>, input: Input },
 }
--- a/crates/leaddeal/src/gateway/body.rs
+++ b/crates/leaddeal/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Reading the bodies of requests within bounds of size, time and memory.
+//! Reading of request bodies with limits on size, time and memory.
 use super::Gateway;
 use axum::extract::Request;
 use axum::http::header;
@@ -10,29 +10,32 @@
 use tokio::sync::SemaphorePermit;
 use tokio::time::timeout;
 
+/// Time limit for a body to arrive completely.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
-/// Bodies up to this size come in at any time; larger ones only while there is memory for them.
+/// Bodies up to this size are read without a memory reservation; larger ones only while memory is free for
+/// them.
 const MAX_UNCOUNTED_BODY_BYTES: usize = 4 * 1024;
 
-/// Why a request's body was not read.
+/// Why a request body was not read.
 #[derive(Debug, Error)]
 pub(super) enum BodyError {
-    /// It will be too large the next time too.
+    /// The body exceeds the maximum size of its route. A retry would fail too.
     #[error("the body is too large")]
     TooLarge,
-    /// The larger bodies that are coming in take all memory that there is for them.
+    /// Other bodies that are being read have reserved too much of the memory.
     #[error("no memory for a body of {kib} KiB now")]
     NoMemory { kib: u32 },
-    /// It did not come within [`BODY_TIMEOUT`], or the connection broke.
-    #[error("the body did not come")]
+    /// The body did not arrive within [`BODY_TIMEOUT`], or the connection failed.
+    #[error("the body did not arrive completely")]
     Incomplete,
 }
 
 impl Gateway {
     /// Reads a body of at most `max_bytes`.
     ///
-    /// Larger bodies take memory from `body_memory_kib` while they come in: every connection could bring one
-    /// of the largest at the same time, which is more than a controller has.
+    /// Bodies larger than [`MAX_UNCOUNTED_BODY_BYTES`] reserve memory from `body_memory_kib` while they are
+    /// read. Otherwise every connection could send a body of maximum size at the same time, which needs more
+    /// memory than a controller has.
     pub(super) async fn read_body(
         &self,
         request: Request,
@@ -50,7 +53,8 @@
         }
     }
 
-    /// The memory for a body, given back when dropped; none for a small one.
+    /// Reserves memory for a body; dropping the permit releases it. Returns `None` for a small body, which needs
+    /// no reservation.
     fn reserve_body_memory(&self, bytes: usize) -> Result<Option<SemaphorePermit<'_>>, BodyError> {
         if bytes <= MAX_UNCOUNTED_BODY_BYTES {
             return Ok(None);
--- a/crates/leaddeal/src/gateway/handlers.rs
+++ b/crates/leaddeal/src/gateway/handlers.rs
@@ -1,6 +1,8 @@
-//! One handler for each route.
+//! The handlers of the routes.
 use super::body::BodyError;
-use super::responses::{error, healthy, try_again_later, user_response, worker_response};
+use super::responses::{
+    error_response, healthy_response, unavailable_response, user_response, worker_response,
+};
 use super::Gateway;
 use crate::event::Reply;
 use axum::extract::{Path, Request, State};
@@ -12,7 +14,7 @@
 use leaddeal_wire::user::{self, Job};
 use leaddeal_wire::worker::WorkerHeartbeat;
 
-/// Bytes of a worker's heartbeat.
+/// Maximum size of a worker's heartbeat in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 256 * 1024;
 
 pub(super) async fn submit(
@@ -23,14 +25,14 @@
     let job = Job::parse(&body).map(Box::new);
     let id = match &job {
         Ok(job) => user::parse_job_id(&job.id),
-        // A known job's retry is answered with its state, whatever else is wrong with it.
+        // A retry for a known job is answered with the job's state even if the rest of the body is invalid.
         Err(_) => id_of_invalid_job(&body),
     };
     let id = id.map(JobId);
-    Ok(ask_for_user(&gateway, |req| Input::Submit { req, id, job }).await)
+    Ok(call_core_for_user(&gateway, |req| Input::Submit { req, id, job }).await)
 }
 
-/// The number of a job of which only the name can be read.
+/// Returns the number of a job that is not valid but has a readable name.
 fn id_of_invalid_job(body: &[u8]) -> Option<u64> {
     let job = serde_json::from_slice::<serde_json::Value>(body).ok()?;
     user::parse_job_id(job.get("id")?.as_str()?)
@@ -38,14 +40,14 @@
 
 pub(super) async fn status(State(gateway): State<Gateway>, Path(id): Path<String>) -> Response {
     match user::parse_job_id(&id).map(JobId) {
-        Some(id) => ask_for_user(&gateway, |req| Input::Get { req, id }).await,
+        Some(id) => call_core_for_user(&gateway, |req| Input::Get { req, id }).await,
         None => unknown_job(),
     }
 }
 
 pub(super) async fn cancel(State(gateway): State<Gateway>, Path(id): Path<String>) -> Response {
     match user::parse_job_id(&id).map(JobId) {
-        Some(id) => ask_for_user(&gateway, |req| Input::Cancel { req, id }).await,
+        Some(id) => call_core_for_user(&gateway, |req| Input::Cancel { req, id }).await,
         None => unknown_job(),
     }
 }
@@ -57,38 +59,38 @@
     let body = gateway.read_body(request, MAX_HEARTBEAT_BYTES).await?;
     let report: WorkerHeartbeat = match serde_json::from_slice(&body) {
         Ok(report) => report,
-        Err(why) => return Ok(error(StatusCode::BAD_REQUEST, &why.to_string())),
+        Err(error) => return Ok(error_response(StatusCode::BAD_REQUEST, &error.to_string())),
     };
     let input = |req| Input::WorkerHeartbeat { req, report: Box::new(report) };
-    Ok(match gateway.ask(input).await {
+    Ok(match gateway.call_core(input).await {
         Some(Reply::Worker(reply)) => worker_response(reply),
-        _ => try_again_later(),
+        _ => unavailable_response(),
     })
 }
 
 pub(super) async fn health(State(gateway): State<Gateway>) -> Response {
     if gateway.is_healthy() {
-        healthy()
+        healthy_response()
     } else {
-        try_again_later()
+        unavailable_response()
     }
 }
 
 pub(super) async fn unknown_path() -> Response {
-    error(StatusCode::NOT_FOUND, "no such path")
+    error_response(StatusCode::NOT_FOUND, "no such path")
 }
 
 pub(super) async fn unknown_method() -> Response {
-    error(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
+    error_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
 }
 
 fn unknown_job() -> Response {
-    error(StatusCode::NOT_FOUND, "unknown job")
+    error_response(StatusCode::NOT_FOUND, "unknown job")
 }
 
-async fn ask_for_user(gateway: &Gateway, input: impl FnOnce(RequestId) -> Input) -> Response {
-    match gateway.ask(input).await {
+async fn call_core_for_user(gateway: &Gateway, input: impl FnOnce(RequestId) -> Input) -> Response {
+    match gateway.call_core(input).await {
         Some(Reply::User(reply)) => user_response(reply),
-        _ => try_again_later(),
+        _ => unavailable_response(),
     }
 }
--- a/crates/leaddeal/src/gateway/mod.rs
+++ b/crates/leaddeal/src/gateway/mod.rs
@@ -1,7 +1,8 @@
-//! The HTTP front: what users, workers and the load balancer reach.
+//! The HTTP gateway: serves users, workers and the load balancer.
 //!
-//! Every wait has a bound, so that no client can hold what others need: connections, memory for request
-//! bodies and the event queue are limited, and what is beyond a limit is refused with 503 and `Retry-After`.
+//! Every wait has a time limit, so that no client can hold resources that others need. Connections, memory for
+//! request bodies and the event queue are limited; requests beyond a limit are refused with 503 and
+//! `Retry-After`.
 use crate::event::{Event, Reply};
 use crate::write_timeout::WriteTimeout;
 use axum::routing::{get, post};
@@ -22,35 +23,36 @@
 mod handlers;
 mod responses;
 
-/// For the core's reply to a request.
+/// Time limit for the core's reply to a request.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(4200);
-/// From a connection's opening, or the end of its last request, to the end of the next request's head.
+/// Time limit from the opening of a connection, or the end of its last request, to the end of the next request's
+/// head.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(25);
-/// An answer that is not read for this long is given up, and the connection closed.
+/// A connection is closed if its client reads nothing of a response for this long.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of the head of a request, and of what is read of its body at a time.
+/// Maximum size of a request's head in bytes, and the most that is read of its body at a time.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// After a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Sent to a connection beyond those allowed, which is then closed.
-const CONNECTION_REFUSED: &[u8] =
+/// Response to a connection beyond the connection limit, which is then closed.
+const TOO_MANY_CONNECTIONS_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nContent-Length: 0\r\n\
 Connection: close\r\n\r\n";
 
-/// What the handlers of requests share. Clones are the same gateway.
+/// State shared by the request handlers. Clones share it too.
 #[derive(Clone)]
 pub(crate) struct Gateway {
-    /// To the event loop.
+    /// Queue of the event loop.
     events: mpsc::Sender<Event>,
-    /// What the load balancer is told; set by the event loop.
+    /// The health reported to the load balancer; set by the event loop.
     healthy: Arc<AtomicBool>,
     next_request_id: Arc<AtomicU64>,
-    /// KiB for larger bodies that are coming in.
+    /// KiB that are free for large request bodies; see [`Gateway::read_body`].
     body_memory_kib: Arc<Semaphore>,
 }
 
 impl Gateway {
-    /// A gateway that takes at most `body_memory_kib` KiB at a time for the bodies of requests.
+    /// Creates a gateway that uses at most `body_memory_kib` KiB at a time for large request bodies.
     pub fn new(
         events: mpsc::Sender<Event>,
         healthy: Arc<AtomicBool>,
@@ -64,9 +66,9 @@
         }
     }
 
-    /// Gives the core an input and waits for its reply. None if the event queue is full, which refuses at
-    /// once, or the reply does not come in time.
-    async fn ask(&self, input: impl FnOnce(RequestId) -> Input) -> Option<Reply> {
+    /// Sends an input to the core and waits for the reply. Returns `None` at once if the event queue is full, or
+    /// after [`REPLY_TIMEOUT`] without a reply.
+    async fn call_core(&self, input: impl FnOnce(RequestId) -> Input) -> Option<Reply> {
         let id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         let (reply_to, reply) = oneshot::channel();
         let event = Event::Request { id, reply_to, input: input(id) };
@@ -91,7 +93,8 @@
         .with_state(gateway)
 }
 
-/// Serves for as long as the process runs. Connections beyond `max_connections` are told so and closed.
+/// Accepts connections for as long as the process runs. Answers a connection beyond `max_connections` with 503
+/// and closes it.
 pub(crate) async fn listen(listener: TcpListener, gateway: Gateway, max_connections: usize) {
     let router = router(gateway);
     let connections = Arc::new(Semaphore::new(max_connections.min(Semaphore::MAX_PERMITS)));
@@ -101,8 +104,8 @@
             continue;
         };
         let Ok(permit) = connections.clone().try_acquire_owned() else {
-            // Without a wait: a new connection takes this much at once.
-            let _ = stream.try_write(CONNECTION_REFUSED);
+            // Does not wait: the send buffer of a new connection has capacity for this response.
+            let _ = stream.try_write(TOO_MANY_CONNECTIONS_RESPONSE);
             continue;
         };
         let router = router.clone();
@@ -113,11 +116,11 @@
     }
 }
 
-/// Answers the requests of one connection until it is closed, or one of the timeouts is over.
+/// Answers the requests of one connection until it is closed or a timeout expires.
 async fn serve_connection(stream: TcpStream, router: Router) {
     let _ = stream.set_nodelay(true);
     let stream = WriteTimeout::new(stream, RESPONSE_WRITE_TIMEOUT);
-    // An error is the client's: it went away, was too slow, or does not speak HTTP.
+    // Errors are ignored, as the client causes them: it disconnected, was too slow, or does not send HTTP.
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(REQUEST_HEAD_TIMEOUT)
--- a/crates/leaddeal/src/http_client.rs
+++ b/crates/leaddeal/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1 client for one destination: a few connections, kept open, and a timeout for each call.
+//! HTTP/1 client for one destination, with a small pool of idle connections and a timeout for each call.
 use crate::sync::lock;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -14,62 +14,62 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// Connections kept open to the destination; one that becomes idle beyond them is closed.
+/// Idle connections kept open to the destination; a connection beyond this number is closed after its call.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// Bytes of a response's body; a longer one counts as no response.
+/// Maximum size of a response body in bytes. A longer body fails the call with [`OutcomeUnknown::Body`].
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// A request that certainly was not executed, since it never left this process whole.
+/// Why a request was certainly not executed: it was not sent completely.
 #[derive(Debug, Error)]
 pub(crate) enum NotSent {
-    /// The body can't be written as JSON.
-    #[error("writing the body of the request to {addr}: {source}")]
+    /// The body can't be serialized as JSON.
+    #[error("serializing the body of the request to {addr}: {source}")]
     Encode { addr: String, source: serde_json::Error },
-    /// The method, path or headers are no valid request.
+    /// The method, path or headers are invalid.
     #[error("building the request to {addr}: {source}")]
     Build { addr: String, source: hyper::http::Error },
-    /// The destination refused the connection or is not reachable.
+    /// The destination refused the connection or is unreachable.
     #[error("connecting to {addr}: {source}")]
     Connect { addr: String, source: std::io::Error },
-    /// The destination did not accept the connection in time.
+    /// The destination did not accept the connection within the connect timeout.
     #[error("connecting to {addr}: {source}")]
     ConnectTimeout { addr: String, source: Elapsed },
-    /// The new connection failed before the request.
+    /// The HTTP handshake on a new connection failed, before the request was sent.
     #[error("opening HTTP to {addr}: {source}")]
     Handshake { addr: String, source: hyper::Error },
-    /// The kept connection was closed before it took the request.
-    #[error("sending to {addr} on a kept connection: {source}")]
+    /// The idle connection was closed before it accepted the request.
+    #[error("sending to {addr} on an idle connection: {source}")]
     Closed { addr: String, source: hyper::Error },
 }
 
-/// A request that was sent, without a whole response: it may have been executed, or may yet be.
+/// Why a request that was sent has no complete response. It may have been executed, or may still be.
 #[derive(Debug, Error)]
 pub(crate) enum OutcomeUnknown {
-    /// No response in time.
+    /// No complete response arrived within the call timeout.
     #[error("waiting for {addr} to respond: {source}")]
     Timeout { addr: String, source: Elapsed },
-    /// The connection broke before the response's headers.
+    /// The connection failed before the response headers arrived.
     #[error("reading the response of {addr}: {source}")]
     Broken { addr: String, source: hyper::Error },
-    /// The connection broke within the response's body, or the body is too long.
+    /// The connection failed while the response body was read, or the body exceeds [`MAX_RESPONSE_BYTES`].
     #[error("reading the response's body of {addr}: {source}")]
     Body { addr: String, source: Box<dyn std::error::Error + Send + Sync> },
 }
 
-/// Why a call has no response, by what is known of the execution of its request.
+/// Why a call has no response, by whether the request may have been executed.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
-    /// Certainly not executed.
+    /// The request was certainly not executed.
     #[error("not sent: {0}")]
     NotSent(#[from] NotSent),
-    /// May have been executed, or may yet be.
+    /// The request may have been executed, or may still be.
     #[error("sent, outcome unknown: {0}")]
     Unknown(#[from] OutcomeUnknown),
 }
 
-/// A whole response, whatever its status.
+/// A complete response with any status.
 #[derive(Debug)]
 pub(crate) struct HttpResponse {
     pub status: StatusCode,
@@ -77,13 +77,13 @@
 }
 
 impl HttpResponse {
-    /// The body as a JSON value of this type; `None` if it is not one.
+    /// Parses the body as JSON of type `T`. Returns `None` if that fails.
     pub fn json<T: DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
 }
 
-/// Calls to one destination. Clones share its connections.
+/// Client for one destination. Clones share its idle connections.
 #[derive(Clone)]
 pub(crate) struct HttpClient {
     addr: String,
@@ -92,27 +92,27 @@
 }
 
 impl HttpClient {
-    /// A client for `addr` (`ADDRESS:PORT`). Connections are opened as calls need them.
+    /// Creates a client for `addr` (`ADDRESS:PORT`). Opens no connection until the first call.
     pub fn new(addr: &str, connect_timeout: Duration) -> HttpClient {
         HttpClient { addr: addr.to_string(), connect_timeout, idle: Arc::default() }
     }
 
-    /// `GET path`.
+    /// Sends `GET path`.
     pub async fn get(&self, path: &str, timeout: Duration) -> Result<HttpResponse, CallError> {
         self.call(Method::GET, path, Bytes::new(), timeout).await
     }
 
-    /// `DELETE path`.
+    /// Sends `DELETE path`.
     pub async fn delete(&self, path: &str, timeout: Duration) -> Result<HttpResponse, CallError> {
         self.call(Method::DELETE, path, Bytes::new(), timeout).await
     }
 
-    /// `POST path` without a body.
+    /// Sends `POST path` without a body.
     pub async fn post(&self, path: &str, timeout: Duration) -> Result<HttpResponse, CallError> {
         self.call(Method::POST, path, Bytes::new(), timeout).await
     }
 
-    /// `POST path` with `body` as JSON.
+    /// Sends `POST path` with `body` as JSON.
     pub async fn post_json<B: Serialize>(
         &self,
         path: &str,
@@ -124,7 +124,8 @@
         self.call(Method::POST, path, Bytes::from(body), timeout).await
     }
 
-    /// One request and its response. `call_timeout` runs from when there is a connection.
+    /// Sends one request and returns its response. `call_timeout` does not include opening a connection, which
+    /// has a timeout of its own.
     async fn call(
         &self,
         method: Method,
@@ -134,13 +135,13 @@
     ) -> Result<HttpResponse, CallError> {
         let mut connection = match self.take_idle() {
             Some(connection) => connection,
-            None => self.open().await?,
+            None => self.connect().await?,
         };
         let request = self.request(method, path, body)?;
         let response = timeout(call_timeout, self.exchange(&mut connection, request))
             .await
             .map_err(|source| OutcomeUnknown::Timeout { addr: self.addr.clone(), source })??;
-        self.keep(connection);
+        self.put_idle(connection);
         Ok(response)
     }
 
@@ -159,7 +160,7 @@
             .map_err(|source| NotSent::Build { addr: self.addr.clone(), source })
     }
 
-    async fn open(&self) -> Result<Connection, NotSent> {
+    async fn connect(&self) -> Result<Connection, NotSent> {
         let addr = || self.addr.clone();
         let stream = timeout(self.connect_timeout, TcpStream::connect(&self.addr))
             .await
@@ -169,7 +170,7 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|source| NotSent::Handshake { addr: addr(), source })?;
-        // Ends with the connection; what breaks it is an error of the call in progress.
+        // This task ends with the connection. Its error is ignored: the call in progress returns one too.
         tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -183,7 +184,7 @@
     ) -> Result<HttpResponse, CallError> {
         let addr = || self.addr.clone();
         let response = connection.send_request(request).await.map_err(|source| {
-            // A kept connection that was closed meanwhile has not taken the request.
+            // A cancelled request was not accepted: the idle connection was closed in the meantime.
             if source.is_canceled() {
                 CallError::from(NotSent::Closed { addr: addr(), source })
             } else {
@@ -198,7 +199,7 @@
         Ok(HttpResponse { status, body: body.to_bytes() })
     }
 
-    /// The connection that was kept last, without those that were closed meanwhile.
+    /// Takes the connection that became idle last, and drops those that were closed in the meantime.
     fn take_idle(&self) -> Option<Connection> {
         loop {
             let connection = lock(&self.idle).pop()?;
@@ -208,7 +209,7 @@
         }
     }
 
-    fn keep(&self, connection: Connection) {
+    fn put_idle(&self, connection: Connection) {
         let mut idle = lock(&self.idle);
         if idle.len() < MAX_IDLE_CONNECTIONS && connection.is_ready() {
             idle.push(connection);
--- a/crates/leaddeal/src/link/dialer.rs
+++ b/crates/leaddeal/src/link/dialer.rs
@@ -1,4 +1,4 @@
-//! The sending end: one connection to each peer, opened again whenever it is lost.
+//! The sending end of the connections: one connection to each peer, reopened whenever it is lost.
 use super::boot::BootNumber;
 use super::frame::append_frame;
 use super::signal;
@@ -14,44 +14,48 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, timeout};
 
-/// Messages that wait for a peer. When the queue is full, more are dropped, as on a lossy line.
+/// Capacity of the queue of messages to a peer. Further messages are dropped, as by a lossy network.
 const MAX_QUEUED_MESSAGES: usize = 5000;
-/// Messages are written together until there are this many bytes.
+/// Size in bytes from which no further message is added to a batch that is written together.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay after a failed attempt to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(300);
-/// A connection whose other end has not signalled for this long that it reads is opened again. (It signals
+/// A connection is reopened if its receiving end has not signalled for this long that it is reading. (It signals
 /// every [`super::listener::READ_SIGNAL_INTERVAL`].)
 pub(crate) const READ_SIGNAL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Sends to one peer, reconnecting as needed.
+/// Sends messages to one peer, and reconnects as needed.
 pub(crate) struct Dialer {
     /// This node's name.
     pub node: String,
-    /// `ADDRESS:PORT` that the peer listens on.
+    /// Address (`ADDRESS:PORT`) on which the peer listens.
     pub peer_addr: String,
+    /// Boot number of this process.
     pub boot: BootNumber,
-    /// Notified when the peer's process is known to have ended: the connection is opened again.
+    /// Notified when the peer's process is known to have ended, so that the connection is reopened.
     pub peer_restarted: Arc<Notify>,
-    /// [`READ_SIGNAL_TIMEOUT`], but for tests.
+    /// [`READ_SIGNAL_TIMEOUT`], except in tests.
     pub read_signal_timeout: Duration,
 }
 
-/// Why a connection is not written to any more.
-enum LinkEnd {
-    /// A write failed or took too long, or the peer does not read.
+/// Why sending on a connection ended.
+enum ConnectionEnd {
+    /// A write failed or timed out, or the peer does not read.
     Broken,
+    /// The peer's process is known to have ended, the peer closed the connection, or the peer signalled that
+    /// this process is outdated.
     PeerRestarted,
-    /// Nobody can send messages any more.
+    /// All senders of the message queue are dropped.
     QueueClosed,
 }
 
-/// When the peer signalled last that it reads.
+/// Time of the peer's last signal that it is reading.
 type LastSignal = Arc<Mutex<Instant>>;
 
 impl Dialer {
-    /// The queue of messages to the peer, and the work that sends them: a task for as long as the queue's
-    /// sender is there.
+    /// Returns the queue of messages to the peer, and a future that sends them until all senders of the queue are
+    /// dropped.
     pub fn connect(self) -> (mpsc::Sender<NodeMessage>, impl Future<Output = ()>) {
         let (sender, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
         (sender, self.run(queue))
@@ -61,13 +65,14 @@
         let mut generation = 0;
         loop {
             let Some(stream) = self.open().await else {
-                // What waited is stale by now: senders repeat what matters.
+                // Drops the queued messages: they are stale by now, and senders repeat those that matter.
                 while queue.try_recv().is_ok() {}
                 sleep(RECONNECT_INTERVAL).await;
                 continue;
             };
             generation += 1;
-            if let LinkEnd::QueueClosed = self.use_connection(stream, generation, &mut queue).await
+            if let ConnectionEnd::QueueClosed =
+                self.use_connection(stream, generation, &mut queue).await
             {
                 return;
             }
@@ -81,17 +86,17 @@
         Some(stream)
     }
 
-    /// Sends on one connection for as long as it is of use, and watches its signals meanwhile.
+    /// Sends messages on one connection until it ends, and reads the peer's signals at the same time.
     async fn use_connection(
         &self,
         stream: TcpStream,
         generation: u64,
         queue: &mut mpsc::Receiver<NodeMessage>,
-    ) -> LinkEnd {
+    ) -> ConnectionEnd {
         let (read_half, mut write_half) = stream.into_split();
-        // A connection whose other end is gone may swallow everything without an error: a crash behind a cut
-        // leaves nobody to reset it. (Found on a hunt: a peer that came back heard nothing for the rest of
-        // the day, so that cancelled tasks ran on.)
+        // Writes to a connection whose receiving end is gone may succeed without an error: after a crash behind
+        // a network partition, nothing resets the connection. Without the signals, a peer that came back received
+        // nothing for the rest of the day, so that cancelled tasks kept running.
         let last_signal: LastSignal = Arc::new(Mutex::new(Instant::now()));
         let signals = tokio::spawn(read_signals(
             read_half,
@@ -111,32 +116,32 @@
         hello: Hello,
         queue: &mut mpsc::Receiver<NodeMessage>,
         last_signal: &LastSignal,
-    ) -> LinkEnd {
+    ) -> ConnectionEnd {
         let mut buffer = Vec::new();
         append_frame(&hello, &mut buffer);
         loop {
             let written = timeout(WRITE_TIMEOUT, stream.write_all(&buffer)).await;
-            let silent = || lock(last_signal).elapsed() > self.read_signal_timeout;
-            if !matches!(written, Ok(Ok(()))) || silent() {
+            let is_silent = || lock(last_signal).elapsed() > self.read_signal_timeout;
+            if !matches!(written, Ok(Ok(()))) || is_silent() {
                 tracing::info!(event = "link_broken", "{}", self.peer_addr);
-                return LinkEnd::Broken;
+                return ConnectionEnd::Broken;
             }
             buffer.clear();
-            // The connection's end is known sooner than by signals that do not come, if a newer process of
-            // that node says hello, or the connection is closed.
+            // This shows the end of the connection sooner than missing signals do, if a newer process of the
+            // peer's node connects to this node, or the peer closes the connection.
             let message = tokio::select! {
                 message = queue.recv() => message,
-                () = self.peer_restarted.notified() => return LinkEnd::PeerRestarted,
+                () = self.peer_restarted.notified() => return ConnectionEnd::PeerRestarted,
             };
-            let Some(message) = message else { return LinkEnd::QueueClosed };
+            let Some(message) = message else { return ConnectionEnd::QueueClosed };
             append_frame(&message, &mut buffer);
-            append_waiting(queue, &mut buffer);
+            append_queued(queue, &mut buffer);
         }
     }
 }
 
-/// Adds the messages that wait already, up to [`MAX_BATCH_BYTES`].
-fn append_waiting(queue: &mut mpsc::Receiver<NodeMessage>, buffer: &mut Vec<u8>) {
+/// Appends the messages that are queued already, until the batch has [`MAX_BATCH_BYTES`].
+fn append_queued(queue: &mut mpsc::Receiver<NodeMessage>, buffer: &mut Vec<u8>) {
     while buffer.len() < MAX_BATCH_BYTES {
         match queue.try_recv() {
             Ok(message) => append_frame(&message, buffer),
@@ -145,7 +150,7 @@
     }
 }
 
-/// Reads the peer's signals until it closes the connection or does not listen to this process.
+/// Reads the peer's signals until the peer closes the connection or signals that this process is outdated.
 async fn read_signals(
     mut stream: OwnedReadHalf,
     last_signal: LastSignal,
--- a/crates/leaddeal/src/link/frame.rs
+++ b/crates/leaddeal/src/link/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection: four bytes of length, big-endian, and that many bytes of CBOR.
+//! Frames of a connection: a length of four bytes, big-endian, followed by that many bytes of CBOR.
 use leaddeal_wire::mesh::MAX_FRAME;
 use serde::Serialize;
 use std::io;
@@ -9,22 +9,22 @@
 use tokio::time::timeout;
 
 const LENGTH_BYTES: usize = 4;
-/// For each of a frame's two parts. Peers send each other something every second.
+/// Time limit for reading each of a frame's two parts. Peers send each other something every second.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why no frame was read. The connection is of no more use.
+/// Why no frame was read. The connection can't be used any more.
 #[derive(Debug, Error)]
 pub(super) enum FrameError {
     #[error("reading a frame: {0}")]
     Timeout(#[from] Elapsed),
     #[error("reading a frame: {0}")]
     Io(#[from] io::Error),
-    #[error("reading a frame: {length} bytes are announced, at most {MAX_FRAME} are allowed")]
+    #[error("reading a frame: its length is {length} bytes, at most {MAX_FRAME} are allowed")]
     TooLong { length: usize },
 }
 
-/// Appends a message as a frame. One that is too long or can't be written is left out, as if it were lost
-/// on the way.
+/// Appends a message as a frame. Skips a message that is too long or can't be serialized, as if the network had
+/// lost it.
 pub(super) fn append_frame<T: Serialize>(message: &T, buffer: &mut Vec<u8>) {
     let frame_start = buffer.len();
     let content_start = frame_start + LENGTH_BYTES;
@@ -38,10 +38,11 @@
     buffer[frame_start..content_start].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Reads the next frame's content into `buffer`, in place of what it held.
+/// Reads the next frame's content into `buffer`, replacing the previous content.
 ///
 /// # Errors
-/// If the connection ends or is silent for [`READ_TIMEOUT`], or the frame is longer than [`MAX_FRAME`].
+/// If the connection ends, a part of the frame does not arrive within [`READ_TIMEOUT`], or the frame is longer
+/// than [`MAX_FRAME`].
 pub(super) async fn read_frame<S: AsyncRead + Unpin>(
     stream: &mut S,
     buffer: &mut Vec<u8>,
--- a/crates/leaddeal/src/link/listener.rs
+++ b/crates/leaddeal/src/link/listener.rs
@@ -1,4 +1,4 @@
-//! The receiving end: connections that the peers opened.
+//! The receiving end of the connections, which the peers opened.
 use super::frame::read_frame;
 use super::signal;
 use super::WRITE_TIMEOUT;
@@ -14,35 +14,36 @@
 use tokio::sync::{mpsc, Notify, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// The receiving end signals this often that it reads, if there was anything to read.
+/// Interval at which the receiving end signals that it is reading, provided that frames arrive.
 pub(super) const READ_SIGNAL_INTERVAL: Duration = Duration::from_millis(1200);
-/// Connections of peers at a time; more are closed at once. Outdated ones may linger for a while.
+/// Concurrent connections from peers; further ones are closed at once. Outdated ones may stay open for a while.
 const MAX_INBOUND_CONNECTIONS: usize = 40;
-/// After a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Read at a time: several frames come at once, and each is read in two parts.
+/// Size of the read buffer: several frames arrive at once, and each is read in two parts.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// By peer's name: notified when its process is another one than before.
+/// By the peer's node name: notified when the peer runs a newer process than before.
 pub(crate) type PeerRestarts = HashMap<String, Arc<Notify>>;
 
-/// A connection of a peer among all that it opened: the larger the newer.
+/// Orders the connections that a peer opened: the larger, the newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionId {
-    /// Of the peer's process. Compared first.
+    /// Boot number of the peer's process. Compared first.
     boot: u64,
-    /// Counts that process's connections.
+    /// Counts the connections of that process.
     generation: u64,
 }
 
+/// Receives the messages of all peers.
 struct Receiver {
     events: mpsc::Sender<Event>,
     restarts: PeerRestarts,
-    /// By peer's name: the newest connection that said hello. Only that one is listened to.
+    /// By the peer's node name: the newest connection that sent its hello. Only that one is received from.
     newest: Mutex<HashMap<String, ConnectionId>>,
 }
 
-/// Accepts connections of the peers, for as long as the process runs. Their messages go to `events`.
+/// Accepts connections of the peers for as long as the process runs, and passes their messages to `events`.
 pub(crate) async fn listen(
     listener: TcpListener,
     events: mpsc::Sender<Event>,
@@ -65,27 +66,28 @@
 }
 
 impl Receiver {
-    /// Listens to one connection, until it ends or there is a newer one of that peer.
+    /// Receives messages on one connection until it ends or the peer has a newer one.
     async fn receive(&self, stream: TcpStream) {
         let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         let mut buffer = Vec::new();
         let Some(hello) = read_hello(&mut stream, &mut buffer).await else { return };
         let Some(restarted) = self.restarts.get(&hello.node) else { return };
-        let this = ConnectionId { boot: hello.boot, generation: hello.generation };
-        let newest_before = self.register(&hello.node, this);
-        if newest_before > this {
-            if newest_before.boot > this.boot {
+        let connection = ConnectionId { boot: hello.boot, generation: hello.generation };
+        let newest_before = self.register(&hello.node, connection);
+        if newest_before > connection {
+            if newest_before.boot > connection.boot {
                 send_signal(&mut stream, &signal::outdated(newest_before.boot)).await;
             }
             return;
         }
-        if newest_before.boot < this.boot {
+        if newest_before.boot < connection.boot {
             restarted.notify_one();
         }
-        self.receive_messages(&mut stream, &mut buffer, &hello.node, this).await;
+        self.receive_messages(&mut stream, &mut buffer, &hello.node, connection).await;
     }
 
-    /// Notes a peer's connection, and returns its newest one so far: this one, if it is the first.
+    /// Registers a peer's connection, and returns the newest one registered before, or the connection itself if it
+    /// is the peer's first.
     fn register(&self, node: &str, connection: ConnectionId) -> ConnectionId {
         let mut newest = lock(&self.newest);
         let entry = newest.entry(node.to_string()).or_insert(connection);
@@ -99,18 +101,18 @@
         stream: &mut BufReader<TcpStream>,
         buffer: &mut Vec<u8>,
         node: &str,
-        this: ConnectionId,
+        connection: ConnectionId,
     ) {
-        let mut signalled = Instant::now();
+        let mut last_signal = Instant::now();
         while read_frame(stream, buffer).await.is_ok() {
-            if signalled.elapsed() >= READ_SIGNAL_INTERVAL {
-                signalled = Instant::now();
+            if last_signal.elapsed() >= READ_SIGNAL_INTERVAL {
+                last_signal = Instant::now();
                 if !send_signal(stream, &[signal::READING]).await {
                     return;
                 }
             }
-            // Held-back data of an older connection must not come after that of a newer one.
-            if lock(&self.newest).get(node) != Some(&this) {
+            // Messages delayed on an older connection must not follow those of a newer one.
+            if lock(&self.newest).get(node) != Some(&connection) {
                 return;
             }
             let Ok(message) = ciborium::from_reader::<NodeMessage, _>(&buffer[..]) else { return };
@@ -122,13 +124,13 @@
     }
 }
 
-/// The first frame of a connection.
+/// Reads the first frame of a connection. Returns `None` if that fails or the frame is no [`Hello`].
 async fn read_hello(stream: &mut BufReader<TcpStream>, buffer: &mut Vec<u8>) -> Option<Hello> {
     read_frame(stream, buffer).await.ok()?;
     ciborium::from_reader(&buffer[..]).ok()
 }
 
-/// Returns whether the signal was written in time.
+/// Sends a signal. Returns false if it was not written within [`WRITE_TIMEOUT`].
 async fn send_signal(stream: &mut BufReader<TcpStream>, signal: &[u8]) -> bool {
     let written = timeout(WRITE_TIMEOUT, stream.write_all(signal)).await;
     matches!(written, Ok(Ok(())))
--- a/crates/leaddeal/src/link/signal.rs
+++ b/crates/leaddeal/src/link/signal.rs
@@ -1,12 +1,12 @@
-//! What the listening end of a connection writes back: signals of one byte, or of nine.
+//! Signals of one or nine bytes, which the receiving end of a connection writes to the sending end.
 
-/// The other end reads what is sent. (So does any byte without a meaning.)
+/// The receiving end is reading the connection. (Any other byte than [`OUTDATED`] means this too.)
 pub(super) const READING: u8 = 1;
-/// Followed by eight bytes, big-endian: the boot number of a newer process of the sender's node, which was
-/// heard before. The sender is not listened to.
+/// Messages of this sender are not accepted: a newer process of its node connected before. Eight bytes follow, the
+/// boot number of that process, big-endian.
 pub(super) const OUTDATED: u8 = 2;
 
-/// The signal [`OUTDATED`] with its number.
+/// Returns the signal [`OUTDATED`] with the boot number of the newer process.
 pub(super) fn outdated(newest_boot: u64) -> Vec<u8> {
     let mut bytes = vec![OUTDATED];
     bytes.extend(newest_boot.to_be_bytes());
--- a/crates/leaddeal/src/main.rs
+++ b/crates/leaddeal/src/main.rs
@@ -1,4 +1,4 @@
-//! The leaddeal cluster scheduler: one controller.
+//! The leaddeal cluster scheduler. Each process is one controller.
 #![warn(missing_docs)]
 
 use clap::{Parser, Subcommand};
@@ -17,15 +17,16 @@
 mod sync;
 mod write_timeout;
 
-/// The environment variable with the log level: `debug`, `info`, or else errors only.
+/// Environment variable with the log level: `debug` or `info`; with any other value or none, only errors are
+/// logged.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
-/// The exit code when nothing was started: the command line or the settings are wrong.
+/// Exit code if the command line or the settings are invalid; no controller was started.
 const EXIT_USAGE: u8 = 2;
 
 #[derive(Parser)]
 #[command(name = "leaddeal", version, about = "A cluster scheduler: runs jobs on rented machines")]
 struct Cli {
-    /// Settings handed over by the platform (JSON); starts a controller
+    /// Start a controller with this settings file (JSON), which the platform provides
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -34,14 +35,14 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Check the settings and say what is wrong with them
+    /// Check a settings file and report what is wrong with it
     Check {
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
 }
 
-/// Why the program ends without success.
+/// Why the program exits with an error.
 #[derive(Debug, Error)]
 enum ProgramError {
     #[error("--config FILE is needed; see --help")]
--- a/crates/leaddeal/src/write_timeout.rs
+++ b/crates/leaddeal/src/write_timeout.rs
@@ -1,7 +1,7 @@
-//! A connection that fails when its other end does not take what is sent.
+//! A timeout for writes to a peer that does not read.
 //!
-//! Hyper waits without a limit for an answer to be written; a client that asks and never reads would keep a
-//! connection, and its place among those allowed, for good.
+//! Hyper waits without a limit for a response to be written. A client that sends a request and never reads the
+//! response would keep its connection, which counts towards the connection limit, forever.
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
 use std::pin::Pin;
@@ -10,23 +10,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// Reads as the inner stream does. A write, flush or shutdown that makes no progress for `timeout` fails with
-/// [`ErrorKind::TimedOut`]; any progress starts the time anew.
+/// A stream whose write, flush or shutdown fails with [`ErrorKind::TimedOut`] after `timeout` without progress.
+/// Any progress restarts the timeout. Reads are passed through without a timeout.
 pub(crate) struct WriteTimeout<S> {
     inner: S,
     timeout: Duration,
-    /// Running while a write waits.
+    /// Runs while a write is pending; `None` if no write is.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S> WriteTimeout<S> {
-    /// Bounds the waits of `inner`'s writes.
+    /// Wraps `inner` with a timeout for its writes.
     pub fn new(inner: S, timeout: Duration) -> WriteTimeout<S> {
         WriteTimeout { inner, timeout, timer: None }
     }
 
-    /// Passes on the outcome of a write; of one that waits, starts or asks the timer.
-    fn in_time<T>(
+    /// Returns the result of a completed write. For a pending write, starts the timer or polls the running one.
+    fn apply_timeout<T>(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<Result<T>>,
@@ -61,17 +61,17 @@
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.in_time(context, written)
+        self.apply_timeout(context, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
         let flushed = Pin::new(&mut self.inner).poll_flush(context);
-        self.in_time(context, flushed)
+        self.apply_timeout(context, flushed)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
         let shut_down = Pin::new(&mut self.inner).poll_shutdown(context);
-        self.in_time(context, shut_down)
+        self.apply_timeout(context, shut_down)
     }
 }
 
