--- a/crates/leaddeal/src/driver/cloud_client.rs
+++ b/crates/leaddeal/src/driver/cloud_client.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Tells missing capacity from an outage, by the body of a 503 to a launch.
+/// Distinguishes missing capacity from an outage by the body of a 503 to a launch.
 fn launch_unavailable(response: &HttpResponse) -> CloudResult {
     if String::from_utf8_lossy(&response.body).contains(NO_CAPACITY_TEXT) {
         CloudResult::NoCapacity
--- a/crates/leaddeal/src/driver/limits.rs
+++ b/crates/leaddeal/src/driver/limits.rs
@@ -3,7 +3,7 @@
 
 /// Used if the settings have no limit: enough for 4,500 workers at one controller, and users.
 const DEFAULT_MAX_CONNECTIONS: usize = 5000;
-/// File descriptors kept for everything but the connections of users and workers.
+/// Number of the allowed file descriptors kept for everything but the connections of users and workers.
 const RESERVED_FILE_DESCRIPTORS: usize = 100;
 /// Divides the connection limit; the result is the limit on cached clients of workers.
 const WORKER_CONNECTIONS_DIVISOR: usize = 4;
--- a/crates/leaddeal/src/driver/startup.rs
+++ b/crates/leaddeal/src/driver/startup.rs
@@ -37,9 +37,9 @@
 
 /// Runs a controller until it fails.
 ///
-/// All work runs in tasks of the runtime, the event loop included: with a future outside of the tasks that tasks
-/// wake, the runtime polls the sockets before each poll of this future. The future of this function only waits
-/// for the end of a task.
+/// All work runs in tasks of the runtime, including the event loop. If the event loop ran outside of the tasks and
+/// was woken by them, the runtime would poll the sockets between any two of its iterations. The future of this
+/// function only waits for the end of a task.
 ///
 /// # Errors
 /// [`DriverError::Listen`] if an address can't be listened on within [`BIND_TIMEOUT`]; otherwise the error of the
--- a/crates/leaddeal/src/gateway/handlers.rs
+++ b/crates/leaddeal/src/gateway/handlers.rs
@@ -32,7 +32,7 @@
     Ok(call_core_for_user(&gateway, |req| Input::Submit { req, id, job }).await)
 }
 
-/// Returns the number of a job that is not valid but has a readable name.
+/// Returns the job number of an invalid submission, or `None` if its `id` can't be read either.
 fn id_of_invalid_job(body: &[u8]) -> Option<u64> {
     let job = serde_json::from_slice::<serde_json::Value>(body).ok()?;
     user::parse_job_id(job.get("id")?.as_str()?)
--- a/crates/leaddeal/tests/common/mod.rs
+++ b/crates/leaddeal/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Three real processes on loopback, with stand-ins for the state service and the cloud behind
-//! real sockets.
+//! A cluster of three controller processes on loopback, with stand-ins for the key-value store and the cloud that
+//! listen on real sockets.
 use axum::body::Bytes;
 use axum::extract::{Path, Query, State as Ext};
 use axum::http::StatusCode;
@@ -18,7 +18,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The stand-in for the state service, and when its clock started.
+/// The stand-in for the key-value store, and the time at which its clock started.
 struct StoreStandIn {
     state: Mutex<State>,
     started: Instant,
@@ -32,7 +32,7 @@
 
 type Store = Arc<StoreStandIn>;
 
-fn answer(result: StoreResult) -> Response {
+fn store_response(result: StoreResult) -> Response {
     match result {
         StoreResult::Lease(lease) => Json(json!({ "permit": lease })).into_response(),
         StoreResult::LeaseRenewed => Json(json!({})).into_response(),
@@ -51,7 +51,7 @@
 
 fn execute(store: &Store, call: &StoreCall) -> Response {
     let now = store.now_ms();
-    answer(store.state.lock().expect("the store").call(now, call))
+    store_response(store.state.lock().expect("the store").call(now, call))
 }
 
 async fn list(Ext(store): Ext<Store>, Query(query): Query<HashMap<String, String>>) -> Response {
@@ -61,32 +61,35 @@
 
 async fn changes(Ext(store): Ext<Store>, Query(query): Query<HashMap<String, String>>) -> Response {
     let number = |name: &str| query.get(name).and_then(|text| text.parse().ok()).unwrap_or(0);
-    let wait_until = Instant::now() + Duration::from_millis(number("waitMs"));
+    let deadline = Instant::now() + Duration::from_millis(number("waitMs"));
     loop {
-        let found = {
+        let events = {
             let mut state = store.state.lock().expect("the store");
             state.expire(store.now_ms());
             state.events(&query["under"], number("after"))
         };
-        if !found.events.is_empty() || Instant::now() >= wait_until {
-            return Json(found).into_response();
+        if !events.events.is_empty() || Instant::now() >= deadline {
+            return Json(events).into_response();
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Serves the state service and the cloud, which has no capacity, on one port until the process ends.
+/// Serves the stand-ins for the store and the cloud, which has no capacity, on one port until the process ends.
 fn serve_stand_ins(listener: TcpListener) {
     let state = Mutex::new(State::new(Broken::Nothing));
     let store: Store = Arc::new(StoreStandIn { state, started: Instant::now() });
     let catalog = json!({"hulls": [{"label": "small", "cores": 4, "gpus": 0, "memoryGb": 16,
         "localGb": 50, "pullGbPerS": 1.0, "price": 1.0, "marketPrice": 0.4, "startupS": 5,
         "harbors": ["a"]}]});
-    let full = (StatusCode::SERVICE_UNAVAILABLE, Json(json!({"error": "no capacity"})));
-    let none = Json(json!({"fleet": [], "truncated": false}));
+    let no_capacity = (StatusCode::SERVICE_UNAVAILABLE, Json(json!({"error": "no capacity"})));
+    let no_instances = Json(json!({"fleet": [], "truncated": false}));
     let app = Router::new()
         .route("/catalog", get(move || async move { Json(catalog) }))
-        .route("/hosts", get(move || async move { none }).post(move || async move { full }))
+        .route(
+            "/hosts",
+            get(move || async move { no_instances }).post(move || async move { no_capacity }),
+        )
         .route("/hosts/release", post(|| async { "{}" }))
         .route("/store", get(list))
         .route(
@@ -126,9 +129,10 @@
     });
 }
 
-/// One request on a connection of its own; status 0 if there is no answer.
+/// Sends one request on a connection of its own. Returns the status and the body; status 0 if there is no
+/// response.
 pub fn http(addr: &str, method: &str, path: &str, body: &str) -> (u16, String) {
-    let go = || -> std::io::Result<String> {
+    let exchange = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(addr)?;
         stream.set_read_timeout(Some(Duration::from_secs(5)))?;
         write!(
@@ -141,50 +145,50 @@
         stream.read_to_string(&mut text)?;
         Ok(text)
     };
-    let Ok(text) = go() else { return (0, String::new()) };
+    let Ok(text) = exchange() else { return (0, String::new()) };
     let status = text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
     let body = text.split_once("\r\n\r\n").map(|x| x.1.to_string()).unwrap_or_default();
     (status, body)
 }
 
-/// One controller.
+/// One controller process.
 pub struct Node {
-    /// As in the settings.
+    /// Name in the settings.
     #[allow(dead_code)]
     pub name: String,
-    /// `ADDRESS:PORT` for users and workers.
+    /// Address (`ADDRESS:PORT`) for users and workers.
     pub addr: String,
-    /// None: it was killed.
+    /// `None` if the process was killed and not restarted.
     pub process: Option<Child>,
 }
 
-/// Three controllers, which are killed when this is dropped.
+/// Three controllers. Dropping the cluster kills them.
 pub struct Cluster {
     pub nodes: Vec<Node>,
-    /// Their settings, in the same order.
-    files: Vec<PathBuf>,
+    /// Settings files of the nodes, in the same order.
+    settings_files: Vec<PathBuf>,
 }
 
-fn run(file: &FilePath) -> Child {
+fn spawn_controller(settings_file: &FilePath) -> Child {
     let mut program = Command::new(env!("CARGO_BIN_EXE_leaddeal"));
-    program.arg("--config").arg(file).spawn().expect("the program starts")
+    program.arg("--config").arg(settings_file).spawn().expect("the program starts")
 }
 
 impl Cluster {
-    /// The addresses for users and workers, by node.
+    /// Returns the nodes' addresses for users and workers, in the order of the nodes.
     pub fn addresses(&self) -> Vec<String> {
         self.nodes.iter().map(|node| node.addr.clone()).collect()
     }
 
-    /// Kills a node's process and starts the next one after this time.
+    /// Kills a node's process, waits for `delay` and starts a new process of the node.
     #[allow(dead_code)]
-    pub fn restart(&mut self, n: usize, after: Duration) {
+    pub fn restart(&mut self, n: usize, delay: Duration) {
         if let Some(mut process) = self.nodes[n].process.take() {
             process.kill().expect("killed");
             process.wait().expect("ended");
         }
-        std::thread::sleep(after);
-        self.nodes[n].process = Some(run(&self.files[n]));
+        std::thread::sleep(delay);
+        self.nodes[n].process = Some(spawn_controller(&self.settings_files[n]));
     }
 }
 
@@ -199,33 +203,35 @@
     }
 }
 
-pub fn free() -> TcpListener {
+pub fn bind_free_port() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-pub fn addr(listener: &TcpListener) -> String {
+pub fn listener_addr(listener: &TcpListener) -> String {
     listener.local_addr().expect("an address").to_string()
 }
 
-/// Three nodes with these resources.
-pub fn start(resources: &Value) -> Cluster {
-    let listener = free();
-    let outside = addr(&listener);
+/// Starts three nodes whose settings have these values for `cluster.resources`.
+pub fn start_cluster(resources: &Value) -> Cluster {
+    let listener = bind_free_port();
+    let services_addr = listener_addr(&listener);
     serve_stand_ins(listener);
-    let ports: Vec<(TcpListener, TcpListener)> = (0..3).map(|_| (free(), free())).collect();
-    let addrs: Vec<(String, String)> = ports.iter().map(|(a, b)| (addr(a), addr(b))).collect();
+    let ports: Vec<(TcpListener, TcpListener)> =
+        (0..3).map(|_| (bind_free_port(), bind_free_port())).collect();
+    let addrs: Vec<(String, String)> =
+        ports.iter().map(|(gateway, mesh)| (listener_addr(gateway), listener_addr(mesh))).collect();
     drop(ports);
-    let mut files = Vec::new();
+    let mut settings_files = Vec::new();
     let nodes = (0..3)
         .map(|n| {
             let peers: Vec<Value> = (0..3)
                 .filter(|&i| i != n)
                 .map(|i| json!({"node_name": format!("n-{i}"), "zone": "a", "address": addrs[i].1}))
                 .collect();
-            let s = json!({
+            let settings = json!({
                 "node_name": format!("n-{n}"), "zone": "a", "serve_on": addrs[n].0,
                 "mesh_addr": addrs[n].1, "siblings": peers,
-                "external": {"cloud": outside, "state": outside},
+                "external": {"cloud": services_addr, "state": services_addr},
                 "cluster": {"zones": ["a"], "teams": [{"name": "t"}],
                     "workers": {"report_s": 0.5, "lease_s": 8.0, "gang_wait_s": 20.0,
                                 "gang_peer_s": 5.0, "cancel_s": 20.0},
@@ -237,23 +243,25 @@
                 std::process::id(),
                 addrs[n].0.replace(':', "-")
             ));
-            std::fs::write(&file, s.to_string()).expect("a settings file");
-            let child = run(&file);
-            files.push(file);
-            Node { name: format!("n-{n}"), addr: addrs[n].0.clone(), process: Some(child) }
+            std::fs::write(&file, settings.to_string()).expect("a settings file");
+            let process = spawn_controller(&file);
+            settings_files.push(file);
+            Node { name: format!("n-{n}"), addr: addrs[n].0.clone(), process: Some(process) }
         })
         .collect();
-    Cluster { nodes, files }
+    Cluster { nodes, settings_files }
 }
 
-pub fn until(what: &str, mut ok: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(40);
-    while !ok() {
-        assert!(Instant::now() < end, "{what}: not within 40 s");
+/// Waits until the condition is true, and panics if that takes longer than 40 s.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(40);
+    while !condition() {
+        assert!(Instant::now() < deadline, "{what}: not within 40 s");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
+/// Returns the submission of a job of team `t` with this number of tasks, each for one core and 1 GB of memory.
 pub fn job(id: &str, tasks: u32, kind: &str) -> Value {
     json!({"id": id, "cargo": "c", "crew": "t", "rig": kind, "precedence": "normal",
            "hauls": tasks, "cores": 1.0, "gpus": 0.0, "memoryGb": 1.0, "manifest": "i",
--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Three real processes on loopback: the gateway, a worker, a kill.
-use common::{http, job, start, until};
+//! Users and a worker on a cluster of real processes, one of which is killed.
+use common::{http, job, start_cluster, wait_until};
 use leaddeal_testkit::worker::{CompletedTasks, Worker};
 use leaddeal_wire::user::Job;
 use leaddeal_wire::worker::{HeartbeatResponse, Redirect};
@@ -9,30 +9,30 @@
 
 mod common;
 
-/// Reports like a worker does, and follows redirects, until the test ends.
-fn worker(nodes: Vec<(String, String)>, jobs: Vec<Job>) {
+/// Starts a worker that sends heartbeats and follows redirects until the test ends.
+fn spawn_worker(nodes: Vec<(String, String)>, jobs: Vec<Job>) {
     std::thread::spawn(move || {
         let start = Instant::now();
         let now = || start.elapsed().as_millis() as u64;
         let jobs: BTreeMap<String, Job> = jobs.into_iter().map(|j| (j.id.clone(), j)).collect();
-        let mut w = Worker::new("m-000001", "small", "a", false, 0, 8000);
+        let mut worker = Worker::new("m-000001", "small", "a", false, 0, 8000);
         let mut done = CompletedTasks::default();
-        let mut at = 0;
+        let mut target = 0;
         loop {
-            w.advance(now(), &mut done, &jobs);
-            let body = serde_json::to_string(&w.heartbeat()).expect("a report");
-            let sent = now();
-            let (status, text) = http(&nodes[at].1, "POST", "/checkin", &body);
-            let to = serde_json::from_str::<Redirect>(&text).ok().and_then(|r| r.report_to);
+            worker.advance(now(), &mut done, &jobs);
+            let body = serde_json::to_string(&worker.heartbeat()).expect("a heartbeat");
+            let sent_at = now();
+            let (status, text) = http(&nodes[target].1, "POST", "/checkin", &body);
+            let report_to = serde_json::from_str::<Redirect>(&text).ok().and_then(|r| r.report_to);
             match (status, serde_json::from_str::<HeartbeatResponse>(&text)) {
-                (200, Ok(a)) if a.token >= w.token => {
-                    w.token = a.token;
-                    w.lease_granted_at = sent;
-                    w.execute(now(), &a.orders, &jobs);
+                (200, Ok(response)) if response.token >= worker.token => {
+                    worker.token = response.token;
+                    worker.lease_granted_at = sent_at;
+                    worker.execute(now(), &response.orders, &jobs);
                 }
                 _ => {
-                    let named = nodes.iter().position(|n| Some(&n.0) == to.as_ref());
-                    at = named.unwrap_or((at + 1) % nodes.len());
+                    let named = nodes.iter().position(|node| Some(&node.0) == report_to.as_ref());
+                    target = named.unwrap_or((target + 1) % nodes.len());
                 }
             }
             std::thread::sleep(Duration::from_millis(200));
@@ -41,24 +41,24 @@
 }
 
 #[test]
-fn three_processes_serve_users_and_survive_a_kill() {
-    let mut c = start(&json!({}));
-    let at: Vec<String> = c.addresses();
-    for a in &at {
-        until("a node is up", || http(a, "GET", "/up", "").0 == 200);
+fn serves_users_after_a_node_is_killed() {
+    let mut cluster = start_cluster(&json!({}));
+    let addrs: Vec<String> = cluster.addresses();
+    for addr in &addrs {
+        wait_until("a node is up", || http(addr, "GET", "/up", "").0 == 200);
     }
 
-    // The gateway: what is wrong is refused at once.
-    let good = job("wk-000001", 3, "sweep");
+    // Invalid requests are rejected at once.
+    let valid = job("wk-000001", 3, "sweep");
     let with = |k: &str, v: Value| {
-        let mut j = good.clone();
-        j[k] = v;
-        j["id"] = json!(if k == "id" { j["id"].clone() } else { json!("wk-000900") });
-        j.to_string()
+        let mut job = valid.clone();
+        job[k] = v;
+        job["id"] = json!(if k == "id" { job["id"].clone() } else { json!("wk-000900") });
+        job.to_string()
     };
-    let submit = |body: &str| http(&at[0], "POST", "/submissions", body).0;
-    for bad in ["", "x", "[]", "3", "{}"] {
-        assert_eq!(submit(bad), 400, "{bad}");
+    let submit = |body: &str| http(&addrs[0], "POST", "/submissions", body).0;
+    for body in ["", "x", "[]", "3", "{}"] {
+        assert_eq!(submit(body), 400, "{body}");
     }
     for (k, v) in [
         ("id", json!("wk-1")),
@@ -86,43 +86,45 @@
     ] {
         assert_eq!(submit(&with(k, v.clone())), 422, "{k} = {v}");
     }
-    assert_eq!(http(&at[1], "GET", "/submissions/wk-000001", "").0, 404);
-    assert_eq!(http(&at[1], "GET", "/nowhere", "").0, 404);
-    assert_eq!(http(&at[1], "DELETE", "/submissions", "").0, 405);
+    assert_eq!(http(&addrs[1], "GET", "/submissions/wk-000001", "").0, 404);
+    assert_eq!(http(&addrs[1], "GET", "/nowhere", "").0, 404);
+    assert_eq!(http(&addrs[1], "DELETE", "/submissions", "").0, 405);
 
-    // Accepted once, known everywhere, whatever else a retry says.
-    assert_eq!(submit(&good.to_string()), 201);
-    assert_eq!(http(&at[2], "POST", "/submissions", &good.to_string()).0, 200);
-    let mut odd = good.clone();
-    odd["hauls"] = json!(0);
-    assert_eq!(submit(&odd.to_string()), 200);
+    // A job is accepted once and known to all nodes; a retry succeeds even if it is otherwise invalid.
+    assert_eq!(submit(&valid.to_string()), 201);
+    assert_eq!(http(&addrs[2], "POST", "/submissions", &valid.to_string()).0, 200);
+    let mut invalid_retry = valid.clone();
+    invalid_retry["hauls"] = json!(0);
+    assert_eq!(submit(&invalid_retry.to_string()), 200);
     let service = job("wk-000002", 1, "service");
-    assert_eq!(http(&at[1], "POST", "/submissions", &service.to_string()).0, 201);
+    assert_eq!(http(&addrs[1], "POST", "/submissions", &service.to_string()).0, 201);
 
     let parse = |v: &Value| Job::parse(v.to_string().as_bytes()).expect("a job");
-    let names = c.nodes.iter().map(|n| (n.name.clone(), n.addr.clone())).collect();
-    let later = job("wk-000003", 2, "sweep");
-    worker(names, vec![parse(&good), parse(&service), parse(&later)]);
-    let is = |a: &str, id: &str, status: &str| {
-        let (code, text) = http(a, "GET", &format!("/submissions/{id}"), "");
+    let nodes = cluster.nodes.iter().map(|n| (n.name.clone(), n.addr.clone())).collect();
+    let job_after_kill = job("wk-000003", 2, "sweep");
+    spawn_worker(nodes, vec![parse(&valid), parse(&service), parse(&job_after_kill)]);
+    let has_status = |addr: &str, id: &str, status: &str| {
+        let (code, text) = http(addr, "GET", &format!("/submissions/{id}"), "");
         code == 200 && text.contains(&format!("\"status\":\"{status}\""))
     };
-    until("the array is done", || is(&at[0], "wk-000001", "done"));
-    until("the service runs", || is(&at[1], "wk-000002", "running"));
+    wait_until("the array is done", || has_status(&addrs[0], "wk-000001", "done"));
+    wait_until("the service runs", || has_status(&addrs[1], "wk-000002", "running"));
 
-    // One node is killed; the others take its work over.
-    let mut dead = c.nodes[0].process.take().expect("a process");
-    dead.kill().expect("killed");
-    dead.wait().expect("ended");
-    assert!(is(&at[1], "wk-000001", "done") || is(&at[2], "wk-000001", "done"));
-    until("a job after the kill is accepted", || {
-        matches!(http(&at[1], "POST", "/submissions", &later.to_string()).0, 200 | 201)
+    // One node is killed, and the others take over its shards.
+    let mut killed = cluster.nodes[0].process.take().expect("a process");
+    killed.kill().expect("killed");
+    killed.wait().expect("ended");
+    assert!(
+        has_status(&addrs[1], "wk-000001", "done") || has_status(&addrs[2], "wk-000001", "done")
+    );
+    wait_until("a job after the kill is accepted", || {
+        matches!(http(&addrs[1], "POST", "/submissions", &job_after_kill.to_string()).0, 200 | 201)
     });
-    until("a job after the kill is done", || is(&at[2], "wk-000003", "done"));
-    until("the service is cancelled", || {
-        let (code, text) = http(&at[1], "POST", "/submissions/wk-000002/abort", "");
+    wait_until("a job after the kill is done", || has_status(&addrs[2], "wk-000003", "done"));
+    wait_until("the service is cancelled", || {
+        let (code, text) = http(&addrs[1], "POST", "/submissions/wk-000002/abort", "");
         code == 200 && text.contains("aborted")
     });
-    assert!(is(&at[2], "wk-000002", "aborted"));
-    assert!(is(&at[1], "wk-000001", "done"));
+    assert!(has_status(&addrs[2], "wk-000002", "aborted"));
+    assert!(has_status(&addrs[1], "wk-000001", "done"));
 }
