--- a/crates/core/src/coordinator/quota_admission.rs
+++ b/crates/core/src/coordinator/quota_admission.rs
@@ -9,7 +9,7 @@
 use crate::quota::phase::QuotaPhase;
 use crate::stored::QuotaUse;
 use leaddeal_wire::mesh::QuotaAmount;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A job whose demand for machines has been unmet for this time yields its quota to other jobs of
@@ -75,7 +75,7 @@
     }
 
     fn is_gang(&self) -> bool {
-        self.job.spec.kind == Kind::Gang
+        self.job.spec.kind == JobKind::Gang
     }
 
     fn queue(&self) -> TeamQueue {
@@ -89,7 +89,7 @@
 
     /// Whether the next task, or the gang as a whole, fits within the team's total quota.
     fn can_fit(&self, quotas: &BTreeMap<u8, QuotaAmount>) -> bool {
-        quotas.get(&self.team).is_some_and(|quota| self.next_need().within(*quota))
+        quotas.get(&self.team).is_some_and(|quota| self.next_need().is_within(*quota))
     }
 }
 
--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -8,7 +8,7 @@
 use crate::jobs::Job;
 use crate::placed::Placement;
 use leaddeal_wire::mesh::{AttemptRef, ShardMessage, TaskEvent, TaskPhase};
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use leaddeal_wire::worker::{ExitReason, TaskState};
 
 /// Delay before a task whose machine was full or busy is requested again.
@@ -106,8 +106,8 @@
         job.placed.set_phase(event.task, event.phase);
         // If one task of a gang is saving its progress before it stops, the whole gang must save
         // and stop, too, and soon.
-        if event.phase == TaskPhase::On(TaskState::Saving) && job.spec.kind == Kind::Gang {
-            job.placed.stop_rest(job.spec.save_s + SAVE_MARGIN_S);
+        if event.phase == TaskPhase::On(TaskState::Saving) && job.spec.kind == JobKind::Gang {
+            job.placed.stop_all(job.spec.save_s + SAVE_MARGIN_S);
             self.unsettled_jobs.insert(id);
             self.next_resend_at = ctx.now;
             self.resend(ctx);
@@ -121,7 +121,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return false };
         let Some(placement) = job.placed.remove(event.task) else { return false };
         let is_done = matches!(event.phase, TaskPhase::Exited(ExitReason::Done, _));
-        if is_done && job.spec.kind != Kind::Service && !job.cancelled {
+        if is_done && job.spec.kind != JobKind::Service && !job.cancelled {
             self.complete_task(ctx, id, event.task, &placement);
             return false;
         }
@@ -160,9 +160,9 @@
         delay_next_request(ctx, job, event.phase, placement);
         job.return_task(event.task);
         self.unplaced_jobs.insert(id);
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             // A gang runs as a whole or not at all, so its other tasks stop.
-            job.placed.stop_rest(0.0);
+            job.placed.stop_all(0.0);
             self.unsettled_jobs.insert(id);
             self.next_resend_at = ctx.now;
         }
@@ -180,8 +180,8 @@
     let now = ctx.now;
     let suspicion = &mut job.failure_suspicion;
     match phase {
-        TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::Unknown, _) => {
-            if job.spec.kind == Kind::Service && job.placed.running() > 0 {
+        TaskPhase::Exited(ExitReason::Error | ExitReason::Other | ExitReason::JobNotFound, _) => {
+            if job.spec.kind == JobKind::Service && job.placed.running_count() > 0 {
                 suspicion.record_good_run();
             }
             let was_suspected = suspicion.is_suspected();
@@ -191,7 +191,10 @@
                 ctx.effects.log(LogLevel::Info, "job_suspected", || name.clone());
             }
         }
-        TaskPhase::Exited(ExitReason::Full | ExitReason::Busy, _) => {
+        TaskPhase::Exited(
+            ExitReason::InsufficientResources | ExitReason::OtherAttemptPresent,
+            _,
+        ) => {
             job.not_before = now + BUSY_RETRY_INTERVAL_MS;
         }
         _ if suspicion.is_suspected() => {}
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -12,7 +12,7 @@
 pub(super) struct Statistics {
     /// How often a machine was evaluated for a job since the start of the process.
     pub(super) machines_evaluated: u64,
-    next_log: Timestamp,
+    next_log_at: Timestamp,
     /// By class of the write budget: the number of changes at the last log.
     logged_changes: [u64; WRITE_CLASSES.len()],
 }
@@ -21,7 +21,7 @@
     pub(super) fn new(now: Timestamp) -> Statistics {
         Statistics {
             machines_evaluated: 0,
-            next_log: now + STATISTICS_INTERVAL_MS,
+            next_log_at: now + STATISTICS_INTERVAL_MS,
             logged_changes: [0; WRITE_CLASSES.len()],
         }
     }
@@ -30,10 +30,10 @@
 impl Node {
     /// Logs the statistics of this node and of the shards that it owns, when that is due.
     pub(super) fn tick_statistics(&mut self, effects: &mut Effects) {
-        if effects.now < self.statistics.next_log {
+        if effects.now < self.statistics.next_log_at {
             return;
         }
-        self.statistics.next_log = effects.now + STATISTICS_INTERVAL_MS;
+        self.statistics.next_log_at = effects.now + STATISTICS_INTERVAL_MS;
         self.log_changes(effects);
         let relayed = self.relay_table.relayed_workers(effects.now);
         if relayed > 0 {
@@ -62,18 +62,18 @@
             let context = self.shared.context(effects);
             let coordinator = active.coordinator.statistics(context.now);
             let participant = active.participant.statistics(&context);
-            let served = active.coordinator.start_statistics(context.now);
+            let starts = active.coordinator.start_statistics(context.now);
             let obstacles = active.participant.obstacle_statistics();
             let waiting = active.coordinator.wait_statistics(&context);
-            let limits = active.coordinator.quota_statistics(&context);
-            effects.log(LogLevel::Info, "service_levels", || served);
+            let quotas = active.coordinator.quota_statistics(&context);
+            effects.log(LogLevel::Info, "service_levels", || starts);
             effects.log(LogLevel::Info, "coordinator", || coordinator);
             effects.log(LogLevel::Info, "participant", || participant);
             let optional =
-                [("quotas", limits), ("waiting_jobs", waiting), ("offer_obstacles", obstacles)];
-            for (event, figures) in optional {
-                if let Some(figures) = figures {
-                    effects.log(LogLevel::Info, event, || figures);
+                [("quotas", quotas), ("waiting_jobs", waiting), ("offer_obstacles", obstacles)];
+            for (event, statistics) in optional {
+                if let Some(statistics) = statistics {
+                    effects.log(LogLevel::Info, event, || statistics);
                 }
             }
         }
--- a/crates/core/src/node/timers.rs
+++ b/crates/core/src/node/timers.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct Timers {
     /// When this process started.
-    pub(super) started: Timestamp,
+    pub(super) started_at: Timestamp,
     last_tick: Timestamp,
     next_slow_tick: Timestamp,
     next_catalog_request: Timestamp,
@@ -32,7 +32,7 @@
 impl Timers {
     pub(super) fn new(now: Timestamp) -> Timers {
         Timers {
-            started: now,
+            started_at: now,
             last_tick: now,
             next_slow_tick: now,
             next_catalog_request: now,
@@ -98,7 +98,7 @@
             if context.lease_valid {
                 active.coordinator.tick(&mut context);
             }
-            self.wake |= context.needs_round;
+            self.needs_round |= context.needs_round;
         }
     }
 
--- a/crates/core/src/participant/free_resources/tests.rs
+++ b/crates/core/src/participant/free_resources/tests.rs
@@ -7,14 +7,14 @@
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::Shape as WireShape;
 use leaddeal_wire::mesh::TaskPhase;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::TaskState;
 use std::sync::Arc;
 
 const GPU_TASK: GpuNeed = GpuNeed { cpu: 10_000, gpu: 2000, mem: 38_000 };
 const WHOLE: Resources = Resources { cpu: 12_000, gpu: 2000, mem: 48_000 };
 
-fn shape(kind: Kind, cpu: u64) -> Shape {
+fn shape(kind: JobKind, cpu: u64) -> Shape {
     let wire = WireShape {
         kind,
         priority: Priority::Production,
@@ -36,40 +36,41 @@
 /// Guards against replicas that fill a GPU machine for good because short tasks leave too little free for
 /// GPU work at the moment.
 #[test]
-fn services_leave_gpu_room_whatever_short_tasks_run_now() {
+fn services_leave_capacity_for_gpu_work() {
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
-    let service = shape(Kind::Service, 2000);
+    let service = shape(JobKind::Service, 2000);
     assert_eq!(
         participant
             .spare_for_service(WHOLE, GpuMachineAccess::BesideKnownGpuWork)
-            .fits(service.need),
+            .fit_count(service.need),
         0,
         "no GPU work is known yet"
     );
     participant.gpu_demand.note(GPU_TASK, Priority::Normal, 1);
     let mut machine = Machine::new(1);
-    for (task, shape) in [(0, shape(Kind::Array, 9000)), (1, service.clone())] {
+    for (task, shape) in [(0, shape(JobKind::Array, 9000)), (1, service.clone())] {
         let placed = TaskOnMachine::new(Some(shape), TaskPhase::On(TaskState::Running), 1);
         machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
     machine.update_load();
-    let empty = participant.lasting_free(MachineIdx(0), &Machine::new(1), WHOLE);
+    let empty = participant.long_term_free(MachineIdx(0), &Machine::new(1), WHOLE);
     assert_eq!(
         participant
             .spare_for_service(empty, GpuMachineAccess::BesideKnownGpuWork)
-            .fits(service.need),
+            .fit_count(service.need),
         1,
         "one replica fits beside the GPU task"
     );
-    let later = participant.lasting_free(MachineIdx(0), &machine, WHOLE);
+    let later = participant.long_term_free(MachineIdx(0), &machine, WHOLE);
     assert_eq!(
         participant
             .spare_for_service(later, GpuMachineAccess::BesideKnownGpuWork)
-            .fits(service.need),
+            .fit_count(service.need),
         0
     );
     assert!(
-        participant.spare_for_service(later, GpuMachineAccess::Unlimited).fits(service.need) > 0,
+        participant.spare_for_service(later, GpuMachineAccess::Unlimited).fit_count(service.need)
+            > 0,
         "a service that waited for long may use all"
     );
 }
@@ -77,7 +78,7 @@
 /// Guards against several reservations of the same capacity: the capacity of one task that was being
 /// stopped was reserved five times.
 #[test]
-fn the_room_of_a_stopped_task_is_claimed_once() {
+fn capacity_of_stopped_task_is_reserved_once() {
     let mut names = Names::default();
     let (name, zones) = ("small".to_string(), vec!["a".to_string()]);
     let small = MachineType {
@@ -96,22 +97,29 @@
     let mut machine = Machine::new(1);
     machine.machine_type = names.type_idx("small");
     for task in 0..4 {
-        let mut placed = TaskOnMachine::new(Some(shape(Kind::Array, 1000)), TaskPhase::Decided, 1);
+        let mut placed =
+            TaskOnMachine::new(Some(shape(JobKind::Array, 1000)), TaskPhase::Decided, 1);
         placed.stop = (task == 0).then_some(StopRequest { grace_s: 0.0, since: 1 });
         machine.tasks.insert(AttemptKey { job: JobId(9), task, attempt: Attempt(1) }, placed);
     }
     machine.update_load();
     let mut participant = Participant::new(Shard(0), Epoch(1), 1, 3, 19_000);
-    let need = shape(Kind::Service, 1000).need;
+    let need = shape(JobKind::Service, 1000).need;
     let idx = MachineIdx(0);
-    let room = |participant: &Participant| {
-        let soon =
-            participant.free_with(machine.stopping(), idx, &machine, &names, JobId(u64::MAX), None);
-        soon.expect("all shapes are known").fits(need)
+    let tasks_that_fit = |participant: &Participant| {
+        let soon = participant.free_after(
+            machine.stopping(),
+            idx,
+            &machine,
+            &names,
+            JobId(u64::MAX),
+            None,
+        );
+        soon.expect("all shapes are known").fit_count(need)
     };
-    assert_eq!(room(&participant), 1);
+    assert_eq!(tasks_that_fit(&participant), 1);
     let reservation =
-        Reservation { job: JobId(5), need, expires_at: 9000, waiting: false, rank: None };
+        Reservation { job: JobId(5), need, expires_at: 9000, is_waiting: false, rank: None };
     participant.reservations.add(idx, reservation);
-    assert_eq!(room(&participant), 0);
+    assert_eq!(tasks_that_fit(&participant), 0);
 }
--- a/crates/leaddeal/src/gateway/handlers.rs
+++ b/crates/leaddeal/src/gateway/handlers.rs
@@ -21,7 +21,7 @@
     State(gateway): State<Gateway>,
     request: Request,
 ) -> Result<Response, BodyError> {
-    let body = gateway.read_body(request, user::MAX_BODY).await?;
+    let body = gateway.read_body(request, user::MAX_BODY_BYTES).await?;
     let job = Job::parse(&body).map(Box::new);
     let id = match &job {
         Ok(job) => user::parse_job_id(&job.id),
@@ -57,11 +57,11 @@
     request: Request,
 ) -> Result<Response, BodyError> {
     let body = gateway.read_body(request, MAX_HEARTBEAT_BYTES).await?;
-    let report: WorkerHeartbeat = match serde_json::from_slice(&body) {
-        Ok(report) => report,
+    let heartbeat: WorkerHeartbeat = match serde_json::from_slice(&body) {
+        Ok(heartbeat) => heartbeat,
         Err(error) => return Ok(error_response(StatusCode::BAD_REQUEST, &error.to_string())),
     };
-    let input = |req| Input::WorkerHeartbeat { req, report: Box::new(report) };
+    let input = |req| Input::WorkerHeartbeat { req, heartbeat: Box::new(heartbeat) };
     Ok(match gateway.call_core(input).await {
         Some(Reply::Worker(reply)) => worker_response(reply),
         _ => unavailable_response(),
--- a/crates/leaddeal/tests/processes.rs
+++ b/crates/leaddeal/tests/processes.rs
@@ -28,7 +28,7 @@
                 (200, Ok(response)) if response.token >= worker.token => {
                     worker.token = response.token;
                     worker.lease_granted_at = sent_at;
-                    worker.execute(now(), &response.orders, &jobs);
+                    worker.execute(now(), &response.commands, &jobs);
                 }
                 _ => {
                     let named = nodes.iter().position(|node| Some(&node.0) == report_to.as_ref());
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,5 +1,5 @@
 //! A stand-in for a machine's worker.
-use leaddeal_wire::user::{Job, Kind};
+use leaddeal_wire::user::{Job, JobKind};
 use leaddeal_wire::worker::{
     Command, CommandKind, ExitReason, TaskId, TaskReport, TaskState, WorkerHeartbeat,
 };
@@ -245,7 +245,7 @@
             task: TaskId::parse(name),
             attempt: *attempt,
             state: task.state,
-            why: task.exit_reason,
+            exit_reason: task.exit_reason,
             saved: (task.state == TaskState::Exited).then_some(task.saved),
         };
         WorkerHeartbeat {
@@ -257,7 +257,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
             token: self.token,
-            notice_s: None,
+            interruption_notice_s: None,
             tasks: self.tasks.iter().map(report).collect(),
         }
     }
@@ -285,7 +285,7 @@
                         start_fetched(task, name, job, now, done);
                     }
                 }
-                TaskState::Waiting => task.exit(ExitReason::Alone),
+                TaskState::Waiting => task.exit(ExitReason::GangIncomplete),
                 // Gangs advance together.
                 TaskState::Running | TaskState::Saving if task.gang => continue,
                 TaskState::Running => {
@@ -326,7 +326,7 @@
     /// Executes commands in their order.
     pub fn execute(&mut self, now: u64, commands: &[Command], jobs: &BTreeMap<String, Job>) {
         for command in commands {
-            match command.op {
+            match command.kind {
                 CommandKind::Start => self.start_task(now, command, jobs),
                 CommandKind::Stop if self.ignores_stops => {}
                 CommandKind::Stop => self.stop_task(now, command, jobs),
@@ -349,7 +349,7 @@
             exit_reason: refused,
             saved: false,
             until: now + if is_cached { 0 } else { FETCH_MS },
-            gang: job.is_some_and(|job| job.kind == Kind::Gang && job.tasks > 1),
+            gang: job.is_some_and(|job| job.kind == JobKind::Gang && job.tasks > 1),
         };
         self.tasks.insert(key, task);
         self.has_news = true;
@@ -362,14 +362,14 @@
         job: Option<&Job>,
         jobs: &BTreeMap<String, Job>,
     ) -> Option<ExitReason> {
-        let Some(job) = job else { return Some(ExitReason::Unknown) };
+        let Some(job) = job else { return Some(ExitReason::JobNotFound) };
         if self.tasks.iter().any(|(key, task)| key.0 == name && task.is_on_machine()) {
-            return Some(ExitReason::Busy);
+            return Some(ExitReason::OtherAttemptPresent);
         }
         let (cpus, gpus) = self.used(jobs);
         let is_full =
             cpus + job.cpus > self.cpus + ROUNDING || gpus + job.gpus > self.gpus + ROUNDING;
-        is_full.then_some(ExitReason::Full)
+        is_full.then_some(ExitReason::InsufficientResources)
     }
 
     /// Stops a task, which saves its progress if it can and is given the time.
@@ -419,7 +419,7 @@
     } else {
         task.state = TaskState::Running;
         task.until = match job.kind {
-            Kind::Service => u64::MAX,
+            JobKind::Service => u64::MAX,
             _ => now + (job.estimate_s * 1000.0) as u64,
         };
     }
