--- a/crates/core/src/coordinator/compaction/outcome.rs
+++ b/crates/core/src/coordinator/compaction/outcome.rs
@@ -10,7 +10,7 @@
 use crate::stored::TerminalState;
 use crate::writes::WriteOutcome;
 use leaddeal_wire::mesh::{AttemptRef, ShardMessage};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 use std::collections::BTreeMap;
 
 /// Delay before the contents of a compaction that the store refused are written again.
@@ -65,7 +65,7 @@
         }
         for id in contents.complete_jobs {
             let Some(job) = self.jobs.remove(&id) else { continue };
-            let terminal = TerminalState { status: Status::Done, done: job.done.len() };
+            let terminal = TerminalState { status: JobStatus::Done, done: job.done.len() };
             for request in job.termination.requests {
                 ctx.reply_state(request, 200, job_state(id, terminal));
             }
--- a/crates/core/src/coordinator/selection.rs
+++ b/crates/core/src/coordinator/selection.rs
@@ -8,7 +8,7 @@
 use crate::ids::{JobId, Timestamp};
 use crate::jobs::{Job, RequestOutcome};
 use crate::quota::admission::QuotaStatus;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Delay before a job is requested again for which there was capacity but no quota.
@@ -28,7 +28,7 @@
 impl JobOffers {
     /// Sorts the offers: machines with a cached image come first, then those with a higher score.
     fn new(mut offers: Vec<ReceivedOffer>) -> JobOffers {
-        offers.sort_by_key(|received| (!received.offer.cached, -received.offer.score));
+        offers.sort_by_key(|received| (!received.offer.has_image, -received.offer.score));
         JobOffers(offers)
     }
 
@@ -136,10 +136,10 @@
         let max_per_zone = job.max_per_zone(&ctx.names.zones);
         let offered = offers.count_by_zone(max_per_zone.len());
         // Spreads the replicas of a service over as many machines as possible.
-        let max_per_pass = if job.spec.kind == Kind::Service { 1 } else { u32::MAX };
+        let max_per_pass = if job.spec.kind == JobKind::Service { 1 } else { u32::MAX };
         let taken =
             offers.take(wanted, restrict_to_one_zone(job, &max_per_zone, &offered), max_per_pass);
-        let is_whole = job.spec.kind != Kind::Gang || taken.len() as u32 == job.pending();
+        let is_whole = job.spec.kind != JobKind::Gang || taken.len() as u32 == job.pending();
         if taken.is_empty() || !is_whole {
             self.refuse(item, job, &offered, &max_per_zone);
         } else {
@@ -167,11 +167,11 @@
         };
         // Without a known grant the job stays pending; the quota manager will answer soon.
         let free = self.quotas.get(&quota.team)?.free();
-        let fits = free.fits(quota.amount).min(u64::from(wanted)) as u32;
+        let fits = free.fit_count(quota.amount).min(u64::from(wanted)) as u32;
         let covered = if is_enforced(Guard::DecisionWithinGrant) { fits } else { wanted };
         let offered = offers.count().min(wanted);
         let is_limited = match job.spec.kind {
-            Kind::Gang => covered < wanted && offered == wanted,
+            JobKind::Gang => covered < wanted && offered == wanted,
             _ => covered == 0,
         };
         if offered == 0 || !is_limited {
--- a/crates/core/src/jobs/backoff.rs
+++ b/crates/core/src/jobs/backoff.rs
@@ -1,7 +1,7 @@
 //! Retry back-off for jobs that no participant had capacity for.
 use super::Job;
 use crate::ids::Timestamp;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// How long a late service must have found no capacity before it may use machines with GPUs.
 const GPU_MACHINES_ALLOWED_AFTER_MS: u64 = 9000;
@@ -111,6 +111,6 @@
     pub fn may_use_gpu_machines(&self, now: Timestamp) -> bool {
         let late = self.urgency(now).missed_objectives > 0;
         let long = self.demand_unmet_ms(now).is_some_and(|ms| ms >= GPU_MACHINES_ALLOWED_AFTER_MS);
-        self.spec.kind == Kind::Service && late && long
+        self.spec.kind == JobKind::Service && late && long
     }
 }
--- a/crates/core/src/jobs/tests.rs
+++ b/crates/core/src/jobs/tests.rs
@@ -3,7 +3,7 @@
 use crate::names::Names;
 use crate::placed::Placement;
 use leaddeal_wire::settings::Objective;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 #[test]
 fn gang_keeps_target_zone_while_it_offers_capacity() {
@@ -11,26 +11,29 @@
     let mut job = Job::tombstone(JobId(7), &mut names);
     job.spec = user::Job {
         class: "c".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::Normal,
         tasks: 4,
         one_zone: true,
         ..job.spec
     };
-    assert!(!job.queue_position(0).expect("a gang has a position").holds_position, "first request");
+    assert!(
+        !job.queue_position(0).expect("a gang has a position").blocks_gangs_behind,
+        "first request"
+    );
     let max_per_zone = [4, 4, 4];
     job.backoff.failed_retries = 1;
     job.choose_target_zone(&[0, 2, 1], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)));
     job.choose_target_zone(&[3, 1, 0], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(1)), "reservations in the zone are not wasted");
-    assert!(job.queue_position(0).expect("a gang has a position").holds_position);
+    assert!(job.queue_position(0).expect("a gang has a position").blocks_gangs_behind);
     job.choose_target_zone(&[3, 0, 0], &max_per_zone);
     assert_eq!(job.target_zone, Some(ZoneIdx(0)));
     job.spec.tasks = 1;
     job.choose_target_zone(&[0, 0, 0], &max_per_zone);
     assert_eq!(job.target_zone, None, "a single task needs no target zone");
-    assert!(!job.queue_position(0).expect("a gang has a position").holds_position);
+    assert!(!job.queue_position(0).expect("a gang has a position").blocks_gangs_behind);
 }
 
 /// While a fleet was booting, requests that found no capacity took most of the time.
@@ -121,11 +124,11 @@
 fn gangs_without_remaining_objectives_keep_order() {
     let mut names = Names::default();
     let mut job = Job::tombstone(JobId(7), &mut names);
-    job.spec.kind = Kind::Gang;
+    job.spec.kind = JobKind::Gang;
     // The due time as a participant computes it from the gang's queue position.
     let late_and_due = |job: &Job, now: Timestamp| {
         let position = job.queue_position(now).expect("a gang has a position");
-        (position.late, now.saturating_add_signed(position.time_left_ms))
+        (position.missed_objectives, now.saturating_add_signed(position.time_left_ms))
     };
     let (older, younger) = (1_000_000, 1_005_000);
     for now in [1_100_000, 1_900_000, 3_000_000] {
--- a/crates/core/src/jobs/urgency.rs
+++ b/crates/core/src/jobs/urgency.rs
@@ -2,7 +2,7 @@
 use super::Job;
 use crate::ids::Timestamp;
 use leaddeal_wire::mesh;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 
 /// A job that has waited this long for its first start is served first among jobs of its priority.
 const MAX_WAIT_FOR_FIRST_START_MS: u64 = 110_000;
@@ -50,16 +50,16 @@
     /// Returns a gang's position in the gang queue of a participant; `None` for other kinds of
     /// jobs.
     pub fn queue_position(&self, now: Timestamp) -> Option<mesh::QueuePosition> {
-        if self.spec.kind != Kind::Gang {
+        if self.spec.kind != JobKind::Gang {
             return None;
         }
         let urgency = self.urgency(now);
         Some(mesh::QueuePosition {
-            late: urgency.missed_objectives,
+            missed_objectives: urgency.missed_objectives,
             // Negative once the job is late. If it were cut off at zero, each late gang would count
             // as later than the gangs that requested before it, and no gang would ever be first.
             time_left_ms: urgency.due as i64 - now as i64,
-            holds_position: self.backoff.failed_retries > 0 && self.target_zone.is_some(),
+            blocks_gangs_behind: self.backoff.failed_retries > 0 && self.target_zone.is_some(),
             zone: self.target_zone.map(|zone| zone.0),
         })
     }
--- a/crates/core/src/node/users.rs
+++ b/crates/core/src/node/users.rs
@@ -29,7 +29,7 @@
         effects: &mut Effects,
         req: RequestId,
         id: Option<JobId>,
-        job: Result<Box<user::Job>, user::BadJob>,
+        job: Result<Box<user::Job>, user::JobError>,
     ) {
         let Some(id) = id else {
             let rejection = SubmissionRejection::Malformed;
@@ -95,7 +95,8 @@
         };
         // The tasks of an array may run one after another; all tasks of other kinds of jobs run at the
         // same time.
-        let tasks_at_once = if job.kind == user::Kind::Array { 1.0 } else { f64::from(job.tasks) };
+        let tasks_at_once =
+            if job.kind == user::JobKind::Array { 1.0 } else { f64::from(job.tasks) };
         let is_within = |max: f64, per_task: f64| {
             max == 0.0 || per_task * tasks_at_once <= max + QUOTA_TOLERANCE
         };
@@ -111,7 +112,7 @@
         names.catalog.iter().enumerate().any(|(index, machine_type)| {
             let type_idx = MachineTypeIdx(index as u8);
             names.allows(&shape, type_idx, false)
-                && names.resources_of_type(type_idx).fits(need) > 0
+                && names.resources_of_type(type_idx).fit_count(need) > 0
                 && job.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
         })
     }
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -91,7 +91,7 @@
         total: Resources,
     ) -> Resources {
         let mut free = total;
-        free.sub(machine.lasting(), 1);
+        free.sub(machine.long_running(), 1);
         for hold in self.holds.on(idx).iter().filter(|hold| hold.is_long_running) {
             free.sub(hold.need, hold.count);
         }
@@ -134,7 +134,7 @@
         let mut spare = long_term_free;
         for need in self.gpu_demand.needs() {
             let mut remainder = long_term_free;
-            remainder.sub(need, long_term_free.fits(need));
+            remainder.sub(need, long_term_free.fit_count(need));
             spare.cpu = spare.cpu.min(remainder.cpu);
             spare.mem = spare.mem.min(remainder.mem);
         }
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -14,8 +14,9 @@
 
 /// A task of a service or with GPUs counts as a success of its job once it has run for this long, in ms.
 const SUCCESS_AFTER_MS: u64 = 30_000;
-/// Time in ms for which a machine is not offered after its disk was too full for a task.
-const DISK_FULL_QUARANTINE_MS: u64 = 2000;
+/// Time in ms for which a machine is not offered after its worker refused a task for lack of free
+/// resources.
+const REFUSAL_QUARANTINE_MS: u64 = 2000;
 /// Time in ms for which no command batch is sent to a worker after one that it did not answer.
 const BATCH_RETRY_DELAY_MS: u64 = 2000;
 /// Time in seconds that a task on a machine with an interruption notice gets in addition to the time
@@ -34,8 +35,8 @@
     succeeded: Vec<JobId>,
     /// Whether any attempt ended since the previous heartbeat.
     has_ended_attempt: bool,
-    /// Whether a task exited because the machine's disk was too full.
-    is_disk_full: bool,
+    /// Whether the worker refused a task because the machine lacks the free resources.
+    lacked_resources: bool,
 }
 
 impl Observations {
@@ -70,7 +71,7 @@
                 self.succeeded.push(job);
                 self.images.extend(shape.map(image_of));
             }
-            TaskPhase::Exited(ExitReason::Full, _) => self.is_disk_full = true,
+            TaskPhase::Exited(ExitReason::InsufficientResources, _) => self.lacked_resources = true,
             _ => {}
         }
     }
@@ -126,25 +127,25 @@
         machine.lease_granted_at = ctx.now;
         let newest = (heartbeat.incarnation, heartbeat.seq) == (machine.incarnation, machine.seq);
         if !newest {
-            return Some(HeartbeatResponse { token, orders: Vec::new() });
+            return Some(HeartbeatResponse { token, commands: Vec::new() });
         }
         // Stops are still sent while this node's lease is uncertain: the decision to stop is durable
         // and holds under any owner. Otherwise a cancelled task runs on if an outage of the store
         // begins between the cancellation and the worker's first heartbeat to this owner.
         let lease = if ctx.lease_valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
-        let orders = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
-        Some(HeartbeatResponse { token, orders })
+        let commands = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
+        Some(HeartbeatResponse { token, commands })
     }
 
-    /// Handles the outcome of a command batch. `answer` is the worker's heartbeat in response; it is
-    /// `None` if the batch was not sent, or, with `unknown`, if it may have been executed.
+    /// Handles the outcome of a command batch. `response` is the worker's heartbeat in response; it is
+    /// `None` if the batch was not sent, or, with `may_be_executed`, if it may have been executed.
     pub fn handle_batch_outcome(
         &mut self,
         ctx: &mut Context,
         machine: &str,
         batch: u64,
-        answer: Option<&WorkerHeartbeat>,
-        unknown: bool,
+        response: Option<&WorkerHeartbeat>,
+        may_be_executed: bool,
     ) {
         let Some(idx) = ctx.names.find_machine(machine) else {
             return;
@@ -152,7 +153,7 @@
         let Some(machine) = self.machines.get_mut(&idx) else {
             return;
         };
-        match answer {
+        match response {
             Some(heartbeat) => {
                 // The effect of the commands shows in this heartbeat and in all newer ones.
                 let known = (machine.incarnation, machine.seq);
@@ -164,7 +165,7 @@
                 machine.reachability.record_proof();
             }
             None => {
-                let end = if unknown { BatchEnd::Unknown } else { BatchEnd::Known };
+                let end = if may_be_executed { BatchEnd::Unknown } else { BatchEnd::Known };
                 machine.end_direct_batch(batch, end);
                 machine.next_direct_at = ctx.now + BATCH_RETRY_DELAY_MS;
             }
@@ -203,18 +204,18 @@
     fn apply_observations(&mut self, ctx: &Context, idx: MachineIdx, observed: &Observations) {
         let now = ctx.now;
         let machine = self.machine_or_insert(idx);
-        if observed.is_disk_full {
-            let until = now + DISK_FULL_QUARANTINE_MS;
+        if observed.lacked_resources {
+            let until = now + REFUSAL_QUARANTINE_MS;
             machine.quarantined_until = machine.quarantined_until.max(until);
         }
         if !observed.succeeded.is_empty() {
             machine.clear_failures();
         }
-        machine.note_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
+        machine.record_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
         let machine_type = machine.machine_type;
         let cache_gb = machine_type.map_or(0.0, |t| ctx.names.catalog[t.0 as usize].cache_gb);
         for &image in &observed.images {
-            machine.note_image(image, cache_gb);
+            machine.record_image_use(image, cache_gb);
         }
         if machine.interruption_at.is_some() {
             save_before_interruption(machine, now);
@@ -224,7 +225,8 @@
     fn schedule_lease_check(&mut self, ctx: &Context, idx: MachineIdx) {
         let previous_owners_until = self.previous_owners_until;
         let lease_ms = ctx.config.worker_lease_ms;
-        let expires_at = self.machine_or_insert(idx).lease_over_at(lease_ms, previous_owners_until);
+        let expires_at =
+            self.machine_or_insert(idx).lease_surely_expired_at(lease_ms, previous_owners_until);
         self.schedule_check(idx, expires_at);
     }
 
--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -10,7 +10,7 @@
 use crate::machine::Machine;
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum estimated run time in seconds of tasks without GPUs that are placed on ordinary GPU machines
@@ -100,7 +100,7 @@
             incarnation: self.incarnation,
             zone: self.zone.0,
             count,
-            cached: self.fetch_steps == 0,
+            has_image: self.fetch_steps == 0,
             score: self.score(),
         }
     }
@@ -125,7 +125,7 @@
         let request = item.request;
         let priority = request.shape.priority;
         let none_kept = BTreeSet::new();
-        let kept_for_gangs = if request.shape.kind == Kind::Array && request.shape.gpu == 0 {
+        let kept_for_gangs = if request.shape.kind == JobKind::Array && request.shape.gpu == 0 {
             let entry = kept_for_gangs.entry(priority);
             &*entry.or_insert_with(|| self.machines_kept_for_gangs(ctx, priority))
         } else {
@@ -159,9 +159,9 @@
         group: MachineGroup,
     ) -> Result<GroupScore, OfferObstacle> {
         let request = search.request;
-        let zone_room = request.zone_room.get(group.zone.0 as usize).copied().unwrap_or(0);
+        let max_per_zone = request.max_per_zone.get(group.zone.0 as usize).copied().unwrap_or(0);
         let has_gang_ahead = |rank| self.gang_queue.has_gang_ahead(rank, group);
-        if zone_room == 0 {
+        if max_per_zone == 0 {
             return Err(OfferObstacle::ZoneRule);
         }
         if search.rank.is_some_and(has_gang_ahead) {
@@ -215,7 +215,7 @@
                     continue;
                 }
             };
-            let capacity = free.fits(search.shape.need);
+            let capacity = free.fit_count(search.shape.need);
             missing = missing.saturating_sub(capacity);
             found.choices.push(Choice {
                 gpu_waste: score.gpu_waste,
@@ -247,16 +247,16 @@
         }
         let free = self.free(idx, machine, ctx.names, JobId(request.job), search.rank);
         let mut free = free.unwrap_or_default();
-        if free.fits(need) == 0 {
+        if free.fit_count(need) == 0 {
             return Err(self.capacity_obstacle(idx, machine, score.total, need));
         }
-        if score.gpu_waste > 0 && search.shape.wire.kind == Kind::Service {
+        if score.gpu_waste > 0 && search.shape.wire.kind == JobKind::Service {
             let long_term_free = self.long_term_free(idx, machine, score.total);
             let spare = self.spare_for_service(long_term_free, GpuMachineAccess::of(request));
             free.cpu = free.cpu.min(spare.cpu);
             free.mem = free.mem.min(spare.mem);
         }
-        match free.fits(need) {
+        match free.fit_count(need) {
             0 => Err(OfferObstacle::GpuWorkWaits),
             _ => Ok(free),
         }
@@ -274,13 +274,13 @@
         let Some(used) = machine.used() else { return OfferObstacle::NoCapacity };
         let mut free = total;
         free.sub(used, 1);
-        if free.fits(need) == 0 {
+        if free.fit_count(need) == 0 {
             return OfferObstacle::NoCapacity;
         }
         for hold in self.holds.on(idx) {
             free.sub(hold.need, hold.count);
         }
-        match free.fits(need) {
+        match free.fit_count(need) {
             0 => OfferObstacle::Held,
             _ => OfferObstacle::Reserved,
         }
@@ -334,7 +334,7 @@
             let Some(machine) = self.machines.get(&idx) else { continue };
             let long_term_free = self.long_term_free(idx, machine, total);
             let mut needs = self.gang_queue.needs(group, priority);
-            let is_usable = needs.any(|need| long_term_free.fits(need) > 0);
+            let is_usable = needs.any(|need| long_term_free.fit_count(need) > 0);
             if let (true, Some(used)) = (is_usable, machine.used()) {
                 machines.push((used.cpu, idx));
                 remaining -= 1;
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -11,7 +11,7 @@
 use crate::ids::{JobId, NegotiationId, Shard, ZoneIdx};
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
 /// The state of one request for offers while it is being answered.
 struct OfferRound<'a> {
@@ -31,7 +31,7 @@
     types: &'a Option<Vec<String>>,
     need: Resources,
     priority: Priority,
-    kind: Kind,
+    kind: JobKind,
     allows_spot: bool,
     is_urgent: bool,
     may_use_gpu_machines: bool,
@@ -66,9 +66,9 @@
 impl FailedSearch<'_> {
     /// Returns whether a search of this kind and with these zones must fail as well: it is of the same
     /// kind and includes no zone that this search did not include.
-    fn covers(&self, kind: &SearchKind, zone_room: &[u32]) -> bool {
-        let mut zones = self.open_zones.iter().zip(zone_room);
-        self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
+    fn covers(&self, kind: &SearchKind, max_per_zone: &[u32]) -> bool {
+        let mut zones = self.open_zones.iter().zip(max_per_zone);
+        self.kind == *kind && zones.all(|(was_open, limit)| *was_open || *limit == 0)
     }
 }
 
@@ -130,7 +130,7 @@
     ) -> QueueRank {
         let job = JobId(request.job);
         let rank = QueueRank::new(request.shape.priority, position, job, ctx.now);
-        if let Some(zone) = position.zone.filter(|_| position.holds_position) {
+        if let Some(zone) = position.zone.filter(|_| position.blocks_gangs_behind) {
             let gang = WaitingGang {
                 rank,
                 zone: ZoneIdx(zone),
@@ -155,20 +155,20 @@
         let shape = ctx.names.shape(&request.shape);
         let MachineChoices { choices, obstacles } =
             self.choose_machines(ctx, &mut round.kept_for_gangs, item, &shape);
-        let mut zone_room = request.zone_room.clone();
-        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut zone_room);
+        let mut max_per_zone = request.max_per_zone.clone();
+        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut max_per_zone);
         if missing == 0 {
             return;
         }
         self.offer_obstacles.add(&obstacles);
         self.capacity_notices.note_shortage(round.coordinator, priority);
         if request.preempt {
-            self.preempt_for_item(ctx, round, item, &shape, zone_room, missing);
+            self.preempt_for_item(ctx, round, item, &shape, max_per_zone, missing);
         }
     }
 
     /// Offers and holds the choices in their order, up to the item's task count and the limits in
-    /// `zone_room`, which are reduced accordingly. Returns the number of tasks that got no machine.
+    /// `max_per_zone`, which are reduced accordingly. Returns the number of tasks that got no machine.
     fn hold_choices(
         &mut self,
         ctx: &Context,
@@ -176,17 +176,17 @@
         item: &RequestItem,
         shape: &Shape,
         choices: &[Choice],
-        zone_room: &mut [u32],
+        max_per_zone: &mut [u32],
     ) -> u32 {
         let mut missing = item.request.count;
         for choice in choices {
-            let Some(room) = zone_room.get_mut(choice.zone.0 as usize) else { continue };
+            let Some(zone_limit) = max_per_zone.get_mut(choice.zone.0 as usize) else { continue };
             let capacity = choice.capacity.min(u64::from(u32::MAX)) as u32;
-            let count = capacity.min(missing).min(*room);
+            let count = capacity.min(missing).min(*zone_limit);
             if count == 0 {
                 continue;
             }
-            *room -= count;
+            *zone_limit -= count;
             missing -= count;
             let hold = Hold {
                 coordinator: round.coordinator,
@@ -212,7 +212,7 @@
         round: &mut OfferRound<'a>,
         item: &RequestItem<'a>,
         shape: &Shape,
-        mut zone_room: Vec<u32>,
+        mut max_per_zone: Vec<u32>,
         missing: u32,
     ) {
         let request = item.request;
@@ -221,25 +221,25 @@
         // A gang that waits for a zone gets tasks preempted in that zone only.
         if let Some(waited_zone) = waited_zone {
             let others =
-                zone_room.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
-            others.for_each(|(_, room)| *room = 0);
+                max_per_zone.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
+            others.for_each(|(_, limit)| *limit = 0);
         }
         let search = PreemptionSearch {
             request,
             shape,
             eligibility: &item.eligibility,
             rank: self.gang_queue.rank(job),
-            zone_room: &zone_room,
+            max_per_zone: &max_per_zone,
             includes_gpu_machines: true,
         };
         // If a search found no machine for one job, it finds none for a later job of the same kind. With
         // a fleet three times as large, most requests found none.
         let kind = SearchKind::of(request, &search);
         let is_known_to_fail =
-            round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
+            round.failed_searches.iter().any(|failed| failed.covers(&kind, &max_per_zone));
         if !is_known_to_fail && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine
         {
-            let open_zones = zone_room.iter().map(|&room| room > 0).collect();
+            let open_zones = max_per_zone.iter().map(|&limit| limit > 0).collect();
             round.failed_searches.push(FailedSearch { kind, open_zones });
         }
         if self.reservations.count(job) >= missing {
--- a/crates/core/src/participant/preemption.rs
+++ b/crates/core/src/participant/preemption.rs
@@ -13,7 +13,7 @@
 use crate::names::{Resources, Shape};
 use crate::preemption::{choose_victims, Candidate};
 use leaddeal_wire::mesh::{OfferRequest, TaskPhase};
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 use leaddeal_wire::worker::TaskState;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -46,7 +46,7 @@
     /// Rank of the job in the gang queue; `None` if it is not in the queue.
     pub rank: Option<QueueRank>,
     /// Maximum number of tasks to place in each zone, indexed by zone.
-    pub zone_room: &'a [u32],
+    pub max_per_zone: &'a [u32],
     /// Whether machines with GPUs are searched too.
     pub includes_gpu_machines: bool,
 }
@@ -65,13 +65,13 @@
     }
 
     fn is_zone_open(&self, group: MachineGroup) -> bool {
-        self.zone_room.get(group.zone.0 as usize).is_some_and(|&room| room > 0)
+        self.max_per_zone.get(group.zone.0 as usize).is_some_and(|&limit| limit > 0)
     }
 
     /// Returns whether machines are reserved for the job until tasks end by themselves, if none can be
     /// stopped for it.
     fn can_wait(&self) -> bool {
-        self.shape.wire.kind == Kind::Gang || self.request.shape.gpu > 0
+        self.shape.wire.kind == JobKind::Gang || self.request.shape.gpu > 0
     }
 }
 
@@ -216,7 +216,7 @@
         // job must not reserve it. Otherwise arrays that get no capacity on machines kept for gangs
         // reserve the same machines again and again (100 to 300 reservations in a zone), and the gangs
         // cannot use them either.
-        if self.free(idx, machine, ctx.names, job, rank)?.fits(need) > 0 {
+        if self.free(idx, machine, ctx.names, job, rank)?.fit_count(need) > 0 {
             return None;
         }
         // The resources of tasks that are already being stopped will be free soon.
@@ -266,12 +266,12 @@
         total: Resources,
     ) -> bool {
         let need = search.shape.need;
-        if need.gpu > 0 || total.gpu == 0 || search.shape.wire.kind != Kind::Service {
+        if need.gpu > 0 || total.gpu == 0 || search.shape.wire.kind != JobKind::Service {
             return true;
         }
         let long_term_free = self.long_term_free(idx, machine, total);
         let access = GpuMachineAccess::of(search.request);
-        self.spare_for_service(long_term_free, access).fits(need) > 0
+        self.spare_for_service(long_term_free, access).fit_count(need) > 0
     }
 
     /// Returns the loss of reserving a machine without stopping any task. The tasks on the machine will
@@ -295,7 +295,7 @@
             free_later.sub(other.need, 1);
         }
         let busy_cpu = total.cpu.saturating_sub(free_soon.cpu);
-        (free_later.fits(search.shape.need) > 0).then_some(MIN_WAITING_LOSS + busy_cpu)
+        (free_later.fit_count(search.shape.need) > 0).then_some(MIN_WAITING_LOSS + busy_cpu)
     }
 }
 
@@ -310,7 +310,7 @@
     let gpu_tasks = if need.gpu > 0 { GpuTasks::Included } else { GpuTasks::Excluded };
     let mut reach = free_soon;
     reach.add(machine.preemptible(search.shape.wire.priority, gpu_tasks), 1);
-    reach.fits(need) > 0
+    reach.fit_count(need) > 0
 }
 
 /// Returns the tasks on a machine that could be stopped for work with this need, whatever their priority.
--- a/crates/core/src/participant/figures.rs
+++ b/crates/core/src/participant/statistics.rs
@@ -48,7 +48,7 @@
 /// of GPU work.
 fn machine_use(ctx: &Context, gpu_machine: &GpuMachine, needs: &[Resources]) -> GpuMachineUse {
     let machine = gpu_machine.machine;
-    let fits = |free: Resources| needs.iter().any(|&need| free.fits(need) > 0);
+    let fits = |free: Resources| needs.iter().any(|&need| free.fit_count(need) > 0);
     let is_silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
     let Some(used) = machine.used().filter(|_| machine.token_confirmed && !is_silent) else {
         return GpuMachineUse::Unavailable;
@@ -71,7 +71,7 @@
     /// than they asked for, and resets the counts. Returns `None` if there were none since the last call.
     pub fn obstacle_statistics(&mut self) -> Option<String> {
         let counts = std::mem::take(&mut self.offer_obstacles);
-        Some(format!("shard={} {}", self.shard.0, counts.figures()?))
+        Some(format!("shard={} {}", self.shard.0, counts.statistics()?))
     }
 
     /// Returns a log line with the number of machines, of GPU machines by their use, and of waiting gangs.
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -139,12 +139,12 @@
         let additional = plan::additional_shares(quota, &usages, uncovered_first)[requester];
         // All that may be in use after a failover is counted, so the usage can exceed the quota. A
         // grant must not (seen in the simulator).
-        let granted = used.plus(additional).least(quota.minus(others));
-        let share = granted.most(used);
+        let granted = used.plus(additional).component_min(quota.minus(others));
+        let share = granted.component_max(used);
         debug_assert!(is_within_quota(quota, used, share, others), "the shares exceed the quota");
         self.reports.get_mut(&from)?.teams.get_mut(&team)?.share = share;
         let after_preemption = plan::shares_after_preemption(quota, &usages)[requester];
-        Some(TeamGrant { team, may: granted, due: after_preemption })
+        Some(TeamGrant { team, granted, granted_after_preemption: after_preemption })
     }
 
     /// Returns the sum of all other coordinators' shares of a team's quota.
--- a/crates/core/src/quota/admission.rs
+++ b/crates/core/src/quota/admission.rs
@@ -109,7 +109,7 @@
 
 /// Returns how many tasks of the job this amount covers; for a gang all or none.
 fn covered(amount: QuotaAmount, job: &AdmissionRequest) -> u32 {
-    let count = amount.fits(job.amount_per_task).min(u64::from(job.tasks)) as u32;
+    let count = amount.fit_count(job.amount_per_task).min(u64::from(job.tasks)) as u32;
     if job.all_or_nothing && count < job.tasks {
         0
     } else {
@@ -169,7 +169,7 @@
             (QuotaClaim::All, QuotaPhase::Reserving) => now.max(next),
             (QuotaClaim::All, QuotaPhase::Backfilling) => now,
         };
-        self.now = self.now.plus(job.amount_per_task.times(kept).least(free));
+        self.now = self.now.plus(job.amount_per_task.times(kept).component_min(free));
         let kept_after_preemption = match claim {
             QuotaClaim::Nothing => 0,
             QuotaClaim::Next => after_preemption.min(next),
@@ -179,7 +179,7 @@
             self.after_preemption.plus(job.amount_per_task.times(kept_after_preemption));
         self.launchable = self.launchable.plus(job.amount_per_task.times(launchable));
         debug_assert!(
-            job.amount_per_task.times(now).within(free),
+            job.amount_per_task.times(now).is_within(free),
             "more is admitted than the grant covers"
         );
         Admitted { now, after_preemption, launchable }
--- a/crates/core/src/quota/plan.rs
+++ b/crates/core/src/quota/plan.rs
@@ -60,7 +60,7 @@
 
     /// Adds an amount to a coordinator's share, limited to what is left.
     fn allocate(&mut self, coordinator: usize, amount: QuotaAmount) {
-        let amount = amount.least(self.left);
+        let amount = amount.component_min(self.left);
         self.left = self.left.minus(amount);
         self.shares[coordinator] = self.shares[coordinator].plus(amount);
     }
@@ -86,12 +86,12 @@
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
             let share = fair.shares[coordinator].minus(self.shares[coordinator]);
-            self.allocate(coordinator, first.need.times(share.fits(first.need) as u32));
+            self.allocate(coordinator, first.need.times(share.fit_count(first.need) as u32));
         }
         for (coordinator, usage) in usages.iter().enumerate() {
             let Some(first) = usage.first[priority] else { continue };
             let share = fair.shares[coordinator].minus(self.shares[coordinator]);
-            if share != QuotaAmount::default() && first.need.within(self.left) {
+            if share != QuotaAmount::default() && first.need.is_within(self.left) {
                 self.allocate(coordinator, first.need);
             }
         }
@@ -110,12 +110,12 @@
             .iter()
             .enumerate()
             .filter_map(|(coordinator, usage)| Some((coordinator, usage.first[priority]?)))
-            .filter(|(_, first)| first.need.within(quota))
+            .filter(|(_, first)| first.need.is_within(quota))
             .collect();
         firsts.sort_by_key(|(coordinator, first)| (Reverse(first.waited_ms), *coordinator));
         for (coordinator, first) in firsts {
             match uncovered_first {
-                _ if first.need.within(self.left) => self.allocate(coordinator, first.need),
+                _ if first.need.is_within(self.left) => self.allocate(coordinator, first.need),
                 UncoveredFirstJob::Waits => self.left = self.left.minus(first.need),
                 UncoveredFirstJob::Skipped => {}
                 UncoveredFirstJob::TakesRemainder => self.allocate(coordinator, first.need),
