--- a/crates/core/src/coordinator/cancellation.rs
+++ b/crates/core/src/coordinator/cancellation.rs
@@ -1,35 +1,35 @@
-//! Cancellations: written, tried again until their outcome is known, then answered.
+//! Cancellations: each is written to the store, retried until its outcome is known, then answered.
 use super::terminal_state::defer_requests;
 use super::{Coordinator, Ownership};
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::JobId;
 use crate::io::{RequestId, StoreResult};
 use crate::jobs::{job_state, Job};
 use crate::keys;
 use crate::stored::TerminalState;
 use crate::writes::{PendingWrite, WriteOutcome};
-use leaddeal_wire::user::Status;
+use leaddeal_wire::user::JobStatus;
 
-/// Before a cancellation that the state service refused is tried again.
+/// Delay before a cancellation that the store refused is retried.
 const RETRY_DELAY_MS: u64 = 500;
-/// A cancellation of a job for which more wait than this is refused.
+/// Further requests to cancel a job are refused while more than this many wait.
 const MAX_WAITING_REQUESTS: usize = 100;
 
-/// What the variant without the guard `CancelledDurable` does: answers before the write.
+/// Answers before the write, as the code would without the guard `CancellationDurableBeforeAck`.
 fn answer_before_durable(ctx: &mut Context, id: JobId, job: &mut Job) {
-    let terminal = TerminalState { status: Status::Cancelled, done: job.done.len() };
+    let terminal = TerminalState { status: JobStatus::Cancelled, done: job.done.len() };
     for request in std::mem::take(&mut job.termination.requests) {
         ctx.reply_state(request, 200, job_state(id, terminal));
     }
 }
 
 impl Coordinator {
-    /// A user cancels a job. Returns true if the job is known here; it is answered once the
-    /// cancellation is durable.
+    /// Cancels a job for a user, who is answered once the cancellation is durable. Returns false if
+    /// the job is not known here.
     pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: JobId) -> bool {
-        if let Some(terminal) = self.closed.get(&id) {
+        if let Some(terminal) = self.terminal_jobs.get(&id) {
             ctx.reply_state(request, 200, job_state(id, *terminal));
             return true;
         }
@@ -46,18 +46,18 @@
             return true;
         }
         job.termination.requests.push(request);
-        if !holds(Guard::CancelledDurable) {
+        if !is_enforced(Guard::CancellationDurableBeforeAck) {
             answer_before_durable(ctx, id, job);
         }
-        if job.termination.status.is_none() && !job.complete() {
-            job.termination.status = Some(Status::Cancelled);
+        if job.termination.status.is_none() && !job.is_complete() {
+            job.termination.status = Some(JobStatus::Cancelled);
             self.cancelling.insert(id);
             self.write_cancellations(ctx);
         }
         true
     }
 
-    /// Writes the cancellations that it is time for: a first time, or again.
+    /// Sends the cancellations for which a first try or a retry is due to the store.
     pub(super) fn write_cancellations(&mut self, ctx: &mut Context) {
         if !ctx.lease_valid {
             return;
@@ -78,23 +78,24 @@
         job.termination.write = Some(write);
         if let Some(call) = call {
             ctx.horizons.on_cancelled(self.shard, self.epoch, id, ctx.now);
-            let operation = Operation::Finish { shard: self.shard, epoch: self.epoch, job: id };
-            ctx.store(operation, call);
+            let operation =
+                Operation::WriteCancellation { shard: self.shard, epoch: self.epoch, job: id };
+            ctx.call_store(operation, call);
         }
     }
 
     fn new_cancellation(&self, id: JobId) -> PendingWrite {
-        let changes = self.terminal_changes(id, Status::Cancelled);
-        let write = self.write(WriteClass::Cancellation, changes);
-        if holds(Guard::CancelVersion) {
+        let changes = self.terminal_changes(id, JobStatus::Cancelled);
+        let write = self.fenced_write(WriteClass::Cancellation, changes);
+        if is_enforced(Guard::CancellationWrittenOnce) {
             write.with_idempotency_key(keys::terminal_state_key(self.shard, id), 0)
         } else {
             write
         }
     }
 
-    /// The result of the transaction that cancels a job.
-    pub fn cancellation_written(
+    /// Handles the result of the transaction that cancels a job.
+    pub fn on_cancellation_result(
         &mut self,
         ctx: &mut Context,
         id: JobId,
@@ -102,16 +103,17 @@
     ) -> Ownership {
         let Some(job) = self.jobs.get_mut(&id) else { return Ownership::Kept };
         let Some(write) = job.termination.write.as_mut() else { return Ownership::Kept };
-        // Without a commit the transaction may have been executed all the same: until that is known,
-        // the job is neither started further nor is its state told. Tried again by the tick.
+        // A transaction without an answer may have been executed all the same. Until its outcome is
+        // known, no further task of the job is started and its state is not reported. The tick
+        // retries the write.
         match write.on_result(ctx.now, result) {
-            WriteOutcome::Done(_) => self.cancellation_committed(ctx, id),
+            WriteOutcome::Committed(_) => self.cancellation_committed(ctx, id),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 write.resend_at(ctx.now + RETRY_DELAY_MS);
                 defer_requests(ctx, job);
             }
-            WriteOutcome::Open => defer_requests(ctx, job),
+            WriteOutcome::Pending => defer_requests(ctx, job),
         }
         Ownership::Kept
     }
@@ -122,9 +124,9 @@
         job.termination.status = None;
         job.termination.write = None;
         job.cancelled = true;
-        // Its completions don't count any more; its machines may forget them.
+        // Completions of a cancelled job do not count any more, so participants may forget them.
         let completed = std::mem::take(&mut job.completion.uncompacted);
-        job.placed.stop_all();
+        job.placed.kill_all();
         self.unsettled_jobs.insert(id);
         let state = job.state();
         let nothing_placed = job.placed.is_empty();
@@ -135,7 +137,7 @@
         if nothing_placed {
             self.drop_cancelled(id);
         }
-        self.next_resend = 0;
+        self.next_resend_at = 0;
         self.resend(ctx);
     }
 }
--- a/crates/core/src/coordinator/decision.rs
+++ b/crates/core/src/coordinator/decision.rs
@@ -1,13 +1,13 @@
-//! The second half of a round: the decision is written under the epoch, then the participants whose
-//! offers were selected are told to place the tasks, and all are told that the negotiation is closed.
+//! The second half of a round: writes the decision under the coordinator's epoch, then tells the
+//! participants whose offers were selected to place the tasks, and closes the negotiation.
 use super::negotiation::{PendingDecision, SelectedOffer};
 use super::place_batch::{PlaceBatch, PlaceTarget};
 use super::Coordinator;
 use super::Ownership;
 use crate::budget::WriteClass;
 use crate::context::{Context, Operation};
-use crate::guards::{holds, Guard};
-use crate::ids::{Attempt, Epoch, Negotiation, Shard, ZoneIdx};
+use crate::guards::{is_enforced, Guard};
+use crate::ids::{Attempt, Epoch, NegotiationId, Shard, ZoneIdx};
 use crate::io::StoreResult;
 use crate::jobs::RequestOutcome;
 use crate::keys;
@@ -18,28 +18,29 @@
 use leaddeal_wire::mesh::{Assignment, ShardMessage, TaskPhase};
 use leaddeal_wire::state::{Change, Condition};
 
-/// Tasks of a decision that was not written are requested again after this time.
+/// Delay before the tasks of a decision that was not written are requested again.
 const DECISION_RETRY_INTERVAL_MS: u64 = 500;
 
 impl Coordinator {
-    /// Writes what was selected as the decision of a new round.
+    /// Starts to write the decision of a new round with the selected offers.
     pub(super) fn begin_decision(
         &mut self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: Vec<Shard>,
         selected: Vec<SelectedOffer>,
     ) {
         let round = self.next_round_id();
-        let epoch_of_attempt = if holds(Guard::AttemptEpoch) { self.epoch } else { Epoch(0) };
+        let epoch_of_attempt =
+            if is_enforced(Guard::AttemptNumberIncludesEpoch) { self.epoch } else { Epoch(0) };
         let attempt = Attempt::new(epoch_of_attempt, round);
         let (shard, epoch) = (self.shard, self.epoch);
         let slot = self.decision_log.take_slot(|| keys::decision_key(shard, epoch, round));
         self.decision_counts.add(selected.len());
         let value = self.decision_record(ctx, attempt, &selected);
         let put = Change::Put { key: slot.key.clone(), value, lease: None };
-        let mut write = self.write(WriteClass::Decision, vec![put]);
-        if holds(Guard::DecisionVersion) {
+        let mut write = self.fenced_write(WriteClass::Decision, vec![put]);
+        if is_enforced(Guard::DecisionWrittenOnce) {
             write = write.with_idempotency_key(slot.key.clone(), slot.version);
         }
         let write = self.conditional_on_grants(ctx, write, &selected);
@@ -48,7 +49,7 @@
         self.write_decision(ctx);
     }
 
-    /// The stored value of a decision.
+    /// Returns the stored value of a decision.
     fn decision_record(
         &self,
         ctx: &Context,
@@ -61,13 +62,14 @@
             machine: &choice.offer.machine,
             incarnation: choice.offer.incarnation,
             zone: ZoneIdx(choice.offer.zone),
-            quota: self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job)),
+            quota: self.jobs.get(&choice.job).and_then(|job| ctx.quota_use(job)),
         });
         DecisionRecord { attempt: attempt.0, placements: placements.collect() }.encode()
     }
 
-    /// A grant of a team's shard ends with the owner that gave it: what is decided under it is written
-    /// only if that owner's epoch is the present one.
+    /// Makes the write conditional on the epochs of the quota managers whose grants it uses. A
+    /// grant ends with the owner of the team's shard that gave it: a new owner grants the quota
+    /// anew, so a decision under the old grant could exceed it.
     fn conditional_on_grants(
         &self,
         ctx: &Context,
@@ -76,10 +78,10 @@
     ) -> PendingWrite {
         for (team, grant) in &self.quota.grants {
             let is_used = selected.iter().any(|choice| {
-                let quota = self.jobs.get(&choice.job).and_then(|job| ctx.team_use(job));
+                let quota = self.jobs.get(&choice.job).and_then(|job| ctx.quota_use(job));
                 quota.is_some_and(|quota| quota.team == *team)
             });
-            if is_used && holds(Guard::GrantEpoch) {
+            if is_used && is_enforced(Guard::GrantBoundToEpoch) {
                 write = write.with_condition(Condition {
                     key: keys::shard_key(shard_of_team(*team, ctx.shards().count())),
                     version: grant.epoch.0,
@@ -89,43 +91,44 @@
         write
     }
 
-    /// Sends the decision to the store if it is time to: a first time, or again.
+    /// Sends the pending decision to the store if a first try or a retry is due.
     pub(super) fn write_decision(&mut self, ctx: &mut Context) {
         let Some(decision) = self.pending_decision.as_mut().filter(|_| ctx.lease_valid) else {
             return;
         };
         if let Some(call) = decision.write.next_call(ctx.now, ctx.budget) {
-            ctx.store(Operation::Decide { shard: self.shard, epoch: self.epoch }, call);
+            ctx.call_store(Operation::WriteDecision { shard: self.shard, epoch: self.epoch }, call);
         }
     }
 
     /// Handles the result of the decision's transaction.
-    pub fn decision_written(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
+    pub fn on_decision_result(&mut self, ctx: &mut Context, result: &StoreResult) -> Ownership {
         let Some(decision) = &mut self.pending_decision else {
             return Ownership::Kept;
         };
         match decision.write.on_result(ctx.now, result) {
-            WriteOutcome::Done(revision) => self.place_selected(ctx, revision),
+            WriteOutcome::Committed(revision) => self.place_selected(ctx, revision),
             WriteOutcome::Fenced => return Ownership::Lost,
-            WriteOutcome::NotDone => {
+            WriteOutcome::NotCommitted => {
                 let slot = decision.slot.clone();
                 let slot_changed =
                     matches!(result, StoreResult::Conflict(failed) if failed.contains(&slot.key));
-                // Somebody else wrote to it, which nobody does: it is left alone.
+                // Only this coordinator writes to the slot. If its version changed all the same,
+                // the slot is not reused.
                 if !slot_changed {
-                    self.decision_log.not_written(slot);
+                    self.decision_log.return_slot(slot);
                 }
                 self.give_selected_back(ctx);
             }
-            // Whether it was executed is not known: the tick sends it again.
-            WriteOutcome::Open if holds(Guard::DecidedDurable) => {}
-            WriteOutcome::Open => self.place_selected(ctx, 0),
+            // Unknown whether it was executed: the tick retries it.
+            WriteOutcome::Pending if is_enforced(Guard::DecisionDurableBeforeStart) => {}
+            WriteOutcome::Pending => self.place_selected(ctx, 0),
         }
         Ownership::Kept
     }
 
-    /// The decision is durable, in this version of its record: its tasks are placed, and their
-    /// participants told.
+    /// Places the tasks of the pending decision and tells their participants. The decision is
+    /// durable, and its record has this version.
     fn place_selected(&mut self, ctx: &mut Context, version: u64) {
         let Some(decision) = self.pending_decision.take() else { return };
         let (attempt, round) = (decision.attempt, decision.round);
@@ -134,16 +137,16 @@
         for choice in decision.selected {
             live += u32::from(self.place_task(ctx, attempt, round, choice, &mut batch));
         }
-        self.decision_log.open(round, decision.slot.key, Some(version), live);
+        self.decision_log.add(round, decision.slot.key, Some(version), live);
         for request in batch.into_requests() {
             ctx.send(self.shard, request.target.participant, request.into_message());
         }
         self.close_negotiation(ctx, decision.negotiation, &decision.holders);
-        ctx.wake = true;
+        ctx.needs_round = true;
     }
 
-    /// Places one task and adds it to the batch. False if its job was cancelled while the decision was
-    /// being written: no participant has learned of the placement.
+    /// Places one task and adds it to the batch. Returns false if the job was cancelled while the
+    /// decision was being written: no participant has been told of the placement, so it is dropped.
     fn place_task(
         &mut self,
         ctx: &mut Context,
@@ -166,10 +169,10 @@
             sent_at: ctx.now,
             stop: None,
             adopted: false,
-            quota: ctx.team_use(job),
+            quota: ctx.quota_use(job),
         };
         if job.cancelled || job.termination.status.is_some() {
-            job.give_back(task);
+            job.return_task(task);
             self.unplaced_jobs.insert(id);
             return false;
         }
@@ -182,13 +185,13 @@
         true
     }
 
-    /// The decision was certainly not written: its tasks are to be placed anew.
+    /// Returns the tasks of the pending decision, which was certainly not written, to their jobs.
     fn give_selected_back(&mut self, ctx: &mut Context) {
         let Some(decision) = self.pending_decision.take() else { return };
         for choice in &decision.selected {
             if let Some(job) = self.jobs.get_mut(&choice.job) {
-                job.give_back(choice.task);
-                job.last_request = Some(RequestOutcome::DecisionNotWritten);
+                job.return_task(choice.task);
+                job.last_request_outcome = Some(RequestOutcome::DecisionNotWritten);
                 job.not_before = ctx.now + DECISION_RETRY_INTERVAL_MS;
                 self.unplaced_jobs.insert(choice.job);
             }
@@ -196,11 +199,11 @@
         self.close_negotiation(ctx, decision.negotiation, &decision.holders);
     }
 
-    /// Tells participants that a negotiation is over: what they hold for it is free again.
+    /// Tells participants that a negotiation is closed, so that they release their holds for it.
     pub(super) fn close_negotiation(
         &self,
         ctx: &mut Context,
-        negotiation: Negotiation,
+        negotiation: NegotiationId,
         holders: &[Shard],
     ) {
         for &participant in holders {
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -1,45 +1,50 @@
-//! Heartbeats of a machine's worker, and its lease.
+//! The heartbeats of a machine's worker, and the worker's lease.
 use super::{AttemptKey, Machine, TaskOnMachine};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Attempt, Epoch, JobId, Timestamp};
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{ExitReason, TaskReport, TaskState, WorkerHeartbeat};
 
 /// Why a worker sent a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatKind {
-    /// Sent by the worker on its own; it waits for a response, which renews its lease.
+    /// Sent by the worker on its own. The worker waits for a response, which renews its lease.
     Periodic,
-    /// The answer to a command batch; it is not responded to.
+    /// The worker's response to a command batch. No response is sent to it.
     CommandResponse,
 }
 
 impl Machine {
-    /// Notes a periodic heartbeat, and says whether the worker waits for a response to it. It
-    /// doesn't if it has sent a newer one by now, or its incarnation is over. A late copy grants
-    /// nothing, or it would keep a machine that is gone alive as long as copies of its heartbeats
-    /// arrive.
+    /// Records a periodic heartbeat and returns whether the worker waits for a response to it. The
+    /// worker does not if it has sent a newer heartbeat, or if the incarnation has ended.
+    ///
+    /// Without this check, delayed copies of the heartbeats of a machine that is gone would keep
+    /// renewing its lease, and it would count as alive.
     pub fn awaits_response(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let number = (heartbeat.incarnation, heartbeat.seq);
         let newest = number > self.last_periodic && heartbeat.incarnation >= self.incarnation;
         self.last_periodic = self.last_periodic.max(number);
-        newest || !holds(Guard::Waits)
+        newest || !is_enforced(Guard::LateHeartbeatGrantsNoLease)
     }
 
-    /// The moment from which the worker's lease of `lease_ms` is surely over, unless it is renewed.
-    /// Owners before us may have renewed it until `previous_owners_until`.
-    pub fn lease_over_at(&self, lease_ms: u64, previous_owners_until: Timestamp) -> Timestamp {
+    /// Returns the time from which the worker's lease of `lease_ms` has surely expired, unless it is
+    /// renewed. Previous owners of the shard may have renewed it until `previous_owners_until`.
+    pub fn lease_surely_expired_at(
+        &self,
+        lease_ms: u64,
+        previous_owners_until: Timestamp,
+    ) -> Timestamp {
         let granted_at = if self.token_confirmed {
             self.lease_granted_at
         } else {
             self.lease_granted_at.max(previous_owners_until)
         };
-        granted_at + at_least(lease_ms)
+        granted_at + plus_clock_drift(lease_ms)
     }
 
-    /// Takes in a heartbeat. `epoch` is the owner's. False if it tells nothing new; then nothing
-    /// changes.
+    /// Applies a heartbeat. `epoch` is this owner's. Returns false, and changes nothing, if the
+    /// heartbeat is outdated.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -47,7 +52,7 @@
         kind: HeartbeatKind,
         now: Timestamp,
     ) -> bool {
-        if !self.is_news(heartbeat) {
+        if !self.is_new(heartbeat) {
             return false;
         }
         if heartbeat.incarnation > self.incarnation {
@@ -65,28 +70,29 @@
         true
     }
 
-    fn is_news(&self, heartbeat: &WorkerHeartbeat) -> bool {
+    fn is_new(&self, heartbeat: &WorkerHeartbeat) -> bool {
         let known = (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.seq);
-        if (known && holds(Guard::NewestReport)) || self.released {
+        if (known && is_enforced(Guard::OlderStatusIgnored)) || self.released {
             return false;
         }
-        // The lease is over, so the incarnation must be: a heartbeat of it can only be a late one.
+        // A worker ends its incarnation when its lease expires, so a further heartbeat of that
+        // incarnation can only be a delayed copy.
         !(self.lease_expired && heartbeat.incarnation == self.incarnation)
     }
 
     fn begin_incarnation(&mut self, incarnation: u64, now: Timestamp) {
         if self.incarnation > 0 {
-            self.reachability.lease_ended(now);
+            self.reachability.mark_unreachable(now);
         }
         for task in self.tasks.values_mut().filter(|task| task.incarnation < incarnation) {
             task.end_with_incarnation();
         }
         self.lease_expired = false;
-        // The lease of an incarnation runs from its own beginning, which may be just now, whatever
-        // was granted to the one before. (Found by the simulator, with a node that got no processor
-        // time: an answer to commands showed the new incarnation, a task was started in it, and
-        // the expiry of the old incarnation's lease then declared the task gone.)
-        if holds(Guard::SessionLease) {
+        // The lease of an incarnation starts with the incarnation, which may be just now, whatever
+        // was granted to the previous one. Otherwise, when a node that was short of processor time
+        // learned of the new incarnation from a response to commands and started a task in it, the
+        // expiry of the old incarnation's lease marked that task as gone.
+        if is_enforced(Guard::LeasePerIncarnation) {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
     }
@@ -97,21 +103,26 @@
         self.last_heartbeat_at = now;
         self.addr.clone_from(&heartbeat.addr);
         self.spot = heartbeat.spot;
-        let notice_ms = heartbeat.notice_s.map(|seconds| (seconds.max(0.0) * 1000.0) as u64);
+        let notice_ms =
+            heartbeat.interruption_notice_s.map(|seconds| (seconds.max(0.0) * 1000.0) as u64);
         self.interruption_at = notice_ms.map(|notice_ms| now.saturating_add(notice_ms));
     }
 
     fn apply_token(&mut self, token: u64, epoch: Epoch, now: Timestamp) {
-        // Once a worker comes back without the token, responses of owners before us count again.
+        // A worker that restarted without the token accepts responses of previous owners again.
         let confirmed = token == epoch.0;
         if confirmed && self.reported_token < token {
-            self.reachability.proven();
+            self.reachability.record_proof();
         }
         self.reported_token = token;
-        // When a worker shows our token for the first time, they counted until now, whatever we
-        // granted. (Found by the simulator, seed 173: a late copy of a heartbeat brought the new
-        // owner to command a worker that an older one, cut off with it, still answered.)
-        if confirmed && !self.token_confirmed && holds(Guard::FirstSight) {
+        // When a worker reports our token for the first time, previous owners may have renewed its
+        // lease until now, whatever this owner granted. A delayed copy of a heartbeat made the new
+        // owner send commands to a worker that an older owner, on the same side of a partition as
+        // the worker, still responded to (found by the simulator with seed 173).
+        if confirmed
+            && !self.token_confirmed
+            && is_enforced(Guard::LeaseCountedFromTokenConfirmation)
+        {
             self.lease_granted_at = self.lease_granted_at.max(now);
         }
         self.token_confirmed = confirmed;
@@ -132,9 +143,9 @@
         let key = AttemptKey { job: JobId(id.job), task: id.task, attempt };
         let unknown = || TaskOnMachine::new(None, TaskPhase::Decided, incarnation);
         let task = self.tasks.entry(key).or_insert_with(unknown);
-        // It was started by a command of ours, so the worker receives what we send.
+        // Our command started the attempt, which proves that the worker receives what we send.
         if task.phase == TaskPhase::Decided && task.start_sent() {
-            self.reachability.proven();
+            self.reachability.record_proof();
         }
         task.reported = true;
         if task.phase == TaskPhase::Gone {
@@ -146,14 +157,14 @@
         }
     }
 
-    /// What it means that the heartbeat does not name an attempt.
+    /// Updates the attempts that the heartbeat does not contain.
     fn apply_missing_tasks(&mut self, incarnation: u64, kind: HeartbeatKind) {
-        let confirmed = self.token_confirmed || !holds(Guard::TokenShown);
+        let confirmed = self.token_confirmed || !is_enforced(Guard::AbsenceNeedsConfirmedToken);
         for task in self.tasks.values_mut().filter(|task| !task.reported) {
             match task.phase {
                 TaskPhase::Decided => {
-                    // The response that named it was lost: a worker's heartbeats follow one
-                    // another, and it executes a response before its next heartbeat.
+                    // A worker executes each response before it sends its next periodic heartbeat,
+                    // so the response with the start command was lost.
                     if kind == HeartbeatKind::Periodic {
                         task.in_last_response = false;
                     }
@@ -173,7 +184,7 @@
 fn reported_phase(report: &TaskReport) -> TaskPhase {
     match report.state {
         TaskState::Exited => {
-            let reason = report.why.unwrap_or(ExitReason::Other);
+            let reason = report.exit_reason.unwrap_or(ExitReason::Other);
             TaskPhase::Exited(reason, report.saved.unwrap_or(false))
         }
         state => TaskPhase::On(state),
--- a/crates/core/src/node/delivery.rs
+++ b/crates/core/src/node/delivery.rs
@@ -1,29 +1,31 @@
-//! Delivery of messages between shards, on this node and on siblings.
+//! Delivery of messages between shards, within this node and to siblings.
 use super::{ActiveShard, Node};
 use crate::context::{Context, OutgoingMessage};
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, Shard, PROVISIONER_SHARD};
 use crate::io::{Effect, Effects};
-use crate::quota::phase::LimitPhase;
+use crate::quota::phase::QuotaPhase;
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 
-/// Rounds of delivery after one input; what is left then is delivered after the next one.
+/// Upper bound of delivery rounds after one input. Messages left over are delivered after the next
+/// input.
 const MAX_DELIVERY_ROUNDS: usize = 50;
 
-/// A message to a shard of this node.
+/// A message to a shard that this node owns.
 pub(super) struct IncomingMessage {
     pub(super) from: Shard,
-    /// The epoch under which the sender's node acts for its shard.
+    /// The epoch under which the sending node owns the shard `from`.
     pub(super) from_epoch: Epoch,
     pub(super) to: Shard,
     pub(super) message: ShardMessage,
 }
 
 impl Node {
-    /// Delivers messages between shards, and starts decision rounds, until there are none.
-    pub(super) fn settle(&mut self, effects: &mut Effects) {
+    /// Delivers messages between shards and starts decision rounds until there is neither a message nor
+    /// a coordinator that may have work, in at most [`MAX_DELIVERY_ROUNDS`] iterations.
+    pub(super) fn deliver_messages(&mut self, effects: &mut Effects) {
         for _ in 0..MAX_DELIVERY_ROUNDS {
-            if std::mem::take(&mut self.wake) {
+            if std::mem::take(&mut self.needs_round) {
                 self.start_rounds(effects);
             }
             while let Some(outgoing) = self.shared.outbox.pop_front() {
@@ -33,7 +35,7 @@
             for active in self.owned.iter_mut().flatten() {
                 active.participant.flush(&mut self.shared.context(effects));
             }
-            if self.shared.outbox.is_empty() && !self.wake {
+            if self.shared.outbox.is_empty() && !self.needs_round {
                 return;
             }
         }
@@ -43,21 +45,28 @@
         for active in self.owned.iter_mut().flatten() {
             let mut context = self.shared.context(effects);
             active.coordinator.start_round(&mut context);
-            self.wake |= context.wake;
+            self.needs_round |= context.needs_round;
         }
     }
 
-    /// Stops everywhere here the tasks of jobs that were learned to be over.
+    /// Stops the tasks, on all machines of the owned shards, of jobs that became known to be in a
+    /// terminal state.
     fn stop_terminal_jobs(&mut self, effects: &mut Effects) {
         for job in self.shared.horizons.take_newly_terminal() {
-            for active in self.owned.iter_mut().flatten().filter(|_| holds(Guard::StopOver)) {
+            for active in self
+                .owned
+                .iter_mut()
+                .flatten()
+                .filter(|_| is_enforced(Guard::TerminalJobStoppedByParticipant))
+            {
                 active.participant.stop_job(&mut self.shared.context(effects), job);
             }
         }
     }
 
-    /// Delivers a message here or sends it to the owner of its shard. It is lost if the sender's shard
-    /// was lost meanwhile, or if the other one has no owner that is known.
+    /// Delivers a message on this node or sends it to the node that owns the receiving shard. The
+    /// message is dropped if this node has lost the sending shard in the meantime, or if no owner of
+    /// the receiving shard is known.
     fn dispatch(&mut self, effects: &mut Effects, outgoing: OutgoingMessage) {
         let OutgoingMessage { from, to, message } = outgoing;
         let Some(from_epoch) = self.active_epoch(from) else { return };
@@ -65,7 +74,7 @@
         else {
             return;
         };
-        if owner.node == self.shared.me {
+        if owner.node == self.shared.this_node {
             if self.active_epoch(to) == Some(owner.epoch) {
                 self.deliver(effects, IncomingMessage { from, from_epoch, to, message });
             }
@@ -81,7 +90,7 @@
         effects.push(Effect::Mesh { to: self.shared.node_name(owner.node), msg });
     }
 
-    /// Hands a message to the part of the shard that it is for.
+    /// Passes a message to the component of the shard that handles it.
     pub(super) fn deliver(&mut self, effects: &mut Effects, incoming: IncomingMessage) {
         let IncomingMessage { from, from_epoch, to, message } = incoming;
         let mut context = self.shared.context(effects);
@@ -106,7 +115,7 @@
             | ShardMessage::ResendInventory
             | ShardMessage::Released { .. } => {
                 if from == PROVISIONER_SHARD {
-                    active.handle_provisioner(&mut context, to, message);
+                    active.on_provisioner_message(&mut context, to, message);
                 }
             }
             ShardMessage::UnmetDemand { .. }
@@ -118,33 +127,40 @@
             }
             ShardMessage::TeamUsage { serial, usage } => {
                 let now = context.now;
-                active.quota.set_phase(LimitPhase::at(context.wall_clock_ms));
+                active.quota.set_phase(QuotaPhase::at(context.wall_clock_ms));
                 if let Some(granted) = active.quota.report(now, from, from_epoch, serial, &usage) {
                     context.send(to, from, ShardMessage::TeamGrant { serial, granted });
                 }
             }
         }
-        self.wake |= context.wake;
+        self.needs_round |= context.needs_round;
     }
 }
 
 impl ActiveShard {
-    /// A message of the provisioner to this shard's participant.
-    fn handle_provisioner(&mut self, context: &mut Context, shard: Shard, message: ShardMessage) {
+    /// Handles a message from the provisioner to this shard's participant.
+    fn on_provisioner_message(
+        &mut self,
+        context: &mut Context,
+        shard: Shard,
+        message: ShardMessage,
+    ) {
         match message {
             ShardMessage::Drain { machine } => self.drain(context, shard, machine),
-            ShardMessage::OperatorMachines { newest } => self.participant.base = Some(newest),
+            ShardMessage::OperatorMachines { newest } => self.participant.last_base = Some(newest),
             ShardMessage::ResendInventory => {
                 self.participant.resend_inventory();
                 for message in self.participant.inventory(context) {
                     context.send(shard, PROVISIONER_SHARD, message);
                 }
             }
-            ShardMessage::Released { machine } => self.participant.released(context, &machine),
+            ShardMessage::Released { machine } => self.participant.mark_released(context, &machine),
             _ => {}
         }
     }
-    /// Drains an idle machine and confirms it to the provisioner; a machine with work is left as it is.
+
+    /// Drains an idle machine and confirms this to the provisioner. A machine that has work, or may
+    /// get some, is left unchanged.
     fn drain(&mut self, context: &mut Context, shard: Shard, machine: String) {
         if self.participant.drain(context, &machine) {
             context.send(shard, PROVISIONER_SHARD, ShardMessage::Drained { machine });
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -1,39 +1,39 @@
-//! Periodic statistics for the log.
+//! Periodic statistics in the log.
 use super::Node;
-use crate::budget::CLASSES;
+use crate::budget::WRITE_CLASSES;
 use crate::ids::Timestamp;
 use crate::io::{Effects, LogLevel};
 
-/// The operators' figures are logged this often.
+/// Interval between two logs of the statistics, in ms.
 const STATISTICS_INTERVAL_MS: u64 = 60_000;
 
-/// What was counted, and what of it was logged.
+/// Counters, and the state of their logging.
 #[derive(Debug)]
 pub(super) struct Statistics {
-    /// How often a machine was evaluated for a job since the start.
+    /// How often a machine was evaluated for a job since the start of the process.
     pub(super) machines_evaluated: u64,
-    next_log: Timestamp,
-    /// Changes by class that were logged already.
-    logged_changes: [u64; CLASSES.len()],
+    next_log_at: Timestamp,
+    /// By class of the write budget: the number of changes at the last log.
+    logged_changes: [u64; WRITE_CLASSES.len()],
 }
 
 impl Statistics {
     pub(super) fn new(now: Timestamp) -> Statistics {
         Statistics {
             machines_evaluated: 0,
-            next_log: now + STATISTICS_INTERVAL_MS,
-            logged_changes: [0; CLASSES.len()],
+            next_log_at: now + STATISTICS_INTERVAL_MS,
+            logged_changes: [0; WRITE_CLASSES.len()],
         }
     }
 }
 
 impl Node {
-    /// What was written and what waits to be: in the log, once a minute.
+    /// Logs the statistics of this node and of the shards that it owns, when that is due.
     pub(super) fn tick_statistics(&mut self, effects: &mut Effects) {
-        if effects.now < self.statistics.next_log {
+        if effects.now < self.statistics.next_log_at {
             return;
         }
-        self.statistics.next_log = effects.now + STATISTICS_INTERVAL_MS;
+        self.statistics.next_log_at = effects.now + STATISTICS_INTERVAL_MS;
         self.log_changes(effects);
         let relayed = self.relay_table.relayed_workers(effects.now);
         if relayed > 0 {
@@ -42,16 +42,17 @@
         self.log_owned_shards(effects);
     }
 
-    /// The changes written since the last time, by class.
+    /// Logs the changes written since the last log, by class.
     fn log_changes(&mut self, effects: &mut Effects) {
         let budget = &self.shared.budget;
-        let spent = CLASSES.map(|class| budget.spent(class));
+        let spent = WRITE_CLASSES.map(|class| budget.spent(class));
         let (rate, refusals) = (budget.rate(), budget.refusals());
         let logged = std::mem::replace(&mut self.statistics.logged_changes, spent);
         effects.log(LogLevel::Info, "writes", || {
-            let by_class = CLASSES.iter().zip(spent.iter().zip(logged));
-            let by_class: Vec<String> =
-                by_class.map(|(class, (now, was))| format!("{class:?}={}", now - was)).collect();
+            let by_class = WRITE_CLASSES.iter().zip(spent.iter().zip(logged));
+            let by_class: Vec<String> = by_class
+                .map(|(class, (total, logged))| format!("{class:?}={}", total - logged))
+                .collect();
             format!("{} rate={rate:.1}/s refused={refusals}", by_class.join(" ").to_lowercase())
         });
     }
@@ -59,20 +60,20 @@
     fn log_owned_shards(&mut self, effects: &mut Effects) {
         for active in self.owned.iter_mut().flatten() {
             let context = self.shared.context(effects);
-            let coordinator = active.coordinator.figures(context.now);
-            let participant = active.participant.figures(&context);
-            let served = active.coordinator.service_figures(context.now);
-            let obstacles = active.participant.obstacle_figures();
-            let waiting = active.coordinator.wait_figures(&context);
-            let limits = active.coordinator.limit_figures(&context);
-            effects.log(LogLevel::Info, "service_levels", || served);
+            let coordinator = active.coordinator.statistics(context.now);
+            let participant = active.participant.statistics(&context);
+            let starts = active.coordinator.service_statistics(context.now);
+            let obstacles = active.participant.obstacle_statistics();
+            let waiting = active.coordinator.wait_statistics(&context);
+            let quotas = active.coordinator.quota_statistics(&context);
+            effects.log(LogLevel::Info, "service_levels", || starts);
             effects.log(LogLevel::Info, "coordinator", || coordinator);
             effects.log(LogLevel::Info, "participant", || participant);
             let optional =
-                [("quotas", limits), ("waiting_jobs", waiting), ("offer_obstacles", obstacles)];
-            for (event, figures) in optional {
-                if let Some(figures) = figures {
-                    effects.log(LogLevel::Info, event, || figures);
+                [("quotas", quotas), ("waiting_jobs", waiting), ("offer_obstacles", obstacles)];
+            for (event, statistics) in optional {
+                if let Some(statistics) = statistics {
+                    effects.log(LogLevel::Info, event, || statistics);
                 }
             }
         }
--- a/crates/core/src/participant/eligibility.rs
+++ b/crates/core/src/participant/eligibility.rs
@@ -1,20 +1,20 @@
-//! Which machines a request may have at all.
+//! Which machines the tasks of a request may be placed on, whatever is free there.
 use super::capacity_index::MachineGroup;
 use super::{Participant, FAILURE_EVIDENCE_MS};
 use crate::context::Context;
-use crate::ids::{MachineIdx, TypeIdx};
+use crate::ids::{MachineIdx, MachineTypeIdx};
 use crate::machine::Machine;
 use crate::names::{created_no_later_than, Names, Resources};
 use leaddeal_wire::mesh::OfferRequest;
-use leaddeal_wire::user::Kind;
+use leaddeal_wire::user::JobKind;
 
-/// What holds for a job on a type of machine, ordinary or spot.
+/// Whether a job may use machines of one type, either ordinary or spot ones.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Eligibility {
-    /// The job allows it, and a whole machine has room for a task.
-    pub allowed: bool,
-    /// A GPU machine that costs too much for work without GPUs.
-    too_expensive: bool,
+    /// Whether the job permits the type, and a task fits on an empty machine of it.
+    pub is_allowed: bool,
+    /// Whether it is a GPU machine that costs too much for this work, which needs no GPUs.
+    is_too_expensive: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -23,26 +23,27 @@
     spot: Eligibility,
 }
 
-/// The eligibility of all types for a job: worked out once for a request.
+/// The eligibility of all machine types for a job, computed once for a request.
 #[derive(Clone, Debug)]
 pub(super) struct EligibilityTable {
     by_type: Vec<TypeEligibility>,
 }
 
 impl EligibilityTable {
-    /// Works it out for the tasks that are asked for.
+    /// Computes the table for the tasks of a request.
     pub fn of(names: &Names, request: &OfferRequest) -> EligibilityTable {
         let (shape, urgent) = (&request.shape, request.urgent);
         let need = Resources::of(shape);
-        let eligibility = |machine_type: TypeIdx, spot: bool| {
-            let whole = names.resources_of_type(machine_type);
-            let wastes_gpus = shape.gpu == 0 && whole.gpu > 0;
+        let eligibility = |machine_type: MachineTypeIdx, spot: bool| {
+            let total = names.resources_of_type(machine_type);
+            let wastes_gpus = shape.gpu == 0 && total.gpu > 0;
             Eligibility {
-                allowed: names.allows(shape, machine_type, spot) && whole.fits(need) > 0,
-                too_expensive: wastes_gpus && !names.affordable(shape, machine_type, spot, urgent),
+                is_allowed: names.allows(shape, machine_type, spot) && total.fit_count(need) > 0,
+                is_too_expensive: wastes_gpus
+                    && !names.is_affordable(shape, machine_type, spot, urgent),
             }
         };
-        let types = (0..names.catalog.len() as u8).map(TypeIdx);
+        let types = (0..names.catalog.len() as u8).map(MachineTypeIdx);
         let by_type = types.map(|machine_type| TypeEligibility {
             ordinary: eligibility(machine_type, false),
             spot: eligibility(machine_type, true),
@@ -50,20 +51,22 @@
         EligibilityTable { by_type: by_type.collect() }
     }
 
-    /// What holds for a type; none: it was added to the catalog after the request.
-    fn of_type(&self, machine_type: TypeIdx, spot: bool) -> Option<&Eligibility> {
+    /// Returns the eligibility of a type; `None` if the type was added to the catalog after the table was
+    /// computed.
+    fn of_type(&self, machine_type: MachineTypeIdx, spot: bool) -> Option<&Eligibility> {
         let of_type = self.by_type.get(machine_type.0 as usize)?;
         Some(if spot { &of_type.spot } else { &of_type.ordinary })
     }
 
-    /// Whether the job may have machines of the group.
+    /// Returns whether the job may use machines of the group.
     pub fn allows(&self, group: MachineGroup) -> bool {
-        self.of_type(group.machine_type, group.spot).is_some_and(|eligibility| eligibility.allowed)
+        self.of_type(group.machine_type, group.spot)
+            .is_some_and(|eligibility| eligibility.is_allowed)
     }
 }
 
 impl Participant {
-    /// Whether a machine may get work of the request's job at all, now.
+    /// Returns whether tasks of the request's job may be placed on a machine now, whatever is free on it.
     pub(super) fn is_eligible(
         &self,
         ctx: &Context,
@@ -77,13 +80,14 @@
         else {
             return false;
         };
-        eligibility.allowed
-            && self.takes_new_work(ctx, idx, machine)
+        eligibility.is_allowed
+            && self.accepts_new_tasks(ctx, idx, machine)
             && !has_failed_job(machine, request.job, ctx)
-            && (!eligibility.too_expensive || self.is_paid_anyway(ctx, idx, machine, request))
+            && (!eligibility.is_too_expensive
+                || self.causes_no_extra_cost(ctx, idx, machine, request))
     }
 
-    fn takes_new_work(&self, ctx: &Context, idx: MachineIdx, machine: &Machine) -> bool {
+    fn accepts_new_tasks(&self, ctx: &Context, idx: MachineIdx, machine: &Machine) -> bool {
         !machine.draining
             && !machine.released
             && !machine.lease_expired
@@ -92,28 +96,28 @@
             && machine.reachability.unreachable_since().is_none()
             && machine.quarantined_until <= ctx.now
             && !self.is_suspected(idx, ctx.now)
-            && ctx.now < machine.last_heartbeat_at + ctx.config.quiet_ms
+            && ctx.now < machine.last_heartbeat_at + ctx.config.max_silence_ms
     }
 
-    /// Cheap work does not keep a machine that is too expensive for it, unless that is paid for
-    /// anyway: for the GPU work on it, or because it is never released.
-    fn is_paid_anyway(
+    /// Returns whether a machine that is too expensive for the request causes no additional cost: it is
+    /// kept for the GPU work on it, or it is never released.
+    fn causes_no_extra_cost(
         &self,
         ctx: &Context,
         idx: MachineIdx,
         machine: &Machine,
         request: &OfferRequest,
     ) -> bool {
-        // Services run for a long time, and would keep it when that work is over.
-        if request.shape.kind != Kind::Service && machine.has_gpu_work() {
+        // Services run for a long time and would keep the machine after the GPU work has ended.
+        if request.shape.kind != JobKind::Service && machine.has_gpu_work() {
             return true;
         }
         let name = ctx.names.machine_name(idx);
-        self.base.as_ref().is_some_and(|newest| created_no_later_than(name, newest))
+        self.last_base.as_ref().is_some_and(|newest| created_no_later_than(name, newest))
     }
 }
 
-/// Whether a task of the job failed on the machine recently.
+/// Returns whether a task of the job failed on the machine within `FAILURE_EVIDENCE_MS`.
 fn has_failed_job(machine: &Machine, job: u64, ctx: &Context) -> bool {
     let mut failures = machine.recent_failures.iter();
     failures.any(|f| f.job.0 == job && f.first_at + FAILURE_EVIDENCE_MS > ctx.now)
--- a/crates/core/src/participant/free_resources.rs
+++ b/crates/core/src/participant/free_resources.rs
@@ -1,4 +1,5 @@
-//! What is free on a machine for a job: now, soon, or once all that ends by itself has ended.
+//! Free resources of a machine, as seen by a job: now, after stops that are in progress, or after all
+//! tasks that end by themselves have ended.
 use super::capacity_index::MachineGroup;
 use super::queue_rank::QueueRank;
 use super::Participant;
@@ -7,19 +8,19 @@
 use crate::names::{Names, Resources};
 use leaddeal_wire::mesh::OfferRequest;
 
-/// What a service may use of machines with GPUs.
+/// How much of the machines with GPUs a service may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GpuMachineAccess {
-    /// Whatever is free.
+    /// All free resources.
     Unlimited,
-    /// What GPU work asked for recently cannot use; all, if there was none.
+    /// The free resources that recently requested GPU work cannot use; all if none was requested.
     BesideGpuWork,
-    /// The same; nothing, if there was none.
+    /// The same, but nothing if no GPU work was requested.
     BesideKnownGpuWork,
 }
 
 impl GpuMachineAccess {
-    /// What the request says of it.
+    /// Returns the access that a request permits.
     pub fn of(request: &OfferRequest) -> GpuMachineAccess {
         match (request.may_use_gpu_machines, request.urgent) {
             (true, _) => GpuMachineAccess::Unlimited,
@@ -29,21 +30,21 @@
     }
 }
 
-/// A machine with GPUs.
+/// A machine with GPUs, for iteration.
 pub(super) struct GpuMachine<'a> {
-    /// Its index.
+    /// Index of the machine.
     pub idx: MachineIdx,
-    /// What is known of it.
+    /// State of the machine.
     pub machine: &'a Machine,
-    /// Its group.
+    /// Group of the machine.
     pub group: MachineGroup,
-    /// What services and GPU work leave of it.
-    pub lasting_free: Resources,
+    /// Resources that are not used by services or GPU work, as `Participant::long_term_free` returns.
+    pub long_term_free: Resources,
 }
 
 impl Participant {
-    /// What is free on a machine for a job now. None: it has a task of unknown shape, or its type is
-    /// not known.
+    /// Returns the resources of a machine that are free now for a job of this rank. Returns `None` if a
+    /// task of unknown shape is on the machine or its type is not known.
     pub(super) fn free(
         &self,
         idx: MachineIdx,
@@ -52,13 +53,14 @@
         job: JobId,
         rank: Option<QueueRank>,
     ) -> Option<Resources> {
-        self.free_with(Resources::default(), idx, machine, names, job, rank)
+        self.free_after(Resources::default(), idx, machine, names, job, rank)
     }
 
-    /// The same, once `freed` of what is used has become free. Holds and reservations count against
-    /// that as well. (Found by comparing traces: taken off before it was added, they stopped at
-    /// nothing, and the capacity of one stopped task was reserved over and over.)
-    pub(super) fn free_with(
+    /// Returns the same as `free`, counting `freed` of the used resources as free too. Holds and
+    /// reservations are subtracted after `freed` is added: subtraction stops at 0, so in the other order
+    /// they would not count against `freed`, and the capacity of one stopped task would be reserved
+    /// repeatedly.
+    pub(super) fn free_after(
         &self,
         freed: Resources,
         idx: MachineIdx,
@@ -80,58 +82,59 @@
         Some(free)
     }
 
-    /// What services and GPU work, which run for a long time, leave of a machine that has `whole`.
-    pub(super) fn lasting_free(
+    /// Returns the part of a machine's total resources, `total`, that is not used by services or GPU
+    /// work, which run for a long time.
+    pub(super) fn long_term_free(
         &self,
         idx: MachineIdx,
         machine: &Machine,
-        whole: Resources,
+        total: Resources,
     ) -> Resources {
-        let mut free = whole;
-        free.sub(machine.lasting(), 1);
-        for hold in self.holds.on(idx).iter().filter(|hold| hold.lasting) {
+        let mut free = total;
+        free.sub(machine.long_running(), 1);
+        for hold in self.holds.on(idx).iter().filter(|hold| hold.is_long_running) {
             free.sub(hold.need, hold.count);
         }
         free
     }
 
-    /// The machines with GPUs.
+    /// Returns the machines with GPUs.
     pub(super) fn gpu_machines<'a>(
         &'a self,
         names: &'a Names,
     ) -> impl Iterator<Item = GpuMachine<'a>> {
         let has_gpus = |group: &MachineGroup| names.resources_of_type(group.machine_type).gpu > 0;
         self.capacity_index.groups().filter(has_gpus).flat_map(move |group| {
-            let whole = names.resources_of_type(group.machine_type);
-            self.capacity_index.with_free(group, 0).filter_map(move |idx| {
+            let total = names.resources_of_type(group.machine_type);
+            self.capacity_index.with_free_cpu(group, 0).filter_map(move |idx| {
                 let machine = self.machines.get(&idx)?;
-                let lasting_free = self.lasting_free(idx, machine, whole);
-                Some(GpuMachine { idx, machine, group, lasting_free })
+                let long_term_free = self.long_term_free(idx, machine, total);
+                Some(GpuMachine { idx, machine, group, long_term_free })
             })
         })
     }
 
-    /// What a service may use of a GPU machine that has this `lasting_free`: a service runs for a
-    /// long time, and leaves enough for the GPU work that is known. (Judged by what is free just
-    /// now, a machine full of short tasks looked lost to GPU work anyway, and services filled it for
-    /// good.)
+    /// Returns the resources that a service may use of a GPU machine with this `long_term_free`. A service
+    /// runs for a long time, so it has to leave enough for the GPU work that is known. This cannot be
+    /// judged by what is free now: a machine full of short tasks then seems unusable for GPU work
+    /// anyway, and services fill it for good.
     pub(super) fn spare_for_service(
         &self,
-        lasting_free: Resources,
+        long_term_free: Resources,
         access: GpuMachineAccess,
     ) -> Resources {
         match access {
-            GpuMachineAccess::Unlimited => return lasting_free,
-            // Which GPU work there will be may not be known yet.
+            GpuMachineAccess::Unlimited => return long_term_free,
+            // The GPU work to leave capacity for may not have been requested yet.
             GpuMachineAccess::BesideKnownGpuWork if self.gpu_demand.is_empty() => {
                 return Resources::default();
             }
             GpuMachineAccess::BesideKnownGpuWork | GpuMachineAccess::BesideGpuWork => {}
         }
-        let mut spare = lasting_free;
+        let mut spare = long_term_free;
         for need in self.gpu_demand.needs() {
-            let mut remainder = lasting_free;
-            remainder.sub(need, lasting_free.fits(need));
+            let mut remainder = long_term_free;
+            remainder.sub(need, long_term_free.fit_count(need));
             spare.cpu = spare.cpu.min(remainder.cpu);
             spare.mem = spare.mem.min(remainder.mem);
         }
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of workers: leases granted, states of tasks taken in, machines suspected.
+//! Heartbeats of workers: grants leases, records the states of tasks, and suspects machines on which
+//! tasks fail.
 use super::{Participant, FAILURE_EVIDENCE_MS, MAX_COMMANDS};
 use crate::context::Context;
 use crate::ids::{JobId, MachineIdx, Timestamp};
@@ -11,33 +12,36 @@
 use leaddeal_wire::mesh::TaskPhase;
 use leaddeal_wire::worker::{ExitReason, HeartbeatResponse, TaskState, WorkerHeartbeat};
 
-/// A service or GPU work counts as running well once it has run for this long.
-const RAN_WELL_AFTER_MS: u64 = 30_000;
-/// A machine whose disk was too full for a task is offered to no one for this long.
-const FULL_QUARANTINE_MS: u64 = 2000;
-/// No command batch is sent to a worker for this long after one that it did not answer.
+/// A task of a service or with GPUs counts as a success of its job once it has run for this long, in ms.
+const SUCCESS_AFTER_MS: u64 = 30_000;
+/// Time in ms for which a machine is not offered after its worker refused a task for lack of free
+/// resources.
+const REFUSAL_QUARANTINE_MS: u64 = 2000;
+/// Time in ms for which no command batch is sent to a worker after one that it did not answer.
 const BATCH_RETRY_DELAY_MS: u64 = 2000;
-/// Time in seconds that a task on a machine about to be interrupted gets beside the time that it
-/// needs to save its progress.
+/// Time in seconds that a task on a machine with an interruption notice gets in addition to the time
+/// that it needs to save its progress.
 const INTERRUPTION_GRACE_S: f64 = 5.0;
 
-/// What a heartbeat shows of the tasks on a machine.
+/// What a heartbeat shows about the tasks on a machine.
 #[derive(Debug, Default)]
 struct Observations {
-    /// Images of tasks that run, or completed just now.
+    /// Images of tasks that are waiting or running, or that completed since the previous heartbeat.
     images: Vec<CachedImage>,
-    /// Jobs of which a task failed just now.
+    /// Jobs of which a task failed since the previous heartbeat.
     failed: Vec<JobId>,
-    /// Jobs of which a task ran well.
-    ran_well: Vec<JobId>,
-    /// An attempt ended just now.
-    any_ended: bool,
-    /// A task found the machine's disk too full.
-    disk_full: bool,
+    /// Jobs of which a task completed since the previous heartbeat, or has run for
+    /// `SUCCESS_AFTER_MS`.
+    succeeded: Vec<JobId>,
+    /// Whether any attempt ended since the previous heartbeat.
+    has_ended_attempt: bool,
+    /// Whether the worker refused a task because the machine lacks the free resources.
+    lacked_resources: bool,
 }
 
 impl Observations {
-    /// `ended_before`: the attempts that were over before the heartbeat, in order.
+    /// Collects the observations from a machine to which the heartbeat was applied. `ended_before`
+    /// lists the attempts that were over before the heartbeat, in ascending order.
     fn of(machine: &Machine, ended_before: &[AttemptKey], now: Timestamp) -> Observations {
         let mut observed = Observations::default();
         for (key, task) in &machine.tasks {
@@ -45,28 +49,29 @@
                 (&task.shape, task.phase)
             {
                 observed.images.push(image_of(shape));
-                let long = task.running_since.is_some_and(|at| now >= at + RAN_WELL_AFTER_MS);
-                if shape.is_long_running() && long {
-                    observed.ran_well.push(key.job);
+                let has_run_long =
+                    task.running_since.is_some_and(|at| now >= at + SUCCESS_AFTER_MS);
+                if shape.is_long_running() && has_run_long {
+                    observed.succeeded.push(key.job);
                 }
             }
             if ended_before.binary_search(key).is_err() {
-                observed.any_ended |= task.is_over();
-                observed.add_end(key.job, task.shape.as_ref(), task.phase);
+                observed.has_ended_attempt |= task.is_over();
+                observed.record_exit(key.job, task.shape.as_ref(), task.phase);
             }
         }
         observed.images.dedup_by_key(|cached| cached.image);
         observed
     }
 
-    fn add_end(&mut self, job: JobId, shape: Option<&Shape>, phase: TaskPhase) {
+    fn record_exit(&mut self, job: JobId, shape: Option<&Shape>, phase: TaskPhase) {
         match phase {
             TaskPhase::Exited(ExitReason::Error | ExitReason::Other, _) => self.failed.push(job),
             TaskPhase::Exited(ExitReason::Done, _) => {
-                self.ran_well.push(job);
+                self.succeeded.push(job);
                 self.images.extend(shape.map(image_of));
             }
-            TaskPhase::Exited(ExitReason::Full, _) => self.disk_full = true,
+            TaskPhase::Exited(ExitReason::InsufficientResources, _) => self.lacked_resources = true,
             _ => {}
         }
     }
@@ -76,8 +81,8 @@
     CachedImage { image: shape.image, size_gb: shape.wire.image_gb }
 }
 
-/// The cloud gave notice: a task that can save its progress does so and moves; the rest may still
-/// complete.
+/// Stops the running tasks that can save their progress, so that they can restart elsewhere before the
+/// cloud interrupts the machine. The other tasks run on: they may still complete in time.
 fn save_before_interruption(machine: &mut Machine, now: Timestamp) {
     for task in machine.tasks.values_mut() {
         let running = matches!(task.phase, TaskPhase::On(TaskState::Running));
@@ -93,9 +98,10 @@
 }
 
 impl Participant {
-    /// Takes in a periodic heartbeat, and renews the worker's lease by a response. None: the worker
-    /// knows a newer owner, or waits for no response.
-    pub fn report(
+    /// Handles a periodic heartbeat and returns the response that renews the worker's lease. Returns
+    /// `None` if the worker knows a newer owner or does not wait for a response to this heartbeat, or
+    /// if the machine was released or its lease has expired.
+    pub fn handle_heartbeat(
         &mut self,
         ctx: &mut Context,
         heartbeat: &WorkerHeartbeat,
@@ -105,40 +111,41 @@
             return None;
         }
         let idx = ctx.names.machine(&heartbeat.machine);
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         if machine.released || !machine.awaits_response(heartbeat) {
             return None;
         }
-        machine.reachability.report(via, ctx.config.report_due_ms, ctx.now);
+        machine.reachability.record_heartbeat(via, ctx.config.heartbeat_due_ms, ctx.now);
         self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::Periodic);
         let token = self.epoch.0;
-        let machine = self.machine(idx);
-        // A late heartbeat of an incarnation that is over by our count must not renew its lease.
+        let machine = self.machine_or_insert(idx);
+        // The worker's lease has expired and its tasks were declared gone. A late heartbeat of that
+        // incarnation must not renew the lease.
         if machine.lease_expired {
             return None;
         }
         machine.lease_granted_at = ctx.now;
         let newest = (heartbeat.incarnation, heartbeat.seq) == (machine.incarnation, machine.seq);
         if !newest {
-            return Some(HeartbeatResponse { token, orders: Vec::new() });
+            return Some(HeartbeatResponse { token, commands: Vec::new() });
         }
-        // Stops go on while our lease is uncertain: what was to stop is durable, and a stop is never
-        // wrong. (Found by the simulator: a cancelled task ran on with an owner that the store's
-        // outage had caught between the cancellation and the worker's first heartbeat to it.)
+        // Stops are still sent while this node's lease is uncertain: the decision to stop is durable
+        // and holds under any owner. Otherwise a cancelled task runs on if an outage of the store
+        // begins between the cancellation and the worker's first heartbeat to this owner.
         let lease = if ctx.lease_valid { OwnerLease::Valid } else { OwnerLease::Uncertain };
-        let orders = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
-        Some(HeartbeatResponse { token, orders })
+        let commands = machine.response_commands(ctx.now, MAX_COMMANDS, lease);
+        Some(HeartbeatResponse { token, commands })
     }
 
-    /// The outcome of a command batch: the worker's answer, or none if it was not sent, or if it is
-    /// `unknown` whether it was executed.
-    pub fn direct_outcome(
+    /// Handles the outcome of a command batch. `response` is the worker's heartbeat in response; it is
+    /// `None` if the batch was not sent, or, with `may_be_executed`, if it may have been executed.
+    pub fn handle_batch_outcome(
         &mut self,
         ctx: &mut Context,
         machine: &str,
         batch: u64,
-        answer: Option<&WorkerHeartbeat>,
-        unknown: bool,
+        response: Option<&WorkerHeartbeat>,
+        may_be_executed: bool,
     ) {
         let Some(idx) = ctx.names.find_machine(machine) else {
             return;
@@ -146,19 +153,19 @@
         let Some(machine) = self.machines.get_mut(&idx) else {
             return;
         };
-        match answer {
+        match response {
             Some(heartbeat) => {
-                // What was executed is in this heartbeat or a newer one.
+                // The effect of the commands shows in this heartbeat and in all newer ones.
                 let known = (machine.incarnation, machine.seq);
                 if (heartbeat.incarnation, heartbeat.seq) > known {
                     self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::CommandResponse);
                 }
-                let machine = self.machine(idx);
+                let machine = self.machine_or_insert(idx);
                 machine.end_direct_batch(batch, BatchEnd::Known);
-                machine.reachability.proven();
+                machine.reachability.record_proof();
             }
             None => {
-                let end = if unknown { BatchEnd::Unknown } else { BatchEnd::Known };
+                let end = if may_be_executed { BatchEnd::Unknown } else { BatchEnd::Known };
                 machine.end_direct_batch(batch, end);
                 machine.next_direct_at = ctx.now + BATCH_RETRY_DELAY_MS;
             }
@@ -174,7 +181,7 @@
         kind: HeartbeatKind,
     ) {
         let (now, epoch) = (ctx.now, self.epoch);
-        let machine = self.machine(idx);
+        let machine = self.machine_or_insert(idx);
         let ended = machine.tasks.iter().filter(|(_, task)| task.is_over());
         let ended_before: Vec<AttemptKey> = ended.map(|(key, _)| *key).collect();
         let was_confirmed = machine.token_confirmed;
@@ -184,50 +191,52 @@
         machine.machine_type = ctx.names.type_idx(&heartbeat.type_name);
         machine.zone = ctx.names.zone(&heartbeat.zone);
         let observed = Observations::of(machine, &ended_before, now);
-        if observed.any_ended || (!was_confirmed && machine.token_confirmed) {
+        if observed.has_ended_attempt || (!was_confirmed && machine.token_confirmed) {
             self.capacity_notices.note_freed();
         }
         self.apply_observations(ctx, idx, &observed);
         self.attribute_failures(ctx, idx, &observed);
-        self.stop_finished_jobs(idx, ctx.horizons, now);
-        self.check_at_lease_end(ctx, idx);
+        self.stop_terminal_jobs(idx, ctx.horizons, now);
+        self.schedule_lease_check(ctx, idx);
         self.changed_machines.insert(idx);
     }
 
     fn apply_observations(&mut self, ctx: &Context, idx: MachineIdx, observed: &Observations) {
         let now = ctx.now;
-        let machine = self.machine(idx);
-        if observed.disk_full {
-            let until = now + FULL_QUARANTINE_MS;
+        let machine = self.machine_or_insert(idx);
+        if observed.lacked_resources {
+            let until = now + REFUSAL_QUARANTINE_MS;
             machine.quarantined_until = machine.quarantined_until.max(until);
         }
-        if !observed.ran_well.is_empty() {
+        if !observed.succeeded.is_empty() {
             machine.clear_failures();
         }
-        machine.note_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
+        machine.record_failures(&observed.failed, now, FAILURE_EVIDENCE_MS);
         let machine_type = machine.machine_type;
         let cache_gb = machine_type.map_or(0.0, |t| ctx.names.catalog[t.0 as usize].cache_gb);
         for &image in &observed.images {
-            machine.note_image(image, cache_gb);
+            machine.record_image_use(image, cache_gb);
         }
         if machine.interruption_at.is_some() {
             save_before_interruption(machine, now);
         }
     }
 
-    fn check_at_lease_end(&mut self, ctx: &Context, idx: MachineIdx) {
+    fn schedule_lease_check(&mut self, ctx: &Context, idx: MachineIdx) {
         let previous_owners_until = self.previous_owners_until;
         let lease_ms = ctx.config.worker_lease_ms;
-        let over_at = self.machine(idx).lease_over_at(lease_ms, previous_owners_until);
-        self.check_by(idx, over_at);
+        let expires_at =
+            self.machine_or_insert(idx).lease_surely_expired_at(lease_ms, previous_owners_until);
+        self.schedule_check(idx, expires_at);
     }
 
-    /// Takes what failed and what ran well on a machine as evidence for and against it.
+    /// Records the failures and successes on a machine as evidence, and updates whether the machine
+    /// is suspected.
     fn attribute_failures(&mut self, ctx: &mut Context, idx: MachineIdx, observed: &Observations) {
         for &job in &observed.failed {
             self.failure_attribution.note_failure(job, idx, ctx.now);
         }
-        for &job in &observed.ran_well {
+        for &job in &observed.succeeded {
             self.failure_attribution.note_success(job, ctx.now);
         }
         let suspected = self.is_suspected(idx, ctx.now);
@@ -239,7 +248,8 @@
         machine.suspected = suspected;
     }
 
-    /// Whether the recent failures on a machine are attributed to it, by all that is known now.
+    /// Returns whether the recent failures on a machine are attributed to the machine, judged by all
+    /// evidence at `now`.
     pub(super) fn is_suspected(&self, idx: MachineIdx, now: Timestamp) -> bool {
         let Some(machine) = self.machines.get(&idx) else { return false };
         if machine.recent_failures.is_empty() {
--- a/crates/core/src/participant/inventory.rs
+++ b/crates/core/src/participant/inventory.rs
@@ -1,58 +1,60 @@
-//! What the provisioner is sent of a participant's machines: all of them once, then what changed.
-//! (When the full list was sent every second, it took a tenth of the bytes between controllers, and
-//! grew with the fleet.)
+//! The list of a participant's machines for the provisioner: all machines once, then only changes.
+//! Sending the full list every second took a tenth of the bytes between controllers and grew with the
+//! fleet.
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{MachineIdx, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{MachineIdx, MachineTypeIdx, Timestamp, ZoneIdx};
 use crate::machine::{Machine, TaskOnMachine};
 use crate::names::Names;
-use crate::shard::at_least;
+use crate::shard::plus_clock_drift;
 use leaddeal_wire::mesh::{MachineInfo, ShardMessage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A message names at most this many machines: a frame holds several times as many.
+/// Maximum number of present machines, and of removed ones, in one message; a frame can hold several
+/// times as many.
 const MAX_MACHINES_PER_MESSAGE: usize = 1000;
-/// A machine that has received nothing from us for this long is shown as dead.
-const UNREACHABLE_DEAD_AFTER_MS: u64 = 60_000;
-/// Unreachable machines are shown as dead only if fewer than one machine in this many is
-/// unreachable: where many are, the fault is ours.
+/// Time in ms after which a machine that does not receive what is sent to it is listed as unusable.
+const UNREACHABLE_TIMEOUT_MS: u64 = 60_000;
+/// Unreachable machines are listed as unusable only if fewer than one machine in this many is unreachable.
+/// If more are, the fault is on the controllers' side, and the machines should not be replaced.
 const MIN_MACHINES_PER_UNREACHABLE: usize = 4;
 
-/// What the provisioner knows of a machine.
+/// What the provisioner is told about a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MachineSummary {
-    /// Its type in the catalog.
-    pub machine_type: TypeIdx,
-    /// Its zone, if known.
+    /// Type in the catalog.
+    pub machine_type: MachineTypeIdx,
+    /// Zone; `None` if it is not known.
     pub zone: Option<ZoneIdx>,
-    /// A spot instance.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// Since when nothing is on it; none: something is, or may come.
+    /// When the last task left the machine; `None` if a task is, or may come to be, on it.
     pub idle_since: Option<Timestamp>,
-    /// To be replaced.
-    pub dead: bool,
-    /// It gets no new tasks.
+    /// Whether the machine has to be replaced.
+    pub unusable: bool,
+    /// Whether the machine gets no new tasks.
     pub draining: bool,
 }
 
-/// Sends the provisioner the changes of the machines.
+/// Produces the messages that keep the provisioner's copy of the machine list up to date.
 ///
-/// Invariant: `published` is what a provisioner knows that has received every message since the
-/// first one. A provisioner that missed one sees it by the serial number and asks for all anew.
+/// Invariant: `published` equals the copy of a provisioner that has received every message since the
+/// first one. A provisioner that missed a message detects it by the serial number and requests the
+/// full list.
 #[derive(Debug, Default)]
 pub(super) struct InventoryPublisher {
     current: BTreeMap<MachineIdx, MachineSummary>,
     published: BTreeMap<MachineIdx, MachineSummary>,
-    /// Machines that may differ between the two.
+    /// Machines that may differ between `current` and `published`.
     changed: BTreeSet<MachineIdx>,
-    /// Number of the newest message.
+    /// Serial number of the newest message.
     serial: u64,
-    /// The first message, which names all machines, was sent.
-    started: bool,
+    /// Whether the full list was sent.
+    has_started: bool,
 }
 
 impl InventoryPublisher {
-    /// Notes what there is of a machine now; none: it is not shown.
+    /// Sets the current summary of a machine; `None` removes the machine from the list.
     pub fn set(&mut self, idx: MachineIdx, summary: Option<MachineSummary>) {
         let previous = match summary {
             Some(summary) => self.current.insert(idx, summary),
@@ -63,24 +65,25 @@
         }
     }
 
-    /// The machine is not shown any more.
-    pub fn gone(&mut self, idx: MachineIdx) {
+    /// Removes a machine from the list.
+    pub fn remove(&mut self, idx: MachineIdx) {
         self.set(idx, None);
     }
 
-    /// All machines are sent again.
-    pub fn start_again(&mut self) {
-        self.started = false;
+    /// Makes the next messages list all machines again.
+    pub fn publish_all_again(&mut self) {
+        self.has_started = false;
     }
 
-    /// The messages to send; at least one, which says that this participant is alive.
-    pub fn changes(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
-        let first = !std::mem::replace(&mut self.started, true);
+    /// Returns the messages with the changes since the last call. There is always at least one, since
+    /// the provisioner takes it as a sign that the participant is alive.
+    pub fn next_messages(&mut self, now: Timestamp, names: &Names) -> Vec<ShardMessage> {
+        let first = !std::mem::replace(&mut self.has_started, true);
         if first {
             self.published.clear();
             self.changed = self.current.keys().copied().collect();
         }
-        let (mut machines, mut gone) = (Vec::new(), Vec::new());
+        let (mut machines, mut removed) = (Vec::new(), Vec::new());
         for idx in std::mem::take(&mut self.changed) {
             match self.current.get(&idx) {
                 Some(summary) if self.published.get(&idx) != Some(summary) => {
@@ -88,19 +91,20 @@
                     machines.push(machine_info(idx, summary, now, names));
                 }
                 None if self.published.remove(&idx).is_some() => {
-                    gone.push(names.machine_name(idx).to_string());
+                    removed.push(names.machine_name(idx).to_string());
                 }
                 Some(_) | None => {}
             }
         }
-        self.messages(machines, gone, first)
+        self.split_into_messages(machines, removed, first)
     }
 
-    /// Splits the lists into messages.
-    fn messages(
+    /// Splits the lists into messages with consecutive serial numbers. `first` is set in the first of
+    /// them only.
+    fn split_into_messages(
         &mut self,
         mut machines: Vec<MachineInfo>,
-        mut gone: Vec<String>,
+        mut removed: Vec<String>,
         mut first: bool,
     ) -> Vec<ShardMessage> {
         let mut messages = Vec::new();
@@ -110,17 +114,17 @@
                 serial: self.serial,
                 first,
                 machines: take_front(&mut machines),
-                gone: take_front(&mut gone),
+                gone: take_front(&mut removed),
             });
             first = false;
-            if machines.is_empty() && gone.is_empty() {
+            if machines.is_empty() && removed.is_empty() {
                 return messages;
             }
         }
     }
 }
 
-/// Removes as many elements from the front as a message may have.
+/// Removes and returns up to `MAX_MACHINES_PER_MESSAGE` elements from the front.
 fn take_front<T>(list: &mut Vec<T>) -> Vec<T> {
     let rest = list.split_off(list.len().min(MAX_MACHINES_PER_MESSAGE));
     std::mem::replace(list, rest)
@@ -139,46 +143,52 @@
         zone: zone.unwrap_or_default(),
         spot: summary.spot,
         idle_ms: summary.idle_since.map(|since| now.saturating_sub(since)),
-        dead: summary.dead,
+        unusable: summary.unusable,
         draining: summary.draining,
     }
 }
 
-fn is_unreachable(machine: &Machine, now: Timestamp) -> bool {
-    let deaf_since = machine.reachability.unreachable_since();
-    deaf_since.is_some_and(|since| now >= since + UNREACHABLE_DEAD_AFTER_MS)
+fn is_long_unreachable(machine: &Machine, now: Timestamp) -> bool {
+    let unreachable_since = machine.reachability.unreachable_since();
+    unreachable_since.is_some_and(|since| now >= since + UNREACHABLE_TIMEOUT_MS)
 }
 
 impl Participant {
-    /// What changed of the machines, for the provisioner.
+    /// Returns the messages that report changes of the machines to the provisioner.
     pub fn inventory(&mut self, ctx: &Context) -> Vec<ShardMessage> {
         let now = ctx.now;
-        let lease_ms = at_least(ctx.config.worker_lease_ms);
+        let lease_ms = plus_clock_drift(ctx.config.worker_lease_ms);
         let present = self.machines.values().filter(|machine| !machine.released);
-        let unreachable = present.filter(|machine| is_unreachable(machine, now)).count();
+        let unreachable = present.filter(|machine| is_long_unreachable(machine, now)).count();
         let few_unreachable = unreachable * MIN_MACHINES_PER_UNREACHABLE < self.machines.len();
         for (&idx, machine) in &self.machines {
-            let lost = machine.lease_expired && now > machine.last_heartbeat_at + lease_ms;
-            let dead = lost || (few_unreachable && is_unreachable(machine, now));
-            self.inventory_publisher.set(idx, self.summary(idx, machine, dead));
+            let is_lost = machine.lease_expired && now > machine.last_heartbeat_at + lease_ms;
+            let is_unusable = is_lost || (few_unreachable && is_long_unreachable(machine, now));
+            self.inventory_publisher.set(idx, self.summary(idx, machine, is_unusable));
         }
-        self.inventory_publisher.changes(now, ctx.names)
+        self.inventory_publisher.next_messages(now, ctx.names)
     }
 
-    /// The provisioner has missed a message: all machines are sent again.
+    /// Makes the next inventory list all machines, because the provisioner missed a message.
     pub fn resend_inventory(&mut self) {
-        self.inventory_publisher.start_again();
+        self.inventory_publisher.publish_all_again();
     }
 
-    fn summary(&self, idx: MachineIdx, machine: &Machine, dead: bool) -> Option<MachineSummary> {
+    fn summary(
+        &self,
+        idx: MachineIdx,
+        machine: &Machine,
+        is_unusable: bool,
+    ) -> Option<MachineSummary> {
         let machine_type = machine.machine_type.filter(|_| !machine.released)?;
-        let idle = !self.holds.any_on(idx) && machine.tasks.values().all(TaskOnMachine::is_over);
+        let is_idle =
+            !self.holds.has_any_on(idx) && machine.tasks.values().all(TaskOnMachine::is_over);
         Some(MachineSummary {
             machine_type,
             zone: machine.zone,
             spot: machine.spot,
-            idle_since: idle.then_some(machine.last_busy_at),
-            dead,
+            idle_since: is_idle.then_some(machine.last_busy_at),
+            unusable: is_unusable,
             draining: machine.draining,
         })
     }
--- a/crates/core/src/participant/inventory/tests.rs
+++ b/crates/core/src/participant/inventory/tests.rs
@@ -3,16 +3,16 @@
 
 fn summary() -> MachineSummary {
     MachineSummary {
-        machine_type: TypeIdx(0),
+        machine_type: MachineTypeIdx(0),
         zone: None,
         spot: false,
         idle_since: None,
-        dead: false,
+        unusable: false,
         draining: false,
     }
 }
 
-/// How many machines the messages name as present, and as gone.
+/// Returns how many machines the messages list as present and as gone.
 fn named(messages: &[ShardMessage]) -> (usize, usize) {
     let counts = messages.iter().map(|message| match message {
         ShardMessage::Inventory { machines, gone, .. } => (machines.len(), gone.len()),
@@ -21,10 +21,10 @@
     counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
 }
 
-/// (Found by reading: the messages ended with the last changed machine, so that of 1,500 machines that
-/// were gone at once 500 stayed with the provisioner for good.)
+/// Guards against messages that end with the last changed machine: of 1,500 machines that were removed at
+/// once, 500 then stayed in the provisioner's list for good.
 #[test]
-fn every_machine_that_is_gone_is_named_however_many_there_are() {
+fn lists_every_removed_machine() {
     const MACHINES: u32 = 1500;
     let mut names = World::new().names;
     let mut publisher = InventoryPublisher::default();
@@ -32,9 +32,9 @@
         let idx = names.machine(&format!("n-{number:06}"));
         publisher.set(idx, Some(summary()));
     }
-    assert_eq!(named(&publisher.changes(0, &names)), (MACHINES as usize, 0));
+    assert_eq!(named(&publisher.next_messages(0, &names)), (MACHINES as usize, 0));
     for number in 0..MACHINES {
-        publisher.gone(MachineIdx(number));
+        publisher.remove(MachineIdx(number));
     }
-    assert_eq!(named(&publisher.changes(1000, &names)), (0, MACHINES as usize));
+    assert_eq!(named(&publisher.next_messages(1000, &names)), (0, MACHINES as usize));
 }
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -1,41 +1,42 @@
-//! Offers: which machines each item of a request gets, and what is preempted for the rest.
+//! Answers to requests for offers: offers and holds the machines for each item of a request, and
+//! preempts tasks for what could not be offered.
 use super::eligibility::EligibilityTable;
 use super::gang_queue::WaitingGang;
 use super::holds::Hold;
-use super::machine_choice::{Choice, Item, KeptForGangs, MachineChoices};
+use super::machine_choice::{Choice, KeptForGangs, MachineChoices, RequestItem};
 use super::preemption::{PreemptionOutcome, PreemptionSearch};
 use super::queue_rank::QueueRank;
 use super::Participant;
 use crate::context::Context;
-use crate::ids::{JobId, Negotiation, Shard, ZoneIdx};
+use crate::ids::{JobId, NegotiationId, Shard, ZoneIdx};
 use crate::names::{Resources, Shape};
 use leaddeal_wire::mesh::{Offer, OfferRequest, QueuePosition, ShardMessage};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 
-/// A negotiation's request while it is answered.
+/// The state of one request for offers while it is being answered.
 struct OfferRound<'a> {
-    from: Shard,
-    negotiation: Negotiation,
+    coordinator: Shard,
+    negotiation: NegotiationId,
     offers: Vec<Offer>,
-    /// Items that tasks are preempted for.
+    /// Numbers of the items for which tasks are being preempted.
     preempting: Vec<u16>,
-    /// Searches for preemption that found nothing.
+    /// Searches for preemption that found no machine.
     failed_searches: Vec<FailedSearch<'a>>,
     kept_for_gangs: KeptForGangs,
 }
 
-/// What decides whether tasks can be preempted for a job, beside its zones.
+/// What determines whether tasks can be preempted for a job, apart from the zones that it may use.
 #[derive(PartialEq)]
 struct SearchKind<'a> {
     types: &'a Option<Vec<String>>,
     need: Resources,
     priority: Priority,
-    kind: Kind,
+    kind: JobKind,
     allows_spot: bool,
-    urgent: bool,
+    is_urgent: bool,
     may_use_gpu_machines: bool,
     waits_for_zone: bool,
-    queued: bool,
+    is_queued: bool,
 }
 
 impl<'a> SearchKind<'a> {
@@ -47,48 +48,49 @@
             priority: shape.priority,
             kind: shape.kind,
             allows_spot: shape.spot,
-            urgent: request.urgent,
+            is_urgent: request.urgent,
             may_use_gpu_machines: request.may_use_gpu_machines,
             waits_for_zone: request.queue_position.is_some_and(|position| position.zone.is_some()),
-            queued: search.rank.is_some(),
+            is_queued: search.rank.is_some(),
         }
     }
 }
 
-/// A search for preemption that found no machine on which anything could be done.
+/// A search for preemption that found no machine to reserve.
 struct FailedSearch<'a> {
     kind: SearchKind<'a>,
-    /// By zone: it might have taken tasks.
+    /// Whether the search included the zone, indexed by zone.
     open_zones: Vec<bool>,
 }
 
 impl FailedSearch<'_> {
-    /// Whether this search must fail too.
-    fn covers(&self, kind: &SearchKind, zone_room: &[u32]) -> bool {
-        let mut zones = self.open_zones.iter().zip(zone_room);
-        self.kind == *kind && zones.all(|(was_open, room)| *was_open || *room == 0)
+    /// Returns whether a search of this kind and with these zones must fail as well: it is of the same
+    /// kind and includes no zone that this search did not include.
+    fn covers(&self, kind: &SearchKind, max_per_zone: &[u32]) -> bool {
+        let mut zones = self.open_zones.iter().zip(max_per_zone);
+        self.kind == *kind && zones.all(|(was_open, limit)| *was_open || *limit == 0)
     }
 }
 
 impl Participant {
-    /// Answers a request for offers: holds capacity for what it offers, and preempts tasks for items
-    /// that ask for it.
-    pub(super) fn offer(
+    /// Answers a request for offers. Holds the offered capacity for the negotiation, and preempts tasks
+    /// for items that ask for it and got less than they need.
+    pub(super) fn answer_offer_request(
         &mut self,
         ctx: &mut Context,
-        from: Shard,
-        negotiation: Negotiation,
+        coordinator: Shard,
+        negotiation: NegotiationId,
         requests: &[OfferRequest],
     ) {
         self.gpu_demand.expire(ctx.now);
         self.reservations.expire(ctx.now);
         self.reindex(ctx.names);
         let numbered = requests.iter().enumerate();
-        let items: Vec<Item> =
-            numbered.map(|(i, request)| self.enter_item(ctx, i as u16, request)).collect();
+        let items: Vec<RequestItem> =
+            numbered.map(|(i, request)| self.prepare_item(ctx, i as u16, request)).collect();
         self.gang_queue.refresh(ctx.now, self.capacity_index.groups());
         let mut round = OfferRound {
-            from,
+            coordinator,
             negotiation,
             offers: Vec::new(),
             preempting: Vec::new(),
@@ -100,23 +102,25 @@
         }
         let OfferRound { offers, preempting, .. } = round;
         let answer = ShardMessage::Offers { negotiation: negotiation.0, offers, preempting };
-        ctx.send(self.shard, from, answer);
+        ctx.send(self.shard, coordinator, answer);
     }
 
-    /// Works out which machines an item may have, and enters a gang that asks for it in the queue.
-    fn enter_item<'a>(
+    /// Computes which machines an item may use. If the item is for a gang, also computes its rank and
+    /// enters it in the gang queue.
+    fn prepare_item<'a>(
         &mut self,
         ctx: &Context,
         number: u16,
         request: &'a OfferRequest,
-    ) -> Item<'a> {
+    ) -> RequestItem<'a> {
         let eligibility = EligibilityTable::of(ctx.names, request);
         let rank = request
             .queue_position
             .map(|position| self.enter_queue(ctx, request, position, &eligibility));
-        Item { number, request, eligibility, rank }
+        RequestItem { number, request, eligibility, rank }
     }
 
+    /// Returns the rank of a gang, and adds it to the queue if it has a zone and holds its position.
     fn enter_queue(
         &mut self,
         ctx: &Context,
@@ -126,7 +130,7 @@
     ) -> QueueRank {
         let job = JobId(request.job);
         let rank = QueueRank::new(request.shape.priority, position, job, ctx.now);
-        if let Some(zone) = position.zone.filter(|_| position.holds_position) {
+        if let Some(zone) = position.zone.filter(|_| position.blocks_gangs_behind) {
             let gang = WaitingGang {
                 rank,
                 zone: ZoneIdx(zone),
@@ -139,52 +143,58 @@
         rank
     }
 
-    fn offer_item<'a>(&mut self, ctx: &mut Context, round: &mut OfferRound<'a>, item: &Item<'a>) {
+    /// Offers machines for one item, and records the shortage if they are not enough.
+    fn offer_item<'a>(
+        &mut self,
+        ctx: &mut Context,
+        round: &mut OfferRound<'a>,
+        item: &RequestItem<'a>,
+    ) {
         let request = item.request;
         let priority = request.shape.priority;
         let shape = ctx.names.shape(&request.shape);
         let MachineChoices { choices, obstacles } =
             self.choose_machines(ctx, &mut round.kept_for_gangs, item, &shape);
-        let mut zone_room = request.zone_room.clone();
-        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut zone_room);
+        let mut max_per_zone = request.max_per_zone.clone();
+        let missing = self.hold_choices(ctx, round, item, &shape, &choices, &mut max_per_zone);
         if missing == 0 {
             return;
         }
         self.offer_obstacles.add(&obstacles);
-        self.capacity_notices.note_shortage(round.from, priority);
+        self.capacity_notices.note_shortage(round.coordinator, priority);
         if request.preempt {
-            self.preempt_for_item(ctx, round, item, &shape, zone_room, missing);
+            self.preempt_for_item(ctx, round, item, &shape, max_per_zone, missing);
         }
     }
 
-    /// Holds and offers as much of the choices as the item asks for and its zones may take, which
-    /// is taken off `zone_room`. Says how many tasks are still without a machine.
+    /// Offers and holds the choices in their order, up to the item's task count and the limits in
+    /// `max_per_zone`, which are reduced accordingly. Returns the number of tasks that got no machine.
     fn hold_choices(
         &mut self,
         ctx: &Context,
         round: &mut OfferRound,
-        item: &Item,
+        item: &RequestItem,
         shape: &Shape,
         choices: &[Choice],
-        zone_room: &mut [u32],
+        max_per_zone: &mut [u32],
     ) -> u32 {
         let mut missing = item.request.count;
         for choice in choices {
-            let Some(room) = zone_room.get_mut(choice.zone.0 as usize) else { continue };
+            let Some(zone_limit) = max_per_zone.get_mut(choice.zone.0 as usize) else { continue };
             let capacity = choice.capacity.min(u64::from(u32::MAX)) as u32;
-            let count = capacity.min(missing).min(*room);
+            let count = capacity.min(missing).min(*zone_limit);
             if count == 0 {
                 continue;
             }
-            *room -= count;
+            *zone_limit -= count;
             missing -= count;
             let hold = Hold {
-                shard: round.from,
+                coordinator: round.coordinator,
                 negotiation: round.negotiation,
                 job: JobId(item.request.job),
                 need: shape.need,
                 count: u64::from(count),
-                lasting: shape.is_long_running(),
+                is_long_running: shape.is_long_running(),
             };
             self.holds.add(choice.machine, hold);
             round.offers.push(choice.offer(ctx, item, count));
@@ -195,39 +205,41 @@
         missing
     }
 
-    /// Preempts tasks for those of an item that got no machine.
+    /// Preempts tasks for the `missing` tasks of an item that got no machine.
     fn preempt_for_item<'a>(
         &mut self,
         ctx: &mut Context,
         round: &mut OfferRound<'a>,
-        item: &Item<'a>,
+        item: &RequestItem<'a>,
         shape: &Shape,
-        mut zone_room: Vec<u32>,
+        mut max_per_zone: Vec<u32>,
         missing: u32,
     ) {
         let request = item.request;
         let job = JobId(request.job);
         let waited_zone = request.queue_position.and_then(|position| position.zone);
-        // Tasks are preempted for a gang only in the zone that it waits for.
+        // A gang that waits for a zone gets tasks preempted in that zone only.
         if let Some(waited_zone) = waited_zone {
             let others =
-                zone_room.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
-            others.for_each(|(_, room)| *room = 0);
+                max_per_zone.iter_mut().enumerate().filter(|(i, _)| *i != waited_zone as usize);
+            others.for_each(|(_, limit)| *limit = 0);
         }
         let search = PreemptionSearch {
             request,
             shape,
             eligibility: &item.eligibility,
             rank: self.gang_queue.rank(job),
-            zone_room: &zone_room,
+            max_per_zone: &max_per_zone,
             includes_gpu_machines: true,
         };
-        // What cannot be done for one job cannot be done for the next of its kind either, which is
-        // served after it. (At three times a fleet most requests asked in vain.)
+        // If a search found no machine for one job, it finds none for a later job of the same kind. With
+        // a fleet three times as large, most requests found none.
         let kind = SearchKind::of(request, &search);
-        let hopeless = round.failed_searches.iter().any(|failed| failed.covers(&kind, &zone_room));
-        if !hopeless && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine {
-            let open_zones = zone_room.iter().map(|&room| room > 0).collect();
+        let is_known_to_fail =
+            round.failed_searches.iter().any(|failed| failed.covers(&kind, &max_per_zone));
+        if !is_known_to_fail && self.preempt(ctx, &search, missing) == PreemptionOutcome::NoMachine
+        {
+            let open_zones = max_per_zone.iter().map(|&limit| limit > 0).collect();
             round.failed_searches.push(FailedSearch { kind, open_zones });
         }
         if self.reservations.count(job) >= missing {
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -1,7 +1,7 @@
-//! What coordinators decided for tasks: started, stopped, acknowledged.
+//! Commands of coordinators for single attempts: placing, stopping, and acknowledging their ends.
 use super::Participant;
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::horizon::Horizons;
 use crate::ids::{Attempt, JobId, MachineIdx, Shard, Timestamp};
 use crate::machine::{AttemptKey, Machine, StopRequest, TaskOnMachine};
@@ -9,88 +9,93 @@
 use leaddeal_wire::mesh::{Assignment, AttemptRef, TaskPhase};
 use std::collections::BTreeSet;
 
-/// Tasks of one job that a coordinator has placed.
+/// What the assignments of one `Place` message have in common.
 #[derive(Debug)]
-pub(super) struct PlaceOrder {
-    /// The coordinator's shard.
+pub(super) struct PlaceCommand {
+    /// Shard of the coordinator that placed the tasks.
     pub from: Shard,
-    /// The job.
+    /// Job that the tasks belong to.
     pub job: JobId,
-    /// What a task of it takes.
+    /// Resources and image of each task.
     pub shape: Shape,
-    /// A new coordinator takes over what one before it has placed.
+    /// Whether the tasks were placed by a previous coordinator and are now taken over by its
+    /// successor, as opposed to placed for the first time.
     pub adopt: bool,
 }
 
-/// Whether no older owner's command can reach the machine's worker any more.
+/// Returns whether the machine's worker has confirmed this owner's fencing token, so that it no longer
+/// obeys commands of previous owners.
 fn is_fenced(machine: &Machine) -> bool {
-    machine.token_confirmed || !holds(Guard::TokenShown)
+    machine.token_confirmed || !is_enforced(Guard::AbsenceNeedsConfirmedToken)
 }
 
 impl Participant {
-    /// Places a task, and stops it at once if its job is over.
-    pub(super) fn place_unless_over(
+    /// Places a task, and stops it at once if its job is in a terminal state.
+    pub(super) fn place_unless_terminal(
         &mut self,
         ctx: &mut Context,
-        order: &PlaceOrder,
+        command: &PlaceCommand,
         assignment: &Assignment,
     ) {
-        self.place(ctx, order, assignment);
-        if ctx.horizons.is_terminal(order.job) && holds(Guard::LatePlace) {
-            // It was sent before the cancellation, which came another way.
+        self.place(ctx, command, assignment);
+        if ctx.horizons.is_terminal(command.job) && is_enforced(Guard::LateAssignmentStopped) {
+            // The coordinator sent the assignment before the job was cancelled, but the cancellation
+            // arrived here first by another route.
             let placed = AttemptRef {
-                job: order.job.0,
+                job: command.job.0,
                 task: assignment.task,
                 attempt: assignment.attempt,
                 machine: assignment.machine.clone(),
                 incarnation: Some(assignment.incarnation),
             };
-            self.stop(ctx, &placed, 0.0);
+            self.stop_attempt(ctx, &placed, 0.0);
         }
     }
 
-    fn place(&mut self, ctx: &mut Context, order: &PlaceOrder, assignment: &Assignment) {
-        let (job, adopt) = (order.job, order.adopt);
+    fn place(&mut self, ctx: &mut Context, command: &PlaceCommand, assignment: &Assignment) {
+        let (job, adopt) = (command.job, command.adopt);
         let (task, attempt) = (assignment.task, Attempt(assignment.attempt));
         let incarnation = assignment.incarnation;
         let idx = ctx.names.machine(&assignment.machine);
-        self.holds.use_one(idx, order.from, job);
+        self.holds.consume_one(idx, command.from, job);
         self.reservations.remove_one(job, idx);
-        let machine = self.machine(idx);
-        let outdated = incarnation < machine.incarnation && holds(Guard::OfferSession);
+        let machine = self.machine_or_insert(idx);
+        let outdated =
+            incarnation < machine.incarnation && is_enforced(Guard::StartBoundToIncarnation);
         let expired = machine.lease_expired && incarnation <= machine.incarnation;
         let gone = machine.released || outdated || expired;
         let fenced = is_fenced(machine);
         let key = AttemptKey { job, task, attempt };
         let task = machine.tasks.entry(key).or_insert_with(|| {
-            // An attempt to adopt that is not known here was never confirmed, or is over and
-            // forgotten. What it took of zones and teams may be in use again, so it must not start
-            // now. (Found by the simulator: a handover started stopped tasks anew, beyond their
-            // team's limit.)
+            // A coordinator's successor adopts an attempt that is not known here: either the attempt
+            // was never confirmed, or it has ended and was removed. Its share of the zone limit and of
+            // the team's quota may have been given to another task, so it must not be started.
+            // Otherwise a failover restarts stopped tasks and exceeds the team's quota.
             let over = gone || (adopt && fenced);
             let phase = if over { TaskPhase::Gone } else { TaskPhase::Decided };
             TaskOnMachine { adopted: adopt, ..TaskOnMachine::new(None, phase, incarnation) }
         });
-        task.shape = Some(order.shape.clone());
-        // Its phase is sent again: the sender does not know it.
+        task.shape = Some(command.shape.clone());
+        // The sender does not know the attempt's phase, so it is sent again.
         task.notified = None;
         machine.update_load();
         self.changed_machines.insert(idx);
     }
 
-    /// Stops an attempt, with `grace_s` seconds to save its progress.
-    pub(super) fn stop(&mut self, ctx: &mut Context, what: &AttemptRef, grace_s: f64) {
+    /// Stops an attempt, giving it `grace_s` seconds to save its progress.
+    pub(super) fn stop_attempt(&mut self, ctx: &mut Context, target: &AttemptRef, grace_s: f64) {
         let now = ctx.now;
-        let idx = ctx.names.machine(&what.machine);
-        let machine = self.machine(idx);
+        let idx = ctx.names.machine(&target.machine);
+        let machine = self.machine_or_insert(idx);
         let (fenced, current) = (is_fenced(machine), machine.incarnation);
         let lost = machine.released || machine.lease_expired;
-        let key = AttemptKey::of(what);
-        let task = match (machine.tasks.get_mut(&key), what.incarnation) {
+        let key = AttemptKey::of(target);
+        let task = match (machine.tasks.get_mut(&key), target.incarnation) {
             (Some(task), _) => task,
-            // Under the incarnation it was decided for: before the machine's first heartbeat to us,
-            // a guess would make the attempt look like one of an ended incarnation. (Found by the
-            // simulator: a running task was called gone.)
+            // The attempt is recorded under the incarnation that the coordinator decided it for.
+            // Before this owner has received a heartbeat of the machine, the incarnation known here
+            // is 0, and an attempt under it would count as one of an ended incarnation: a running
+            // task would be reported as gone.
             (None, Some(incarnation)) => {
                 let unknown = TaskOnMachine::new(None, TaskPhase::Decided, incarnation);
                 machine.tasks.entry(key).or_insert(unknown)
@@ -103,7 +108,8 @@
         if task.stop.is_none_or(|stop| stop.grace_s > grace_s) {
             task.stop = Some(StopRequest { grace_s, since: now });
         }
-        // Never sent by us, and no older owner's command counts any more.
+        // This owner never sent the start command, and the worker no longer executes one of a previous
+        // owner, so the attempt cannot start.
         let never_sent = !task.start_sent() && !task.reported;
         if task.phase == TaskPhase::Decided && never_sent && (fenced || lost) {
             task.phase = TaskPhase::Gone;
@@ -113,8 +119,9 @@
         self.changed_machines.insert(idx);
     }
 
-    /// The coordinator has acknowledged the ends of these attempts.
-    pub(super) fn acknowledge_ends(&mut self, ctx: &mut Context, ended: &[AttemptRef]) {
+    /// Records that the coordinator has acknowledged the ends of these attempts. An attempt that is
+    /// not over here is left as it is.
+    pub(super) fn record_end_acknowledgements(&mut self, ctx: &mut Context, ended: &[AttemptRef]) {
         let mut acknowledged = BTreeSet::new();
         for attempt in ended {
             let idx = ctx.names.machine(&attempt.machine);
@@ -132,8 +139,8 @@
         }
     }
 
-    /// The job's terminal state is written: whatever of it is here stops, whether its coordinator
-    /// has sent a stop or not.
+    /// Stops all attempts of a job whose terminal state is durable, whether or not its coordinator has
+    /// sent stops for them.
     pub fn stop_job(&mut self, ctx: &mut Context, job: JobId) {
         let first = AttemptKey { job, task: 0, attempt: Attempt(0) };
         let last = AttemptKey { job, task: u32::MAX, attempt: Attempt(u64::MAX) };
@@ -151,13 +158,13 @@
             }
         }
         for attempt in &running {
-            self.stop(ctx, attempt, 0.0);
+            self.stop_attempt(ctx, attempt, 0.0);
         }
     }
 
-    /// Stops the attempts on a machine whose jobs are over. (Found by the simulator: a task was
-    /// reported only after its job's end had been read.)
-    pub(super) fn stop_finished_jobs(
+    /// Stops the attempts on a machine whose jobs are in a terminal state. A worker may first report a
+    /// task after the end of its job was read from the store, so `stop_job` alone would miss it.
+    pub(super) fn stop_terminal_jobs(
         &mut self,
         idx: MachineIdx,
         horizons: &Horizons,
@@ -167,7 +174,8 @@
         let mut any_stopped = false;
         let tasks = machine.tasks.iter_mut();
         for (key, task) in tasks.filter(|(_, task)| task.stop.is_none() && !task.is_over()) {
-            if horizons.is_terminal(key.job) && holds(Guard::StopOver) {
+            if horizons.is_terminal(key.job) && is_enforced(Guard::TerminalJobStoppedByParticipant)
+            {
                 task.stop = Some(StopRequest { grace_s: 0.0, since: now });
                 any_stopped = true;
             }
--- a/crates/core/src/participant/task_events.rs
+++ b/crates/core/src/participant/task_events.rs
@@ -1,42 +1,44 @@
-//! What changed on the machines, sent to the coordinators, and command batches sent to the workers.
+//! Events of attempts, sent to their coordinators, and command batches, sent to workers.
 use super::{Participant, MAX_COMMANDS};
 use crate::context::Context;
-use crate::guards::{holds, Guard};
+use crate::guards::{is_enforced, Guard};
 use crate::ids::{Epoch, MachineIdx, Shard, Timestamp};
 use crate::machine::{AttemptKey, Machine, TaskOnMachine};
 use leaddeal_wire::mesh::{ShardMessage, TaskEvent, TaskPhase};
 use leaddeal_wire::worker::{CommandBatch, ExitReason, TaskState};
 use std::collections::BTreeMap;
 
-/// An end that its coordinator has not acknowledged is sent again after this time.
+/// Time in ms after which the end of an attempt is sent again unless its coordinator has acknowledged
+/// it.
 const END_RESEND_INTERVAL_MS: u64 = 2000;
-/// Events that no coordinator acts on soon are sent together, this often.
+/// Interval in ms at which events that no coordinator acts on soon are sent together.
 const DEFERRED_EVENTS_INTERVAL_MS: u64 = 300;
-/// A message has at most this many events.
+/// Maximum number of events in one message.
 const MAX_EVENTS: usize = 200;
 
-/// Events by coordinator's shard.
+/// Events to send, by the shard of the coordinator that they are for.
 type EventsByShard = BTreeMap<u8, Vec<TaskEvent>>;
 
-/// Whether events that no coordinator acts on soon are sent now.
+/// Whether events that no coordinator acts on soon are sent in this flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DeferredEvents {
     Send,
     Defer,
 }
 
-/// What is to be done about the phase of an attempt.
+/// Whether the phase of an attempt has to be sent to its coordinator.
 enum Notification {
-    /// The coordinator knows it, or has no owner.
+    /// The coordinator already knows the phase, or its shard has no known owner.
     None,
+    /// The phase is sent later, together with others.
     Deferred,
-    /// It is sent to the coordinator of this shard and epoch.
+    /// The phase is sent now to the coordinator of this shard and epoch.
     Due(Shard, Epoch),
 }
 
-/// Whether a coordinator acts on the phase soon. The other phases it shows to users, and it writes
-/// completions together; a worker goes through several of them within a second.
-fn is_acted_on(phase: TaskPhase) -> bool {
+/// Returns whether a coordinator acts on the phase at once. The other phases it only shows to users, or
+/// writes in batches (completions), and a task passes through several of them within a second.
+fn needs_prompt_delivery(phase: TaskPhase) -> bool {
     match phase {
         TaskPhase::Exited(reason, _) => reason != ExitReason::Done,
         TaskPhase::Gone | TaskPhase::On(TaskState::Saving | TaskState::Exited) => true,
@@ -45,7 +47,7 @@
     }
 }
 
-fn notification(
+fn notification_for(
     ctx: &Context,
     key: &AttemptKey,
     task: &TaskOnMachine,
@@ -62,27 +64,27 @@
     if task.notified == Some((epoch, task.phase)) && !resend {
         return Notification::None;
     }
-    if deferred == DeferredEvents::Defer && !is_acted_on(task.phase) {
+    if deferred == DeferredEvents::Defer && !needs_prompt_delivery(task.phase) {
         return Notification::Deferred;
     }
     Notification::Due(shard, epoch)
 }
 
-/// Whether a command batch may be sent to the machine's worker now.
-fn may_command(ctx: &Context, machine: &Machine) -> bool {
-    let silent = ctx.now >= machine.last_heartbeat_at + ctx.config.quiet_ms;
-    (ctx.lease_valid || !holds(Guard::DoubtStarts))
+/// Returns whether a command batch may be sent to the machine's worker now.
+fn can_send_commands(ctx: &Context, machine: &Machine) -> bool {
+    let is_silent = ctx.now >= machine.last_heartbeat_at + ctx.config.max_silence_ms;
+    (ctx.lease_valid || !is_enforced(Guard::StartNeedsValidLease))
         && machine.direct_batch.is_none()
         && !machine.released
         && !machine.lease_expired
         && machine.incarnation > 0
         && ctx.now >= machine.next_direct_at
-        && !silent
+        && !is_silent
         && !machine.addr.is_empty()
 }
 
 impl Participant {
-    /// Sends the coordinators what changed, and the workers their commands.
+    /// Sends the events of changed machines to coordinators and pending commands to workers.
     pub fn flush(&mut self, ctx: &mut Context) {
         let deferred = self.take_deferred(ctx.now);
         self.reindex(ctx.names);
@@ -100,13 +102,14 @@
         self.send_capacity_notices(ctx);
     }
 
-    /// Marks the machines whose ended attempts are due to be sent again.
+    /// Marks the machines with ended attempts that are due to be sent again as changed.
     pub(super) fn queue_resends(&mut self, now: Timestamp) {
         while let Some((_, idx)) = self.resend_queue.pop_front_if(|resend| resend.0 <= now) {
             self.changed_machines.insert(idx);
         }
     }
 
+    /// Returns whether deferred events are sent now; if so, marks their machines as changed.
     fn take_deferred(&mut self, now: Timestamp) -> DeferredEvents {
         if now < self.next_deferred_at {
             return DeferredEvents::Defer;
@@ -118,6 +121,7 @@
         DeferredEvents::Send
     }
 
+    /// Adds the events that are due for the attempts on a machine to `events`.
     fn collect_events(
         &mut self,
         ctx: &Context,
@@ -127,7 +131,7 @@
     ) {
         let Some(machine) = self.machines.get_mut(&idx) else { return };
         for (key, task) in &mut machine.tasks {
-            let (shard, epoch) = match notification(ctx, key, task, deferred) {
+            let (shard, epoch) = match notification_for(ctx, key, task, deferred) {
                 Notification::None => continue,
                 Notification::Deferred => {
                     self.deferred_machines.insert(idx);
@@ -152,18 +156,18 @@
 
     fn send_commands(&mut self, ctx: &mut Context, idx: MachineIdx) {
         let Some(machine) = self.machines.get_mut(&idx) else { return };
-        if !may_command(ctx, machine) {
+        if !can_send_commands(ctx, machine) {
             return;
         }
         self.last_batch += 1;
         let batch = self.last_batch;
-        let orders = machine.direct_commands(batch, MAX_COMMANDS);
-        if orders.is_empty() {
+        let commands = machine.direct_commands(batch, MAX_COMMANDS);
+        if commands.is_empty() {
             return;
         }
         machine.direct_batch = Some(batch);
         let incarnation = machine.incarnation;
-        let commands = CommandBatch { token: self.epoch.0, incarnation, orders };
-        ctx.send_commands(idx, machine.addr.clone(), batch, commands);
+        let command_batch = CommandBatch { token: self.epoch.0, incarnation, commands };
+        ctx.send_commands(idx, machine.addr.clone(), batch, command_batch);
     }
 }
--- a/crates/core/src/participant/tests.rs
+++ b/crates/core/src/participant/tests.rs
@@ -1,4 +1,5 @@
-//! A participant by itself: what it offers, reserves and declares lost.
+//! Tests of a participant without a node: its offers, its reservations, and when it declares machines
+//! lost.
 use super::*;
 use crate::budget::WriteBudget;
 use crate::context::{Config, PendingOperations};
@@ -10,16 +11,16 @@
 use crate::shard::{Owner, ShardView};
 use leaddeal_wire::cloud::{Catalog, MachineType};
 use leaddeal_wire::mesh::{Assignment, OfferRequest, QueuePosition, Shape as WireShape};
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use leaddeal_wire::worker::WorkerHeartbeat;
 use std::collections::HashMap;
 use std::sync::Arc;
 
 const LEASE_MS: u64 = 10_000;
-const PATIENCE_MS: u64 = 19_000;
+const PREVIOUS_OWNER_GRACE_MS: u64 = 19_000;
 const EPOCH: Epoch = Epoch(5);
 
-/// What a participant needs around it: one shard, one zone, one type of machine with GPUs.
+/// The context of a participant: one shard, one zone, and one machine type, which has GPUs.
 pub(super) struct World {
     pub(super) names: Names,
     config: Config,
@@ -48,12 +49,12 @@
         let config = Config {
             worker_lease_ms: LEASE_MS,
             cancel_ms: 30_000,
-            quiet_ms: 6000,
-            report_due_ms: 4000,
+            max_silence_ms: 6000,
+            heartbeat_due_ms: 4000,
             max_placements: 50,
             txn_ops: 12,
             list_lag_ms: 3000,
-            cloud_gap_ms: 100,
+            cloud_call_interval_ms: 100,
             teams: Vec::new(),
             objectives: Objectives::default(),
         };
@@ -63,7 +64,7 @@
         World { names, config, budget: WriteBudget::new(50.0, 1, 1), horizons, view: vec![shard] }
     }
 
-    /// Does something at that time; returns the messages sent and the events logged.
+    /// Runs `f` with a context at `now`; returns the messages sent and the names of the events logged.
     fn at(
         &mut self,
         now: Timestamp,
@@ -76,7 +77,7 @@
             now,
             wall_clock_ms: now,
             lease_valid: true,
-            wake: false,
+            needs_round: false,
             effects: &mut effects,
             names: &mut self.names,
             config: &self.config,
@@ -84,7 +85,7 @@
             horizons: &mut self.horizons,
             me: NodeIdx(0),
             shard_views: &self.view,
-            heard_at: &[0],
+            last_contact_at: &[0],
             operations: &mut operations,
             outbox: &mut outbox,
             relayed_requests: &mut relayed_requests,
@@ -97,7 +98,7 @@
     }
 }
 
-fn report(machine: &str, seq: u64) -> WorkerHeartbeat {
+fn heartbeat(machine: &str, seq: u64) -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: machine.into(),
         addr: "10.9.0.1:1".into(),
@@ -107,13 +108,18 @@
         incarnation: 1,
         seq,
         token: EPOCH.0,
-        notice_s: None,
+        interruption_notice_s: None,
         tasks: Vec::new(),
     }
 }
 
-fn wanted(job: u64, kind: Kind, count: u32, queue_position: Option<QueuePosition>) -> OfferRequest {
-    let gang = kind == Kind::Gang;
+fn offer_request(
+    job: u64,
+    kind: JobKind,
+    count: u32,
+    queue_position: Option<QueuePosition>,
+) -> OfferRequest {
+    let gang = kind == JobKind::Gang;
     let shape = WireShape {
         kind,
         priority: Priority::Normal,
@@ -132,7 +138,7 @@
         job,
         shape: Arc::new(shape),
         count,
-        zone_room: vec![count],
+        max_per_zone: vec![count],
         preempt: true,
         urgent: false,
         may_use_gpu_machines: false,
@@ -140,67 +146,85 @@
     }
 }
 
-/// Found in a run of a whole day: arrays reserved the machines that they were kept off for the sake
-/// of gangs, again and again, and the gangs could not have them either.
+/// Guards against arrays that reserve, again and again, the machines on which they get no capacity
+/// because these are kept for gangs: the gangs cannot use the reserved machines either.
 #[test]
-fn machines_kept_for_gangs_are_not_claimed_by_who_is_kept_off() {
+fn arrays_do_not_reserve_machines_kept_for_gangs() {
     let mut world = World::new();
-    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     world.at(100, |context| {
         for m in ["n-000001", "n-000002"] {
-            participant.report(context, &report(m, 1), None).expect("an answer");
+            participant.handle_heartbeat(context, &heartbeat(m, 1), None).expect("a response");
         }
     });
-    let mut ask = |participant: &mut Participant, now, negotiation, item: OfferRequest| {
-        let items = vec![item];
-        let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
-        let offered = sent.iter().find_map(|m| match m {
-            ShardMessage::Offers { offers, .. } => {
-                Some(offers.iter().map(|o| o.count).sum::<u32>())
-            }
-            _ => None,
-        });
-        world.at(now, |context| {
-            participant.handle(
-                context,
-                Shard(0),
-                EPOCH,
-                ShardMessage::CloseNegotiation { negotiation },
-            );
-        });
-        offered.expect("an answer")
+    let mut request_offers =
+        |participant: &mut Participant, now, negotiation, item: OfferRequest| {
+            let items = vec![item];
+            let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
+            let (sent, _) =
+                world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
+            let offered = sent.iter().find_map(|m| match m {
+                ShardMessage::Offers { offers, .. } => {
+                    Some(offers.iter().map(|o| o.count).sum::<u32>())
+                }
+                _ => None,
+            });
+            world.at(now, |context| {
+                participant.handle(
+                    context,
+                    Shard(0),
+                    EPOCH,
+                    ShardMessage::CloseNegotiation { negotiation },
+                );
+            });
+            offered.expect("a response")
+        };
+    // Two of the gang's four tasks would fit, so it is queued for the zone.
+    let position = QueuePosition {
+        missed_objectives: 0,
+        time_left_ms: 9000,
+        blocks_gangs_behind: true,
+        zone: Some(0),
     };
-    // Two of its four tasks would fit: it is queued for the zone.
-    let line = QueuePosition { late: 0, time_left_ms: 9000, holds_position: true, zone: Some(0) };
-    ask(&mut participant, 200, 1, wanted(7, Kind::Gang, 4, Some(line)));
-    assert_eq!(ask(&mut participant, 300, 2, wanted(8, Kind::Array, 20, None)), 0, "kept off");
-    assert_eq!(participant.reservations.count(JobId(8)), 0, "and it claims nothing");
+    request_offers(&mut participant, 200, 1, offer_request(7, JobKind::Gang, 4, Some(position)));
+    assert_eq!(
+        request_offers(&mut participant, 300, 2, offer_request(8, JobKind::Array, 20, None)),
+        0,
+        "the machines are kept for the gang"
+    );
+    assert_eq!(participant.reservations.count(JobId(8)), 0, "the array reserves nothing");
     assert_eq!(
-        ask(&mut participant, 400, 3, wanted(7, Kind::Gang, 4, Some(line))),
+        request_offers(
+            &mut participant,
+            400,
+            3,
+            offer_request(7, JobKind::Gang, 4, Some(position))
+        ),
         2,
-        "the gang may"
+        "the gang gets the machines"
     );
 }
 
-/// Copies of its heartbeats, however late they come, do not keep a machine alive that is gone.
+/// Late copies of a machine's heartbeats do not renew its lease after the machine has failed.
 #[test]
-fn late_copies_of_reports_keep_nobody_alive() {
+fn late_heartbeat_copies_do_not_renew_lease() {
     let lost_at = |copies: bool| {
         let mut world = World::new();
-        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
         for seq in 1..=3 {
             world.at(1000 * seq, |context| {
-                participant.report(context, &report("n-000001", seq), None).expect("an answer");
+                participant
+                    .handle_heartbeat(context, &heartbeat("n-000001", seq), None)
+                    .expect("a response");
             });
         }
         (3100..100_000).step_by(100).find(|&now| {
             let (_, logged) = world.at(now, |context| {
                 if copies && now % 700 == 0 {
-                    let copy = report("n-000001", 1 + now % 3);
+                    let copy = heartbeat("n-000001", 1 + now % 3);
                     assert!(
-                        participant.report(context, &copy, None).is_none(),
-                        "a copy is answered"
+                        participant.handle_heartbeat(context, &copy, None).is_none(),
+                        "a copy was answered"
                     );
                 }
                 participant.tick(context);
@@ -212,39 +236,44 @@
     assert_eq!(lost_at(true), lost_at(false));
 }
 
-/// Copies of heartbeats of an incarnation that ended arrive after the new one has begun.
+/// A copy of a heartbeat from an ended incarnation arrives after the next incarnation has begun: it must
+/// neither renew the lease nor change the known incarnation.
 #[test]
-fn copies_of_an_ended_session_prove_nothing() {
+fn ignores_heartbeat_of_ended_incarnation() {
     let mut world = World::new();
-    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
-    let new = WorkerHeartbeat { incarnation: 2, ..report("n-000001", 1) };
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
+    let new = WorkerHeartbeat { incarnation: 2, ..heartbeat("n-000001", 1) };
     world.at(1000, |context| {
-        participant.report(context, &report("n-000001", 7), None).expect("the first session's");
-        participant.report(context, &new, None).expect("the second's");
+        participant
+            .handle_heartbeat(context, &heartbeat("n-000001", 7), None)
+            .expect("a response to the first incarnation");
+        participant
+            .handle_heartbeat(context, &new, None)
+            .expect("a response to the second incarnation");
     });
     let granted = |participant: &Participant| {
         participant.machines.values().next().map(|m| (m.lease_granted_at, m.incarnation))
     };
     let before = granted(&participant);
     world.at(9000, |context| {
-        assert!(participant.report(context, &report("n-000001", 9), None).is_none());
+        assert!(participant.handle_heartbeat(context, &heartbeat("n-000001", 9), None).is_none());
     });
     assert_eq!(granted(&participant), before);
 }
 
-/// Heartbeats arrive, responses don't: no new work after the second sign, and again once the machine
-/// is reached.
+/// One-way partition: heartbeats arrive, but responses do not reach the machine. It gets no new work after
+/// the second heartbeat that shows this, until a heartbeat shows that a response arrived.
 #[test]
-fn a_deaf_machine_gets_no_work_until_it_hears() {
+fn offers_no_unreachable_machine() {
     let mut world = World::new();
-    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+    let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
     let offered = |world: &mut World,
                    participant: &mut Participant,
                    now: Timestamp,
                    negotiation| {
-        let items = vec![wanted(8, Kind::Array, 1, None)];
-        let ask = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
-        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, ask));
+        let items = vec![offer_request(8, JobKind::Array, 1, None)];
+        let msg = ShardMessage::RequestOffers { negotiation, items, gpu_work: Vec::new() };
+        let (sent, _) = world.at(now, |context| participant.handle(context, Shard(0), EPOCH, msg));
         world.at(now, |context| {
             participant.handle(
                 context,
@@ -255,68 +284,76 @@
         });
         sent.iter().any(|m| matches!(m, ShardMessage::Offers { offers, .. } if !offers.is_empty()))
     };
-    let hear = |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
-        let via = via.map(NodeIdx);
-        world.at(now, |context| {
-            participant.report(context, &report("n-000001", seq), via).expect("an answer");
-        });
-    };
-    hear(&mut world, &mut participant, 1000, 1, None);
+    let send_heartbeat =
+        |world: &mut World, participant: &mut Participant, now, seq, via: Option<u8>| {
+            let via = via.map(NodeIdx);
+            world.at(now, |context| {
+                participant
+                    .handle_heartbeat(context, &heartbeat("n-000001", seq), via)
+                    .expect("a response");
+            });
+        };
+    send_heartbeat(&mut world, &mut participant, 1000, 1, None);
     assert!(offered(&mut world, &mut participant, 1100, 1));
-    hear(&mut world, &mut participant, 3000, 2, None);
-    // It tries one controller after the other: five seconds, and each time another path.
-    hear(&mut world, &mut participant, 8000, 3, Some(1));
-    assert!(offered(&mut world, &mut participant, 8100, 2), "one sign is no verdict");
-    hear(&mut world, &mut participant, 13_000, 4, Some(2));
+    send_heartbeat(&mut world, &mut participant, 3000, 2, None);
+    // Without a response the worker tries one controller after the other, so its heartbeats come five
+    // seconds apart and each by another path.
+    send_heartbeat(&mut world, &mut participant, 8000, 3, Some(1));
+    assert!(offered(&mut world, &mut participant, 8100, 2), "one unproven heartbeat is not enough");
+    send_heartbeat(&mut world, &mut participant, 13_000, 4, Some(2));
     assert!(!offered(&mut world, &mut participant, 13_100, 3));
-    hear(&mut world, &mut participant, 18_000, 5, None);
+    send_heartbeat(&mut world, &mut participant, 18_000, 5, None);
     assert!(!offered(&mut world, &mut participant, 18_100, 4));
-    hear(&mut world, &mut participant, 20_000, 6, None);
-    assert!(offered(&mut world, &mut participant, 20_100, 5), "it stayed, so it was answered");
+    send_heartbeat(&mut world, &mut participant, 20_000, 6, None);
+    assert!(
+        offered(&mut world, &mut participant, 20_100, 5),
+        "the worker kept the path, so a response reached it"
+    );
 }
 
-/// After a takeover a silent machine is waited for until no previous owner can have answered it.
+/// After a failover a silent machine is not declared lost while a previous owner may have answered its
+/// worker. Once all previous owners have relinquished the shard, only the worker's lease counts.
 #[test]
-fn a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go() {
-    let lost_at = |let_go: Option<Timestamp>| {
+fn silent_machine_expires_after_previous_owners_relinquish() {
+    let lost_at = |relinquished_at: Option<Timestamp>| {
         let mut world = World::new();
-        let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PATIENCE_MS);
+        let mut participant = Participant::new(Shard(0), EPOCH, 1000, 1, PREVIOUS_OWNER_GRACE_MS);
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = wanted(7, Kind::Array, 1, None).shape;
+        let shape = offer_request(7, JobKind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: true };
         world.at(1100, |context| participant.handle(context, Shard(0), EPOCH, place));
         (1100..100_000).step_by(100).find(|&now| {
-            if let_go.is_some_and(|at| now >= at) {
-                participant.previous_owners_relinquished(now);
+            if relinquished_at.is_some_and(|at| now >= at) {
+                participant.on_previous_owners_relinquished(now);
             }
             let (_, logged) = world.at(now, |context| participant.tick(context));
             logged.contains(&"worker_lease_expired")
         })
     };
-    let whole = lost_at(None).expect("lost in the end");
+    let without_proof = lost_at(None).expect("lease expires");
     assert!(
-        whole > 1000 + PATIENCE_MS + LEASE_MS,
-        "the owner before may have answered it: {whole}"
+        without_proof > 1000 + PREVIOUS_OWNER_GRACE_MS + LEASE_MS,
+        "a previous owner may have answered the worker: {without_proof}"
     );
-    let proven = lost_at(Some(3000)).expect("lost in the end");
-    assert!((3000 + LEASE_MS..3000 + LEASE_MS + 1000).contains(&proven), "at {proven}");
+    let with_proof = lost_at(Some(3000)).expect("lease expires");
+    assert!((3000 + LEASE_MS..3000 + LEASE_MS + 1000).contains(&with_proof), "at {with_proof}");
 }
 
-/// A placement that was sent before its job was cancelled, which was learned another way: it starts
-/// nothing, unless a newer owner says that the job goes on.
+/// A placement is sent before its job is cancelled, and the cancellation arrives first by another route:
+/// the placement must start nothing, unless a coordinator of a newer epoch continues the job.
 #[test]
-fn a_yes_after_its_jobs_end_starts_nothing() {
-    let starts = |over: bool, epoch: u64| {
+fn late_placement_of_cancelled_job_starts_nothing() {
+    let starts = |is_cancelled: bool, epoch: u64| {
         let mut world = World::new();
-        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PATIENCE_MS);
+        let mut participant = Participant::new(Shard(0), EPOCH, 1, 1, PREVIOUS_OWNER_GRACE_MS);
         world.at(1000, |context| {
-            participant.report(context, &report("n-000001", 1), None);
+            participant.handle_heartbeat(context, &heartbeat("n-000001", 1), None);
         });
-        if over {
+        if is_cancelled {
             world.horizons.on_cancelled(Shard(0), EPOCH, JobId(7), 1050);
         }
         let pick = Assignment { task: 0, attempt: 3, machine: "n-000001".into(), incarnation: 1 };
-        let shape = wanted(7, Kind::Array, 1, None).shape;
+        let shape = offer_request(7, JobKind::Array, 1, None).shape;
         let place = ShardMessage::Place { job: 7, shape, picks: vec![pick], adopt: false };
         let mut sent = 0;
         world.at(1100, |context| {
@@ -332,15 +369,24 @@
         sent
     };
     assert_eq!(starts(false, EPOCH.0), 1);
-    assert_eq!(starts(true, EPOCH.0), 0, "it would start what is cancelled");
-    assert_eq!(starts(true, EPOCH.0 + 1), 1, "what was to be written never was");
+    assert_eq!(starts(true, EPOCH.0), 0, "the job is cancelled");
+    assert_eq!(starts(true, EPOCH.0 + 1), 1, "the cancellation was never written");
 }
 
 #[cfg(feature = "guards")]
 #[test]
-fn its_guards_are_missed() {
-    use crate::guards::{missed_by, Guard};
-    missed_by(Guard::Waits, late_copies_of_reports_keep_nobody_alive);
-    missed_by(Guard::Patience, a_silent_machine_waits_for_its_lease_alone_once_older_owners_let_go);
-    missed_by(Guard::LatePlace, a_yes_after_its_jobs_end_starts_nothing);
+fn tests_fail_without_their_guards() {
+    use crate::guards::{assert_fails_without, Guard};
+    assert_fails_without(
+        Guard::LateHeartbeatGrantsNoLease,
+        late_heartbeat_copies_do_not_renew_lease,
+    );
+    assert_fails_without(
+        Guard::PreviousOwnersTimedOut,
+        silent_machine_expires_after_previous_owners_relinquish,
+    );
+    assert_fails_without(
+        Guard::LateAssignmentStopped,
+        late_placement_of_cancelled_job_starts_nothing,
+    );
 }
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -1,31 +1,32 @@
 //! Scale out: which instances to request for the unmet demand.
 //!
-//! The most urgent demand comes first. Each one takes capacity that is coming up, then what this plan
-//! requests already, and then requests more: the cheapest that it may run on.
+//! Demands are served in the order of urgency. Each is assigned pending capacity first, which is
+//! booting or requested, then instances that this plan already requests. For the rest, the plan
+//! requests the cheapest instances that its tasks may run on.
 use super::boot_times::BootLocation;
 use super::boot_tracker::{BootTracker, BootingMachine};
 use super::instance_requests::{InstanceRequests, MAX_INSTANCES_PER_REQUEST};
 use crate::context::Context;
-use crate::ids::{Shard, Timestamp, TypeIdx, ZoneIdx};
+use crate::ids::{MachineTypeIdx, Shard, Timestamp, ZoneIdx};
 use crate::names::Resources;
 use leaddeal_wire::cloud::InstanceRequest;
 use leaddeal_wire::mesh::UnmetDemand;
-use leaddeal_wire::user::{Kind, Priority};
+use leaddeal_wire::user::{JobKind, Priority};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-/// Requests of one plan; the next plan is made from what is known by then.
+/// Maximum number of requests of one plan. The next plan is made from newer information.
 const MAX_REQUESTS_PER_PLAN: usize = 8;
-/// Instances that a plan requests at most for one job that can wait.
+/// Maximum number of instances that a plan requests for one job of the lowest priority.
 const MAX_INSTANCES_FOR_LOW_PRIORITY: u32 = 8;
-/// Demand that has waited for less than this requests no instances.
+/// No instances are requested for a job that was submitted less than this long ago.
 const MIN_WAIT_MS: u64 = 300;
-/// By this factor a machine counts as dearer where boots fail at present.
+/// Factor on the price of machines of a type in a zone where boots fail at present.
 const FAILING_BOOTS_PRICE_FACTOR: f64 = 2.0;
-/// For this long after a refusal, nothing of the same kind is requested.
+/// For this long after the cloud had no capacity, no instances of the same kind are requested.
 const NO_CAPACITY_MS: u64 = 20_000;
 
-/// What the cloud may have no capacity for.
+/// A kind of instance that the cloud may have no capacity for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct InstanceKind {
     type_name: String,
@@ -33,26 +34,26 @@
     spot: bool,
 }
 
-/// The unmet demand of all coordinators, and what the cloud can't meet at present.
+/// The unmet demand of all coordinators, and the kinds of instances that the cloud lacks at present.
 #[derive(Debug, Default)]
 pub(super) struct Demand {
-    /// As each coordinator last stated it.
+    /// As each coordinator last reported it.
     by_coordinator: BTreeMap<Shard, Vec<UnmetDemand>>,
-    /// Until when nothing of a kind is requested.
+    /// Until when no instances of a kind are requested.
     no_capacity_until: HashMap<InstanceKind, Timestamp>,
 }
 
-/// Capacity that is coming up, or requested, and that no demand has taken.
+/// An instance that is booting or requested, with the capacity that is not assigned to a demand yet.
 #[derive(Clone, Debug)]
 struct PendingInstance {
-    machine_type: TypeIdx,
+    machine_type: MachineTypeIdx,
     zone: Option<ZoneIdx>,
     spot: bool,
     free: Resources,
 }
 
 impl PendingInstance {
-    /// `None` if its type is not in the catalog.
+    /// Returns an instance with all of its capacity free; `None` if its type is not in the catalog.
     fn new(ctx: &Context, type_name: &str, zone: &str, spot: bool) -> Option<PendingInstance> {
         let machine_type = ctx.names.type_idx(type_name)?;
         Some(PendingInstance {
@@ -63,40 +64,40 @@
         })
     }
 
-    /// A machine that is booting.
+    /// Returns the instance for a machine that is booting.
     fn booting(ctx: &Context, machine: &BootingMachine) -> Option<PendingInstance> {
         PendingInstance::new(ctx, &machine.type_name, &machine.zone, machine.spot)
     }
 
-    /// One of the instances that a request is for.
+    /// Returns one of the instances that a request is for.
     fn requested(ctx: &Context, request: &InstanceRequest) -> Option<PendingInstance> {
         PendingInstance::new(ctx, &request.type_name, &request.zone, request.spot)
     }
 
-    /// Takes capacity for as many tasks of the demand as fit.
+    /// Assigns free capacity to as many tasks of the demand as fit and may run here.
     fn assign(&mut self, ctx: &Context, open: &mut OpenDemand) {
-        let zone = self.zone.and_then(|zone| open.zone_limits.get_mut(usize::from(zone.0)));
-        let Some(zone_limit) = zone.filter(|limit| **limit > 0) else { return };
-        let tasks = self.free.fits(open.need).min(open.tasks).min(*zone_limit);
+        let zone = self.zone.and_then(|zone| open.max_per_zone.get_mut(usize::from(zone.0)));
+        let Some(max_in_zone) = zone.filter(|limit| **limit > 0) else { return };
+        let tasks = self.free.fit_count(open.need).min(open.tasks).min(*max_in_zone);
         if tasks == 0 || !ctx.names.allows(&open.demand.shape, self.machine_type, self.spot) {
             return;
         }
         self.free.sub(open.need, tasks);
-        *zone_limit -= tasks;
+        *max_in_zone -= tasks;
         open.tasks -= tasks;
     }
 }
 
-/// The part of a demand for which the plan has no capacity yet.
+/// The part of a demand that the plan has no capacity for yet.
 #[derive(Clone, Debug)]
 struct OpenDemand<'a> {
     demand: &'a UnmetDemand,
-    /// What one task takes.
+    /// Resources that one task needs.
     need: Resources,
-    /// Tasks without capacity.
+    /// Number of tasks without capacity.
     tasks: u64,
-    /// How many more tasks each zone may have.
-    zone_limits: Vec<u64>,
+    /// How many more tasks may run in each zone, by zone number.
+    max_per_zone: Vec<u64>,
 }
 
 impl<'a> OpenDemand<'a> {
@@ -105,30 +106,31 @@
             demand,
             need: Resources::of(&demand.shape),
             tasks: u64::from(demand.count),
-            zone_limits: demand.zone_room.iter().map(|&limit| u64::from(limit)).collect(),
+            max_per_zone: demand.max_per_zone.iter().map(|&limit| u64::from(limit)).collect(),
         }
     }
 
     fn needs_one_zone(&self) -> bool {
-        self.demand.shape.kind == Kind::Gang && self.demand.count > 1
+        self.demand.shape.kind == JobKind::Gang && self.demand.count > 1
     }
 
     fn allow_only_zone(&mut self, only: usize) {
-        for (zone, limit) in self.zone_limits.iter_mut().enumerate() {
+        for (zone, limit) in self.max_per_zone.iter_mut().enumerate() {
             if zone != only {
                 *limit = 0;
             }
         }
     }
 
-    /// How many of the tasks without capacity may be in this zone.
+    /// Returns how many of the tasks without capacity may run in this zone.
     fn tasks_in_zone(&self, ctx: &Context, zone: &str) -> u64 {
         let zone = ctx.names.zone(zone);
-        let limit = zone.and_then(|zone| self.zone_limits.get(usize::from(zone.0)));
+        let limit = zone.and_then(|zone| self.max_per_zone.get(usize::from(zone.0)));
         limit.copied().unwrap_or(0).min(self.tasks)
     }
 
-    /// Work that can wait runs on few machines for longer rather than on many at once.
+    /// Returns how many instances a plan may request for this demand. Jobs of the lowest priority run
+    /// on few machines for longer rather than on many at once.
     fn max_instances(&self) -> u64 {
         u64::from(if self.demand.shape.priority == Priority::Low {
             MAX_INSTANCES_FOR_LOW_PRIORITY
@@ -138,22 +140,22 @@
     }
 }
 
-/// A request, and what one task costs by it.
+/// A request, and the price per task of its instances.
 #[derive(Debug)]
 struct PricedRequest {
     cost_per_task: f64,
     request: InstanceRequest,
 }
 
-/// What a plan requests, and the capacity that demand may take.
+/// The requests of a plan, and the pending instances whose capacity demands are assigned.
 struct Plan {
     pending: Vec<PendingInstance>,
     requests: Vec<InstanceRequest>,
 }
 
 impl Plan {
-    /// Adds instances to a request for the same kind, or as a new one.
-    fn request(&mut self, wanted: InstanceRequest, count: u32) {
+    /// Adds `count` instances to a request for the same kind, or as a new request.
+    fn add_instances(&mut self, wanted: InstanceRequest, count: u32) {
         let same = self.requests.iter_mut().find(|request| {
             request.type_name == wanted.type_name
                 && request.zone == wanted.zone
@@ -168,12 +170,12 @@
 }
 
 impl Demand {
-    /// Takes what a coordinator states: all of its unmet demand.
+    /// Replaces the unmet demand of a coordinator.
     pub(super) fn set(&mut self, coordinator: Shard, demands: Vec<UnmetDemand>) {
         self.by_coordinator.insert(coordinator, demands);
     }
 
-    /// The cloud had no capacity for this request, or not for all of it.
+    /// Records that the cloud had no capacity for all or part of this request.
     pub(super) fn on_no_capacity(&mut self, now: Timestamp, request: &InstanceRequest) {
         let kind = InstanceKind {
             type_name: request.type_name.clone(),
@@ -187,7 +189,7 @@
         self.no_capacity_until.retain(|_, until| *until > now);
     }
 
-    /// What to request, for the most urgent demand first. `requests` are those that are pending.
+    /// Returns what to request, for the most urgent demand first. `requests` are the pending ones.
     pub(super) fn plan(
         &self,
         ctx: &Context,
@@ -234,13 +236,13 @@
                 instance.assign(ctx, &mut open);
                 plan.pending.push(instance);
             }
-            plan.request(request, count as u32);
+            plan.add_instances(request, count as u32);
         }
     }
 
-    /// The zone in which a gang of several tasks is to get capacity: where most of it is coming up,
-    /// if the rest can be had there. (Found at twice a fleet: half of a gang's capacity was launched
-    /// in each of two zones, and the gang could start in neither.)
+    /// Returns the zone in which a gang of several tasks is to get capacity: the one with the most
+    /// pending capacity, provided that the rest can be requested there. Without this rule, half of a
+    /// gang's capacity was launched in each of two zones, and the gang could start in neither.
     fn zone_for_gang(
         &self,
         ctx: &Context,
@@ -248,22 +250,23 @@
         gang: &OpenDemand,
         pending: &[PendingInstance],
     ) -> Option<usize> {
-        let zones = gang.zone_limits.len();
+        let zones = gang.max_per_zone.len();
         let count = u64::from(gang.demand.count);
-        let coming = tasks_coming_by_zone(ctx, gang, pending);
+        let pending_tasks = pending_tasks_by_zone(ctx, gang, pending);
         let mut order: Vec<usize> =
-            (0..zones).filter(|&zone| gang.zone_limits[zone] >= count).collect();
-        order.sort_by_key(|&zone| Reverse(coming[zone].min(count)));
+            (0..zones).filter(|&zone| gang.max_per_zone[zone] >= count).collect();
+        order.sort_by_key(|&zone| Reverse(pending_tasks[zone].min(count)));
         order.into_iter().find(|&zone| {
-            let missing = count.saturating_sub(coming[zone]);
-            let mut zone_limits = vec![0; zones];
-            zone_limits[zone] = count;
-            let rest = OpenDemand { tasks: missing, zone_limits, ..*gang };
+            let missing = count.saturating_sub(pending_tasks[zone]);
+            let mut max_per_zone = vec![0; zones];
+            max_per_zone[zone] = count;
+            let rest = OpenDemand { tasks: missing, max_per_zone, ..*gang };
             missing == 0 || self.cheapest(ctx, boots, &rest).is_some()
         })
     }
 
-    /// The cheapest request for capacity for the demand; the first one of several at the same cost.
+    /// Returns the request with the lowest price per task for the demand; of several at the same
+    /// price, the first.
     fn cheapest(
         &self,
         ctx: &Context,
@@ -272,7 +275,7 @@
     ) -> Option<InstanceRequest> {
         let mut best: Option<PricedRequest> = None;
         for (index, machine_type) in ctx.names.catalog.iter().enumerate() {
-            let type_idx = TypeIdx(index as u8);
+            let type_idx = MachineTypeIdx(index as u8);
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let candidate = self.candidate(ctx, boots, open, type_idx, zone, spot);
@@ -287,18 +290,19 @@
         best.map(|best| best.request)
     }
 
-    /// A request for instances of this type in this zone, as many as the demand takes. `None` if they
-    /// may not, or can't, run any of it, if they cost too much, or if there are none.
+    /// Returns a request for instances of this type in this zone, as many as the demand needs. `None`
+    /// if no task of the demand fits or may run on them, if they cost too much, or if the cloud had
+    /// no capacity for them lately.
     fn candidate(
         &self,
         ctx: &Context,
         boots: &BootTracker,
         open: &OpenDemand,
-        type_idx: TypeIdx,
+        type_idx: MachineTypeIdx,
         zone: &str,
         spot: bool,
     ) -> Option<PricedRequest> {
-        let fits = ctx.names.resources_of_type(type_idx).fits(open.need);
+        let fits = ctx.names.resources_of_type(type_idx).fit_count(open.need);
         let tasks = open.tasks_in_zone(ctx, zone);
         let shape = &open.demand.shape;
         if fits == 0 || tasks == 0 || !ctx.names.allows(shape, type_idx, spot) {
@@ -308,12 +312,12 @@
         let zone = zone.to_string();
         let kind = InstanceKind { type_name: type_name.clone(), zone: zone.clone(), spot };
         if self.no_capacity_until.contains_key(&kind)
-            || !ctx.names.affordable(shape, type_idx, spot, open.demand.urgent)
+            || !ctx.names.is_affordable(shape, type_idx, spot, open.demand.urgent)
         {
             return None;
         }
         let location = BootLocation { type_name: type_name.clone(), zone: zone.clone() };
-        // Elsewhere, if that is not much dearer.
+        // Boots fail at this location: another one is preferred unless it costs far more.
         let factor = if boots.is_failing(&location) { FAILING_BOOTS_PRICE_FACTOR } else { 1.0 };
         let cost = ctx.names.price(type_idx, spot) * factor;
         let count = tasks.div_ceil(fits).clamp(1, u64::from(MAX_INSTANCES_PER_REQUEST)) as u32;
@@ -322,7 +326,8 @@
     }
 }
 
-/// The capacity that is coming up: booting machines that count as such, then pending requests.
+/// Returns the pending instances: booting machines that count as expected capacity, then the
+/// instances of pending requests.
 fn pending_instances(
     ctx: &Context,
     boots: &BootTracker,
@@ -338,17 +343,21 @@
     pending
 }
 
-/// For how many tasks of the demand capacity is coming up in each zone.
-fn tasks_coming_by_zone(ctx: &Context, open: &OpenDemand, pending: &[PendingInstance]) -> Vec<u64> {
-    let mut coming = vec![0; open.zone_limits.len()];
+/// Returns for how many tasks of the demand there is pending capacity in each zone.
+fn pending_tasks_by_zone(
+    ctx: &Context,
+    open: &OpenDemand,
+    pending: &[PendingInstance],
+) -> Vec<u64> {
+    let mut pending_tasks = vec![0; open.max_per_zone.len()];
     let shape = &open.demand.shape;
     let allowed =
         |instance: &&PendingInstance| ctx.names.allows(shape, instance.machine_type, instance.spot);
     for instance in pending.iter().filter(allowed) {
-        let tasks = instance.zone.and_then(|zone| coming.get_mut(usize::from(zone.0)));
+        let tasks = instance.zone.and_then(|zone| pending_tasks.get_mut(usize::from(zone.0)));
         if let Some(tasks) = tasks {
-            *tasks = u64::saturating_add(*tasks, instance.free.fits(open.need));
+            *tasks = u64::saturating_add(*tasks, instance.free.fit_count(open.need));
         }
     }
-    coming
+    pending_tasks
 }
--- a/crates/leaddeal/src/driver/store_client.rs
+++ b/crates/leaddeal/src/driver/store_client.rs
@@ -1,36 +1,37 @@
 //! Calls to the key-value store.
 //!
-//! A call has a result whatever happens: [`StoreResult::Refused`] if it certainly was not executed,
+//! A failed call has a result too: [`StoreResult::Refused`] if it certainly was not executed,
 //! [`StoreResult::Unknown`] if it may have been.
 use super::CONNECT_TIMEOUT;
 use crate::http_client::{CallError, HttpClient, HttpResponse};
 use hyper::StatusCode;
 use leaddeal_core::io::{StoreCall, StoreResult};
 use leaddeal_wire::state::{
-    Change, LeaseGrant, LeaseRequest, Transaction, TransactionResult, KV, LEASES, TXN, WATCH,
+    Change, LeaseGrant, LeaseRequest, Transaction, TransactionResult, ITEMS_PATH, LEASES_PATH,
+    TRANSACTIONS_PATH, WATCH_PATH,
 };
 use std::time::Duration;
 
 const STORE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Beyond the time that the store is asked to wait for changes. Watches stay open through an outage of the
-/// store, and then wait on.
+/// Added to the time that the store is asked to wait for changes. Watches stay open during an outage of the
+/// store, and continue to wait after it.
 const WATCH_EXTRA_TIMEOUT: Duration = Duration::from_secs(5);
-/// Items of one page of a list.
+/// Maximum number of items on one page of a list.
 const MAX_PAGE_ITEMS: usize = 300;
 
-/// The key-value store, with connections that clones share.
+/// Client of the key-value store. Clones share its connections.
 #[derive(Clone)]
 pub(super) struct StoreClient {
     http: HttpClient,
 }
 
 impl StoreClient {
-    /// A client for the store at `addr` (`ADDRESS:PORT`).
+    /// Creates a client for the store at `addr` (`ADDRESS:PORT`).
     pub fn new(addr: &str) -> StoreClient {
         StoreClient { http: HttpClient::new(addr, CONNECT_TIMEOUT) }
     }
 
-    /// Makes one call. Not repeated on failure: the core decides on retries.
+    /// Makes one call. Does not retry on failure: the core decides on retries.
     pub async fn execute(&self, call: StoreCall) -> StoreResult {
         let response = match self.send(&call).await {
             Ok(response) => response,
@@ -48,23 +49,25 @@
         match call {
             StoreCall::NewLease { ttl_ms } => {
                 let request = LeaseRequest { ttl_ms: *ttl_ms };
-                self.http.post_json(LEASES, &request, STORE_TIMEOUT).await
+                self.http.post_json(LEASES_PATH, &request, STORE_TIMEOUT).await
             }
             StoreCall::RenewLease { lease } => {
-                self.http.post(&format!("{LEASES}/{lease}/touch"), STORE_TIMEOUT).await
+                self.http.post(&format!("{LEASES_PATH}/{lease}/touch"), STORE_TIMEOUT).await
             }
             StoreCall::EndLease { lease } => {
-                self.http.delete(&format!("{LEASES}/{lease}"), STORE_TIMEOUT).await
+                self.http.delete(&format!("{LEASES_PATH}/{lease}"), STORE_TIMEOUT).await
             }
             StoreCall::Transaction(transaction) => {
-                self.http.post_json(TXN, transaction, STORE_TIMEOUT).await
+                self.http.post_json(TRANSACTIONS_PATH, transaction, STORE_TIMEOUT).await
+            }
+            StoreCall::Get { key } => {
+                self.http.get(&format!("{ITEMS_PATH}/{key}"), STORE_TIMEOUT).await
             }
-            StoreCall::Get { key } => self.http.get(&format!("{KV}/{key}"), STORE_TIMEOUT).await,
             StoreCall::List { prefix, after } => {
                 self.http.get(&list_path(prefix, after.as_deref()), STORE_TIMEOUT).await
             }
             StoreCall::Watch { prefix, after, wait_ms } => {
-                let path = format!("{WATCH}?under={prefix}&after={after}&waitMs={wait_ms}");
+                let path = format!("{WATCH_PATH}?under={prefix}&after={after}&waitMs={wait_ms}");
                 let timeout = Duration::from_millis(*wait_ms) + WATCH_EXTRA_TIMEOUT;
                 self.http.get(&path, timeout).await
             }
@@ -74,10 +77,10 @@
 
 fn list_path(prefix: &str, after: Option<&str>) -> String {
     let after = after.map(|key| format!("&after={key}")).unwrap_or_default();
-    format!("{KV}?under={prefix}{after}&limit={MAX_PAGE_ITEMS}")
+    format!("{ITEMS_PATH}?under={prefix}{after}&limit={MAX_PAGE_ITEMS}")
 }
 
-/// What a response says of its call; `None` if its status or body are not of the protocol.
+/// Converts the response to a call. Returns `None` if its status or body violates the protocol.
 fn result_of(call: &StoreCall, response: &HttpResponse) -> Option<StoreResult> {
     match (call, response.status) {
         (_, StatusCode::SERVICE_UNAVAILABLE) => Some(StoreResult::Refused),
@@ -114,11 +117,11 @@
     }
 }
 
-/// The store takes a transaction for invalid if it names a lease that has expired.
+/// Converts a 400 to a transaction: the store rejects a transaction as invalid if it names an expired lease.
 fn invalid_transaction(transaction: &Transaction, response: &HttpResponse) -> StoreResult {
     tracing::error!(event = "store_refused", "{}", String::from_utf8_lossy(&response.body));
-    let with_lease = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
-    if transaction.changes.iter().any(with_lease) {
+    let has_lease = |change: &Change| matches!(change, Change::Put { lease: Some(_), .. });
+    if transaction.changes.iter().any(has_lease) {
         StoreResult::NoLease
     } else {
         StoreResult::Refused
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -58,7 +58,7 @@
                 let input = Input::Cloud { op, result };
                 self.schedule_input(CLOUD_CALL_MS + latency_ms, self.process(node), input);
             }
-            Effect::Commands { machine, batch, direct, .. } => {
+            Effect::Commands { machine, batch, commands: direct, .. } => {
                 let process = self.process(node);
                 let commands = direct;
                 let answer_lost = false;
@@ -115,7 +115,7 @@
     fn send_commands(&mut self, mut sent: SentCommands, latency_ms: u64) {
         let node = sent.process.node;
         if self.trace {
-            let orders = &sent.commands.orders;
+            let orders = &sent.commands.commands;
             eprintln!("{} n-{node} direct {} {orders:?}", self.now, sent.machine);
         }
         self.note_commands(node, &sent.machine);
