--- a/crates/core/src/participant/machine_choice.rs
+++ b/crates/core/src/participant/machine_choice.rs
@@ -159,9 +159,9 @@
         group: MachineGroup,
     ) -> Result<GroupScore, OfferObstacle> {
         let request = search.request;
-        let max_per_zone = request.max_per_zone.get(group.zone.0 as usize).copied().unwrap_or(0);
+        let zone_limit = request.max_per_zone.get(group.zone.0 as usize).copied().unwrap_or(0);
         let has_gang_ahead = |rank| self.gang_queue.has_gang_ahead(rank, group);
-        if max_per_zone == 0 {
+        if zone_limit == 0 {
             return Err(OfferObstacle::ZoneRule);
         }
         if search.rank.is_some_and(has_gang_ahead) {
