--- a/crates/core/src/coordinator/unmet_demand.rs
+++ b/crates/core/src/coordinator/unmet_demand.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// At most this many jobs are reported to the provisioner: the first in [`DemandOrder`].
+/// At most this many jobs are reported to the provisioner: the first in `DemandOrder`.
 const MAX_UNMET_DEMANDS: usize = 60;
 
 /// The order in which jobs are reported: by priority, then by age.
@@ -21,7 +21,7 @@
 
 /// Returns for how many pending tasks of the job a machine is worth launching: all, or as many as
 /// its team's quota would cover.
-fn tasks_worth_machine(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
+fn launchable_tasks(ctx: &Context, admitted: &HashMap<JobId, Admitted>, job: &Job) -> u32 {
     match ctx.quota_use(job) {
         Some(_) => admitted.get(&job.id).map_or(0, |admitted| admitted.launchable),
         None => job.pending(),
@@ -29,7 +29,7 @@
 }
 
 impl Coordinator {
-    /// Returns the demand of tasks without a machine, in the order of [`DemandOrder`]; empty until
+    /// Returns the demand of tasks without a machine, in the order of `DemandOrder`; empty until
     /// the shard is loaded.
     pub fn unmet_demand(&self, ctx: &Context) -> Vec<UnmetDemand> {
         if !self.is_ready() {
@@ -40,7 +40,7 @@
         let mut unmet: Vec<&Job> = jobs
             .filter(|job| !job.cancelled && job.termination.status.is_none() && job.pending() > 0)
             .filter(|job| !job.failure_suspicion.is_suspected())
-            .filter(|job| tasks_worth_machine(ctx, &admitted, job) > 0)
+            .filter(|job| launchable_tasks(ctx, &admitted, job) > 0)
             .collect();
         // Unsorted, the jobs with the lowest identifiers were reported instead of the first in this
         // order (seen at five times the normal fleet size).
@@ -49,7 +49,7 @@
         let demand = |job: &Job| UnmetDemand {
             job: job.id.0,
             shape: job.shape.wire.clone(),
-            count: tasks_worth_machine(ctx, &admitted, job),
+            count: launchable_tasks(ctx, &admitted, job),
             max_per_zone: job.max_per_zone(&ctx.names.zones),
             waited_ms: ctx.now.saturating_sub(job.submitted_at),
             urgent: job.is_urgent(ctx.now),
--- a/crates/core/src/node/statistics.rs
+++ b/crates/core/src/node/statistics.rs
@@ -62,7 +62,7 @@
             let context = self.shared.context(effects);
             let coordinator = active.coordinator.statistics(context.now);
             let participant = active.participant.statistics(&context);
-            let starts = active.coordinator.start_statistics(context.now);
+            let starts = active.coordinator.service_statistics(context.now);
             let obstacles = active.participant.obstacle_statistics();
             let waiting = active.coordinator.wait_statistics(&context);
             let quotas = active.coordinator.quota_statistics(&context);
