--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -1,4 +1,4 @@
-//! The simulated cloud: it launches, lists and releases instances.
+//! The simulated cloud provider, which launches, lists and releases instances.
 use super::event::Event;
 use super::setup::machine_types;
 use super::{Sabotage, Sim};
@@ -7,29 +7,32 @@
 use leaddeal_wire::cloud::{Catalog, Instance, InstanceList, InstanceRequest, InstanceStatus};
 use rand::Rng;
 
-/// How long a call of the cloud takes beside its latency.
+/// Processing time of a call to the cloud, without the network latency.
 pub(super) const CLOUD_CALL_MS: u64 = 80;
-/// How long an instance usually takes to come up.
+/// Usual time from the launch of an instance until it is up.
 const BOOT_MS: u64 = 5000;
-/// The same where instances boot fast.
+/// Time from the launch of an instance until it is up, during [`Fault::FastBoots`](crate::script::Fault::FastBoots).
 const FAST_BOOT_MS: std::ops::Range<u64> = 200..2000;
-/// The age of running instances in the cloud's lists, in seconds.
+/// Age that the cloud's lists give for every running instance.
 const LISTED_AGE_S: f64 = 30.0;
 
-/// An instance that was launched and is not up.
+/// An instance that was launched and is not up yet.
 pub(super) struct StartingInstance {
     request: InstanceRequest,
-    since: u64,
+    launched_at: u64,
 }
 
-/// What an instance request asked for and was given.
+/// An instance request that was granted, with the names of its instances.
 pub(super) struct Launch {
     request: InstanceRequest,
     names: Vec<String>,
 }
 
 impl Sim {
-    /// Carries out a call of the cloud.
+    /// Executes a call to the cloud.
+    ///
+    /// # Errors
+    /// [`Rule::NameReused`] if the name of an earlier request is used for a different one.
     pub(super) fn cloud(&mut self, call: CloudCall) -> Result<CloudResult, BrokenRule> {
         match call {
             CloudCall::Catalog => {
@@ -51,14 +54,14 @@
         if self.plan.sabotage == Sabotage::ReusedRequestNames {
             request.request = request.request.rsplit('-').next().unwrap_or_default().to_string();
         }
-        // Asked again for the same, it answers the same; for something else, the name is
-        // used twice, and whoever asked gets machines that it did not ask for.
+        // A repeated request gets the answer of the first one. A different request under the same name
+        // would get machines that its sender did not ask for.
         if let Some(launch) = self.launches.get(&request.request) {
-            let first = &launch.request;
-            if *first != request {
+            let earlier = &launch.request;
+            if *earlier != request {
                 let name = &request.request;
                 return Err(
-                    Rule::NameReused.broken(format!("{name} for {first:?} and {request:?}"))
+                    Rule::NameReused.broken(format!("{name} for {earlier:?} and {request:?}"))
                 );
             }
             return Ok(CloudResult::Launched(launch.names.clone()));
@@ -71,14 +74,14 @@
         let names = vec![name.clone()];
         let launch = Launch { request: request.clone(), names: names.clone() };
         self.launches.insert(request.request.clone(), launch);
-        self.starting.insert(name.clone(), StartingInstance { request, since: self.now });
+        self.starting.insert(name.clone(), StartingInstance { request, launched_at: self.now });
         if let Some(boot_ms) = self.boot_ms() {
             self.schedule(boot_ms, Event::InstanceUp { machine: name });
         }
         Ok(CloudResult::Launched(names))
     }
 
-    /// How long an instance takes to come up, if it ever does.
+    /// Draws the boot time of an instance; `None` if it never comes up.
     fn boot_ms(&mut self) -> Option<u64> {
         let fast = self.windows.fast_boots.strongest(self.now).is_some();
         match self.rng.random_range(0..20) {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// An instance is up, unless it was released meanwhile.
+    /// Boots the machine of a launched instance, unless the instance was released meanwhile.
     pub(super) fn instance_up(&mut self, name: &str) {
         if let Some(StartingInstance { request, .. }) = self.starting.remove(name) {
             self.boot_machine(name, &request.type_name, &request.zone, request.spot);
@@ -122,7 +125,7 @@
             zone: starting.request.zone.clone(),
             spot: starting.request.spot,
             status: InstanceStatus::Starting,
-            age_s: (self.now - starting.since) as f64 / 1000.0,
+            age_s: (self.now - starting.launched_at) as f64 / 1000.0,
         });
         InstanceList { machines: running.chain(starting).collect(), more: false }
     }
--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -1,4 +1,4 @@
-//! The simulated controllers: their processes, clocks and partitions.
+//! The simulated controllers: their processes, clocks and the faults that cut them off.
 use super::event::Event;
 use super::setup::settings;
 use super::{Sabotage, Sim};
@@ -7,43 +7,43 @@
 use leaddeal_core::Node;
 use rand::Rng;
 
-/// Between two ticks of a controller.
+/// Interval between two ticks of a controller.
 const TICK_INTERVAL_MS: u64 = 100;
-/// The largest error of a controller's time of day.
+/// Largest error of a controller's wall clock, in either direction.
 const MAX_WALL_CLOCK_ERROR_MS: u64 = 25;
-/// A steady clock gains its controller's index, divided by this: clocks drift apart by up to 0.05%.
+/// The monotonic clock of controller `i` runs fast by `i` parts in this many: clocks drift apart by up to 0.05%.
 const CLOCK_DRIFT_DIVISOR: u64 = 4000;
 
-/// One start of a controller: what is meant for an earlier one does not reach it.
+/// One process of a controller, from a start to the next crash. Events for an earlier process are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Process {
     /// Index of the controller.
     pub(super) node: usize,
-    /// How often the controller had started by then.
+    /// Number of starts of the controller up to this process, which identifies the process.
     pub(super) boot: u64,
 }
 
-/// What keeps a controller from others; times are simulated milliseconds.
+/// Faults that cut a controller off; times are simulated milliseconds, and 0 means that no such fault is set.
 #[derive(Default)]
 pub(super) struct Partitions {
-    /// It is partitioned from everything.
+    /// It is partitioned from the store, the cloud, the other controllers, workers and users.
     pub(super) isolated: bool,
-    /// The state service refuses it.
+    /// The store refuses its calls.
     pub(super) store_refuses: bool,
-    /// The state service refuses it until then.
+    /// The store refuses its calls until this time.
     pub(super) store_refuses_until: u64,
-    /// It gets no processor time until then: what comes for it waits.
+    /// It gets no CPU time until this time: its ticks and inputs are deferred.
     pub(super) frozen_until: u64,
-    /// It is partitioned from all workers until then.
+    /// It is partitioned from all workers until this time.
     pub(super) workers_until: u64,
-    /// It is partitioned from the state service and its siblings until then.
+    /// It is partitioned from the store and the other controllers until this time.
     pub(super) store_and_peers_until: u64,
 }
 
 /// A simulated controller.
 #[derive(Default)]
 pub(super) struct Controller {
-    /// The core that runs, if the controller is up.
+    /// The running core; `None` while the controller is down.
     pub(super) core: Option<Node>,
     started_at: u64,
     boot: u64,
@@ -51,39 +51,39 @@
 }
 
 impl Controller {
-    /// Whether it reaches neither the state service nor its siblings.
+    /// Returns whether the controller is partitioned from the store and the other controllers.
     pub(super) fn lacks_store_and_peers(&self, now: u64) -> bool {
         self.partitions.isolated || now < self.partitions.store_and_peers_until
     }
 
-    /// Whether workers reach it, and its replies them.
+    /// Returns whether the controller and the workers can exchange messages.
     pub(super) fn reaches_workers(&self, now: u64) -> bool {
         !self.partitions.isolated && now >= self.partitions.workers_until
     }
 
-    /// Whether users have a connection to it.
+    /// Returns whether the controller is up and users can connect to it.
     pub(super) fn reaches_users(&self) -> bool {
         self.core.is_some() && !self.partitions.isolated
     }
 
-    /// Whether it gets processor time.
+    /// Returns whether the controller gets CPU time.
     pub(super) fn runs(&self, now: u64) -> bool {
         now >= self.partitions.frozen_until
     }
 }
 
 impl Sim {
-    /// The latest start of a controller.
+    /// Returns a controller's latest process, which may have ended.
     pub(super) fn process(&self, node: usize) -> Process {
         Process { node, boot: self.controllers[node].boot }
     }
 
-    /// Whether that process still runs.
+    /// Returns whether a process still runs.
     pub(super) fn is_alive(&self, process: Process) -> bool {
         self.controllers[process.node].core.is_some() && self.process(process.node) == process
     }
 
-    /// Starts a controller.
+    /// Starts a controller with an empty core.
     pub(super) fn start(&mut self, node: usize) {
         let settings = self.node_settings(node);
         let controller = &mut self.controllers[node];
@@ -94,7 +94,7 @@
         self.schedule(1, Event::Tick(self.process(node)));
     }
 
-    /// The settings that a controller is started with, which sabotage may have changed.
+    /// Returns the settings that a controller is started with; an injected defect may have changed them.
     fn node_settings(&self, node: usize) -> leaddeal_wire::settings::Settings {
         let mut settings = settings(node, &self.plan);
         let params = &mut settings.params;
@@ -109,14 +109,14 @@
         settings
     }
 
-    /// Ends a controller, which starts again `back_ms` later. Without effect on one that is down.
+    /// Crashes a controller, which restarts `back_ms` later. Has no effect on a controller that is down.
     pub(super) fn crash(&mut self, node: usize, back_ms: u64) {
         if self.controllers[node].core.take().is_some() {
             self.schedule(back_ms, Event::Restart { node });
         }
     }
 
-    /// A controller's time of day, which wanders within its bound; exact in runs without random faults.
+    /// Draws a controller's wall-clock time, with a random error; exact in runs without random faults.
     fn wall_clock_ms(&mut self) -> u64 {
         if !self.plan.faults {
             return self.now;
@@ -125,14 +125,17 @@
         self.now + error - MAX_WALL_CLOCK_ERROR_MS
     }
 
-    /// A controller's steady clock.
+    /// Returns the time of a controller's monotonic clock, which starts with its process.
     fn steady_clock_ms(&self, node: usize) -> u64 {
-        let ran = self.now - self.controllers[node].started_at;
+        let uptime_ms = self.now - self.controllers[node].started_at;
         let speed = if self.plan.sabotage == Sabotage::FastClock { 3 } else { 1 };
-        (ran + ran * node as u64 / CLOCK_DRIFT_DIVISOR) * speed + 1
+        (uptime_ms + uptime_ms * node as u64 / CLOCK_DRIFT_DIVISOR) * speed + 1
     }
 
-    /// Gives an input to a controller, if it is up, and carries out what its core puts out.
+    /// Passes an input to a controller's core, if it is up, and executes the effects that the core returns.
+    ///
+    /// # Errors
+    /// The rule that an effect breaks.
     pub(super) fn step(&mut self, node: usize, input: Input) -> Result<(), BrokenRule> {
         let now = self.steady_clock_ms(node);
         let wall_ms = self.wall_clock_ms();
@@ -165,12 +168,12 @@
         Ok(())
     }
 
-    /// Schedules an input for a process.
+    /// Schedules an input for a process, which is dropped if the process has ended by then.
     pub(super) fn schedule_input(&mut self, delay_ms: u64, process: Process, input: Input) {
         self.schedule(delay_ms, Event::NodeInput { process, input });
     }
 
-    /// How often the cores that are up looked at a machine to judge it for a job.
+    /// Returns how many times the running cores have evaluated a machine for a job.
     pub fn machines_evaluated(&self) -> u64 {
         self.controllers.iter().filter_map(|c| c.core.as_ref()).map(Node::machines_evaluated).sum()
     }
--- a/crates/testkit/src/sim/crash_after_write.rs
+++ b/crates/testkit/src/sim/crash_after_write.rs
@@ -1,4 +1,5 @@
-//! Transactions that are carried out at once and get no answer, and controllers that end just then.
+//! Transactions that the store commits but whose answers are lost, and scripted crashes of the controllers that
+//! sent them.
 use super::event::Event;
 use super::store::STORE_TIMEOUT_MS;
 use super::Sim;
@@ -7,14 +8,15 @@
 use leaddeal_core::keys;
 use leaddeal_wire::state::{Change, Transaction};
 
-/// The next controller that writes this ends later, and comes back.
+/// A scripted crash: the next controller that commits a write of kind `what` loses the answer, crashes `after_ms`
+/// later and restarts `back_ms` after the crash.
 pub(super) struct CrashAfterWrite {
     pub(super) what: Written,
     pub(super) after_ms: u64,
     pub(super) back_ms: u64,
 }
 
-/// What a transaction writes, if a crash can be scripted after it.
+/// Returns which of the writes that a crash can be scripted after the transaction contains, if any.
 fn written(transaction: &Transaction) -> Option<Written> {
     transaction.changes.iter().find_map(|change| match change {
         Change::Put { key, .. } if key.starts_with(keys::SHARD_PREFIX) => {
@@ -28,7 +30,8 @@
 }
 
 impl Sim {
-    /// Whether the answer to what was just carried out is lost; the controller that sent it may end for it.
+    /// Returns whether the answer to a call that was just executed is lost. If a scripted crash waits for this write,
+    /// schedules the crash of the controller that sent it.
     pub(super) fn is_answer_lost(
         &mut self,
         node: usize,
@@ -36,10 +39,10 @@
         result: &StoreResult,
     ) -> bool {
         let slow_ms = self.windows.slow_store.strongest(self.now);
-        let too_late = slow_ms.is_some_and(|ms| ms >= STORE_TIMEOUT_MS);
+        let is_too_late = slow_ms.is_some_and(|ms| ms >= STORE_TIMEOUT_MS);
         let (StoreCall::Transaction(transaction), StoreResult::Committed(_)) = (call, result)
         else {
-            return too_late;
+            return is_too_late;
         };
         let what = written(transaction);
         let position = self.crashes_after_writes.iter().position(|crash| what == Some(crash.what));
@@ -53,6 +56,6 @@
         let lost =
             position.is_some() || self.windows.lost_store_answers.draw(self.now, &mut self.rng);
         self.observations.lost_answers += u64::from(lost);
-        too_late || lost
+        is_too_late || lost
     }
 }
--- a/crates/testkit/src/sim/dispatch.rs
+++ b/crates/testkit/src/sim/dispatch.rs
@@ -1,13 +1,13 @@
-//! The dispatcher: each event goes to the function that handles it.
+//! The dispatcher, which passes each event to the function that handles it.
 use super::event::Event;
 use super::{Sim, GANG_STEP_MS, LIVENESS_CHECK_MS};
 use crate::broken_rule::BrokenRule;
 
 impl Sim {
-    /// Handles an event.
+    /// Passes an event to the function that handles it.
     ///
     /// # Errors
-    /// The rule that was broken.
+    /// The rule that the event broke.
     pub(super) fn handle(&mut self, event: Event) -> Result<(), BrokenRule> {
         match event {
             Event::Tick(process) => self.tick(process)?,
@@ -23,7 +23,7 @@
             Event::RequestAt { node, kind, job } => self.request_at(node, kind, &job)?,
             Event::InvalidRequest { until } => self.invalid_request(until)?,
             Event::SingleTaskJob { until } => self.single_task_job(until)?,
-            // No rule can be broken by these at once: they give no controller an input.
+            // These pass no input to a controller, so that they cannot break a rule themselves.
             Event::Watch(watch) => self.watch(watch),
             Event::WorkerStep { machine } => self.worker_step(machine),
             Event::HeartbeatReply(reply) => self.deliver_heartbeat_reply(reply),
@@ -38,14 +38,14 @@
         Ok(())
     }
 
-    /// Once all faults are over: every user is answered, and no job starves.
+    /// Checks, after all faults have ended, that every user request is answered and that no job starves.
     fn check_liveness(&mut self) -> Result<(), BrokenRule> {
         self.schedule(LIVENESS_CHECK_MS, Event::CheckLiveness);
         self.rules.check_answered(self.now)?;
         self.rules.check_starvation(self.now, &self.workers, &self.done)
     }
 
-    /// Gangs advance, and their tasks are checked to run together.
+    /// Advances the gangs, and checks that the tasks of each gang run at the same time.
     fn gang_step(&mut self) -> Result<(), BrokenRule> {
         self.schedule(GANG_STEP_MS, Event::GangStep);
         self.gangs.advance(self.now, &mut self.workers, &self.rules.jobs, &mut self.done);
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -1,4 +1,5 @@
-//! What controllers send, and to whom it goes: users, workers, siblings, the state service, the cloud.
+//! Executes the effects that controllers return: messages to users, workers and other controllers, and calls to
+//! the store and the cloud.
 use super::cloud::CLOUD_CALL_MS;
 use super::event::{Event, PendingRequest, RequestId, SentCommands};
 use super::workers::COMMAND_TIMEOUT_MS;
@@ -8,11 +9,11 @@
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 use rand::Rng;
 
-/// One of this many batches of commands gets no answer, where faults are random.
+/// With random faults, one of this many command batches loses its answer and may be late.
 const LOST_COMMAND_ODDS: u32 = 30;
-/// For how long such a batch may be held back.
+/// Additional delay of a command batch whose answer is lost.
 const LATE_COMMANDS_MS: std::ops::Range<u64> = 0..20_000;
-/// Larger transactions are not printed.
+/// Transactions with more changes than this are left out of the trace.
 const MAX_TRACED_CHANGES: usize = 8;
 
 fn is_grant(msg: &NodeMessage) -> bool {
@@ -20,7 +21,7 @@
 }
 
 impl Sim {
-    /// How long a message takes.
+    /// Draws the latency of a message.
     pub(super) fn latency_ms(&mut self) -> u64 {
         self.plan.extra_latency_ms
             + match self.rng.random_range(0..100) {
@@ -31,7 +32,7 @@
             }
     }
 
-    /// Notes who waits for the answer to a request, and returns the request's number.
+    /// Records who waits for the answer to a request, and returns the request's number.
     pub(super) fn add_pending(&mut self, node: usize, pending: PendingRequest) -> u64 {
         self.next_request += 1;
         let number = self.next_request;
@@ -39,7 +40,10 @@
         number
     }
 
-    /// Carries out what a controller's core puts out.
+    /// Executes an effect of a controller's core.
+    ///
+    /// # Errors
+    /// The rule that the effect breaks.
     pub(super) fn carry_out(&mut self, node: usize, effect: Effect) -> Result<(), BrokenRule> {
         let latency_ms = self.latency_ms();
         match effect {
@@ -58,9 +62,9 @@
                 let input = Input::Cloud { op, result };
                 self.schedule_input(CLOUD_CALL_MS + latency_ms, self.process(node), input);
             }
-            Effect::Commands { machine, batch, commands: direct, .. } => {
+            Effect::Commands { machine, batch, commands: command_batch, .. } => {
                 let process = self.process(node);
-                let commands = direct;
+                let commands = command_batch;
                 let answer_lost = false;
                 let sent = SentCommands { process, machine, batch, commands, answer_lost };
                 self.send_commands(sent, latency_ms);
@@ -95,7 +99,7 @@
         if not_sent || self.are_partitioned(from, to) || self.controllers[to].core.is_none() {
             return Ok(());
         }
-        // A connection keeps its order.
+        // Messages between two controllers share a connection, which keeps their order.
         let previous = self.last_delivery.get(&(from, to)).copied().unwrap_or(0);
         let time = (self.now + latency_ms).max(previous);
         self.last_delivery.insert((from, to), time);
@@ -104,26 +108,26 @@
         Ok(())
     }
 
-    /// Whether two controllers don't reach each other.
+    /// Returns whether two controllers are unreachable from each other.
     fn are_partitioned(&self, one: usize, other: usize) -> bool {
         let lacks_peers = |node: usize| self.controllers[node].lacks_store_and_peers(self.now);
         let is_pair = self.windows.is_pair_partitioned(one, other, self.now);
         is_pair || lacks_peers(one) || lacks_peers(other) || self.now < self.peer_partition_until
     }
 
-    /// Sends commands to a worker. Now and then the answer is lost, or the packets are held back for long.
+    /// Sends commands to a worker. With random faults, some batches are late and their answers are lost.
     fn send_commands(&mut self, mut sent: SentCommands, latency_ms: u64) {
         let node = sent.process.node;
         if self.trace {
-            let orders = &sent.commands.commands;
-            eprintln!("{} n-{node} direct {} {orders:?}", self.now, sent.machine);
+            let commands = &sent.commands.commands;
+            eprintln!("{} n-{node} commands {} {commands:?}", self.now, sent.machine);
         }
         self.note_commands(node, &sent.machine);
         let (is_lost, held_ms) = match self.rng.random_range(0..LOST_COMMAND_ODDS) {
             0 if self.plan.faults => (true, self.rng.random_range(LATE_COMMANDS_MS)),
             _ => (false, 0),
         };
-        // Held up for longer than whoever sent it waits, it is carried out all the same.
+        // A batch that is delayed beyond its sender's timeout is executed all the same.
         let slow_ms = self.windows.delayed_commands.strongest(self.now).unwrap_or(0);
         sent.answer_lost = is_lost || slow_ms > COMMAND_TIMEOUT_MS;
         if sent.answer_lost {
@@ -132,14 +136,14 @@
         self.schedule(latency_ms + held_ms + slow_ms, Event::Commands(sent));
     }
 
-    fn note_log(&mut self, node: usize, event: &str, fields: &str) {
+    fn note_log(&mut self, node: usize, event: &str, details: &str) {
         if event == "shard_loaded" {
             self.observations.loaded.push((self.now, node));
         }
         if self.trace {
-            eprintln!("{} n-{node} {event} {fields}", self.now);
+            eprintln!("{} n-{node} {event} {details}", self.now);
         }
-        self.note_owner_change(node, event, fields);
+        self.note_owner_change(node, event, details);
     }
 
     fn trace_transaction(&self, node: usize, call: &StoreCall) {
--- a/crates/testkit/src/sim/event.rs
+++ b/crates/testkit/src/sim/event.rs
@@ -7,17 +7,17 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Something that happens at a simulated time.
+/// An event of the simulation, which happens at a simulated time.
 pub(super) enum Event {
     /// A controller's periodic tick.
     Tick(Process),
     /// An input reaches a controller.
     NodeInput { process: Process, input: Input },
-    /// A call reaches the state service.
+    /// A call reaches the store.
     Store(SentStoreCall),
-    /// A watch looks for changes.
+    /// A watch polls the store for changes.
     Watch(OpenWatch),
-    /// A worker checks what is due at it.
+    /// A worker advances its tasks and sends a heartbeat if one is due.
     WorkerStep { machine: String },
     /// A worker's heartbeat reaches a controller.
     Heartbeat(SentHeartbeat),
@@ -27,19 +27,19 @@
     Commands(SentCommands),
     /// A launched instance is up.
     InstanceUp { machine: String },
-    /// A controller starts again.
+    /// A crashed controller restarts.
     Restart { node: usize },
-    /// The next random fault.
+    /// A random fault is drawn and injected.
     RandomFault,
-    /// A fault of the plan's script.
+    /// A fault of the plan's script is injected.
     ScriptedFault(Fault),
-    /// All faults are over.
+    /// All faults end.
     CalmBegins,
-    /// The checks that users are answered and that no job starves.
+    /// The rules that users are answered and that no job starves are checked.
     CheckLiveness,
-    /// Gangs advance.
+    /// Running gangs advance and are checked.
     GangStep,
-    /// Somebody submits a new job.
+    /// A user submits a new job.
     NextSubmission,
     /// A user polls its job.
     Poll { job: String },
@@ -47,17 +47,17 @@
     Cancel { job: String },
     /// A user repeats a cancellation until it is answered.
     RepeatCancel { job: String },
-    /// A user sends a request to this controller.
+    /// A user sends a request to a given controller.
     RequestAt { node: usize, kind: RequestKind, job: String },
-    /// The next random burst of queries begins.
+    /// The next random window of query bursts begins.
     RandomQueryBurst,
-    /// An invalid request; others follow until then.
+    /// A user sends an invalid or repeated request; more follow until the time `until`.
     InvalidRequest { until: u64 },
-    /// A job of a single task; others follow until then.
+    /// A user submits a job of a single task; more follow until the time `until`.
     SingleTaskJob { until: u64 },
 }
 
-/// A call on its way to the state service.
+/// A call on its way to the store.
 pub(super) struct SentStoreCall {
     pub(super) process: Process,
     pub(super) op: u64,
@@ -76,12 +76,12 @@
 /// A heartbeat on its way to a controller.
 pub(super) struct SentHeartbeat {
     pub(super) node: usize,
-    /// When it was sent; 0: a copy, whose reply nobody waits for.
+    /// When it was sent; 0 for a copy, whose reply no worker waits for.
     pub(super) sent_at: u64,
     pub(super) heartbeat: WorkerHeartbeat,
 }
 
-/// The reply to a heartbeat on its way to the worker; absent if it got lost.
+/// The reply to a heartbeat on its way to the worker; `reply` is `None` if it was lost.
 pub(super) struct SentHeartbeatReply {
     pub(super) request: HeartbeatRequest,
     pub(super) reply: Option<WorkerReply>,
@@ -93,11 +93,11 @@
     pub(super) machine: String,
     pub(super) batch: u64,
     pub(super) commands: CommandBatch,
-    /// The sender does not learn what became of them.
+    /// The sender is told only that the outcome is unknown.
     pub(super) answer_lost: bool,
 }
 
-/// Identifies a request that a controller process has to answer.
+/// Identifies a request to a controller process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct RequestId {
     pub(super) process: Process,
@@ -117,7 +117,7 @@
     pub(super) incarnation: u64,
 }
 
-/// Events by time; events of the same time come in the order in which they were added.
+/// Events ordered by time; events of the same time are in the order in which they were added.
 #[derive(Default)]
 pub(super) struct EventQueue {
     added: u64,
@@ -126,14 +126,14 @@
 }
 
 impl EventQueue {
-    /// Adds an event that is due at that time.
+    /// Adds an event that is due at `time`.
     pub(super) fn add(&mut self, time: u64, event: Event) {
         self.added += 1;
         self.due.push(Reverse((time, self.added)));
         self.events.insert(self.added, event);
     }
 
-    /// Removes the next event that is due at `end` or before, and returns it with its time.
+    /// Removes and returns the next event that is due at `end` or before, with its time.
     pub(super) fn next_until(&mut self, end: u64) -> Option<(u64, Event)> {
         let &Reverse((time, number)) = self.due.peek()?;
         if time > end {
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -1,4 +1,4 @@
-//! What fails, and the end of all faults.
+//! Injection of faults, and the end of all faults.
 use super::crash_after_write::CrashAfterWrite;
 use super::delayed_heartbeats::{DelayWindow, DelayedHeartbeats};
 use super::event::Event;
@@ -9,7 +9,7 @@
 use crate::worker::{Memory, Worker};
 
 impl Sim {
-    /// A fault begins. This is a plain table, one row for each kind of fault.
+    /// Begins a fault. A plain table with one row for each kind of fault.
     pub(super) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -30,7 +30,7 @@
                 self.windows.partition_zone(zone, Some(node), now + ms);
                 self.partition_from_store_and_peers(node, ms);
             }
-            // The state service.
+            // The store.
             Fault::StoreOutage { ms } => extend(&mut self.store_outage_until, now + ms),
             Fault::StoreRefusesNode { node, ms } => self.refuse_at_store(node, ms),
             Fault::SlowStore { ms, by_ms } => self.windows.slow_store.add(by_ms, now + ms),
@@ -44,7 +44,7 @@
             Fault::LostStoreAnswers { percent, ms } => {
                 self.windows.lost_store_answers.add(percent.into(), now + ms);
             }
-            // Machines and what goes between them and controllers.
+            // Machines, and messages between machines and controllers.
             Fault::LoseMachines { machines } => {
                 self.first_machines(machines).for_each(Worker::lose_machine);
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A controller gets no processor time: whatever is due or comes is late, its lease over.
+    /// Withholds CPU time from a controller: its ticks and inputs are late, and its lease may expire meanwhile.
     fn freeze(&mut self, node: usize, ms: u64) {
         extend(&mut self.controllers[node].partitions.frozen_until, self.now + ms);
     }
@@ -116,7 +116,7 @@
         extend(&mut self.controllers[node].partitions.store_refuses_until, self.now + ms);
     }
 
-    /// The workers of the machines that are there, by name.
+    /// Returns the workers of the existing machines, in the order of their names.
     pub(super) fn machines(&mut self) -> impl DoubleEndedIterator<Item = &mut Worker> {
         self.workers.values_mut().filter(|w| !w.gone)
     }
@@ -125,7 +125,8 @@
         self.machines().take(count)
     }
 
-    /// Users cancel, within a second, what is neither over nor cancelled as far as they know.
+    /// Makes users cancel a share of their accepted jobs within a second, except the jobs whose terminal state they
+    /// have been told.
     fn cancel_many(&mut self, percent: u32) {
         let is_open = |id: &&String| !self.rules.acknowledged.contains_key(*id);
         let open: Vec<String> = self.rules.accepted.iter().filter(is_open).cloned().collect();
@@ -136,7 +137,7 @@
         }
     }
 
-    /// All faults are over, and nobody may be left without an answer from now on.
+    /// Ends all faults. From now on the liveness rules are checked: every user request must be answered.
     pub(super) fn begin_calm(&mut self) {
         self.plan.faults = false;
         for controller in &mut self.controllers {
--- a/crates/testkit/src/sim/fault_windows.rs
+++ b/crates/testkit/src/sim/fault_windows.rs
@@ -1,11 +1,11 @@
-//! Faults that last for a while. Of each kind several may overlap.
+//! Faults with a duration. Several windows of the same kind may overlap.
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// A fault that lasts until then.
+/// A fault that lasts until the time `until`.
 struct FaultWindow {
-    /// A share in hundredths, a delay in milliseconds, or 1, as the kind of fault has it.
+    /// A share in percent, a delay in milliseconds, or 1, depending on the kind of fault.
     strength: u64,
     until: u64,
 }
@@ -15,53 +15,53 @@
 pub(super) struct FaultWindows(Vec<FaultWindow>);
 
 impl FaultWindows {
-    /// Adds a window that lasts until then.
+    /// Adds a window that lasts until the time `until`.
     pub(super) fn add(&mut self, strength: u64, until: u64) {
         self.0.push(FaultWindow { strength, until });
     }
 
-    /// The strength of the strongest window that lasts, if there is any.
+    /// Returns the largest strength of the windows that are still open; `None` if there are none.
     pub(super) fn strongest(&mut self, now: u64) -> Option<u64> {
         self.0.retain(|window| now < window.until);
         self.0.iter().map(|window| window.strength).max()
     }
 
-    /// Draws whether a message is affected, where the strength is a share in hundredths.
+    /// Draws whether a message is affected, for kinds of faults whose strength is a share in percent.
     pub(super) fn draw(&mut self, now: u64, rng: &mut SmallRng) -> bool {
         self.strongest(now).is_some_and(|percent| draw_percent(percent as u32, rng))
     }
 }
 
-/// Draws with a chance in hundredths; above 100 counts as 100.
+/// Returns `true` with a probability of `percent`; values above 100 count as 100.
 pub(super) fn draw_percent(percent: u32, rng: &mut SmallRng) -> bool {
     rng.random_ratio(percent.min(100), 100)
 }
 
-/// All faults that last for a while, other than the partitions of single controllers and machines.
+/// All faults with a duration, except those of single controllers and machines.
 #[derive(Default)]
 pub(super) struct ActiveWindows {
-    /// Percent of the calls that the state service refuses.
+    /// Percentage of the calls that the store refuses.
     pub(super) flaky_store: FaultWindows,
-    /// The state service ends watches.
+    /// The store ends all watches.
     pub(super) no_watches: FaultWindows,
-    /// Percent of the transactions that get no answer and are carried out late.
+    /// Percentage of the transactions that get no answer and are executed late.
     pub(super) late_writes: FaultWindows,
-    /// Percent of the transactions that get no answer and are carried out at once.
+    /// Percentage of the transactions that are executed at once and whose answers are lost.
     pub(super) lost_store_answers: FaultWindows,
-    /// Percent of the heartbeats of which a copy arrives again.
+    /// Percentage of the heartbeats of which a copy arrives later.
     pub(super) late_heartbeat_copies: FaultWindows,
     /// Milliseconds by which commands are delayed.
     pub(super) delayed_commands: FaultWindows,
-    /// Milliseconds by which answers of the state service are delayed.
+    /// Milliseconds by which answers of the store are delayed.
     pub(super) slow_store: FaultWindows,
-    /// New instances are up soon.
+    /// New instances boot fast.
     pub(super) fast_boots: FaultWindows,
-    /// Until when pairs of controllers are partitioned from each other.
+    /// When the partition of a pair of controllers ends, by their indices in ascending order.
     partitioned_pairs: BTreeMap<(usize, usize), u64>,
     partitioned_zones: Vec<ZonePartition>,
 }
 
-/// A zone that is partitioned from the others, with a controller inside or none.
+/// A zone that is partitioned from the others. `node` is the controller inside; `None` if all are outside.
 struct ZonePartition {
     zone: &'static str,
     node: Option<usize>,
@@ -69,24 +69,25 @@
 }
 
 impl ActiveWindows {
-    /// Partitions two controllers from each other until then.
+    /// Partitions two controllers from each other until the time `until`.
     pub(super) fn partition_pair(&mut self, (one, other): (usize, usize), until: u64) {
         let pair = (one.min(other), one.max(other));
         extend(self.partitioned_pairs.entry(pair).or_default(), until);
     }
 
-    /// Whether two controllers are partitioned from each other.
+    /// Returns whether two controllers are partitioned from each other.
     pub(super) fn is_pair_partitioned(&self, one: usize, other: usize, now: u64) -> bool {
         let pair = (one.min(other), one.max(other));
         self.partitioned_pairs.get(&pair).is_some_and(|&until| now < until)
     }
 
-    /// Partitions a zone, with a controller inside or none, until then.
+    /// Partitions a zone, with a controller inside or none, until the time `until`.
     pub(super) fn partition_zone(&mut self, zone: &'static str, node: Option<usize>, until: u64) {
         self.partitioned_zones.push(ZonePartition { zone, node, until });
     }
 
-    /// For how many milliseconds what goes between a zone's machines and a controller is held back.
+    /// Returns for how many milliseconds messages between a zone's machines and a controller are still held back; 0
+    /// if no partition separates them.
     pub(super) fn zone_partition_ms(&self, zone: &str, node: usize, now: u64) -> u64 {
         let separates = |p: &&ZonePartition| (p.zone == zone) != (p.node == Some(node));
         let partitions = self.partitioned_zones.iter().filter(separates);
@@ -94,7 +95,7 @@
     }
 }
 
-/// Extends a fault until `other`; one that lasts longer already ends no sooner for it.
-pub(super) fn extend(until: &mut u64, other: u64) {
-    *until = other.max(*until);
+/// Extends a fault until `new_until`, or keeps its end if that is later.
+pub(super) fn extend(until: &mut u64, new_until: u64) {
+    *until = new_until.max(*until);
 }
--- a/crates/testkit/src/sim/jobs.rs
+++ b/crates/testkit/src/sim/jobs.rs
@@ -1,13 +1,13 @@
-//! The jobs that users submit.
+//! The random jobs that users submit.
 use super::Sim;
 use leaddeal_wire::user::{job_id, Job, JobKind, Priority};
 use rand::Rng;
 
-/// Identifiers of submitted jobs are multiples of this.
+/// Difference between the identifiers of two successive submitted jobs.
 const JOB_ID_STEP: u64 = 7;
 
 impl Sim {
-    /// A job of a machine type that is not in the catalog: it stays queued.
+    /// Returns a job that stays queued, since the machine type that it needs is not in the catalog.
     pub(super) fn waiting_job() -> Job {
         Job {
             id: String::new(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A new job. The order of its fields is the order of the draws.
+    /// Draws a new job. The order of the fields here is the order of the draws.
     pub(super) fn random_job(&mut self) -> Job {
         self.next_job += 1;
         let kind = [JobKind::Array, JobKind::Array, JobKind::Gang, JobKind::Service]
@@ -81,7 +81,7 @@
         all[self.rng.random_range(0..4)]
     }
 
-    /// How long a task runs, in seconds.
+    /// Draws how long a task runs, in seconds.
     fn random_duration_s(&mut self) -> f64 {
         let factor = if self.plan.long_tasks { 15.0 } else { 1.0 };
         f64::from(self.rng.random_range(1..9)) * factor
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -1,8 +1,9 @@
-//! The seeded simulator: three cores, late, lost and held messages, crashes, hung machines,
-//! outages. Time is simulated; the same seed gives the same run.
+//! The seeded simulator. It runs three controller cores against a simulated store, cloud, workers and users,
+//! with late and lost messages, partitions, crashes, hung machines and outages. Time is simulated; the same seed
+//! gives the same run.
 //!
 //! [`Sim`] holds the state; each module handles one of its concerns. The order of draws from the random
-//! generator, and of events of the same time, is part of a run: changing it changes every run.
+//! number generator, and the order of events of the same time, are part of a run: changing them changes every run.
 use crate::fingerprint::Fingerprint;
 use crate::gangs::Gangs;
 use crate::rules::Rules;
@@ -49,69 +50,70 @@
 pub use sabotage::Sabotage;
 pub use teams::Teams;
 
-/// How many controllers there are.
+/// Number of controllers, which is also the number of shards.
 pub const NODES: usize = 3;
-/// Simulated time of the beginning, in milliseconds.
+/// Simulated time at which a run begins, in milliseconds.
 pub const BEGIN: u64 = 10_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// How long a controller stays away that is started again at once.
+/// Downtime of a crashed controller that is restarted at once.
 const FAST_RESTART_MS: std::ops::Range<u64> = 20..900;
-/// Between two steps of the gangs.
+/// Interval between two steps of the gangs.
 const GANG_STEP_MS: u64 = 100;
-/// Between two checks that users are answered and no job starves.
+/// Interval between two checks that users are answered and no job starves.
 const LIVENESS_CHECK_MS: u64 = 1000;
 
 /// A simulated run. Fields that end in `_until` are simulated times in milliseconds.
 pub struct Sim {
     plan: Plan,
-    /// Prints what happens.
+    /// Whether events are printed to the standard error output; set by `LEADDEAL_TRACE`.
     pub trace: bool,
     rng: SmallRng,
     now: u64,
     events: EventQueue,
     controllers: Vec<Controller>,
-    /// All controllers are partitioned from each other until then.
+    /// All controllers are partitioned from each other until this time.
     peer_partition_until: u64,
     windows: ActiveWindows,
     delayed_heartbeats: DelayedHeartbeats,
     crashes_after_writes: Vec<CrashAfterWrite>,
-    /// Users poll often until then.
+    /// Users poll often until this time.
     frequent_polls_until: u64,
-    /// What was observed.
+    /// Observations that tests evaluate after the run.
     pub observations: Observations,
-    /// What went into the cores and came out, if that is counted.
+    /// Counts of the inputs and effects of the cores; `None` if the plan does not ask for them.
     pub tally: Option<Tally>,
-    /// Of all that came out of the cores.
+    /// Fingerprint of all effects of the cores.
     pub fingerprint: Fingerprint,
-    /// How many events concerned a worker.
+    /// Number of events so far that concerned a worker.
     worker_events: u64,
     store_outage_until: u64,
     state: State,
     workers: BTreeMap<String, Worker>,
-    /// By the instance request's name.
+    /// Granted instance requests, by the name of the request.
     launches: HashMap<String, Launch>,
-    /// By the instance's name.
+    /// Instances that are not up yet, by name.
     starting: BTreeMap<String, StartingInstance>,
     next_machine: u64,
-    /// How many instances the cloud has left.
+    /// Number of instances that the cloud can still launch.
     spare_instances: u32,
     pending: HashMap<RequestId, PendingRequest>,
     next_request: u64,
     query_bursts: QueryBursts,
-    /// The rules, and what their checks know.
+    /// The rules that are checked, with the state that their checks need.
     pub rules: Rules,
     /// Completed tasks.
     pub done: CompletedTasks,
-    /// Gangs that run.
+    /// Running gangs.
     pub gangs: Gangs,
     next_job: u64,
-    /// Time of the last delivery by link, to keep the order of a connection.
+    /// Time of the last delivery from one controller to another, by their indices. Later messages of the same
+    /// connection don't arrive before it.
     last_delivery: HashMap<(usize, usize), u64>,
 }
 
-/// What tests ask of a run.
+/// Queries that tests make on a run.
 impl Sim {
-    /// Tasks of services that run somewhere and are wanted.
+    /// Returns the service tasks that run on a machine that does not hang, without those of cancelled jobs.
     pub fn replicas(&self) -> BTreeSet<String> {
         let is_service = |task: &str| {
             self.rules.jobs.get(job_of_task(task)).is_some_and(|job| job.kind == JobKind::Service)
@@ -123,37 +125,38 @@
             .collect()
     }
 
-    /// Groups of which less than half was served, of the jobs that were submitted before the calm. What a
-    /// team's limit holds back had no capacity.
+    /// Returns the groups of jobs of which less than half were served, counting the jobs that were submitted before
+    /// all faults ended. Jobs of teams with a quota are left out, since the quota may hold them back.
     pub fn under_half(&self) -> Vec<Share> {
-        let unlimited = |team: &&Team| team.cpus_max == 0.0 && team.gpus_max == 0.0;
-        let teams = self.rules.teams.iter().filter(unlimited).map(|t| t.name.as_str()).collect();
+        let has_no_quota = |team: &&Team| team.cpus_max == 0.0 && team.gpus_max == 0.0;
+        let teams = self.rules.teams.iter().filter(has_no_quota).map(|t| t.name.as_str()).collect();
         let shares = self.rules.served.shares(BEGIN + self.plan.seconds * 1000, &teams);
         shares.into_iter().filter(Share::under_half).collect()
     }
 
-    /// Whether its user still wants the task's job.
+    /// Returns whether the user has not asked to cancel the task's job.
     pub fn wanted(&self, task: &str) -> bool {
         !self.rules.cancel_asked.contains(job_of_task(task))
     }
 
-    /// Jobs whose users were not told, `ms` after it, that they are done, or cancelled as they asked.
+    /// Returns the jobs whose last task ended, or whose cancellation was requested, more than `ms` ago, and whose
+    /// users have not been told so.
     pub fn unacknowledged(&self, ms: u64) -> Vec<String> {
         self.rules.unacknowledged(self.now, ms, &self.done)
     }
 
-    /// How often a worker's lease ran out or a worker restarted.
+    /// Returns how many times a worker's lease expired or a worker restarted, over the existing machines.
     pub fn leases_ended(&self) -> u64 {
         self.workers.values().filter(|w| !w.gone).map(|w| w.incarnation - 1).sum()
     }
 
-    /// What the state service was asked for: changes taken, transactions refused, and keys that it has
-    /// under a prefix.
+    /// Returns the number of changes that the store has committed, of transactions that it has refused, and of
+    /// its keys under a prefix.
     pub fn store(&self, prefix: &str) -> (u64, u64, usize) {
         (self.state.changes, self.state.refused, self.state.count(prefix))
     }
 
-    /// Tasks that run on machines which reach no controller.
+    /// Returns the tasks that run on machines whose heartbeats reach no controller.
     pub fn tasks_behind_outbound_partitions(&self) -> Vec<String> {
         let is_partitioned = |w: &&Worker| !w.gone && self.now < w.outbound_partition_until;
         let workers = self.workers.values().filter(is_partitioned);
--- a/crates/testkit/src/sim/plan.rs
+++ b/crates/testkit/src/sim/plan.rs
@@ -1,63 +1,64 @@
-//! What a simulated run consists of.
+//! The parameters of a simulated run.
 use super::{Sabotage, Teams, FAST_RESTART_MS, NODES};
 use crate::script::Fault;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The storms' scripts are drawn from another stream of random numbers than the runs themselves.
+/// Combined with a run's seed to draw the script of a crash storm from a different stream of random numbers than
+/// the run itself.
 const STORM_SEED_MASK: u64 = 0x5707;
 
-/// A simulated run: the same plan gives the same run.
+/// The parameters of a simulated run: the same plan gives the same run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed of all that is drawn at random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How long faults may last, in simulated seconds.
+    /// Duration of the part of the run that may have faults, in simulated seconds.
     pub seconds: u64,
-    /// Faults, lost answers and late messages are drawn at random.
+    /// Whether faults, lost answers and late messages are drawn at random.
     pub faults: bool,
-    /// What is broken on purpose.
+    /// The defect that is injected into the system under test.
     pub sabotage: Sabotage,
-    /// How many processors a team with a limit may use.
+    /// CPU quota of the team `tight`; other teams with a quota have 1.5 times as much.
     pub team_cpu_limit: f64,
-    /// A multiple of the usual machines and tasks; above 1 also GPU machines and gangs for them.
+    /// Multiplier of the usual number of machines. Above 1, a fifth of the machines have GPUs, and gangs need GPUs.
     pub scale: u32,
-    /// An array has fewer tasks than this.
+    /// Exclusive upper bound of the number of tasks of an array.
     pub array_tasks_limit: u32,
-    /// A multiple of the usual rate of submissions.
+    /// Multiplier of the usual rate of submissions.
     pub submission_rate: u32,
-    /// What goes into the cores and comes out is counted.
+    /// Whether the inputs and effects of the cores are counted.
     pub count_traffic: bool,
-    /// Faults at set times, in milliseconds from the beginning.
+    /// Faults at given times, in milliseconds from the beginning of the run.
     pub script: Vec<(u64, Fault)>,
-    /// How many jobs in a terminal state are in the store from the beginning.
+    /// Number of jobs in a terminal state that are in the store at the beginning of the run.
     pub preloaded_terminal_jobs: u64,
-    /// How many open jobs are in the store from the beginning.
+    /// Number of open jobs that are in the store at the beginning of the run.
     pub preloaded_open_jobs: u64,
-    /// How many changes a second the state service takes; without a limit if absent.
+    /// Rate limit of the store, in changes per second; `None`: no limit.
     pub store_changes_per_s: Option<f64>,
-    /// A controller that ended is started again within a second, each time.
+    /// Whether every crashed controller is restarted within a second.
     pub fast_restarts: bool,
     /// Duration of the workers' leases in milliseconds.
     pub lease_ms: u64,
-    /// How many seconds without any fault follow those of `seconds`.
+    /// Duration of the part without faults that follows after `seconds`, in simulated seconds.
     pub calm_seconds: u64,
-    /// Tasks run for a quarter of a minute to two minutes.
+    /// Whether tasks run for 15 to 120 s, and not for 1 to 8 s.
     pub long_tasks: bool,
-    /// In the store there are records from the beginning that do not decode, of each kind.
+    /// Whether the store contains records of each kind that do not decode at the beginning of the run.
     pub corrupt_records: bool,
-    /// The largest number of tasks of a gang.
+    /// Largest number of tasks of a gang; 1: gangs are not simulated step by step.
     pub max_gang_tasks: u32,
-    /// The share of arrays and gangs, from 0 to 1, that want all their tasks in one zone.
+    /// Share of the arrays and gangs, from 0 to 1, that require all their tasks to be in one zone.
     pub one_zone_share: f64,
-    /// Which teams have limits.
+    /// The teams and their quotas.
     pub teams: Teams,
-    /// How many milliseconds longer each message takes.
+    /// Additional latency of each message.
     pub extra_latency_ms: u64,
 }
 
 impl Plan {
-    /// An ordinary run of four minutes with random faults.
+    /// Returns the plan of an ordinary run of four minutes with random faults.
     pub fn new(seed: u64) -> Plan {
         Plan {
             seed,
@@ -85,13 +86,14 @@
         }
     }
 
-    /// A quiet run of more than four minutes with long tasks: nothing fails.
+    /// Returns the plan of a run of more than four minutes with long tasks and without faults.
     pub fn quiet(seed: u64) -> Plan {
         let calm = Plan { seconds: 250, calm_seconds: 1, ..Plan::new(seed) };
         Plan { faults: false, long_tasks: true, ..calm }
     }
 
-    /// Every controller ends twenty times within a minute, and is back within a second.
+    /// Returns the plan of a crash storm: every controller crashes twenty times within a minute, and restarts within a
+    /// second each time.
     pub fn storm(seed: u64) -> Plan {
         let mut rng = SmallRng::seed_from_u64(seed ^ STORM_SEED_MASK);
         let mut script = Vec::new();
@@ -105,7 +107,8 @@
         Plan { script, fast_restarts: true, ..Plan::new(seed) }
     }
 
-    /// The machines and jobs of a large deployment, without faults, counted.
+    /// Returns the plan of a run with the machines and jobs of a large deployment, without faults, and with counts of
+    /// inputs and effects.
     pub fn large(seed: u64) -> Plan {
         let large =
             Plan { scale: 20, array_tasks_limit: 240, submission_rate: 4, ..Plan::new(seed) };
@@ -113,7 +116,8 @@
         Plan { faults: false, team_cpu_limit: 600.0, count_traffic: true, ..large }
     }
 
-    /// `times` 90 machines and their work: what grows with them should grow no faster.
+    /// Returns the plan of a run with `times` 90 machines and their jobs, to check that costs grow no faster than the
+    /// number of machines.
     pub fn fleet(seed: u64, times: u32) -> Plan {
         let fleet = Plan { scale: 10 * times, array_tasks_limit: 60, ..Plan::large(seed) };
         let team_cpu_limit = 300.0 * f64::from(times);
--- a/crates/testkit/src/sim/preload.rs
+++ b/crates/testkit/src/sim/preload.rs
@@ -1,4 +1,4 @@
-//! What is in the store from the beginning.
+//! Records that are in the store at the beginning of a run.
 use super::{Sim, NODES};
 use crate::state::State;
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
@@ -9,16 +9,16 @@
 use leaddeal_wire::user::{job_id, Job, JobStatus};
 use serde_json::{json, Value};
 
-/// Identifiers of jobs whose records do not decode begin here.
+/// First identifier of the jobs whose records do not decode.
 const FIRST_CORRUPT_JOB: u64 = 700_000;
-/// Identifiers of open jobs begin here.
+/// First identifier of the preloaded open jobs.
 const FIRST_OPEN_JOB: u64 = 800_000;
-/// Identifiers of jobs in a terminal state begin here.
+/// First identifier of the preloaded jobs in a terminal state.
 const FIRST_TERMINAL_JOB: u64 = 900_000;
-/// Items a page of a store that has many.
+/// Number of items in a page of a store with preloaded jobs.
 const LARGE_PAGE: usize = 300;
 
-/// Values that are no records of any kind.
+/// Returns values that decode as no kind of record.
 fn corrupt_values() -> [Value; 6] {
     [
         json!(null),
@@ -37,7 +37,7 @@
 }
 
 impl Sim {
-    /// Puts jobs into the store as controllers before these would have left them.
+    /// Puts jobs into the store, as if earlier controllers had left them there.
     pub(super) fn preload(&mut self) {
         if self.plan.corrupt_records {
             self.preload_corrupt_records();
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -1,5 +1,5 @@
-//! Users that query all controllers repeatedly within milliseconds, at the instant of a completion, and
-//! with requests that are invalid.
+//! Users that query all controllers repeatedly within milliseconds, act at the instant at which a job completes, or
+//! send invalid requests.
 use super::event::Event;
 use super::fault_windows::draw_percent;
 use super::{Sabotage, Sim, NODES};
@@ -12,44 +12,48 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// Milliseconds from the first to the last of the queries of a burst.
+/// Delay of the queries of a burst.
 const BURST_MS: Range<u64> = 0..30;
-/// When the queries are repeated, in milliseconds: while what was answered is written, and after it.
+/// Delay of the repeated queries of a burst. The state that was answered is being written to the store during
+/// this time, or has just been written.
 const REPEAT_MS: Range<u64> = 100..1500;
-/// How long after a job's last task ended its user acts, at the most: until then its terminal state is
-/// surely being written.
+/// Delay from the end of a job's last task until its user acts. The job's terminal state is being written to the
+/// store during this time.
 const COMPLETION_MS: Range<u64> = 0..800;
-/// Between two random windows of bursts.
+/// Interval between two random windows of bursts.
 const BURST_WINDOW_INTERVAL_MS: Range<u64> = 5000..20_000;
-/// How long such a window lasts.
+/// Duration of a random window of bursts.
 const BURST_WINDOW_MS: Range<u64> = 2000..15_000;
-/// Between two invalid requests.
+/// Interval between two invalid requests.
 const INVALID_REQUEST_INTERVAL_MS: u64 = 250;
-/// Between two jobs of a single task.
+/// Interval between two submissions of jobs of a single task.
 const SINGLE_TASK_JOB_INTERVAL_MS: u64 = 250;
-/// Identifiers of submissions that are never accepted begin here.
+/// First identifier of the submissions that are never accepted.
 const FIRST_INVALID_JOB: u64 = 600_000;
 
-/// Until a time, the users of a share of the jobs, in hundredths, do something.
+/// A window in which the users of a share of the jobs act.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct UserWindow {
+    /// Share of the jobs.
     pub(super) percent: u32,
+    /// Simulated time at which the window ends.
     pub(super) until: u64,
 }
 
-/// What users do beyond a query now and then.
+/// The state of what users do in addition to periodic queries.
 #[derive(Debug, Default)]
 pub(super) struct QueryBursts {
-    /// Bursts after an answer that told a user something new.
+    /// Window of the bursts that follow an answer with new information.
     pub(super) after_answers: UserWindow,
-    /// Bursts at the instant of a completion.
+    /// Window of the bursts at the instant at which a job completes.
     pub(super) at_completion: UserWindow,
-    /// How many invalid submissions there were.
+    /// Number of invalid submissions so far.
     invalid_submissions: u64,
 }
 
 impl Sim {
-    /// Windows of bursts in runs with random faults: of one kind, or of two at once.
+    /// Opens a random window of bursts, of one kind or of two kinds at once, in runs with random faults, and schedules
+    /// the next.
     pub(super) fn random_query_burst(&mut self) {
         if !self.plan.faults {
             return;
@@ -74,7 +78,8 @@
         self.now < window.until && draw_percent(window.percent, &mut self.rng)
     }
 
-    /// A user was told something new of its job.
+    /// Starts a burst of queries if the window for it is open and the user is drawn. Called when an answer has told a
+    /// user something new about its job.
     pub(super) fn query_after_answer(&mut self, id: &str) {
         if !self.draw_user(self.query_bursts.after_answers) {
             return;
@@ -87,7 +92,7 @@
         }
     }
 
-    /// Queries each controller, and repeats the submission there.
+    /// Schedules a query and a repeated submission at each controller.
     fn query_all_nodes(&mut self, id: &str, within_ms: Range<u64>) {
         for node in 0..NODES {
             for kind in [RequestKind::Poll, RequestKind::Submit] {
@@ -97,13 +102,13 @@
         }
     }
 
-    /// A user cancels its job at a random time.
+    /// Schedules a user's cancellation of its job after a random delay within the range.
     pub(super) fn cancel_within(&mut self, id: &str, within_ms: Range<u64>) {
         let wait_ms = self.rng.random_range(within_ms);
         self.schedule(wait_ms, Event::Cancel { job: id.into() });
     }
 
-    /// Users act on jobs whose last task has just ended.
+    /// Schedules queries and cancellations by users whose jobs' last task has just ended.
     pub(super) fn query_completed_jobs(&mut self) {
         for id in self.done.take_recent() {
             let is_complete = self.rules.jobs.get(&id).is_some_and(|job| self.done.all_of(job));
@@ -117,8 +122,8 @@
         }
     }
 
-    /// A submission that is repeated at one or all controllers, or must not be accepted, or a
-    /// cancellation of what is done.
+    /// Sends one of these requests: a repeated submission at one controller or at all of them, a cancellation of a
+    /// job in a terminal state, or a submission that must not be accepted.
     pub(super) fn invalid_request(&mut self, until: u64) -> Result<(), BrokenRule> {
         if self.now < until {
             self.schedule(INVALID_REQUEST_INTERVAL_MS, Event::InvalidRequest { until });
@@ -137,7 +142,7 @@
         Ok(())
     }
 
-    /// A submission lacks a field, has an impossible value, or can never run; and its user queries it.
+    /// Submits a job that lacks a field, has an impossible value or can never run, and queries it.
     fn invalid_submission(&mut self) -> Result<(), BrokenRule> {
         let Some(node) = self.random_reachable_node() else { return Ok(()) };
         self.query_bursts.invalid_submissions += 1;
@@ -148,7 +153,7 @@
         let invalid = all[self.rng.random_range(0..all.len())].clone();
         self.rules.invalid.insert(id.clone(), (invalid.what.clone(), invalid.status));
         let parsed = self.parse_invalid(&invalid, job);
-        // As the gateway finds the name of what it can't parse.
+        // The gateway finds the identifier of a submission that it can't parse in the same way.
         let named = match &parsed {
             Ok(job) => parse_job_id(&job.id),
             Err(_) => serde_json::from_slice::<serde_json::Value>(&invalid.body)
@@ -162,7 +167,8 @@
         self.send_request(node, RequestKind::Poll, &id, poll)
     }
 
-    /// What the gateway gives to the core; with sabotage, what is wrong with the submission is mistaken.
+    /// Returns what the gateway passes to the core. With [`Sabotage::MisparsedSubmissions`], a malformed submission is
+    /// taken for a valid one, and one that can never run for a malformed one.
     fn parse_invalid(&self, invalid: &InvalidSubmission, valid: Job) -> Result<Job, JobError> {
         if self.plan.sabotage != Sabotage::MisparsedSubmissions {
             return invalid.parse();
@@ -174,7 +180,7 @@
         }
     }
 
-    /// A job of one task, of which every fourth is cancelled soon.
+    /// Submits a job of one task, which is cancelled soon with a probability of a quarter.
     pub(super) fn single_task_job(&mut self, until: u64) -> Result<(), BrokenRule> {
         if self.now < until {
             self.schedule(SINGLE_TASK_JOB_INTERVAL_MS, Event::SingleTaskJob { until });
--- a/crates/testkit/src/sim/random_faults.rs
+++ b/crates/testkit/src/sim/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are drawn at random.
+//! Faults that are drawn from the run's random number generator.
 use super::event::Event;
 use super::fault_windows::extend;
 use super::{Sim, FAST_RESTART_MS, NODES, ZONES};
@@ -7,17 +7,17 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// Between two random faults.
+/// Interval between two random faults.
 const FAULT_INTERVAL_MS: Range<u64> = 3000..15_000;
-/// How long a controller stays away that is not started again at once.
+/// Downtime of a crashed controller that is not restarted at once.
 const SLOW_RESTART_MS: Range<u64> = 2000..8000;
-/// For how long faults of kinds that scripts have, too, last.
+/// Duration of the random faults for which [`Sim::draw_percent_and_ms`] draws it.
 const SCRIPTED_FAULT_MS: Range<u64> = 3000..30_000;
 
-/// A fault, which may be one of the controller with this index.
+/// Injects a random fault. Faults of a single controller affect the controller with the given index.
 type RandomFault = fn(&mut Sim, usize);
 
-/// All random faults; one that is more likely stands more often. The order is part of every seeded run.
+/// All random faults; a more likely fault is listed more than once. The order is part of every seeded run.
 const RANDOM_FAULTS: [RandomFault; 34] = [
     Sim::random_crash,
     Sim::random_crash,
@@ -56,7 +56,7 @@
 ];
 
 impl Sim {
-    /// Draws a fault, and schedules the next draw.
+    /// Draws and injects a fault, and schedules the next draw.
     pub(super) fn random_fault(&mut self) {
         if !self.plan.faults {
             return;
@@ -75,7 +75,7 @@
         self.rng.random_range(range)
     }
 
-    /// How long an ended controller stays away.
+    /// Draws the downtime of a crashed controller.
     fn draw_restart_ms(&mut self) -> u64 {
         match self.plan.fast_restarts || self.rng.random_bool(0.3) {
             true => self.draw_ms(FAST_RESTART_MS),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The share and the duration of a fault that scripts have, too.
+    /// Draws the share and the duration of a fault.
     fn draw_percent_and_ms(&mut self) -> (u32, u64) {
         let percent = self.rng.random_range(5..100);
         (percent, self.draw_ms(SCRIPTED_FAULT_MS))
@@ -107,7 +107,7 @@
     fn random_crash_after_write(&mut self, _: usize) {
         let writes =
             [Written::Acquisition, Written::Release, Written::Decision, Written::TerminalState];
-        // Drawn like the share and the duration of the others, and not used.
+        // The values are not used, but the draws are part of every seeded run.
         self.draw_percent_and_ms();
         let what = writes[self.rng.random_range(0..writes.len())];
         let after_ms = self.draw_ms(0..600);
@@ -124,7 +124,7 @@
         self.controllers[node].partitions.isolated ^= true;
     }
 
-    /// Ends what the toggles began: controllers reach everything, and the state service takes their calls.
+    /// Ends the faults of `toggle_isolation` and `toggle_store_refusal` for all controllers.
     fn end_isolation(&mut self, _: usize) {
         for controller in &mut self.controllers {
             controller.partitions.isolated = false;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// For longer than a cancellation may take.
+    /// Partitions all controllers from each other, possibly for longer than a cancellation may take (30 s).
     fn random_peer_partition(&mut self, _: usize) {
         let ms = self.draw_ms(5000..45_000);
         self.inject(Fault::PeerPartition { ms });
@@ -164,7 +164,7 @@
     }
 }
 
-/// Faults of the state service, and of messages to and from it.
+/// Faults of the store, and of messages to and from the store.
 impl Sim {
     fn random_store_outage(&mut self, _: usize) {
         let ms = self.draw_ms(2000..20_000);
@@ -195,7 +195,7 @@
         self.inject(Fault::NoWatches { ms: ms / 4 });
     }
 
-    /// Transactions and copies of heartbeats come late.
+    /// Makes transactions, and copies of heartbeats, arrive late.
     fn random_late_messages(&mut self, _: usize) {
         let ms = self.draw_ms(5000..30_000);
         let percent = self.rng.random_range(5..60_u64) as u32;
@@ -204,9 +204,9 @@
     }
 }
 
-/// Faults of machines, and of messages to and from them.
+/// Faults of machines, and of messages to and from machines.
 impl Sim {
-    /// A machine that is there.
+    /// Draws an existing machine; `None` if there are none.
     fn random_machine(&mut self) -> Option<&mut Worker> {
         let names: Vec<String> = self.machines().map(|w| w.name.clone()).collect();
         let name = names.get(self.rng.random_range(0..names.len().max(1)))?;
@@ -255,7 +255,7 @@
         });
     }
 
-    /// The cloud takes a machine away for good; others may be launched instead.
+    /// Makes the cloud reclaim a machine for good; another one can be launched instead.
     fn random_reclaim(&mut self, _: usize) {
         if let Some(worker) = self.random_machine() {
             worker.lose_machine();
@@ -277,7 +277,8 @@
         self.inject(Fault::DelayHeartbeats { percent, ms, owner_change, to_all });
     }
 
-    /// Work comes to new machines at once, and what is written of it lags.
+    /// Makes new machines boot fast, so that they get assignments early, while the store is slow to acknowledge the
+    /// writes about them.
     fn random_fast_boots(&mut self, _: usize) {
         let (_, ms) = self.draw_percent_and_ms();
         let by_ms = self.draw_ms(100..3000);
--- a/crates/testkit/src/sim/run.rs
+++ b/crates/testkit/src/sim/run.rs
@@ -1,9 +1,9 @@
-//! The run loop: takes events in order of time, and checks the rules after each that concerns a machine.
+//! The run loop, which handles the events in order of time and checks the rules after events that concern a worker.
 use super::event::Event;
 use super::{Sim, BEGIN};
 use crate::broken_rule::BrokenRule;
 
-/// The rules are checked at least once in this many events of workers, however large the fleet is.
+/// Upper bound of the number of worker events from one check of the rules to the next, for any size of the fleet.
 const MAX_CHECK_INTERVAL: u64 = 20_000;
 
 impl Sim {
@@ -15,7 +15,7 @@
         self.run_to((self.plan.seconds + self.plan.calm_seconds) * 1000)
     }
 
-    /// Runs until `ms` simulated milliseconds after the beginning.
+    /// Runs until `ms` simulated milliseconds after the beginning of the run.
     ///
     /// # Errors
     /// The rule that was broken, when, and the plan with which to see it again.
@@ -25,7 +25,7 @@
         while let Some((time, event)) = self.events.next_until(end) {
             self.now = time;
             is_outage = self.expire_store_leases(is_outage);
-            if let Some(event) = self.unless_frozen(event) {
+            if let Some(event) = self.defer_if_frozen(event) {
                 self.run_event(event).map_err(|error| {
                     format!("at {} ms: {error}\nagain: Sim::new({:?}).run()", self.now, self.plan)
                 })?;
@@ -34,13 +34,13 @@
         Ok(())
     }
 
-    /// Adds an event that is due after `delay_ms`.
+    /// Schedules an event that is due after `delay_ms`.
     pub(super) fn schedule(&mut self, delay_ms: u64, event: Event) {
         self.events.add(self.now + delay_ms, event);
     }
 
-    /// Leases of the state service run out, but not during its outages: after one, each has its full
-    /// duration again. Returns whether there is an outage now.
+    /// Expires leases of the store, except during its outages. After an outage each lease has its full duration
+    /// again. Returns whether there is an outage now.
     fn expire_store_leases(&mut self, was_outage: bool) -> bool {
         let is_outage = self.now < self.store_outage_until;
         if was_outage && !is_outage {
@@ -52,17 +52,18 @@
         is_outage
     }
 
-    /// Handles an event and checks the rules.
+    /// Handles an event, and checks the rules if that is due.
     fn run_event(&mut self, event: Event) -> Result<(), BrokenRule> {
         let is_checked = self.is_check_due(&event);
         let handled = self.handle(event);
         self.query_completed_jobs();
-        let kept = if is_checked { self.rules.check(self.now, &self.workers) } else { Ok(()) };
-        handled.and(kept)
+        let rules_checked =
+            if is_checked { self.rules.check(self.now, &self.workers) } else { Ok(()) };
+        handled.and(rules_checked)
     }
 
-    /// Whether the rules are to be checked after an event. A large fleet is checked less often, or the
-    /// checks would take all the time.
+    /// Returns whether to check the rules after an event. They are checked less often for a large fleet, where the
+    /// checks would dominate the run time.
     fn is_check_due(&mut self, event: &Event) -> bool {
         let concerns_worker = matches!(
             event,
@@ -73,8 +74,9 @@
         concerns_worker && self.worker_events.is_multiple_of(interval)
     }
 
-    /// The event, unless it is for a controller that gets no processor time: that one waits.
-    fn unless_frozen(&mut self, event: Event) -> Option<Event> {
+    /// Returns the event. If it is for a controller that gets no CPU time, reschedules it for the end of that fault and
+    /// returns `None`.
+    fn defer_if_frozen(&mut self, event: Event) -> Option<Event> {
         let node = match &event {
             Event::Tick(process) | Event::NodeInput { process, .. } => process.node,
             Event::Heartbeat(sent) => sent.node,
--- a/crates/testkit/src/sim/sabotage.rs
+++ b/crates/testkit/src/sim/sabotage.rs
@@ -1,40 +1,39 @@
-//! Defects that are put in on purpose, to see that the checker notices each of them.
+//! Injected defects, which show that the checker detects each of them.
 
-/// What is broken on purpose.
+/// A defect that is injected into the simulated system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sabotage {
-    /// Nothing is broken.
+    /// No defect.
     None,
-    /// The state service does not check conditions: epochs fence nothing.
+    /// The store does not check the conditions of transactions, so that epochs don't fence stale owners.
     NoFencing,
-    /// The core believes that workers' leases are much shorter than they are.
+    /// The cores are configured with worker leases that are much shorter than the workers' real ones.
     ShortLease,
-    /// The cores' clocks run three times too fast: after a takeover a silent machine is called
-    /// lost while its lease still runs.
+    /// The cores' clocks run three times too fast: after a failover a machine without heartbeats is declared lost
+    /// before its lease has expired.
     FastClock,
-    /// The state service forgets decisions, as if they were compacted away before what became of
-    /// them is durable.
+    /// The store loses decisions, as if they had been compacted before their outcomes were durable.
     LostDecisions,
-    /// Requests about jobs of one shard are not answered.
+    /// Users get no answer to requests about accepted jobs of one shard.
     UnansweredShard,
-    /// The core believes that a cancellation may take ten times as long as it may.
+    /// The cores are configured with ten times the time that a cancellation may take.
     LongCancel,
-    /// Instance requests are named without the epoch, so that a new provisioner uses old names.
+    /// Instance requests are named without the epoch, so that a new provisioner reuses names of the previous one.
     ReusedRequestNames,
-    /// The state service returns single keys as they were half a second ago.
+    /// The store returns the value that a single key had half a second ago.
     StaleReads,
-    /// What a submission lacks is made up, and one that can never run is called malformed.
+    /// Malformed submissions are taken for valid ones, and submissions that can never run for malformed ones.
     MisparsedSubmissions,
-    /// Cancellations come to the core as queries.
+    /// Cancellations reach the core as queries.
     MisroutedCancellations,
-    /// The core believes that teams have no limits.
+    /// The cores are configured without CPU quotas.
     NoLimits,
-    /// Commands to stop a task never reach its machine.
+    /// Workers ignore commands to stop a task.
     LostStops,
-    /// Grants of quota are sent to no other controller.
+    /// Quota grants are not sent to other controllers.
     NoGrants,
-    /// Gangs start without their last task.
+    /// Gangs run without waiting for their last task.
     EagerGangs,
-    /// The core believes that teams may use twice as many GPUs.
+    /// The cores are configured with twice the GPU quotas.
     LooseGpus,
 }
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -1,4 +1,4 @@
-//! The beginning of a run: settings, machine types, and what is there before the first event.
+//! Setup of a run: settings, machine types, and the state before the first event.
 use super::controllers::Controller;
 use super::event::{Event, EventQueue};
 use super::query_bursts::QueryBursts;
@@ -19,20 +19,21 @@
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
 
-/// Within this time after its cancellation was confirmed, no task of a job may run: `cancel_s`.
+/// Longest time for which a task of a job may run after the job's cancellation was acknowledged; the setting
+/// `cancel_s`.
 const CANCEL_MS: u64 = 30_000;
-/// Machines that are there from the beginning, at a scale of 1.
+/// Number of machines at the beginning of a run, at a scale of 1.
 const INITIAL_MACHINES: usize = 9;
-/// Instances that the cloud has left, at a scale of 1.
+/// Number of further instances that the cloud can launch, at a scale of 1.
 const SPARE_INSTANCES: u32 = 6;
-/// When the first job is submitted.
+/// Time from the beginning of the run to the first submission.
 const FIRST_SUBMISSION_MS: u64 = 2000;
-/// When the first random fault comes.
+/// Time from the beginning of the run to the first random fault.
 const FIRST_FAULT_MS: u64 = 8000;
-/// When the first random burst of queries begins.
+/// Time from the beginning of the run to the first random window of query bursts.
 const FIRST_QUERY_BURST_MS: u64 = 9000;
 
-/// The settings of a controller.
+/// Returns the settings of a controller.
 ///
 /// # Panics
 /// If the simulator's own settings can't be parsed, which is a mistake in this function.
@@ -62,7 +63,7 @@
     Settings::parse(&settings.to_string()).expect("the simulator's own settings")
 }
 
-/// The types of machines that the cloud has.
+/// Returns the machine types of the cloud's catalog.
 pub(super) fn machine_types(with_gpus: bool) -> Vec<MachineType> {
     let small = MachineType {
         name: "small".into(),
@@ -84,7 +85,7 @@
     vec![small, gpu]
 }
 
-/// What is broken at the state service.
+/// Returns the store's part of an injected defect.
 fn broken_store(sabotage: Sabotage) -> Broken {
     match sabotage {
         Sabotage::NoFencing => Broken::Conditions,
@@ -110,7 +111,7 @@
         sim
     }
 
-    /// Neither machines nor records, and no controller is up.
+    /// Returns the state without machines, records, running controllers and events.
     fn empty(plan: Plan) -> Sim {
         Sim {
             trace: std::env::var("LEADDEAL_TRACE").is_ok(),
--- a/crates/testkit/src/sim/store.rs
+++ b/crates/testkit/src/sim/store.rs
@@ -1,38 +1,38 @@
-//! Calls of the state service on their way, and what becomes of their answers.
+//! Calls to the simulated store, and their answers.
 use super::event::{Event, OpenWatch, SentStoreCall};
 use super::Sim;
 use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_core::io::{Input, StoreCall, StoreResult};
 use rand::Rng;
 
-/// How long a controller waits for the answer to a call, or less.
+/// Longest time that a controller waits for the answer to a call.
 pub(super) const STORE_TIMEOUT_MS: u64 = 2000;
-/// Between two looks of a watch for changes.
+/// Interval between two polls of a watch for changes.
 const WATCH_INTERVAL_MS: u64 = 50;
-/// After this long a watch is refused, while all are.
+/// Time until a watch is refused while the store ends all watches.
 const WATCH_REFUSED_MS: u64 = 5;
-/// For how long a transaction that gets no answer may be held back.
+/// Delay of a late transaction, whose sender gets no answer.
 const LATE_WRITE_MS: std::ops::Range<u64> = 2000..25_000;
-/// One of this many transactions is late, where faults are random.
+/// With random faults, one of this many transactions is late.
 const LATE_WRITE_ODDS: u32 = 150;
-/// One of this many answers is lost, where faults are random.
+/// With random faults, one of this many answers is lost.
 const LOST_ANSWER_ODDS: u32 = 60;
 
 impl Sim {
-    /// Whether the state service refuses this controller now.
+    /// Returns whether the store refuses a controller's calls now.
     fn store_refuses(&self, node: usize) -> bool {
         let partitions = &self.controllers[node].partitions;
         let refused_until = self.store_outage_until.max(partitions.store_refuses_until);
         partitions.store_refuses || self.now < refused_until
     }
 
-    /// Whether a transaction gets no answer and is carried out late.
+    /// Draws whether a transaction gets no answer and is executed late.
     fn is_write_late(&mut self) -> bool {
         (self.plan.faults && self.rng.random_range(0..LATE_WRITE_ODDS) == 0)
             || self.windows.late_writes.draw(self.now, &mut self.rng)
     }
 
-    /// Sends a controller's call to the state service, which it reaches after `latency_ms`.
+    /// Sends a controller's call to the store, where it arrives after `latency_ms`.
     pub(super) fn send_to_store(&mut self, node: usize, op: u64, latency_ms: u64, call: StoreCall) {
         let process = self.process(node);
         match call {
@@ -41,7 +41,7 @@
                 let watch = OpenWatch { process, op, prefix, after, until };
                 self.schedule(latency_ms, Event::Watch(watch));
             }
-            // Executed late, after whoever sent it gave it up or ended.
+            // Executed late: the sender has given it up or ended by then.
             StoreCall::Transaction(transaction) if self.is_write_late() => {
                 let unknown = Input::Store { op, result: StoreResult::Unknown };
                 self.schedule_input(STORE_TIMEOUT_MS, process, unknown);
@@ -53,14 +53,17 @@
         }
     }
 
-    /// Carries out a call at the state service.
+    /// Executes a call at the store, and schedules the answer.
+    ///
+    /// # Errors
+    /// [`Rule::WrittenAgain`] if a late copy of the transaction would be executed again.
     pub(super) fn store_call(&mut self, sent: SentStoreCall) -> Result<(), BrokenRule> {
         let SentStoreCall { process, op, call } = sent;
         let mut result = self.store_result(process.node, &call);
         if let (StoreCall::Transaction(transaction), StoreResult::Committed(_)) = (&call, &result) {
             self.note_terminal_states(transaction);
         }
-        // An answer that is lost: executed, but the controller does not know.
+        // The answer is lost: the call was executed, but the controller does not learn it.
         if self.plan.faults && self.rng.random_range(0..LOST_ANSWER_ODDS) == 0
             || self.is_answer_lost(process.node, &call, &result)
         {
@@ -82,7 +85,7 @@
         Ok(())
     }
 
-    /// What a call gives, where neither a partition nor the service itself keeps it from being carried out.
+    /// Executes a call, unless a partition or the store's refusal prevents that, and returns its result.
     fn store_result(&mut self, node: usize, call: &StoreCall) -> StoreResult {
         let flaky = self.windows.flaky_store.draw(self.now, &mut self.rng);
         if self.controllers[node].lacks_store_and_peers(self.now) {
@@ -94,7 +97,7 @@
         self.state.call(self.now, call)
     }
 
-    /// A watch looks for changes, and looks again later if there are none.
+    /// Polls a watch for changes, and schedules the next poll if there are none and its time is not over.
     pub(super) fn watch(&mut self, watch: OpenWatch) {
         if !self.is_alive(watch.process) {
             return;
--- a/crates/testkit/src/sim/teams.rs
+++ b/crates/testkit/src/sim/teams.rs
@@ -1,39 +1,40 @@
-//! Teams, their limits and who works with GPUs.
+//! Teams and their quotas, and the jobs and machines with GPUs.
 use super::{Plan, Sim, ZONES};
 use leaddeal_wire::user::{Job, JobKind};
 use rand::Rng;
 use serde_json::{json, Value};
 
-/// Which teams have limits.
+/// The teams and their quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Teams {
-    /// One of two has a limit of processors.
+    /// Two teams, of which one has a CPU quota.
     One,
-    /// One of three has a limit of processors, one a limit of processors and one of GPUs.
+    /// Three teams: one without a quota, one with a CPU quota, one with a CPU and a GPU quota.
     Three,
-    /// The third, too, has a limit of processors and one of GPUs.
+    /// Three teams: one with a CPU quota, two with a CPU and a GPU quota.
     AllLimited,
 }
 
-/// The limit of GPUs of a team that has one.
+/// GPU quota of a team that has one.
 const GPU_LIMIT: f64 = 3.0;
 
 impl Plan {
-    /// Whether there are GPU machines, and work for them.
+    /// Returns whether there are GPU machines and jobs that need them.
     pub(super) fn has_gpus(&self) -> bool {
         self.scale > 1 || self.teams != Teams::One
     }
 
-    /// Whether some jobs of a small deployment need GPUs; a fleet has its own GPU machines and work.
+    /// Returns whether a small deployment gets a few GPU machines and jobs. A fleet (a scale above 1) has GPU machines
+    /// among its initial ones, and gangs that need them.
     fn has_few_gpus(&self) -> bool {
         self.scale <= 1 && self.has_gpus()
     }
 
-    /// The teams, as the settings have them.
+    /// Returns the teams in the form of the settings.
     pub(super) fn teams(&self) -> Value {
-        let limit = self.team_cpu_limit;
-        let tight = json!({"name": "tight", "cpus_max": limit});
-        let both = |name| json!({"name": name, "cpus_max": 1.5 * limit, "gpus_max": GPU_LIMIT});
+        let cpu_quota = self.team_cpu_limit;
+        let tight = json!({"name": "tight", "cpus_max": cpu_quota});
+        let both = |name| json!({"name": name, "cpus_max": 1.5 * cpu_quota, "gpus_max": GPU_LIMIT});
         match self.teams {
             Teams::One => json!([{"name": "free"}, tight]),
             Teams::Three => json!([{"name": "free"}, tight, both("vision")]),
@@ -43,7 +44,7 @@
 }
 
 impl Sim {
-    /// One GPU machine a zone; a fleet has its own among the others.
+    /// Boots one GPU machine in each zone of a small deployment.
     pub(super) fn boot_gpu_machines(&mut self) {
         if !self.plan.has_few_gpus() {
             return;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Some gangs and a few arrays need GPUs, too.
+    /// Draws whether a job of a small deployment needs GPUs, and returns the job with them.
     pub(super) fn with_gpus(&mut self, mut job: Job) -> Job {
         if !self.plan.has_few_gpus() || job.kind == JobKind::Service {
             return job;
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, query and cancel, and the answers that they get.
+//! Users, who submit, query and cancel jobs, and the answers that they get.
 use super::event::{Event, PendingRequest};
 use super::{Sabotage, Sim, NODES};
 use crate::broken_rule::BrokenRule;
@@ -11,28 +11,28 @@
 use leaddeal_wire::user::{job_id, parse_job_id, Job, JobKind, JobStatus};
 use rand::Rng;
 
-/// Between a submission and the first query.
+/// Time from a submission to the first query.
 const FIRST_POLL_MS: u64 = 1000;
-/// Between two queries of a job.
+/// Interval between two queries of a job.
 const POLL_INTERVAL_MS: u64 = 4000;
-/// The same while users poll often.
+/// Interval between two queries of a job while users poll often.
 const FREQUENT_POLL_INTERVAL_MS: u64 = 500;
-/// Until a cancellation that was not answered is repeated.
+/// Time after which a cancellation that was not answered is repeated.
 const CANCEL_RETRY_MS: u64 = 1500;
-/// Until a job that was not accepted is cancelled again.
+/// Time after which the cancellation of a job that is not accepted yet is tried again.
 const CANCEL_WHEN_ACCEPTED_MS: u64 = 3000;
-/// A job that ended this long before its cancellation counts as ended before it.
+/// A job whose last task ended at least this long before its cancellation must not be reported as cancelled.
 const ENDED_BEFORE_CANCEL_MS: u64 = 1000;
-/// Between two submissions, at the usual rate.
+/// Interval between two submissions, at the usual rate.
 const SUBMISSION_INTERVAL_MS: std::ops::Range<u64> = 500..4000;
-/// One of this many queries is a submission that is repeated.
+/// One of this many queries is replaced by a repeated submission.
 const RESUBMISSION_ODDS: u32 = 20;
-/// One of this many answers is lost, where faults are random.
+/// With random faults, one of this many answers is lost.
 const LOST_REPLY_ODDS: u32 = 50;
 
 impl Sim {
-    /// A transaction was committed: how long after its last task was done a job's terminal state was
-    /// written.
+    /// Records, for each job that a committed transaction marks as done, how long after the end of the job's last
+    /// task that happened.
     pub(super) fn note_terminal_states(&mut self, transaction: &Transaction) {
         for change in &transaction.changes {
             let Change::Put { key, value, .. } = change else { continue };
@@ -47,14 +47,14 @@
         }
     }
 
-    /// A new job, which its user asks about from now on.
+    /// Adds a new job, which its user queries periodically from now on.
     pub(super) fn add_job(&mut self, job: &Job) {
         self.rules.jobs.insert(job.id.clone(), job.clone());
         self.rules.served.submitted(job, self.now);
         self.schedule(FIRST_POLL_MS, Event::Poll { job: job.id.clone() });
     }
 
-    /// A controller that the load balancer has a connection to, if there is any.
+    /// Draws a controller that users can reach through the load balancer; `None` if there are none.
     pub(super) fn random_reachable_node(&mut self) -> Option<usize> {
         let is_reachable = |&node: &usize| {
             self.controllers[node].reaches_users() && self.controllers[node].runs(self.now)
@@ -66,7 +66,7 @@
         Some(reachable[self.rng.random_range(0..reachable.len())])
     }
 
-    /// Sends a request to any controller that is up.
+    /// Sends a request to a random reachable controller. Without one, the request is lost.
     pub(super) fn request(&mut self, kind: RequestKind, id: &str) -> Result<(), BrokenRule> {
         match self.random_reachable_node() {
             Some(node) => self.request_at(node, kind, id),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sends a request to this controller, if it is up.
+    /// Sends a request to a given controller. If that is unreachable, the request is lost.
     pub(super) fn request_at(
         &mut self,
         node: usize,
@@ -96,18 +96,18 @@
         })
     }
 
-    /// Sends the input that `make` gives for the request's number, and notes what the user knew until then.
-    /// A controller that gets no processor time takes it in when it goes on.
+    /// Sends the input that `make_input` returns for the request's number, and records what the user knew before.
+    /// A controller that gets no CPU time handles the input once it runs again.
     pub(super) fn send_request(
         &mut self,
         node: usize,
         kind: RequestKind,
         id: &str,
-        make: impl FnOnce(u64) -> Input,
+        make_input: impl FnOnce(u64) -> Input,
     ) -> Result<(), BrokenRule> {
         let request = UserRequest { kind, job: id.into(), knew: self.rules.knowledge(id) };
         let number = self.add_pending(node, PendingRequest::User(request));
-        let input = make(number);
+        let input = make_input(number);
         if self.controllers[node].runs(self.now) {
             return self.step(node, input);
         }
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// A user submits a job, and another user will.
+    /// Submits a new job, and schedules the next submission.
     pub(super) fn next_submission(&mut self) -> Result<(), BrokenRule> {
         let job = self.random_job();
         self.add_job(&job);
@@ -132,19 +132,20 @@
         Ok(())
     }
 
-    /// A user queries its job, or repeats the submission, and will do so again.
+    /// Sends a user's query or repeated submission of its job, and schedules the next one.
     pub(super) fn poll(&mut self, id: String) -> Result<(), BrokenRule> {
         let is_frequent = self.now < self.frequent_polls_until;
         let wait_ms = if is_frequent { FREQUENT_POLL_INTERVAL_MS } else { POLL_INTERVAL_MS };
         self.schedule(wait_ms, Event::Poll { job: id.clone() });
-        // A retry may come at any later time, even when the job is over.
+        // A repeated submission may come at any later time, even when the job is in a terminal state.
         let resubmits =
             !self.rules.accepted.contains(&id) || self.rng.random_range(0..RESUBMISSION_ODDS) == 0;
         let kind = if resubmits { RequestKind::Submit } else { RequestKind::Poll };
         self.request(kind, &id)
     }
 
-    /// A user cancels its job. What it was told is done stays so, whatever it asks for.
+    /// Sends a user's cancellation of its job. Once a user has been told a job's terminal state, a cancellation does
+    /// not change that state.
     pub(super) fn cancel(&mut self, id: String) -> Result<(), BrokenRule> {
         if !self.rules.accepted.contains(&id) {
             self.schedule(CANCEL_WHEN_ACCEPTED_MS, Event::Cancel { job: id });
@@ -158,7 +159,7 @@
         self.request(RequestKind::Cancel, &id)
     }
 
-    /// The first cancellation of a job that is not over, as far as its user knows.
+    /// Records the first cancellation of a job whose user has not been told a terminal state.
     fn note_first_cancel(&mut self, id: &str) {
         self.rules.served.cancelled(id);
         let has_ended = self.rules.jobs.get(id).is_some_and(|job| self.done.all_of(job));
@@ -169,7 +170,7 @@
         self.rules.unanswered_cancels.insert(id.into(), self.now);
     }
 
-    /// A user repeats a cancellation that was not answered.
+    /// Repeats a cancellation that was not answered, and schedules the next repetition.
     pub(super) fn repeat_cancel(&mut self, id: String) -> Result<(), BrokenRule> {
         if !self.rules.unanswered_cancels.contains_key(&id) {
             return Ok(());
@@ -178,7 +179,10 @@
         self.request(RequestKind::Cancel, &id)
     }
 
-    /// What a controller answers a user, unless the answer is lost on its way.
+    /// Delivers a controller's answer to a user, unless the answer is lost, and checks it against the rules.
+    ///
+    /// # Errors
+    /// The rule that the answer breaks.
     pub(super) fn answer(
         &mut self,
         request: &UserRequest,
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -1,5 +1,5 @@
-//! The workers' side of the simulation: heartbeats, their replies and commands, each with what may become of
-//! it on its way.
+//! The workers' side of the simulation: heartbeats, replies to heartbeats, and commands, with the faults that can
+//! happen to these messages.
 use super::event::{
     Event, HeartbeatRequest, PendingRequest, RequestId, SentCommands, SentHeartbeat,
     SentHeartbeatReply,
@@ -12,30 +12,30 @@
 use leaddeal_wire::worker::HeartbeatResponse;
 use rand::Rng;
 
-/// Between two looks of a worker at what is due.
+/// Interval between two steps of a worker.
 const WORKER_STEP_MS: u64 = 500;
-/// Between the reply to a heartbeat and the next heartbeat.
+/// Time from the reply to a heartbeat to the next heartbeat.
 const HEARTBEAT_INTERVAL_MS: u64 = 1500;
 /// How long a worker waits for the reply to a heartbeat.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
-/// After this long a worker tries the next controller.
+/// Time after which a worker that got no usable reply tries the next controller.
 const RETRY_INTERVAL_MS: u64 = 1000;
-/// After this long a worker turns to the controller that it was redirected to.
+/// Time after which a worker sends a heartbeat to the controller that it was redirected to.
 const REDIRECT_MS: u64 = 100;
 /// How long a controller waits for the outcome of commands.
 pub(super) const COMMAND_TIMEOUT_MS: u64 = 2500;
-/// How long it takes a controller to notice that it can't send commands.
+/// Time after which a controller learns that its commands could not be sent.
 const COMMAND_REFUSED_MS: u64 = 800;
-/// For how long a heartbeat may be held back.
+/// Additional delay of a late heartbeat.
 const LATE_HEARTBEAT_MS: std::ops::Range<u64> = 3000..30_000;
-/// One of this many heartbeats is held back, where faults are random.
+/// With random faults, one of this many heartbeats is late.
 const LATE_HEARTBEAT_ODDS: u32 = 200;
-/// When a copy of a heartbeat arrives.
+/// Delay of a copy of a heartbeat.
 const HEARTBEAT_COPY_MS: std::ops::Range<u64> = 1000..30_000;
-/// One of this many heartbeats is copied, where faults are random.
+/// With random faults, one of this many heartbeats is copied.
 const HEARTBEAT_COPY_ODDS: u32 = 40;
 
-/// The worker turns to the next controller.
+/// Makes a worker send its next heartbeat to the next controller.
 fn try_next_node(worker: &mut Worker, now: u64) {
     worker.node = (worker.node + 1) % NODES;
     worker.next_heartbeat = now + RETRY_INTERVAL_MS;
@@ -47,7 +47,7 @@
         format!("n-{:06}", self.next_machine)
     }
 
-    /// A machine comes up with a new worker.
+    /// Boots a machine with a new worker.
     pub(super) fn boot_machine(&mut self, name: &str, type_name: &str, zone: &str, spot: bool) {
         let mut worker = Worker::new(name, type_name, zone, spot, self.now, self.plan.lease_ms);
         let types = machine_types(self.plan.has_gpus());
@@ -60,13 +60,15 @@
         self.schedule(10, Event::WorkerStep { machine: name.into() });
     }
 
-    /// For how many milliseconds what goes between that machine and a controller is held back.
+    /// Returns for how many milliseconds a zone partition holds back messages between a machine and a controller; 0 if
+    /// none does.
     fn held_back_ms(&self, machine: &str, node: usize) -> u64 {
         let worker = self.workers.get(machine);
         worker.map_or(0, |w| self.windows.zone_partition_ms(&w.zone, node, self.now))
     }
 
-    /// A worker checks what is due at it, and goes on to do so unless its machine is gone.
+    /// Advances a worker's tasks, sends a heartbeat if one is due, and schedules the next step. Does nothing if the
+    /// machine is gone.
     pub(super) fn worker_step(&mut self, machine: String) {
         let Some(worker) = self.workers.get_mut(&machine).filter(|w| !w.gone) else { return };
         if self.now < worker.hung_until {
@@ -86,7 +88,7 @@
         self.schedule(WORKER_STEP_MS, Event::WorkerStep { machine });
     }
 
-    /// Sends a heartbeat, which may be held back, copied, or never arrive.
+    /// Sends a heartbeat, which may be late, copied or lost.
     fn send_heartbeat(&mut self, machine: &str) {
         let Some(worker) = self.workers.get_mut(machine) else { return };
         worker.heartbeat_sent_at = Some(self.now);
@@ -95,14 +97,13 @@
         let node = worker.node;
         let is_partitioned = self.now < worker.outbound_partition_until;
         let latency_ms = self.latency_ms();
-        // Heartbeats, too, may be held back for long.
         let is_late = self.plan.faults && self.rng.random_range(0..LATE_HEARTBEAT_ODDS) == 0;
         let held_ms = if is_late { self.rng.random_range(LATE_HEARTBEAT_MS) } else { 0 };
-        // And a copy may come late, to any controller; nobody waits for its reply.
+        // A copy may arrive late at any controller. No worker waits for its reply.
         let is_copied = self.windows.late_heartbeat_copies.draw(self.now, &mut self.rng);
-        let by_chance =
+        let is_copied_at_random =
             |sim: &mut Sim| sim.plan.faults && sim.rng.random_range(0..HEARTBEAT_COPY_ODDS) == 0;
-        if is_copied || by_chance(self) {
+        if is_copied || is_copied_at_random(self) {
             let copy_ms = self.rng.random_range(HEARTBEAT_COPY_MS);
             let to = self.rng.random_range(0..NODES);
             let copy = SentHeartbeat { node: to, sent_at: 0, heartbeat: heartbeat.clone() };
@@ -116,7 +117,7 @@
         }
     }
 
-    /// A heartbeat reaches a controller.
+    /// Delivers a heartbeat to a controller, or holds it back during a zone partition.
     pub(super) fn deliver_heartbeat(&mut self, sent: SentHeartbeat) -> Result<(), BrokenRule> {
         let node = sent.node;
         let held_ms = self.held_back_ms(&sent.heartbeat.machine, node);
@@ -135,7 +136,7 @@
         self.step(node, Input::WorkerHeartbeat { req, heartbeat: Box::new(heartbeat) })
     }
 
-    /// A controller replies to a heartbeat.
+    /// Sends a controller's reply to a heartbeat, which is lost if the controller doesn't reach the workers.
     pub(super) fn reply_to_worker(
         &mut self,
         node: usize,
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The reply to a heartbeat reaches its worker, if the worker still waits for it.
+    /// Delivers the reply to a heartbeat, if the worker is reachable and still waits for it.
     pub(super) fn deliver_heartbeat_reply(&mut self, sent: SentHeartbeatReply) {
         let HeartbeatRequest { machine, sent_at, incarnation } = sent.request;
         let now = self.now;
@@ -183,24 +184,24 @@
         }
     }
 
-    /// Tells the sender of commands what became of them.
+    /// Schedules the outcome of commands as an input of the controller that sent them.
     fn report_outcome(&mut self, sent: &SentCommands, outcome: CommandOutcome, delay_ms: u64) {
         let (machine, batch) = (sent.machine.clone(), sent.batch);
         let input = Input::CommandOutcome { machine, batch, outcome };
         self.schedule_input(delay_ms, sent.process, input);
     }
 
-    /// The sender of commands does not learn what became of them.
+    /// Tells the sender of commands, after its timeout, that their outcome is unknown.
     pub(super) fn report_unknown_outcome(&mut self, sent: &SentCommands) {
         self.report_outcome(sent, CommandOutcome::Unknown, COMMAND_TIMEOUT_MS);
     }
 
-    /// Commands arrive later, when their sender has given them up.
+    /// Delivers commands again later, when their sender no longer waits for the outcome.
     fn redeliver_commands(&mut self, sent: SentCommands, delay_ms: u64) {
         self.schedule(delay_ms, Event::Commands(SentCommands { answer_lost: true, ..sent }));
     }
 
-    /// Commands reach a worker.
+    /// Delivers commands to a worker. During a partition or while the machine hangs, holds them back or drops them.
     pub(super) fn deliver_commands(&mut self, sent: SentCommands) {
         let held_ms = self.held_back_ms(&sent.machine, sent.process.node);
         if held_ms > 0 {
@@ -221,8 +222,8 @@
             if !sent.answer_lost {
                 self.report_unknown_outcome(&sent);
             }
-            // A machine that hangs takes them in when it wakes up; to one with an inbound partition they
-            // may come or not, later than whoever sent them waits.
+            // A hung machine receives the commands when it resumes. Across an inbound partition they are lost or
+            // arrive when it ends, after their sender's timeout.
             if self.now < hung_until || self.rng.random_bool(0.5) {
                 let wait_ms = reached_at - self.now + 1;
                 self.redeliver_commands(sent, wait_ms);
@@ -232,7 +233,7 @@
         self.execute_commands(&sent);
     }
 
-    /// A worker executes commands, or refuses them, and answers with its state.
+    /// Makes a worker execute commands, or refuse them as stale, and answer with its state.
     fn execute_commands(&mut self, sent: &SentCommands) {
         let Some(worker) = self.workers.get_mut(&sent.machine) else { return };
         let (now, jobs, commands) = (self.now, &self.rules.jobs, &sent.commands);
