--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -1,7 +1,7 @@
 //! The simulated cloud provider, which launches, lists and releases instances.
 use super::event::Event;
 use super::setup::machine_types;
-use super::{Sabotage, Sim};
+use super::{InjectedDefect, Sim};
 use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_core::io::{CloudCall, CloudResult};
 use leaddeal_wire::cloud::{Catalog, Instance, InstanceList, InstanceRequest, InstanceStatus};
@@ -51,7 +51,7 @@
     }
 
     fn launch(&mut self, mut request: InstanceRequest) -> Result<CloudResult, BrokenRule> {
-        if self.plan.sabotage == Sabotage::ReusedRequestNames {
+        if self.plan.defect == InjectedDefect::ReusedRequestNames {
             request.request = request.request.rsplit('-').next().unwrap_or_default().to_string();
         }
         // A repeated request gets the answer of the first one. A different request under the same name
--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -1,7 +1,7 @@
 //! The simulated controllers: their processes, clocks and the faults that cut them off.
 use super::event::Event;
 use super::setup::settings;
-use super::{Sabotage, Sim};
+use super::{InjectedDefect, Sim};
 use crate::broken_rule::BrokenRule;
 use leaddeal_core::io::Input;
 use leaddeal_core::Node;
@@ -99,11 +99,13 @@
         let mut settings = settings(node, &self.plan);
         let params = &mut settings.params;
         params.workers.lease_s = self.plan.lease_ms as f64 / 1000.0;
-        match self.plan.sabotage {
-            Sabotage::ShortLease => params.workers.lease_s = 0.4,
-            Sabotage::LooseGpus => params.teams.iter_mut().for_each(|t| t.gpus_max *= 2.0),
-            Sabotage::LongCancel => params.workers.cancel_s *= 10.0,
-            Sabotage::NoLimits => params.teams.iter_mut().for_each(|t| t.cpus_max = 0.0),
+        match self.plan.defect {
+            InjectedDefect::ShortLease => params.workers.lease_s = 0.4,
+            InjectedDefect::DoubledGpuQuotas => {
+                params.teams.iter_mut().for_each(|t| t.gpus_max *= 2.0)
+            }
+            InjectedDefect::LongCancel => params.workers.cancel_s *= 10.0,
+            InjectedDefect::NoCpuQuotas => params.teams.iter_mut().for_each(|t| t.cpus_max = 0.0),
             _ => {}
         }
         settings
@@ -128,7 +130,7 @@
     /// Returns the time of a controller's monotonic clock, which starts with its process.
     fn steady_clock_ms(&self, node: usize) -> u64 {
         let uptime_ms = self.now - self.controllers[node].started_at;
-        let speed = if self.plan.sabotage == Sabotage::FastClock { 3 } else { 1 };
+        let speed = if self.plan.defect == InjectedDefect::FastClock { 3 } else { 1 };
         (uptime_ms + uptime_ms * node as u64 / CLOCK_DRIFT_DIVISOR) * speed + 1
     }
 
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -3,7 +3,7 @@
 use super::cloud::CLOUD_CALL_MS;
 use super::event::{Event, PendingRequest, RequestId, SentCommands};
 use super::workers::COMMAND_TIMEOUT_MS;
-use super::{Sabotage, Sim};
+use super::{InjectedDefect, Sim};
 use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_core::io::{CloudResult, Effect, Input, StoreCall, UserReply};
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
@@ -95,7 +95,7 @@
         latency_ms: u64,
     ) -> Result<(), BrokenRule> {
         let to: usize = to_name[2..].parse().map_err(|_| Rule::UnknownNode.broken(to_name))?;
-        let not_sent = self.plan.sabotage == Sabotage::NoGrants && is_grant(&msg);
+        let not_sent = self.plan.defect == InjectedDefect::NoGrants && is_grant(&msg);
         if not_sent || self.are_partitioned(from, to) || self.controllers[to].core.is_none() {
             return Ok(());
         }
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -47,7 +47,7 @@
 mod workers;
 
 pub use plan::Plan;
-pub use sabotage::Sabotage;
+pub use sabotage::InjectedDefect;
 pub use teams::Teams;
 
 /// Number of controllers, which is also the number of shards.
--- a/crates/testkit/src/sim/plan.rs
+++ b/crates/testkit/src/sim/plan.rs
@@ -1,5 +1,5 @@
 //! The parameters of a simulated run.
-use super::{Sabotage, Teams, FAST_RESTART_MS, NODES};
+use super::{InjectedDefect, Teams, FAST_RESTART_MS, NODES};
 use crate::script::Fault;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
     /// Whether faults, lost answers and late messages are drawn at random.
     pub faults: bool,
     /// The defect that is injected into the system under test.
-    pub sabotage: Sabotage,
+    pub defect: InjectedDefect,
     /// CPU quota of the team `tight`; other teams with a quota have 1.5 times as much.
     pub team_cpu_limit: f64,
     /// Multiplier of the usual number of machines. Above 1, a fifth of the machines have GPUs, and gangs need GPUs.
@@ -64,7 +64,7 @@
             seed,
             seconds: 240,
             faults: true,
-            sabotage: Sabotage::None,
+            defect: InjectedDefect::None,
             team_cpu_limit: 6.0,
             scale: 1,
             array_tasks_limit: 12,
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -2,7 +2,7 @@
 //! send invalid requests.
 use super::event::Event;
 use super::fault_windows::draw_percent;
-use super::{Sabotage, Sim, NODES};
+use super::{InjectedDefect, Sim, NODES};
 use crate::broken_rule::BrokenRule;
 use crate::invalid_submissions::{self, InvalidSubmission};
 use crate::user_knowledge::RequestKind;
@@ -167,10 +167,10 @@
         self.send_request(node, RequestKind::Poll, &id, poll)
     }
 
-    /// Returns what the gateway passes to the core. With [`Sabotage::MisparsedSubmissions`], a malformed submission is
+    /// Returns what the gateway passes to the core. With [`InjectedDefect::MisparsedSubmissions`], a malformed submission is
     /// taken for a valid one, and one that can never run for a malformed one.
     fn parse_invalid(&self, invalid: &InvalidSubmission, valid: Job) -> Result<Job, JobError> {
-        if self.plan.sabotage != Sabotage::MisparsedSubmissions {
+        if self.plan.defect != InjectedDefect::MisparsedSubmissions {
             return invalid.parse();
         }
         if invalid.status == 400 {
--- a/crates/testkit/src/sim/sabotage.rs
+++ b/crates/testkit/src/sim/sabotage.rs
@@ -2,7 +2,7 @@
 
 /// A defect that is injected into the simulated system.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sabotage {
+pub enum InjectedDefect {
     /// No defect.
     None,
     /// The store does not check the conditions of transactions, so that epochs don't fence stale owners.
@@ -27,13 +27,13 @@
     /// Cancellations reach the core as queries.
     MisroutedCancellations,
     /// The cores are configured without CPU quotas.
-    NoLimits,
+    NoCpuQuotas,
     /// Workers ignore commands to stop a task.
-    LostStops,
+    IgnoredStops,
     /// Quota grants are not sent to other controllers.
     NoGrants,
     /// Gangs run without waiting for their last task.
-    EagerGangs,
+    IncompleteGangs,
     /// The cores are configured with twice the GPU quotas.
-    LooseGpus,
+    DoubledGpuQuotas,
 }
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -3,7 +3,7 @@
 use super::event::{Event, EventQueue};
 use super::query_bursts::QueryBursts;
 use super::{
-    ActiveWindows, DelayedHeartbeats, Plan, Sabotage, Sim, BEGIN, GANG_STEP_MS, NODES, ZONES,
+    ActiveWindows, DelayedHeartbeats, InjectedDefect, Plan, Sim, BEGIN, GANG_STEP_MS, NODES, ZONES,
 };
 use crate::fingerprint::Fingerprint;
 use crate::gangs::Gangs;
@@ -86,11 +86,11 @@
 }
 
 /// Returns the store's part of an injected defect.
-fn broken_store(sabotage: Sabotage) -> Broken {
-    match sabotage {
-        Sabotage::NoFencing => Broken::Conditions,
-        Sabotage::LostDecisions => Broken::Decisions,
-        Sabotage::StaleReads => Broken::StaleReads,
+fn broken_store(defect: InjectedDefect) -> Broken {
+    match defect {
+        InjectedDefect::NoFencing => Broken::Conditions,
+        InjectedDefect::LostDecisions => Broken::Decisions,
+        InjectedDefect::StaleReads => Broken::StaleReads,
         _ => Broken::Nothing,
     }
 }
@@ -129,7 +129,7 @@
             fingerprint: Fingerprint::default(),
             worker_events: 0,
             store_outage_until: 0,
-            state: State::new(broken_store(plan.sabotage)),
+            state: State::new(broken_store(plan.defect)),
             workers: BTreeMap::new(),
             launches: HashMap::new(),
             starting: BTreeMap::new(),
@@ -140,7 +140,7 @@
             query_bursts: QueryBursts::default(),
             rules: Rules::new(settings(0, &plan).params.teams, CANCEL_MS),
             done: CompletedTasks::default(),
-            gangs: Gangs::new(plan.sabotage == Sabotage::EagerGangs),
+            gangs: Gangs::new(plan.defect == InjectedDefect::IncompleteGangs),
             next_job: 0,
             last_delivery: HashMap::new(),
             plan,
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -1,6 +1,6 @@
 //! Users, who submit, query and cancel jobs, and the answers that they get.
 use super::event::{Event, PendingRequest};
-use super::{Sabotage, Sim, NODES};
+use super::{InjectedDefect, Sim, NODES};
 use crate::broken_rule::BrokenRule;
 use crate::user_knowledge::{RequestKind, UserRequest};
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
@@ -87,7 +87,7 @@
         }
         let job = Box::new(job.clone());
         let number = JobId(parse_job_id(id).unwrap_or(0));
-        let is_misrouted = self.plan.sabotage == Sabotage::MisroutedCancellations;
+        let is_misrouted = self.plan.defect == InjectedDefect::MisroutedCancellations;
         self.send_request(node, kind, id, |req| match kind {
             RequestKind::Cancel if is_misrouted => Input::Get { req, id: number },
             RequestKind::Submit => Input::Submit { req, id: Some(number), job: Ok(job) },
@@ -190,9 +190,10 @@
     ) -> Result<(), BrokenRule> {
         let id = request.job.as_str();
         let shard = shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
-        let is_sabotaged = self.plan.sabotage == Sabotage::UnansweredShard && shard == Shard(0);
+        let is_answer_withheld =
+            self.plan.defect == InjectedDefect::UnansweredShard && shard == Shard(0);
         let is_lost = self.plan.faults && self.rng.random_range(0..LOST_REPLY_ODDS) == 0;
-        if is_lost || (is_sabotaged && self.rules.accepted.contains(id)) {
+        if is_lost || (is_answer_withheld && self.rules.accepted.contains(id)) {
             return Ok(());
         }
         let before = self.rules.knowledge(id);
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -5,7 +5,7 @@
     SentHeartbeatReply,
 };
 use super::setup::machine_types;
-use super::{Sabotage, Sim, NODES};
+use super::{InjectedDefect, Sim, NODES};
 use crate::broken_rule::BrokenRule;
 use crate::worker::Worker;
 use leaddeal_core::io::{CommandOutcome, Input, WorkerReply};
@@ -54,7 +54,7 @@
         if let Some(machine_type) = types.iter().find(|t| t.name == type_name) {
             (worker.cpus, worker.gpus) = (machine_type.cpus, machine_type.gpus);
         }
-        worker.ignores_stops = self.plan.sabotage == Sabotage::LostStops;
+        worker.ignores_stops = self.plan.defect == InjectedDefect::IgnoredStops;
         worker.node = self.rng.random_range(0..NODES);
         self.workers.insert(name.into(), worker);
         self.schedule(10, Event::WorkerStep { machine: name.into() });
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -2,7 +2,7 @@
 //! rules are checked after each step, as everywhere; `docs/meetings.md` says what carries them.
 use common::{cancel, crash, plan, played, CANCEL_MS};
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sabotage, Sim, BEGIN};
+use leaddeal_testkit::sim::{InjectedDefect, Plan, Sim, BEGIN};
 use leaddeal_wire::user::JobStatus;
 
 mod common;
@@ -99,7 +99,7 @@
     let script = gap(0, vec![(60_000, alone)]);
     let found = (1..=6).any(|seed| {
         let plan = plan(seed, 140, script.clone());
-        let mut sim = Sim::new(Plan { sabotage: Sabotage::LongCancel, ..plan });
+        let mut sim = Sim::new(Plan { defect: InjectedDefect::LongCancel, ..plan });
         sim.run().is_err_and(|e| e.contains("ran_cancelled"))
     });
     assert!(found, "it went unnoticed");
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Seeded random runs that check the rules after each step.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sabotage, Sim};
+use leaddeal_testkit::sim::{InjectedDefect, Plan, Sim};
 
 /// Troubles for four minutes, and then none: whoever is still not answered is forgotten.
 fn plan(seed: u64) -> Plan {
@@ -95,47 +95,47 @@
 }
 
 /// The checker is checked: a broken variant must be caught.
-fn caught(sabotage: Sabotage, rule: &str) {
-    caught_with(&[], sabotage, rule);
+fn caught(defect: InjectedDefect, rule: &str) {
+    caught_with(&[], defect, rule);
 }
 
-fn caught_with(script: &[(u64, Fault)], sabotage: Sabotage, rule: &str) {
+fn caught_with(script: &[(u64, Fault)], defect: InjectedDefect, rule: &str) {
     let found = (0..40).any(|seed| {
-        let plan = Plan { sabotage, script: script.to_vec(), ..plan(seed) };
+        let plan = Plan { defect, script: script.to_vec(), ..plan(seed) };
         Sim::new(plan).run().is_err_and(|e| e.contains(rule))
     });
-    assert!(found, "{sabotage:?} went unnoticed as {rule}");
+    assert!(found, "{defect:?} went unnoticed as {rule}");
 }
 
 #[test]
 fn a_misjudged_lease_is_caught() {
-    caught(Sabotage::ShortLease, "ran_twice");
+    caught(InjectedDefect::ShortLease, "ran_twice");
 }
 
 #[test]
 fn missing_fences_are_caught() {
     // Which rule breaks first depends on the seed: what counts is that one does.
-    caught(Sabotage::NoFencing, ":");
+    caught(InjectedDefect::NoFencing, ":");
 }
 
 #[test]
 fn a_takeover_that_calls_machines_lost_too_early_is_caught() {
-    caught(Sabotage::FastClock, "ran_twice");
+    caught(InjectedDefect::FastClock, "ran_twice");
 }
 
 #[test]
 fn a_decision_forgotten_too_early_is_caught() {
-    caught(Sabotage::LostDecisions, "ran_twice");
+    caught(InjectedDefect::LostDecisions, "ran_twice");
 }
 
 #[test]
 fn jobs_that_nobody_is_told_of_are_caught() {
-    caught(Sabotage::UnansweredShard, "forgotten: nothing is said");
+    caught(InjectedDefect::UnansweredShard, "forgotten: nothing is said");
 }
 
 #[test]
 fn a_rental_name_used_twice_is_caught() {
-    caught(Sabotage::ReusedRequestNames, "name_reused");
+    caught(InjectedDefect::ReusedRequestNames, "name_reused");
 }
 
 /// Where a single key is read as it was a moment ago, users who look closely are told what is older than
@@ -146,21 +146,21 @@
     let looks = (20_000, Fault::QueryBursts { percent: 100, ms: 200_000 });
     let apart = |at| (at, Fault::PeerPartition { ms: 20_000 });
     let script = [looks, apart(40_000), apart(80_000), apart(120_000)];
-    caught_with(&script, Sabotage::StaleReads, "forgotten: ");
-    caught_with(&script, Sabotage::StaleReads, "went_back: ");
+    caught_with(&script, InjectedDefect::StaleReads, "forgotten: ");
+    caught_with(&script, InjectedDefect::StaleReads, "went_back: ");
 }
 
 #[test]
 fn a_submission_that_is_misread_is_caught() {
-    caught(Sabotage::MisparsedSubmissions, "accepted_wrong: ");
-    caught(Sabotage::MisparsedSubmissions, "refused_wrong: ");
+    caught(InjectedDefect::MisparsedSubmissions, "accepted_wrong: ");
+    caught(InjectedDefect::MisparsedSubmissions, "refused_wrong: ");
 }
 
 #[test]
 fn a_job_accepted_though_its_team_may_never_run_it_is_caught() {
     // Its limit is high, or the team's use would break it first.
     let found = (0..40).any(|seed| {
-        let high = Plan { sabotage: Sabotage::NoLimits, team_cpu_limit: 60.0, ..plan(seed) };
+        let high = Plan { defect: InjectedDefect::NoCpuQuotas, team_cpu_limit: 60.0, ..plan(seed) };
         Sim::new(high).run().is_err_and(|e| e.contains("accepted_wrong: "))
     });
     assert!(found, "it went unnoticed");
@@ -168,24 +168,24 @@
 
 #[test]
 fn a_job_accepted_twice_is_caught() {
-    caught(Sabotage::NoFencing, "accepted_twice: ");
+    caught(InjectedDefect::NoFencing, "accepted_twice: ");
 }
 
 #[test]
 fn a_cancellation_that_cancels_nothing_is_caught() {
-    caught(Sabotage::MisroutedCancellations, "not_cancelled: ");
+    caught(InjectedDefect::MisroutedCancellations, "not_cancelled: ");
 }
 
 /// Starts of what is cancelled are counted; what goes on is caught.
 #[test]
 fn starts_after_a_confirmed_cancellation_are_counted() {
-    caught(Sabotage::LostStops, "ran_cancelled");
+    caught(InjectedDefect::IgnoredStops, "ran_cancelled");
     // Until the first task goes on for too long.
     let cancels: Vec<_> = (6..34).map(|s| (s * 1000, Fault::CancelJobs { percent: 60 })).collect();
     let slips = (1..=3).map(|seed| {
         let plan =
             Plan { faults: false, submission_rate: 8, script: cancels.clone(), ..plan(seed) };
-        let mut sim = Sim::new(Plan { sabotage: Sabotage::LostStops, ..plan });
+        let mut sim = Sim::new(Plan { defect: InjectedDefect::IgnoredStops, ..plan });
         sim.run_to(34_000).unwrap_or_else(|e| panic!("{e}"));
         sim.rules.starts_after_cancel
     });
@@ -195,13 +195,13 @@
 
 #[test]
 fn limits_that_are_taken_for_higher_are_caught() {
-    caught(Sabotage::NoLimits, "quota");
-    caught(Sabotage::LooseGpus, "quota");
+    caught(InjectedDefect::NoCpuQuotas, "quota");
+    caught(InjectedDefect::DoubledGpuQuotas, "quota");
 }
 
 #[test]
 fn a_gang_that_starts_without_its_last_task_is_caught() {
-    caught(Sabotage::EagerGangs, "half_gang");
+    caught(InjectedDefect::IncompleteGangs, "half_gang");
 }
 
 #[test]
@@ -214,9 +214,9 @@
             max_gang_tasks: 2,
             ..plan(seed)
         };
-        let run = |sabotage| Sim::new(Plan { sabotage, ..quiet.clone() }).run();
-        run(Sabotage::None).unwrap_or_else(|e| panic!("{e}"));
-        run(Sabotage::NoGrants).is_err_and(|e| e.contains("neglected"))
+        let run = |defect| Sim::new(Plan { defect, ..quiet.clone() }).run();
+        run(InjectedDefect::None).unwrap_or_else(|e| panic!("{e}"));
+        run(InjectedDefect::NoGrants).is_err_and(|e| e.contains("neglected"))
     });
     assert!(found, "it went unnoticed");
 }
