--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -27,6 +27,7 @@
 mod cloud;
 mod controllers;
 mod crash_after_write;
+mod defect;
 mod delayed_heartbeats;
 mod dispatch;
 mod effects;
@@ -39,15 +40,14 @@
 mod query_bursts;
 mod random_faults;
 mod run;
-mod sabotage;
 mod setup;
 mod store;
 mod teams;
 mod users;
 mod workers;
 
+pub use defect::InjectedDefect;
 pub use plan::Plan;
-pub use sabotage::InjectedDefect;
 pub use teams::Teams;
 
 /// Number of controllers, which is also the number of shards.
