--- a/crates/testkit/examples/starvation.rs
+++ b/crates/testkit/examples/starvation.rs
@@ -25,7 +25,7 @@
 
 impl Cli {
     fn plan(&self, seed: u64) -> Plan {
-        Plan { team_cpu_limit: self.limit, submission_rate: self.rate, ..Plan::quiet(seed) }
+        Plan { team_cpu_quota: self.limit, submission_rate: self.rate, ..Plan::quiet(seed) }
     }
 }
 
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -1,6 +1,6 @@
 //! Histories that violate an invariant when a guard is disabled: plans by name, each for any seed.
 use crate::script::Fault;
-use crate::sim::{Plan, Teams, NODES};
+use crate::sim::{Plan, TeamQuotas, NODES};
 
 /// Duration of the workers' leases: as much of a `cancel_s` of 30 s as at the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
@@ -119,11 +119,11 @@
             _ => {
                 let quiet = Plan { seconds: 150, script, faults: false, ..Plan::new(seed) };
                 let long = !seed.is_multiple_of(2);
-                Plan { long_tasks: long, team_cpu_limit: 20.0, lease_ms: LEASE_MS, ..quiet }
+                Plan { long_tasks: long, team_cpu_quota: 20.0, lease_ms: LEASE_MS, ..quiet }
             }
         };
         // The seeds in the table were found with few kinds of jobs.
-        Plan { max_gang_tasks: 1, teams: Teams::One, ..plan }
+        Plan { max_gang_tasks: 1, teams: TeamQuotas::OneOfTwo, ..plan }
     }
 }
 
--- a/crates/testkit/src/invalid_submissions.rs
+++ b/crates/testkit/src/invalid_submissions.rs
@@ -43,15 +43,15 @@
     "fixS",
 ];
 
-/// All invalid variants of this job, which is valid itself. `team_cpu_limit`: how many processors its team may
+/// All invalid variants of this job, which is valid itself. `team_cpu_quota`: how many processors its team may
 /// use; 0 if it has no limit.
-pub fn all(job: &Job, team_cpu_limit: f64) -> Vec<InvalidSubmission> {
+pub fn all(job: &Job, team_cpu_quota: f64) -> Vec<InvalidSubmission> {
     let valid = json!(job);
     let mut invalid = without_fields(&valid);
     invalid.extend(with_impossible_values(&valid));
     invalid.extend(that_can_never_run(&valid));
-    if team_cpu_limit > 0.0 {
-        let tasks = (team_cpu_limit / job.cpus) as u32 + 1;
+    if team_cpu_quota > 0.0 {
+        let tasks = (team_cpu_quota / job.cpus) as u32 + 1;
         for kind in ["group", "service"] {
             let beyond = with(&with(&valid, "rig", json!(kind)), "hauls", json!(tasks));
             invalid.push(submission(format!("{kind} beyond its team's limit"), &beyond, 422));
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -48,7 +48,7 @@
 
 pub use defect::InjectedDefect;
 pub use plan::Plan;
-pub use teams::Teams;
+pub use teams::TeamQuotas;
 
 /// Number of controllers, which is also the number of shards.
 pub const NODES: usize = 3;
--- a/crates/testkit/src/sim/plan.rs
+++ b/crates/testkit/src/sim/plan.rs
@@ -1,5 +1,5 @@
 //! The parameters of a simulated run.
-use super::{InjectedDefect, Teams, FAST_RESTART_MS, NODES};
+use super::{InjectedDefect, TeamQuotas, FAST_RESTART_MS, NODES};
 use crate::script::Fault;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
     /// The defect that is injected into the system under test.
     pub defect: InjectedDefect,
     /// CPU quota of the team `tight`; other teams with a quota have 1.5 times as much.
-    pub team_cpu_limit: f64,
+    pub team_cpu_quota: f64,
     /// Multiplier of the usual number of machines. Above 1, a fifth of the machines have GPUs, and gangs need GPUs.
     pub scale: u32,
     /// Exclusive upper bound of the number of tasks of an array.
@@ -52,7 +52,7 @@
     /// Share of the arrays and gangs, from 0 to 1, that require all their tasks to be in one zone.
     pub one_zone_share: f64,
     /// The teams and their quotas.
-    pub teams: Teams,
+    pub teams: TeamQuotas,
     /// Additional latency of each message.
     pub extra_latency_ms: u64,
 }
@@ -65,7 +65,7 @@
             seconds: 240,
             faults: true,
             defect: InjectedDefect::None,
-            team_cpu_limit: 6.0,
+            team_cpu_quota: 6.0,
             scale: 1,
             array_tasks_limit: 12,
             submission_rate: 1,
@@ -81,7 +81,7 @@
             corrupt_records: false,
             max_gang_tasks: 4,
             one_zone_share: 0.3,
-            teams: Teams::Three,
+            teams: TeamQuotas::TwoOfThree,
             extra_latency_ms: 0,
         }
     }
@@ -112,15 +112,15 @@
     pub fn large(seed: u64) -> Plan {
         let large =
             Plan { scale: 20, array_tasks_limit: 240, submission_rate: 4, ..Plan::new(seed) };
-        let large = Plan { max_gang_tasks: 1, teams: Teams::One, ..large };
-        Plan { faults: false, team_cpu_limit: 600.0, count_traffic: true, ..large }
+        let large = Plan { max_gang_tasks: 1, teams: TeamQuotas::OneOfTwo, ..large };
+        Plan { faults: false, team_cpu_quota: 600.0, count_traffic: true, ..large }
     }
 
     /// Returns the plan of a run with `times` 90 machines and their jobs, to check that costs grow no faster than the
     /// number of machines.
     pub fn fleet(seed: u64, times: u32) -> Plan {
         let fleet = Plan { scale: 10 * times, array_tasks_limit: 60, ..Plan::large(seed) };
-        let team_cpu_limit = 300.0 * f64::from(times);
-        Plan { submission_rate: 4 * times, team_cpu_limit, seconds: 60, ..fleet }
+        let team_cpu_quota = 300.0 * f64::from(times);
+        Plan { submission_rate: 4 * times, team_cpu_quota, seconds: 60, ..fleet }
     }
 }
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -149,7 +149,7 @@
         let number = FIRST_INVALID_JOB + self.query_bursts.invalid_submissions;
         let id = job_id(number);
         let job = Job { id: id.clone(), types: None, team: "tight".into(), ..Self::waiting_job() };
-        let all = invalid_submissions::all(&job, self.plan.team_cpu_limit);
+        let all = invalid_submissions::all(&job, self.plan.team_cpu_quota);
         let invalid = all[self.rng.random_range(0..all.len())].clone();
         self.rules.invalid.insert(id.clone(), (invalid.what.clone(), invalid.status));
         let parsed = self.parse_invalid(&invalid, job);
--- a/crates/testkit/src/sim/teams.rs
+++ b/crates/testkit/src/sim/teams.rs
@@ -6,22 +6,22 @@
 
 /// The teams and their quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Teams {
+pub enum TeamQuotas {
     /// Two teams, of which one has a CPU quota.
-    One,
+    OneOfTwo,
     /// Three teams: one without a quota, one with a CPU quota, one with a CPU and a GPU quota.
-    Three,
+    TwoOfThree,
     /// Three teams: one with a CPU quota, two with a CPU and a GPU quota.
-    AllLimited,
+    AllOfThree,
 }
 
 /// GPU quota of a team that has one.
-const GPU_LIMIT: f64 = 3.0;
+const GPU_QUOTA: f64 = 3.0;
 
 impl Plan {
     /// Returns whether there are GPU machines and jobs that need them.
     pub(super) fn has_gpus(&self) -> bool {
-        self.scale > 1 || self.teams != Teams::One
+        self.scale > 1 || self.teams != TeamQuotas::OneOfTwo
     }
 
     /// Returns whether a small deployment gets a few GPU machines and jobs. A fleet (a scale above 1) has GPU machines
@@ -32,13 +32,13 @@
 
     /// Returns the teams in the form of the settings.
     pub(super) fn teams(&self) -> Value {
-        let cpu_quota = self.team_cpu_limit;
+        let cpu_quota = self.team_cpu_quota;
         let tight = json!({"name": "tight", "cpus_max": cpu_quota});
-        let both = |name| json!({"name": name, "cpus_max": 1.5 * cpu_quota, "gpus_max": GPU_LIMIT});
+        let both = |name| json!({"name": name, "cpus_max": 1.5 * cpu_quota, "gpus_max": GPU_QUOTA});
         match self.teams {
-            Teams::One => json!([{"name": "free"}, tight]),
-            Teams::Three => json!([{"name": "free"}, tight, both("vision")]),
-            Teams::AllLimited => json!([both("free"), tight, both("vision")]),
+            TeamQuotas::OneOfTwo => json!([{"name": "free"}, tight]),
+            TeamQuotas::TwoOfThree => json!([{"name": "free"}, tight, both("vision")]),
+            TeamQuotas::AllOfThree => json!([both("free"), tight, both("vision")]),
         }
     }
 }
@@ -57,7 +57,7 @@
 
     pub(super) fn random_team(&mut self) -> &'static str {
         let tight = self.rng.random_bool(0.4);
-        let vision = self.plan.teams != Teams::One && self.rng.random_bool(0.3);
+        let vision = self.plan.teams != TeamQuotas::OneOfTwo && self.rng.random_bool(0.3);
         match (vision, tight) {
             (true, _) => "vision",
             (false, true) => "tight",
@@ -73,7 +73,7 @@
         let chance = if job.kind == JobKind::Gang { 0.4 } else { 0.1 };
         if self.rng.random_bool(chance) {
             job.gpus = 1.0;
-            let max_tasks = if job.kind == JobKind::Gang { GPU_LIMIT as u32 } else { job.tasks };
+            let max_tasks = if job.kind == JobKind::Gang { GPU_QUOTA as u32 } else { job.tasks };
             job.tasks = job.tasks.min(max_tasks);
         }
         job
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 pub fn plan(seed: u64, seconds: u64, script: Vec<(u64, Fault)>) -> Plan {
     let quiet = Plan { seconds, script, faults: false, ..Plan::new(seed) };
-    Plan { long_tasks: true, team_cpu_limit: 20.0, lease_ms: LEASE_MS, ..quiet }
+    Plan { long_tasks: true, team_cpu_quota: 20.0, lease_ms: LEASE_MS, ..quiet }
 }
 
 /// Plays it with short tasks and with long ones, and then without any trouble: the rules hold, and every
--- a/crates/testkit/tests/large_fleet.rs
+++ b/crates/testkit/tests/large_fleet.rs
@@ -19,7 +19,7 @@
     let restart = Fault::Crash { nodes: (0..NODES).collect(), back_ms: 200 };
     let script = vec![(20_000, die), (21_000, restart)];
     let base = Plan { scale: SCALE, submission_rate: 40, seconds: 70, script, ..Plan::fleet(5, 1) };
-    let mut sim = Sim::new(Plan { team_cpu_limit: 15_000.0, ..base });
+    let mut sim = Sim::new(Plan { team_cpu_quota: 15_000.0, ..base });
     run(&mut sim, 20_000);
     let starts_before = sim.rules.starts;
     run(&mut sim, 40_000);
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -1,14 +1,14 @@
 //! Teams at their limits: the rules hold whatever fails meanwhile, and what may not run costs nothing.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, BEGIN};
 use leaddeal_wire::user::{JobKind, JobStatus, Priority};
 use std::collections::BTreeSet;
 
 /// Team "tight" asks for several times its limit.
 fn tight(seed: u64, script: Vec<(u64, Fault)>) -> Plan {
-    let one = Plan { teams: Teams::One, max_gang_tasks: 1, ..Plan::new(seed) };
+    let one = Plan { teams: TeamQuotas::OneOfTwo, max_gang_tasks: 1, ..Plan::new(seed) };
     Plan {
-        team_cpu_limit: 4.0,
+        team_cpu_quota: 4.0,
         faults: false,
         script,
         submission_rate: 2,
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -1,7 +1,7 @@
 //! Two troubles at once, for gangs, teams at their limits and jobs of one zone: three controllers, the rules
 //! checked after each step. Each plays until what it is about has happened often enough to say something.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, BEGIN};
 use leaddeal_wire::user::{JobKind, JobStatus};
 
 /// Leases take so much of the 30 s of a cancellation as at the operators' largest deployment.
@@ -14,7 +14,7 @@
 
 /// Every team has a limit, and far more work than that.
 fn at_limits(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    Plan { teams: Teams::AllLimited, submission_rate: 2, ..plan(seed, script) }
+    Plan { teams: TeamQuotas::AllOfThree, submission_rate: 2, ..plan(seed, script) }
 }
 
 fn run(what: &str, plan: Plan) -> Sim {
@@ -123,7 +123,7 @@
             .flat_map(|(i, at)| [(at, crash(i % 3, 400)), (at + 700, crash((i + 1) % 3, 6000))])
             .chain([(70_000, Fault::HangMachines { machines: 3, ms: 20_000 })])
             .collect();
-        let few = Plan { array_tasks_limit: 4, team_cpu_limit: 20.0, ..plan(seed, &script) };
+        let few = Plan { array_tasks_limit: 4, team_cpu_quota: 20.0, ..plan(seed, &script) };
         let sim = run("far apart", Plan { seconds: 180, ..few });
         let done = |kind| {
             let of =
@@ -162,7 +162,7 @@
         vec![(45_000, Fault::ZonePartition { zone: "c", ms: 12_000 }), (50_000, crash(0, 300))],
     ] {
         for seed in 1..=3 {
-            let plan = Plan { team_cpu_limit: 30.0, long_tasks: seed == 1, ..plan(seed, &script) };
+            let plan = Plan { team_cpu_quota: 30.0, long_tasks: seed == 1, ..plan(seed, &script) };
             let sim = run("gangs", plan);
             started += sim.gangs.started;
             completed += sim.gangs.completed;
@@ -184,7 +184,7 @@
 #[test]
 fn gangs_are_placed_whole() {
     for seed in 1..=6 {
-        let quiet = Plan { long_tasks: false, team_cpu_limit: 30.0, ..plan(seed, &[]) };
+        let quiet = Plan { long_tasks: false, team_cpu_quota: 30.0, ..plan(seed, &[]) };
         let sim = run("quiet", quiet);
         assert!(sim.gangs.completed > 5, "seed {seed}: {} gangs", sim.gangs.completed);
         assert!(sim.gangs.alone.is_empty(), "seed {seed}: waited in vain: {:?}", sim.gangs.alone);
@@ -234,7 +234,7 @@
         ] {
             for seed in 1..=2 {
                 let plan =
-                    Plan { one_zone_share: 0.8, team_cpu_limit: 20.0, ..plan(seed, &script) };
+                    Plan { one_zone_share: 0.8, team_cpu_quota: 20.0, ..plan(seed, &script) };
                 let sim = run("one zone", plan);
                 let jobs = sim.rules.acknowledged.keys().filter_map(|id| sim.rules.jobs.get(id));
                 bound += jobs.filter(|j| j.one_zone && j.tasks > 1).count();
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -1,7 +1,7 @@
 //! Users who look closely meet other troubles: three controllers, leases of 17 s of a `cancel_s` of 30 s.
 //! The rules are checked after each step, and each answer against what its user knew before it asked.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, Teams};
+use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas};
 use leaddeal_wire::user::JobStatus;
 
 const LEASE_MS: u64 = 17_000;
@@ -28,10 +28,10 @@
 fn play(what: &str, seeds: u64, script: &Script) -> Figures {
     let mut all = Figures::default();
     for seed in 1..=seeds {
-        let simple = Plan { max_gang_tasks: 1, teams: Teams::One, ..Plan::new(seed) };
+        let simple = Plan { max_gang_tasks: 1, teams: TeamQuotas::OneOfTwo, ..Plan::new(seed) };
         let quiet = Plan { faults: false, seconds: SECONDS, calm_seconds: 90, ..simple };
         let plan =
-            Plan { script: script.clone(), team_cpu_limit: 12.0, submission_rate: 3, ..quiet };
+            Plan { script: script.clone(), team_cpu_quota: 12.0, submission_rate: 3, ..quiet };
         let mut sim = Sim::new(Plan { lease_ms: LEASE_MS, ..plan });
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         assert_eq!(sim.unacknowledged(UNTOLD_MS), Vec::<String>::new(), "{what}, seed {seed}");
@@ -252,7 +252,7 @@
         }
     }
     let plan = Plan { faults: false, seconds: 210, calm_seconds: 100, script, ..Plan::new(5) };
-    let mut sim = Sim::new(Plan { team_cpu_limit: 6.0, lease_ms: LEASE_MS, ..plan });
+    let mut sim = Sim::new(Plan { team_cpu_quota: 6.0, lease_ms: LEASE_MS, ..plan });
     sim.run().unwrap_or_else(|e| panic!("{e}"));
     let told = |status| sim.rules.acknowledged.values().filter(|t| t.0 == status).count();
     let (done, cancelled) = (told(JobStatus::Done), told(JobStatus::Cancelled));
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -56,7 +56,7 @@
         seconds: 120,
         scale: 5,
         array_tasks_limit: 60,
-        team_cpu_limit: 100.0,
+        team_cpu_quota: 100.0,
         ..Plan::large(3)
     });
     sim.run().unwrap_or_else(|e| panic!("{e}"));
@@ -160,7 +160,7 @@
 fn a_job_accepted_though_its_team_may_never_run_it_is_caught() {
     // Its limit is high, or the team's use would break it first.
     let found = (0..40).any(|seed| {
-        let high = Plan { defect: InjectedDefect::NoCpuQuotas, team_cpu_limit: 60.0, ..plan(seed) };
+        let high = Plan { defect: InjectedDefect::NoCpuQuotas, team_cpu_quota: 60.0, ..plan(seed) };
         Sim::new(high).run().is_err_and(|e| e.contains("accepted_wrong: "))
     });
     assert!(found, "it went unnoticed");
@@ -209,7 +209,7 @@
     let found = (0..10).any(|seed| {
         let quiet = Plan {
             faults: false,
-            team_cpu_limit: 60.0,
+            team_cpu_quota: 60.0,
             array_tasks_limit: 2,
             max_gang_tasks: 2,
             ..plan(seed)
--- a/crates/testkit/tests/starvation.rs
+++ b/crates/testkit/tests/starvation.rs
@@ -6,11 +6,11 @@
 const THREADS: u64 = 4;
 
 /// What starved on quiet days with these seeds, with this limit of processors for a team.
-fn starved(seeds: std::ops::Range<u64>, team_cpu_limit: f64) -> Vec<String> {
+fn starved(seeds: std::ops::Range<u64>, team_cpu_quota: f64) -> Vec<String> {
     let play = |first: u64| {
         let mut starved = Vec::new();
         for seed in (first..seeds.end).step_by(THREADS as usize) {
-            let mut sim = Sim::new(Plan { team_cpu_limit, ..Plan::quiet(seed) });
+            let mut sim = Sim::new(Plan { team_cpu_quota, ..Plan::quiet(seed) });
             sim.run().unwrap_or_else(|e| panic!("{e}"));
             let jobs = sim.rules.starvation.starved.iter();
             starved.extend(jobs.map(|(id, job)| format!("seed {seed}: {id} {job:?}")));
