--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -55,7 +55,7 @@
     let plan = if cli.storm { Plan::storm(seed) } else { Plan::new(seed) };
     let mut sim = Sim::new(Plan { seconds: cli.seconds, calm_seconds: CALM_SECONDS, ..plan });
     let run = sim.run();
-    for share in sim.under_half().iter().filter(|_| run.is_ok()) {
+    for share in sim.groups_under_half_served().iter().filter(|_| run.is_ok()) {
         println!("seed {seed}: {share:?} is served less than half");
     }
     let starved = sim.rules.starvation.starved.len();
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -117,7 +117,7 @@
             History::Ordinary => Plan { calm_seconds: 100, ..Plan::new(seed) },
             History::Storm => Plan::storm(seed),
             _ => {
-                let quiet = Plan { seconds: 150, script, faults: false, ..Plan::new(seed) };
+                let quiet = Plan { seconds: 150, script, random_faults: false, ..Plan::new(seed) };
                 let long = !seed.is_multiple_of(2);
                 Plan { long_tasks: long, team_cpu_quota: 20.0, lease_ms: LEASE_MS, ..quiet }
             }
--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -86,9 +86,9 @@
         let fast = self.windows.fast_boots.strongest(self.now).is_some();
         match self.rng.random_range(0..20) {
             _ if fast => Some(self.rng.random_range(FAST_BOOT_MS)),
-            0 if self.plan.faults => None,
-            1 | 2 if self.plan.faults => Some(self.rng.random_range(15_000..40_000)),
-            3 | 4 if self.plan.faults => Some(self.rng.random_range(100..1000)),
+            0 if self.plan.random_faults => None,
+            1 | 2 if self.plan.random_faults => Some(self.rng.random_range(15_000..40_000)),
+            3 | 4 if self.plan.random_faults => Some(self.rng.random_range(100..1000)),
             _ => Some(BOOT_MS),
         }
     }
--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -120,7 +120,7 @@
 
     /// Draws a controller's wall-clock time, with a random error; exact in runs without random faults.
     fn wall_clock_ms(&mut self) -> u64 {
-        if !self.plan.faults {
+        if !self.plan.random_faults {
             return self.now;
         }
         let error = self.rng.random_range(0..2 * MAX_WALL_CLOCK_ERROR_MS);
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -27,7 +27,7 @@
             + match self.rng.random_range(0..100) {
                 0..90 => self.rng.random_range(1..6),
                 90..99 => self.rng.random_range(5..60),
-                _ if self.plan.faults => self.rng.random_range(60..900),
+                _ if self.plan.random_faults => self.rng.random_range(60..900),
                 _ => 20,
             }
     }
@@ -124,7 +124,7 @@
         }
         self.note_commands(node, &sent.machine);
         let (is_lost, held_ms) = match self.rng.random_range(0..LOST_COMMAND_ODDS) {
-            0 if self.plan.faults => (true, self.rng.random_range(LATE_COMMANDS_MS)),
+            0 if self.plan.random_faults => (true, self.rng.random_range(LATE_COMMANDS_MS)),
             _ => (false, 0),
         };
         // A batch that is delayed beyond its sender's timeout is executed all the same.
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -139,7 +139,7 @@
 
     /// Ends all faults. From now on the liveness rules are checked: every user request must be answered.
     pub(super) fn begin_calm(&mut self) {
-        self.plan.faults = false;
+        self.plan.random_faults = false;
         for controller in &mut self.controllers {
             controller.partitions = super::controllers::Partitions::default();
         }
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -53,7 +53,7 @@
 /// Number of controllers, which is also the number of shards.
 pub const NODES: usize = 3;
 /// Simulated time at which a run begins, in milliseconds.
-pub const BEGIN: u64 = 10_000;
+pub const START_MS: u64 = 10_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 /// Downtime of a crashed controller that is restarted at once.
 const FAST_RESTART_MS: std::ops::Range<u64> = 20..900;
@@ -114,28 +114,28 @@
 /// Queries that tests make on a run.
 impl Sim {
     /// Returns the service tasks that run on a machine that does not hang, without those of cancelled jobs.
-    pub fn replicas(&self) -> BTreeSet<String> {
+    pub fn running_service_tasks(&self) -> BTreeSet<String> {
         let is_service = |task: &str| {
             self.rules.jobs.get(job_of_task(task)).is_some_and(|job| job.kind == JobKind::Service)
         };
         let up = self.workers.values().filter(|w| !w.gone && self.now >= w.hung_until);
         up.flat_map(Worker::running_tasks)
-            .filter(|task| is_service(task) && self.wanted(task))
+            .filter(|task| is_service(task) && self.is_wanted(task))
             .map(str::to_string)
             .collect()
     }
 
     /// Returns the groups of jobs of which less than half were served, counting the jobs that were submitted before
     /// all faults ended. Jobs of teams with a quota are left out, since the quota may hold them back.
-    pub fn under_half(&self) -> Vec<Share> {
+    pub fn groups_under_half_served(&self) -> Vec<Share> {
         let has_no_quota = |team: &&Team| team.cpus_max == 0.0 && team.gpus_max == 0.0;
         let teams = self.rules.teams.iter().filter(has_no_quota).map(|t| t.name.as_str()).collect();
-        let shares = self.rules.served.shares(BEGIN + self.plan.seconds * 1000, &teams);
+        let shares = self.rules.served.shares(START_MS + self.plan.seconds * 1000, &teams);
         shares.into_iter().filter(Share::under_half).collect()
     }
 
     /// Returns whether the user has not asked to cancel the task's job.
-    pub fn wanted(&self, task: &str) -> bool {
+    pub fn is_wanted(&self, task: &str) -> bool {
         !self.rules.cancel_asked.contains(job_of_task(task))
     }
 
@@ -152,7 +152,7 @@
 
     /// Returns the number of changes that the store has committed, of transactions that it has refused, and of
     /// its keys under a prefix.
-    pub fn store(&self, prefix: &str) -> (u64, u64, usize) {
+    pub fn store_counts(&self, prefix: &str) -> (u64, u64, usize) {
         (self.state.changes, self.state.refused, self.state.count(prefix))
     }
 
--- a/crates/testkit/src/sim/plan.rs
+++ b/crates/testkit/src/sim/plan.rs
@@ -16,7 +16,7 @@
     /// Duration of the part of the run that may have faults, in simulated seconds.
     pub seconds: u64,
     /// Whether faults, lost answers and late messages are drawn at random.
-    pub faults: bool,
+    pub random_faults: bool,
     /// The defect that is injected into the system under test.
     pub defect: InjectedDefect,
     /// CPU quota of the team `tight`; other teams with a quota have 1.5 times as much.
@@ -63,7 +63,7 @@
         Plan {
             seed,
             seconds: 240,
-            faults: true,
+            random_faults: true,
             defect: InjectedDefect::None,
             team_cpu_quota: 6.0,
             scale: 1,
@@ -89,7 +89,7 @@
     /// Returns the plan of a run of more than four minutes with long tasks and without faults.
     pub fn quiet(seed: u64) -> Plan {
         let calm = Plan { seconds: 250, calm_seconds: 1, ..Plan::new(seed) };
-        Plan { faults: false, long_tasks: true, ..calm }
+        Plan { random_faults: false, long_tasks: true, ..calm }
     }
 
     /// Returns the plan of a crash storm: every controller crashes twenty times within a minute, and restarts within a
@@ -113,7 +113,7 @@
         let large =
             Plan { scale: 20, array_tasks_limit: 240, submission_rate: 4, ..Plan::new(seed) };
         let large = Plan { max_gang_tasks: 1, teams: TeamQuotas::OneOfTwo, ..large };
-        Plan { faults: false, team_cpu_quota: 600.0, count_traffic: true, ..large }
+        Plan { random_faults: false, team_cpu_quota: 600.0, count_traffic: true, ..large }
     }
 
     /// Returns the plan of a run with `times` 90 machines and their jobs, to check that costs grow no faster than the
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -55,7 +55,7 @@
     /// Opens a random window of bursts, of one kind or of two kinds at once, in runs with random faults, and schedules
     /// the next.
     pub(super) fn random_query_burst(&mut self) {
-        if !self.plan.faults {
+        if !self.plan.random_faults {
             return;
         }
         let wait_ms = self.rng.random_range(BURST_WINDOW_INTERVAL_MS);
--- a/crates/testkit/src/sim/random_faults.rs
+++ b/crates/testkit/src/sim/random_faults.rs
@@ -58,7 +58,7 @@
 impl Sim {
     /// Draws and injects a fault, and schedules the next draw.
     pub(super) fn random_fault(&mut self) {
-        if !self.plan.faults {
+        if !self.plan.random_faults {
             return;
         }
         let wait_ms = self.rng.random_range(FAULT_INTERVAL_MS);
--- a/crates/testkit/src/sim/run.rs
+++ b/crates/testkit/src/sim/run.rs
@@ -1,6 +1,6 @@
 //! The run loop, which handles the events in order of time and checks the rules after events that concern a worker.
 use super::event::Event;
-use super::{Sim, BEGIN};
+use super::{Sim, START_MS};
 use crate::broken_rule::BrokenRule;
 
 /// Upper bound of the number of worker events from one check of the rules to the next, for any size of the fleet.
@@ -20,7 +20,7 @@
     /// # Errors
     /// The rule that was broken, when, and the plan with which to see it again.
     pub fn run_to(&mut self, ms: u64) -> Result<(), String> {
-        let end = BEGIN + ms;
+        let end = START_MS + ms;
         let mut is_outage = false;
         while let Some((time, event)) = self.events.next_until(end) {
             self.now = time;
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -3,7 +3,8 @@
 use super::event::{Event, EventQueue};
 use super::query_bursts::QueryBursts;
 use super::{
-    ActiveWindows, DelayedHeartbeats, InjectedDefect, Plan, Sim, BEGIN, GANG_STEP_MS, NODES, ZONES,
+    ActiveWindows, DelayedHeartbeats, InjectedDefect, Plan, Sim, GANG_STEP_MS, NODES, START_MS,
+    ZONES,
 };
 use crate::fingerprint::Fingerprint;
 use crate::gangs::Gangs;
@@ -116,7 +117,7 @@
         Sim {
             trace: std::env::var("LEADDEAL_TRACE").is_ok(),
             rng: SmallRng::seed_from_u64(plan.seed),
-            now: BEGIN,
+            now: START_MS,
             events: EventQueue::default(),
             controllers: (0..NODES).map(|_| Controller::default()).collect(),
             peer_partition_until: 0,
@@ -163,12 +164,12 @@
         if self.plan.max_gang_tasks > 1 {
             self.schedule(GANG_STEP_MS, Event::GangStep);
         }
-        if self.plan.faults {
+        if self.plan.random_faults {
             self.schedule(FIRST_FAULT_MS, Event::RandomFault);
             self.schedule(FIRST_QUERY_BURST_MS, Event::RandomQueryBurst);
         }
         if self.plan.calm_seconds > 0 {
-            let is_quiet = !self.plan.faults && self.plan.script.is_empty();
+            let is_quiet = !self.plan.random_faults && self.plan.script.is_empty();
             let calm_at = if is_quiet { 0 } else { self.plan.seconds * 1000 };
             self.schedule(calm_at, Event::CalmBegins);
         }
--- a/crates/testkit/src/sim/store.rs
+++ b/crates/testkit/src/sim/store.rs
@@ -28,7 +28,7 @@
 
     /// Draws whether a transaction gets no answer and is executed late.
     fn is_write_late(&mut self) -> bool {
-        (self.plan.faults && self.rng.random_range(0..LATE_WRITE_ODDS) == 0)
+        (self.plan.random_faults && self.rng.random_range(0..LATE_WRITE_ODDS) == 0)
             || self.windows.late_writes.draw(self.now, &mut self.rng)
     }
 
@@ -64,7 +64,7 @@
             self.note_terminal_states(transaction);
         }
         // The answer is lost: the call was executed, but the controller does not learn it.
-        if self.plan.faults && self.rng.random_range(0..LOST_ANSWER_ODDS) == 0
+        if self.plan.random_faults && self.rng.random_range(0..LOST_ANSWER_ODDS) == 0
             || self.is_answer_lost(process.node, &call, &result)
         {
             result = StoreResult::Unknown;
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -120,7 +120,7 @@
         let job = self.random_job();
         self.add_job(&job);
         let is_service = job.kind == JobKind::Service;
-        if self.plan.faults && !is_service && self.rng.random_bool(0.04) {
+        if self.plan.random_faults && !is_service && self.rng.random_bool(0.04) {
             self.done.always_failing.insert(job.id.clone());
             self.cancel_within(&job.id, 20_000..60_000);
         } else if self.rng.random_bool(0.15) || is_service {
@@ -192,7 +192,7 @@
         let shard = shard_of_job(JobId(parse_job_id(id).unwrap_or(0)), NODES);
         let is_answer_withheld =
             self.plan.defect == InjectedDefect::UnansweredShard && shard == Shard(0);
-        let is_lost = self.plan.faults && self.rng.random_range(0..LOST_REPLY_ODDS) == 0;
+        let is_lost = self.plan.random_faults && self.rng.random_range(0..LOST_REPLY_ODDS) == 0;
         if is_lost || (is_answer_withheld && self.rules.accepted.contains(id)) {
             return Ok(());
         }
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -97,12 +97,13 @@
         let node = worker.node;
         let is_partitioned = self.now < worker.outbound_partition_until;
         let latency_ms = self.latency_ms();
-        let is_late = self.plan.faults && self.rng.random_range(0..LATE_HEARTBEAT_ODDS) == 0;
+        let is_late = self.plan.random_faults && self.rng.random_range(0..LATE_HEARTBEAT_ODDS) == 0;
         let held_ms = if is_late { self.rng.random_range(LATE_HEARTBEAT_MS) } else { 0 };
         // A copy may arrive late at any controller. No worker waits for its reply.
         let is_copied = self.windows.late_heartbeat_copies.draw(self.now, &mut self.rng);
-        let is_copied_at_random =
-            |sim: &mut Sim| sim.plan.faults && sim.rng.random_range(0..HEARTBEAT_COPY_ODDS) == 0;
+        let is_copied_at_random = |sim: &mut Sim| {
+            sim.plan.random_faults && sim.rng.random_range(0..HEARTBEAT_COPY_ODDS) == 0
+        };
         if is_copied || is_copied_at_random(self) {
             let copy_ms = self.rng.random_range(HEARTBEAT_COPY_MS);
             let to = self.rng.random_range(0..NODES);
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub const LEASE_MS: u64 = 17_000;
 
 pub fn plan(seed: u64, seconds: u64, script: Vec<(u64, Fault)>) -> Plan {
-    let quiet = Plan { seconds, script, faults: false, ..Plan::new(seed) };
+    let quiet = Plan { seconds, script, random_faults: false, ..Plan::new(seed) };
     Plan { long_tasks: true, team_cpu_quota: 20.0, lease_ms: LEASE_MS, ..quiet }
 }
 
--- a/crates/testkit/tests/known.rs
+++ b/crates/testkit/tests/known.rs
@@ -6,7 +6,7 @@
 fn known(seed: u64, garbled: bool, script: Vec<(u64, Fault)>) -> (Sim, usize) {
     let plan = Plan {
         calm_seconds: 100,
-        faults: false,
+        random_faults: false,
         corrupt_records: garbled,
         script,
         seconds: 120,
--- a/crates/testkit/tests/large_fleet.rs
+++ b/crates/testkit/tests/large_fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet beyond the operators' largest, about 4,000 machines: the bounds on counts, queues and messages
 //! must not stand in its way.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, BEGIN, NODES};
+use leaddeal_testkit::sim::{Plan, Sim, NODES, START_MS};
 
 /// Machines at the beginning: nine for each unit of the plan's scale.
 const SCALE: u32 = 500;
@@ -23,9 +23,9 @@
     run(&mut sim, 20_000);
     let starts_before = sim.rules.starts;
     run(&mut sim, 40_000);
-    let (loaded_at, shards) = sim.observations.loaded_after(BEGIN + 21_000);
+    let (loaded_at, shards) = sim.observations.loaded_after(START_MS + 21_000);
     assert_eq!(shards, NODES, "each shard is loaded once after the restart");
-    let took_ms = loaded_at - BEGIN - 21_000;
+    let took_ms = loaded_at - START_MS - 21_000;
     assert!(took_ms < 6000, "shards loaded {took_ms} ms after the restart");
     let starts_restarted = sim.rules.starts;
     run(&mut sim, 70_000);
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Teams at their limits: the rules hold whatever fails meanwhile, and what may not run costs nothing.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, START_MS};
 use leaddeal_wire::user::{JobKind, JobStatus, Priority};
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
     let one = Plan { teams: TeamQuotas::OneOfTwo, max_gang_tasks: 1, ..Plan::new(seed) };
     Plan {
         team_cpu_quota: 4.0,
-        faults: false,
+        random_faults: false,
         script,
         submission_rate: 2,
         array_tasks_limit: 40,
@@ -25,7 +25,7 @@
 
 /// Jobs of the tight team all of whose tasks were started.
 fn served(sim: &Sim) -> usize {
-    let shares = sim.rules.served.shares(BEGIN + 200_000, &BTreeSet::from(["tight"]));
+    let shares = sim.rules.served.shares(START_MS + 200_000, &BTreeSet::from(["tight"]));
     shares.iter().find(|s| s.who == "team tight").map_or(0, |s| s.served)
 }
 
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -2,7 +2,7 @@
 //! rules are checked after each step, as everywhere; `docs/meetings.md` says what carries them.
 use common::{cancel, crash, plan, played, CANCEL_MS};
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{InjectedDefect, Plan, Sim, BEGIN};
+use leaddeal_testkit::sim::{InjectedDefect, Plan, Sim, START_MS};
 use leaddeal_wire::user::JobStatus;
 
 mod common;
@@ -22,7 +22,7 @@
     for seed in 1..=6 {
         let mut sim = Sim::new(plan(seed, 140, script.to_vec()));
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
-        let window = BEGIN + 60_000..BEGIN + 64_000;
+        let window = START_MS + 60_000..START_MS + 64_000;
         let cancelled =
             |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && window.contains(&t.1);
         told += sim.rules.acknowledged.values().filter(cancelled).count();
@@ -114,7 +114,7 @@
         let outage = (60_000, Fault::StoreOutage { ms: 120_000 });
         let mut sim = Sim::new(plan(seed, 220, vec![outage]));
         sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
-        let (before, up) = (sim.leases_ended(), sim.replicas());
+        let (before, up) = (sim.leases_ended(), sim.running_service_tasks());
         sim.run().unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(sim.leases_ended(), before, "seed {seed}: leases ran out");
         replicas += up.len();
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -2,7 +2,7 @@
 //! three controllers. The rules are checked after each step; `docs/meetings.md` says what carries them.
 use common::{cancel, crash, plan, played, CANCEL_MS, LEASE_MS};
 use leaddeal_testkit::script::{Fault, OwnerChange, Written};
-use leaddeal_testkit::sim::{Plan, Sim, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, START_MS};
 use leaddeal_wire::user::JobStatus;
 
 mod common;
@@ -151,7 +151,8 @@
         let sims = played("answers lost once", seed, &[lost(8000), lost(20_000), lost(40_000)]);
         for sim in sims {
             assert!(sim.observations.lost_answers > 10, "hardly any answer was lost");
-            let under: Vec<_> = sim.under_half().into_iter().filter(|s| s.of > 3).collect();
+            let under: Vec<_> =
+                sim.groups_under_half_served().into_iter().filter(|s| s.of > 3).collect();
             assert!(under.is_empty(), "served less than half: {under:?}");
         }
     }
@@ -193,7 +194,7 @@
         sim.run_to(46_000).unwrap_or_else(|e| panic!("{e}"));
         let cancelled = |task: &String| {
             let told = sim.rules.acknowledged.get(task.split('/').next().unwrap_or_default());
-            told.is_some_and(|t| t.0 == JobStatus::Cancelled && t.1 < BEGIN + 43_500)
+            told.is_some_and(|t| t.0 == JobStatus::Cancelled && t.1 < START_MS + 43_500)
         };
         let late: Vec<_> =
             sim.tasks_behind_outbound_partitions().into_iter().filter(cancelled).collect();
@@ -337,7 +338,7 @@
                 let mut sim =
                     Sim::new(Plan { calm_seconds: 100, ..plan(seed, 140, script.clone()) });
                 sim.run().unwrap_or_else(|e| panic!("in the very moment: {e}"));
-                let window = BEGIN + 60_000..BEGIN + 64_000;
+                let window = START_MS + 60_000..START_MS + 64_000;
                 let cancelled =
                     |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && window.contains(&t.1);
                 told += sim.rules.acknowledged.values().filter(cancelled).count();
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -1,14 +1,14 @@
 //! Two troubles at once, for gangs, teams at their limits and jobs of one zone: three controllers, the rules
 //! checked after each step. Each plays until what it is about has happened often enough to say something.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, START_MS};
 use leaddeal_wire::user::{JobKind, JobStatus};
 
 /// Leases take so much of the 30 s of a cancellation as at the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
 
 fn plan(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    let quiet = Plan { seconds: 150, faults: false, calm_seconds: 60, ..Plan::new(seed) };
+    let quiet = Plan { seconds: 150, random_faults: false, calm_seconds: 60, ..Plan::new(seed) };
     Plan { script: script.to_vec(), long_tasks: true, lease_ms: LEASE_MS, ..quiet }
 }
 
@@ -33,7 +33,8 @@
             let most = sim.rules.peak_usage.get(&t.name).copied().unwrap_or_default();
             assert!(most.0 >= t.cpus_max - 1.0, "{what}: {} used {most:?} at the most", t.name);
         }
-        let cancelled = |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && t.1 > BEGIN + from;
+        let cancelled =
+            |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && t.1 > START_MS + from;
         told += sim.rules.acknowledged.values().filter(cancelled).count();
     }
     assert!(told > 20, "{what}: only {told} cancellations were told");
@@ -270,7 +271,7 @@
         let crashes = (30_000..150_000).step_by(3000).map(|at| (at, crash(node, 150)));
         let script: Vec<_> = crashes.chain([cancel(60_000), cancel(100_000)]).collect();
         let sim = run("forty changes", at_limits(node as u64, &script));
-        let loaded = sim.observations.loaded.iter().filter(|l| l.0 > BEGIN + 30_000).count();
+        let loaded = sim.observations.loaded.iter().filter(|l| l.0 > START_MS + 30_000).count();
         assert!(loaded >= 40, "{loaded} changes");
         assert!(sim.rules.starts > 60, "only {} starts", sim.rules.starts);
     }
@@ -284,7 +285,7 @@
         let quiet = Plan {
             seconds: 250,
             calm_seconds: 1,
-            faults: false,
+            random_faults: false,
             long_tasks: true,
             ..Plan::new(seed)
         };
--- a/crates/testkit/tests/recovery.rs
+++ b/crates/testkit/tests/recovery.rs
@@ -1,7 +1,7 @@
 //! The hard cases of takeover and recovery at the size of a fleet, with counted bounds. The rules
 //! are checked after each step, as everywhere.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, BEGIN, NODES};
+use leaddeal_testkit::sim::{Plan, Sim, NODES, START_MS};
 use std::collections::BTreeSet;
 
 /// A fleet of 90 machines, times so many, and the faults.
@@ -37,9 +37,9 @@
         run(&mut sim, 20_000);
         let before = pages(&sim);
         run(&mut sim, 45_000);
-        let (at, shards) = sim.observations.loaded_after(BEGIN + 20_000);
+        let (at, shards) = sim.observations.loaded_after(START_MS + 20_000);
         assert_eq!(shards, 1, "the shard of the dead one is loaded");
-        (at - BEGIN - 20_000, pages(&sim) - before)
+        (at - START_MS - 20_000, pages(&sim) - before)
     };
     let (few, many) = (read(few), read(many));
     println!("ms to load and pages: {few:?} with few closed jobs, {many:?} with many");
@@ -56,10 +56,10 @@
     run(&mut sim, 20_000);
     let calls = sim.observations.store_calls;
     run(&mut sim, 32_000);
-    let (at, shards) = sim.observations.loaded_after(BEGIN + 20_000);
-    println!("all shards loaded {} ms after the crash", at - BEGIN - 20_000);
+    let (at, shards) = sim.observations.loaded_after(START_MS + 20_000);
+    println!("all shards loaded {} ms after the crash", at - START_MS - 20_000);
     assert_eq!(shards, NODES, "each shard is loaded once");
-    assert!(at < BEGIN + 20_000 + 9000, "{} ms", at - BEGIN - 20_000);
+    assert!(at < START_MS + 20_000 + 9000, "{} ms", at - START_MS - 20_000);
     let calls = sim.observations.store_calls - calls;
     println!("{calls} calls of the state service in 12 s");
     assert!(calls < 1700, "{calls} calls of the state service in 12 s");
@@ -87,15 +87,15 @@
     let script = vec![(20_000, die), (20_000, hang)];
     let mut sim = Sim::new(Plan { seconds: 60, script, ..Plan::fleet(seed, 7) });
     run(&mut sim, 19_900);
-    let before = sim.replicas();
+    let before = sim.running_service_tasks();
     run(&mut sim, 20_200);
-    let lost: BTreeSet<String> = before.difference(&sim.replicas()).cloned().collect();
+    let lost: BTreeSet<String> = before.difference(&sim.running_service_tasks()).cloned().collect();
     assert!(lost.len() > 20, "too few were lost to say anything: {}", lost.len());
     let mut at = 20_200;
     let mut half = 0;
     loop {
-        let up = sim.replicas();
-        let missing = lost.iter().filter(|t| sim.wanted(t) && !up.contains(*t)).count();
+        let up = sim.running_service_tasks();
+        let missing = lost.iter().filter(|t| sim.is_wanted(t) && !up.contains(*t)).count();
         if half == 0 && missing * 2 <= lost.len() {
             half = at;
         }
@@ -116,10 +116,10 @@
     let freeze = Fault::FreezeNode { node: 0, ms: 40_000 };
     let mut sim = fleet(4, 100, vec![(20_000, freeze)]);
     run(&mut sim, 75_000);
-    let (_, shards) = sim.observations.loaded_after(BEGIN + 20_000);
+    let (_, shards) = sim.observations.loaded_after(START_MS + 20_000);
     assert_eq!(shards, 1, "taken over, and not given back at once");
     run(&mut sim, 95_000);
-    let (_, shards) = sim.observations.loaded_after(BEGIN + 20_000);
+    let (_, shards) = sim.observations.loaded_after(START_MS + 20_000);
     assert!((2..=4).contains(&shards), "taken over, and given back: {shards} shards loaded");
 }
 
@@ -134,7 +134,7 @@
         let script = faults.into_iter().map(|f| (19_000, f)).chain([(20_000, crash.clone())]);
         let mut sim = fleet(3, 70, script.collect());
         run(&mut sim, 70_000);
-        let (_, shards) = sim.observations.loaded_after(BEGIN + 20_000);
+        let (_, shards) = sim.observations.loaded_after(START_MS + 20_000);
         assert!(shards >= 2, "the shard was taken over and went home: {shards}");
         assert!(sim.rules.starts > 500, "only {} starts", sim.rules.starts);
     }
@@ -147,12 +147,12 @@
     // As of the operators: a time-out of 4 s and a second more are not nearly all of it.
     let mut sim = Sim::new(Plan { lease_ms: 12_000, ..plan });
     run(&mut sim, 19_900);
-    let before = sim.replicas();
+    let before = sim.running_service_tasks();
     let mut most: f64 = 0.0;
     for at in (20_000..80_000).step_by(500) {
         run(&mut sim, at);
-        let up = sim.replicas();
-        let wanted = before.iter().filter(|t| sim.wanted(t));
+        let up = sim.running_service_tasks();
+        let wanted = before.iter().filter(|t| sim.is_wanted(t));
         let (all, down) = wanted.fold((0, 0), |n, t| (n.0 + 1, n.1 + usize::from(!up.contains(t))));
         most = most.max(down as f64 / f64::from(all.max(1)));
     }
@@ -218,7 +218,8 @@
         let plan = Plan { seconds: 180, script: script.clone(), scale: 3, ..Plan::new(seed) };
         let mut sim = Sim::new(Plan { calm_seconds: 100, team_cpu_quota: 20.0, ..plan });
         run(&mut sim, 280_000);
-        let under: Vec<_> = sim.under_half().into_iter().filter(|s| s.of > 3).collect();
+        let under: Vec<_> =
+            sim.groups_under_half_served().into_iter().filter(|s| s.of > 3).collect();
         assert!(under.is_empty(), "seed {seed}: served less than half: {under:?}");
         assert!(sim.rules.starts > 200, "only {} starts", sim.rules.starts);
     }
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -10,7 +10,7 @@
 #[test]
 fn quiet_days_keep_the_rules_and_finish_the_work() {
     for seed in 1..=4 {
-        let mut sim = Sim::new(Plan { faults: false, ..plan(seed) });
+        let mut sim = Sim::new(Plan { random_faults: false, ..plan(seed) });
         sim.run().unwrap_or_else(|e| panic!("{e}"));
         let told = sim.rules.acknowledged.len();
         let accepted = sim.rules.accepted.len();
@@ -28,7 +28,8 @@
         sim.run().unwrap_or_else(|e| panic!("{e}"));
         starts += sim.rules.starts;
         // Of three or fewer one unlucky job is too many.
-        let under: Vec<_> = sim.under_half().into_iter().filter(|s| s.of > 3).collect();
+        let under: Vec<_> =
+            sim.groups_under_half_served().into_iter().filter(|s| s.of > 3).collect();
         assert!(under.is_empty(), "seed {seed}: served less than half: {under:?}");
     }
     assert!(starts as u64 > seeds * 40, "too little ran to say anything: {starts}");
@@ -183,8 +184,12 @@
     // Until the first task goes on for too long.
     let cancels: Vec<_> = (6..34).map(|s| (s * 1000, Fault::CancelJobs { percent: 60 })).collect();
     let slips = (1..=3).map(|seed| {
-        let plan =
-            Plan { faults: false, submission_rate: 8, script: cancels.clone(), ..plan(seed) };
+        let plan = Plan {
+            random_faults: false,
+            submission_rate: 8,
+            script: cancels.clone(),
+            ..plan(seed)
+        };
         let mut sim = Sim::new(Plan { defect: InjectedDefect::IgnoredStops, ..plan });
         sim.run_to(34_000).unwrap_or_else(|e| panic!("{e}"));
         sim.rules.starts_after_cancel
@@ -208,7 +213,7 @@
 fn a_job_left_waiting_beside_room_is_caught() {
     let found = (0..10).any(|seed| {
         let quiet = Plan {
-            faults: false,
+            random_faults: false,
             team_cpu_quota: 60.0,
             array_tasks_limit: 2,
             max_gang_tasks: 2,
--- a/crates/testkit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -1,7 +1,7 @@
 //! A state service near its limit, at the size of a fleet: what is over is told, and changes are
 //! spent where they count. The rules are checked after each step, as everywhere.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, START_MS};
 
 /// Changes a second that the settings promise.
 const LIMIT: f64 = 50.0;
@@ -21,10 +21,10 @@
     let plan = Plan { seconds, script, store_changes_per_s: Some(store), ..Plan::fleet(11, times) };
     let mut sim = Sim::new(plan);
     sim.run_to(seconds * 1000).unwrap_or_else(|e| panic!("{e}"));
-    let later = sim.observations.finals.iter().filter(|f| f.0 > BEGIN + from);
+    let later = sim.observations.finals.iter().filter(|f| f.0 > START_MS + from);
     let mut lags: Vec<u64> = later.map(|f| f.1).collect();
     lags.sort_unstable();
-    let (changes, refused, decisions) = sim.store("d/");
+    let (changes, refused, decisions) = sim.store_counts("d/");
     let jobs = sim.rules.accepted.len();
     let seen = Seen {
         finals: lags.len(),
@@ -76,9 +76,9 @@
     let plan = Plan { seconds: 60, store_changes_per_s: Some(LIMIT), ..Plan::fleet(7, 31) };
     let mut sim = Sim::new(Plan { script: vec![(25_000, all)], ..plan });
     sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
-    let (at, shards) = sim.observations.loaded_after(BEGIN + 25_000);
-    let told = sim.observations.finals.iter().filter(|f| f.0 > BEGIN + 28_000).count();
-    println!("{shards} shards loaded {} ms after the crash; {told} finals", at - BEGIN - 25_000);
-    assert!(shards == 3 && at < BEGIN + 25_000 + 9000, "{shards} shards, {at}");
+    let (at, shards) = sim.observations.loaded_after(START_MS + 25_000);
+    let told = sim.observations.finals.iter().filter(|f| f.0 > START_MS + 28_000).count();
+    println!("{shards} shards loaded {} ms after the crash; {told} finals", at - START_MS - 25_000);
+    assert!(shards == 3 && at < START_MS + 25_000 + 9000, "{shards} shards, {at}");
     assert!(told > 150, "{told} finals told in 32 s after the restart");
 }
