--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -33,7 +33,10 @@
     ///
     /// # Errors
     /// [`Rule::NameReused`] if the name of an earlier request is used for a different one.
-    pub(super) fn cloud(&mut self, call: CloudCall) -> Result<CloudResult, BrokenRule> {
+    pub(super) fn execute_cloud_call(
+        &mut self,
+        call: CloudCall,
+    ) -> Result<CloudResult, BrokenRule> {
         match call {
             CloudCall::Catalog => {
                 let types = machine_types(self.plan.has_gpus());
@@ -74,7 +77,8 @@
         let names = vec![name.clone()];
         let launch = Launch { request: request.clone(), names: names.clone() };
         self.launches.insert(request.request.clone(), launch);
-        self.starting.insert(name.clone(), StartingInstance { request, launched_at: self.now });
+        self.starting_instances
+            .insert(name.clone(), StartingInstance { request, launched_at: self.now });
         if let Some(boot_ms) = self.boot_ms() {
             self.schedule(boot_ms, Event::InstanceUp { machine: name });
         }
@@ -95,13 +99,13 @@
 
     /// Boots the machine of a launched instance, unless the instance was released meanwhile.
     pub(super) fn instance_up(&mut self, name: &str) {
-        if let Some(StartingInstance { request, .. }) = self.starting.remove(name) {
+        if let Some(StartingInstance { request, .. }) = self.starting_instances.remove(name) {
             self.boot_machine(name, &request.type_name, &request.zone, request.spot);
         }
     }
 
     fn release(&mut self, name: &str) {
-        self.spare_instances += u32::from(self.starting.remove(name).is_some());
+        self.spare_instances += u32::from(self.starting_instances.remove(name).is_some());
         if let Some(worker) = self.workers.get_mut(name) {
             self.spare_instances += u32::from(!worker.gone);
             worker.lose_machine();
@@ -118,7 +122,7 @@
             status: InstanceStatus::Running,
             age_s: LISTED_AGE_S,
         });
-        let starting = self.starting.iter().map(|(name, starting)| Instance {
+        let starting = self.starting_instances.iter().map(|(name, starting)| Instance {
             id: name.clone(),
             addr: None,
             type_name: starting.request.type_name.clone(),
--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -25,7 +25,7 @@
 
 /// Faults that cut a controller off; times are simulated milliseconds, and 0 means that no such fault is set.
 #[derive(Default)]
-pub(super) struct Partitions {
+pub(super) struct ControllerFaults {
     /// It is partitioned from the store, the cloud, the other controllers, workers and users.
     pub(super) isolated: bool,
     /// The store refuses its calls.
@@ -35,9 +35,9 @@
     /// It gets no CPU time until this time: its ticks and inputs are deferred.
     pub(super) frozen_until: u64,
     /// It is partitioned from all workers until this time.
-    pub(super) workers_until: u64,
+    pub(super) worker_partition_until: u64,
     /// It is partitioned from the store and the other controllers until this time.
-    pub(super) store_and_peers_until: u64,
+    pub(super) store_and_peer_partition_until: u64,
 }
 
 /// A simulated controller.
@@ -47,28 +47,28 @@
     pub(super) core: Option<Node>,
     started_at: u64,
     boot: u64,
-    pub(super) partitions: Partitions,
+    pub(super) faults: ControllerFaults,
 }
 
 impl Controller {
     /// Returns whether the controller is partitioned from the store and the other controllers.
-    pub(super) fn lacks_store_and_peers(&self, now: u64) -> bool {
-        self.partitions.isolated || now < self.partitions.store_and_peers_until
+    pub(super) fn is_partitioned_from_store_and_peers(&self, now: u64) -> bool {
+        self.faults.isolated || now < self.faults.store_and_peer_partition_until
     }
 
     /// Returns whether the controller and the workers can exchange messages.
     pub(super) fn reaches_workers(&self, now: u64) -> bool {
-        !self.partitions.isolated && now >= self.partitions.workers_until
+        !self.faults.isolated && now >= self.faults.worker_partition_until
     }
 
     /// Returns whether the controller is up and users can connect to it.
     pub(super) fn reaches_users(&self) -> bool {
-        self.core.is_some() && !self.partitions.isolated
+        self.core.is_some() && !self.faults.isolated
     }
 
     /// Returns whether the controller gets CPU time.
-    pub(super) fn runs(&self, now: u64) -> bool {
-        now >= self.partitions.frozen_until
+    pub(super) fn has_cpu_time(&self, now: u64) -> bool {
+        now >= self.faults.frozen_until
     }
 }
 
@@ -163,7 +163,11 @@
         Ok(())
     }
 
-    pub(super) fn node_input(&mut self, process: Process, input: Input) -> Result<(), BrokenRule> {
+    pub(super) fn deliver_input(
+        &mut self,
+        process: Process,
+        input: Input,
+    ) -> Result<(), BrokenRule> {
         if self.is_alive(process) {
             self.step(process.node, input)?;
         }
--- a/crates/testkit/src/sim/dispatch.rs
+++ b/crates/testkit/src/sim/dispatch.rs
@@ -11,8 +11,8 @@
     pub(super) fn handle(&mut self, event: Event) -> Result<(), BrokenRule> {
         match event {
             Event::Tick(process) => self.tick(process)?,
-            Event::NodeInput { process, input } => self.node_input(process, input)?,
-            Event::Store(call) => self.store_call(call)?,
+            Event::NodeInput { process, input } => self.deliver_input(process, input)?,
+            Event::Store(call) => self.execute_store_call(call)?,
             Event::Heartbeat(heartbeat) => self.deliver_heartbeat(heartbeat)?,
             Event::CheckLiveness => self.check_liveness()?,
             Event::GangStep => self.gang_step()?,
@@ -20,20 +20,20 @@
             Event::Poll { job } => self.poll(job)?,
             Event::Cancel { job } => self.cancel(job)?,
             Event::RepeatCancel { job } => self.repeat_cancel(job)?,
-            Event::RequestAt { node, kind, job } => self.request_at(node, kind, &job)?,
+            Event::RequestAt { node, kind, job } => self.send_to_node(node, kind, &job)?,
             Event::InvalidRequest { until } => self.invalid_request(until)?,
             Event::SingleTaskJob { until } => self.single_task_job(until)?,
             // These pass no input to a controller, so that they cannot break a rule themselves.
-            Event::Watch(watch) => self.watch(watch),
+            Event::Watch(watch) => self.poll_watch(watch),
             Event::WorkerStep { machine } => self.worker_step(machine),
             Event::HeartbeatReply(reply) => self.deliver_heartbeat_reply(reply),
             Event::Commands(commands) => self.deliver_commands(commands),
             Event::InstanceUp { machine } => self.instance_up(&machine),
             Event::Restart { node } => self.start(node),
-            Event::RandomFault => self.random_fault(),
+            Event::RandomFault => self.inject_random_fault(),
             Event::ScriptedFault(fault) => self.inject(fault),
             Event::CalmBegins => self.begin_calm(),
-            Event::RandomQueryBurst => self.random_query_burst(),
+            Event::RandomQueryBurst => self.open_random_burst_window(),
         }
         Ok(())
     }
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -36,7 +36,7 @@
     pub(super) fn add_pending(&mut self, node: usize, pending: PendingRequest) -> u64 {
         self.next_request += 1;
         let number = self.next_request;
-        self.pending.insert(RequestId { process: self.process(node), number }, pending);
+        self.pending_requests.insert(RequestId { process: self.process(node), number }, pending);
         number
     }
 
@@ -49,15 +49,15 @@
         match effect {
             Effect::User { req, reply } => self.reply_to_user(node, req, &reply)?,
             Effect::Worker { req, reply } => self.reply_to_worker(node, req, reply, latency_ms),
-            Effect::Mesh { to, msg } => self.send_to_sibling(node, &to, msg, latency_ms)?,
+            Effect::Mesh { to, msg } => self.send_to_peer(node, &to, msg, latency_ms)?,
             Effect::Store { op, call } => {
                 self.trace_transaction(node, &call);
                 self.send_to_store(node, op, latency_ms, call);
             }
             Effect::Cloud { op, call } => {
-                let result = match self.controllers[node].partitions.isolated {
+                let result = match self.controllers[node].faults.isolated {
                     true => CloudResult::Refused,
-                    false => self.cloud(call)?,
+                    false => self.execute_cloud_call(call)?,
                 };
                 let input = Input::Cloud { op, result };
                 self.schedule_input(CLOUD_CALL_MS + latency_ms, self.process(node), input);
@@ -81,13 +81,13 @@
         reply: &UserReply,
     ) -> Result<(), BrokenRule> {
         let id = RequestId { process: self.process(node), number: req };
-        match self.pending.remove(&id) {
-            Some(PendingRequest::User(request)) => self.answer(&request, reply),
+        match self.pending_requests.remove(&id) {
+            Some(PendingRequest::User(request)) => self.deliver_answer(&request, reply),
             _ => Ok(()),
         }
     }
 
-    fn send_to_sibling(
+    fn send_to_peer(
         &mut self,
         from: usize,
         to_name: &str,
@@ -110,9 +110,13 @@
 
     /// Returns whether two controllers are unreachable from each other.
     fn are_partitioned(&self, one: usize, other: usize) -> bool {
-        let lacks_peers = |node: usize| self.controllers[node].lacks_store_and_peers(self.now);
+        let is_partitioned =
+            |node: usize| self.controllers[node].is_partitioned_from_store_and_peers(self.now);
         let is_pair = self.windows.is_pair_partitioned(one, other, self.now);
-        is_pair || lacks_peers(one) || lacks_peers(other) || self.now < self.peer_partition_until
+        is_pair
+            || is_partitioned(one)
+            || is_partitioned(other)
+            || self.now < self.peer_partition_until
     }
 
     /// Sends commands to a worker. With random faults, some batches are late and their answers are lost.
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -76,7 +76,7 @@
             }
             Fault::FastBoots { ms } => self.windows.fast_boots.add(1, now + ms),
             // Users.
-            Fault::CancelJobs { percent } => self.cancel_many(percent),
+            Fault::CancelJobs { percent } => self.cancel_open_jobs(percent),
             Fault::FrequentPolls { ms } => extend(&mut self.frequent_polls_until, now + ms),
             Fault::QueryBursts { percent, ms } => {
                 self.query_bursts.after_answers = UserWindow { percent, until: now + ms };
@@ -101,19 +101,19 @@
 
     /// Withholds CPU time from a controller: its ticks and inputs are late, and its lease may expire meanwhile.
     fn freeze(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.frozen_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.frozen_until, self.now + ms);
     }
 
     fn partition_from_workers(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.workers_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.worker_partition_until, self.now + ms);
     }
 
     fn partition_from_store_and_peers(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.store_and_peers_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.store_and_peer_partition_until, self.now + ms);
     }
 
     fn refuse_at_store(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.store_refuses_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.store_refuses_until, self.now + ms);
     }
 
     /// Returns the workers of the existing machines, in the order of their names.
@@ -127,12 +127,12 @@
 
     /// Makes users cancel a share of their accepted jobs within a second, except the jobs whose terminal state they
     /// have been told.
-    fn cancel_many(&mut self, percent: u32) {
+    fn cancel_open_jobs(&mut self, percent: u32) {
         let is_open = |id: &&String| !self.rules.acknowledged.contains_key(*id);
         let open: Vec<String> = self.rules.accepted.iter().filter(is_open).cloned().collect();
         for id in open {
             if draw_percent(percent, &mut self.rng) {
-                self.cancel_within(&id, 0..1000);
+                self.schedule_cancel(&id, 0..1000);
             }
         }
     }
@@ -141,7 +141,7 @@
     pub(super) fn begin_calm(&mut self) {
         self.plan.random_faults = false;
         for controller in &mut self.controllers {
-            controller.partitions = super::controllers::Partitions::default();
+            controller.faults = super::controllers::ControllerFaults::default();
         }
         (self.peer_partition_until, self.frequent_polls_until) = (0, 0);
         self.windows = ActiveWindows::default();
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -92,11 +92,11 @@
     /// Granted instance requests, by the name of the request.
     launches: HashMap<String, Launch>,
     /// Instances that are not up yet, by name.
-    starting: BTreeMap<String, StartingInstance>,
+    starting_instances: BTreeMap<String, StartingInstance>,
     next_machine: u64,
     /// Number of instances that the cloud can still launch.
     spare_instances: u32,
-    pending: HashMap<RequestId, PendingRequest>,
+    pending_requests: HashMap<RequestId, PendingRequest>,
     next_request: u64,
     query_bursts: QueryBursts,
     /// The rules that are checked, with the state that their checks need.
--- a/crates/testkit/src/sim/preload.rs
+++ b/crates/testkit/src/sim/preload.rs
@@ -19,7 +19,7 @@
 const LARGE_PAGE: usize = 300;
 
 /// Returns values that decode as no kind of record.
-fn corrupt_values() -> [Value; 6] {
+fn undecodable_values() -> [Value; 6] {
     [
         json!(null),
         json!(7),
@@ -64,7 +64,7 @@
 
     fn preload_corrupt_records(&mut self) {
         for shard in (0..NODES as u8).map(Shard) {
-            for (i, value) in corrupt_values().into_iter().enumerate() {
+            for (i, value) in undecodable_values().into_iter().enumerate() {
                 let id = JobId(FIRST_CORRUPT_JOB + i as u64);
                 put(&mut self.state, keys::job_key(shard, id), value.clone());
                 put(&mut self.state, keys::completion_key(shard, id, 1), value.clone());
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -54,7 +54,7 @@
 impl Sim {
     /// Opens a random window of bursts, of one kind or of two kinds at once, in runs with random faults, and schedules
     /// the next.
-    pub(super) fn random_query_burst(&mut self) {
+    pub(super) fn open_random_burst_window(&mut self) {
         if !self.plan.random_faults {
             return;
         }
@@ -74,21 +74,21 @@
         }
     }
 
-    fn draw_user(&mut self, window: UserWindow) -> bool {
+    fn is_user_drawn(&mut self, window: UserWindow) -> bool {
         self.now < window.until && draw_percent(window.percent, &mut self.rng)
     }
 
     /// Starts a burst of queries if the window for it is open and the user is drawn. Called when an answer has told a
     /// user something new about its job.
     pub(super) fn query_after_answer(&mut self, id: &str) {
-        if !self.draw_user(self.query_bursts.after_answers) {
+        if !self.is_user_drawn(self.query_bursts.after_answers) {
             return;
         }
         self.query_all_nodes(id, BURST_MS);
         self.query_all_nodes(id, BURST_MS);
         self.query_all_nodes(id, REPEAT_MS);
         if self.rng.random_bool(0.2) {
-            self.cancel_within(id, BURST_MS);
+            self.schedule_cancel(id, BURST_MS);
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Schedules a user's cancellation of its job after a random delay within the range.
-    pub(super) fn cancel_within(&mut self, id: &str, within_ms: Range<u64>) {
+    pub(super) fn schedule_cancel(&mut self, id: &str, within_ms: Range<u64>) {
         let wait_ms = self.rng.random_range(within_ms);
         self.schedule(wait_ms, Event::Cancel { job: id.into() });
     }
@@ -112,11 +112,11 @@
     pub(super) fn query_completed_jobs(&mut self) {
         for id in self.done.take_recent() {
             let is_complete = self.rules.jobs.get(&id).is_some_and(|job| self.done.all_of(job));
-            if is_complete && self.draw_user(self.query_bursts.at_completion) {
+            if is_complete && self.is_user_drawn(self.query_bursts.at_completion) {
                 self.query_all_nodes(&id, BURST_MS);
                 self.query_all_nodes(&id, COMPLETION_MS);
                 if self.rng.random_bool(0.5) {
-                    self.cancel_within(&id, COMPLETION_MS);
+                    self.schedule_cancel(&id, COMPLETION_MS);
                 }
             }
         }
@@ -133,9 +133,9 @@
         let any = accepted.get(index).map(|id| (*id).clone());
         match (self.rng.random_range(0..4), any) {
             (0, Some(id)) => self.query_all_nodes(&id, BURST_MS),
-            (1, Some(id)) => self.request(RequestKind::Submit, &id)?,
+            (1, Some(id)) => self.send_to_random_node(RequestKind::Submit, &id)?,
             (2, Some(id)) if self.rules.acknowledged.contains_key(&id) => {
-                self.request(RequestKind::Cancel, &id)?;
+                self.send_to_random_node(RequestKind::Cancel, &id)?;
             }
             _ => self.invalid_submission()?,
         }
@@ -189,8 +189,8 @@
         let job = Job { spread: false, ..one_task };
         self.add_job(&job);
         if self.rng.random_ratio(1, 4) {
-            self.cancel_within(&job.id, 0..8000);
+            self.schedule_cancel(&job.id, 0..8000);
         }
-        self.request(RequestKind::Submit, &job.id)
+        self.send_to_random_node(RequestKind::Submit, &job.id)
     }
 }
--- a/crates/testkit/src/sim/random_faults.rs
+++ b/crates/testkit/src/sim/random_faults.rs
@@ -57,7 +57,7 @@
 
 impl Sim {
     /// Draws and injects a fault, and schedules the next draw.
-    pub(super) fn random_fault(&mut self) {
+    pub(super) fn inject_random_fault(&mut self) {
         if !self.plan.random_faults {
             return;
         }
@@ -121,14 +121,14 @@
     }
 
     fn toggle_isolation(&mut self, node: usize) {
-        self.controllers[node].partitions.isolated ^= true;
+        self.controllers[node].faults.isolated ^= true;
     }
 
     /// Ends the faults of `toggle_isolation` and `toggle_store_refusal` for all controllers.
     fn end_isolation(&mut self, _: usize) {
         for controller in &mut self.controllers {
-            controller.partitions.isolated = false;
-            controller.partitions.store_refuses = false;
+            controller.faults.isolated = false;
+            controller.faults.store_refuses = false;
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     fn toggle_store_refusal(&mut self, node: usize) {
-        self.controllers[node].partitions.store_refuses ^= true;
+        self.controllers[node].faults.store_refuses ^= true;
     }
 
     fn random_store_refusal(&mut self, node: usize) {
--- a/crates/testkit/src/sim/run.rs
+++ b/crates/testkit/src/sim/run.rs
@@ -82,7 +82,7 @@
             Event::Heartbeat(sent) => sent.node,
             _ => return Some(event),
         };
-        let frozen_until = self.controllers[node].partitions.frozen_until;
+        let frozen_until = self.controllers[node].faults.frozen_until;
         if self.now >= frozen_until {
             return Some(event);
         }
--- a/crates/testkit/src/sim/store.rs
+++ b/crates/testkit/src/sim/store.rs
@@ -21,9 +21,9 @@
 impl Sim {
     /// Returns whether the store refuses a controller's calls now.
     fn store_refuses(&self, node: usize) -> bool {
-        let partitions = &self.controllers[node].partitions;
-        let refused_until = self.store_outage_until.max(partitions.store_refuses_until);
-        partitions.store_refuses || self.now < refused_until
+        let faults = &self.controllers[node].faults;
+        let refused_until = self.store_outage_until.max(faults.store_refuses_until);
+        faults.store_refuses || self.now < refused_until
     }
 
     /// Draws whether a transaction gets no answer and is executed late.
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// [`Rule::WrittenAgain`] if a late copy of the transaction would be executed again.
-    pub(super) fn store_call(&mut self, sent: SentStoreCall) -> Result<(), BrokenRule> {
+    pub(super) fn execute_store_call(&mut self, sent: SentStoreCall) -> Result<(), BrokenRule> {
         let SentStoreCall { process, op, call } = sent;
         let mut result = self.store_result(process.node, &call);
         if let (StoreCall::Transaction(transaction), StoreResult::Committed(_)) = (&call, &result) {
@@ -88,7 +88,7 @@
     /// Executes a call, unless a partition or the store's refusal prevents that, and returns its result.
     fn store_result(&mut self, node: usize, call: &StoreCall) -> StoreResult {
         let flaky = self.windows.flaky_store.draw(self.now, &mut self.rng);
-        if self.controllers[node].lacks_store_and_peers(self.now) {
+        if self.controllers[node].is_partitioned_from_store_and_peers(self.now) {
             return StoreResult::Unknown;
         }
         if flaky || self.store_refuses(node) {
@@ -98,7 +98,7 @@
     }
 
     /// Polls a watch for changes, and schedules the next poll if there are none and its time is not over.
-    pub(super) fn watch(&mut self, watch: OpenWatch) {
+    pub(super) fn poll_watch(&mut self, watch: OpenWatch) {
         if !self.is_alive(watch.process) {
             return;
         }
@@ -109,7 +109,7 @@
             return;
         }
         let unreachable = self.store_refuses(process.node)
-            || self.controllers[process.node].lacks_store_and_peers(self.now);
+            || self.controllers[process.node].is_partitioned_from_store_and_peers(self.now);
         if !unreachable {
             self.state.expire(self.now);
         }
--- a/crates/testkit/src/sim/teams.rs
+++ b/crates/testkit/src/sim/teams.rs
@@ -26,7 +26,7 @@
 
     /// Returns whether a small deployment gets a few GPU machines and jobs. A fleet (a scale above 1) has GPU machines
     /// among its initial ones, and gangs that need them.
-    fn has_few_gpus(&self) -> bool {
+    fn is_small_with_gpus(&self) -> bool {
         self.scale <= 1 && self.has_gpus()
     }
 
@@ -34,11 +34,14 @@
     pub(super) fn teams(&self) -> Value {
         let cpu_quota = self.team_cpu_quota;
         let tight = json!({"name": "tight", "cpus_max": cpu_quota});
-        let both = |name| json!({"name": name, "cpus_max": 1.5 * cpu_quota, "gpus_max": GPU_QUOTA});
+        let with_quotas =
+            |name| json!({"name": name, "cpus_max": 1.5 * cpu_quota, "gpus_max": GPU_QUOTA});
         match self.teams {
             TeamQuotas::OneOfTwo => json!([{"name": "free"}, tight]),
-            TeamQuotas::TwoOfThree => json!([{"name": "free"}, tight, both("vision")]),
-            TeamQuotas::AllOfThree => json!([both("free"), tight, both("vision")]),
+            TeamQuotas::TwoOfThree => json!([{"name": "free"}, tight, with_quotas("vision")]),
+            TeamQuotas::AllOfThree => {
+                json!([with_quotas("free"), tight, with_quotas("vision")])
+            }
         }
     }
 }
@@ -46,7 +49,7 @@
 impl Sim {
     /// Boots one GPU machine in each zone of a small deployment.
     pub(super) fn boot_gpu_machines(&mut self) {
-        if !self.plan.has_few_gpus() {
+        if !self.plan.is_small_with_gpus() {
             return;
         }
         for zone in ZONES {
@@ -67,7 +70,7 @@
 
     /// Draws whether a job of a small deployment needs GPUs, and returns the job with them.
     pub(super) fn with_gpus(&mut self, mut job: Job) -> Job {
-        if !self.plan.has_few_gpus() || job.kind == JobKind::Service {
+        if !self.plan.is_small_with_gpus() || job.kind == JobKind::Service {
             return job;
         }
         let chance = if job.kind == JobKind::Gang { 0.4 } else { 0.1 };
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -57,7 +57,7 @@
     /// Draws a controller that users can reach through the load balancer; `None` if there are none.
     pub(super) fn random_reachable_node(&mut self) -> Option<usize> {
         let is_reachable = |&node: &usize| {
-            self.controllers[node].reaches_users() && self.controllers[node].runs(self.now)
+            self.controllers[node].reaches_users() && self.controllers[node].has_cpu_time(self.now)
         };
         let reachable: Vec<usize> = (0..NODES).filter(is_reachable).collect();
         if reachable.is_empty() {
@@ -67,15 +67,19 @@
     }
 
     /// Sends a request to a random reachable controller. Without one, the request is lost.
-    pub(super) fn request(&mut self, kind: RequestKind, id: &str) -> Result<(), BrokenRule> {
+    pub(super) fn send_to_random_node(
+        &mut self,
+        kind: RequestKind,
+        id: &str,
+    ) -> Result<(), BrokenRule> {
         match self.random_reachable_node() {
-            Some(node) => self.request_at(node, kind, id),
+            Some(node) => self.send_to_node(node, kind, id),
             None => Ok(()),
         }
     }
 
     /// Sends a request to a given controller. If that is unreachable, the request is lost.
-    pub(super) fn request_at(
+    pub(super) fn send_to_node(
         &mut self,
         node: usize,
         kind: RequestKind,
@@ -108,7 +112,7 @@
         let request = UserRequest { kind, job: id.into(), knew: self.rules.knowledge(id) };
         let number = self.add_pending(node, PendingRequest::User(request));
         let input = make_input(number);
-        if self.controllers[node].runs(self.now) {
+        if self.controllers[node].has_cpu_time(self.now) {
             return self.step(node, input);
         }
         self.schedule_input(0, self.process(node), input);
@@ -122,11 +126,11 @@
         let is_service = job.kind == JobKind::Service;
         if self.plan.random_faults && !is_service && self.rng.random_bool(0.04) {
             self.done.always_failing.insert(job.id.clone());
-            self.cancel_within(&job.id, 20_000..60_000);
+            self.schedule_cancel(&job.id, 20_000..60_000);
         } else if self.rng.random_bool(0.15) || is_service {
-            self.cancel_within(&job.id, 3000..40_000);
+            self.schedule_cancel(&job.id, 3000..40_000);
         }
-        self.request(RequestKind::Submit, &job.id)?;
+        self.send_to_random_node(RequestKind::Submit, &job.id)?;
         let wait_ms = self.rng.random_range(SUBMISSION_INTERVAL_MS);
         self.schedule(wait_ms / u64::from(self.plan.submission_rate), Event::NextSubmission);
         Ok(())
@@ -141,7 +145,7 @@
         let resubmits =
             !self.rules.accepted.contains(&id) || self.rng.random_range(0..RESUBMISSION_ODDS) == 0;
         let kind = if resubmits { RequestKind::Submit } else { RequestKind::Poll };
-        self.request(kind, &id)
+        self.send_to_random_node(kind, &id)
     }
 
     /// Sends a user's cancellation of its job. Once a user has been told a job's terminal state, a cancellation does
@@ -156,7 +160,7 @@
             self.note_first_cancel(&id);
             self.schedule(CANCEL_RETRY_MS, Event::RepeatCancel { job: id.clone() });
         }
-        self.request(RequestKind::Cancel, &id)
+        self.send_to_random_node(RequestKind::Cancel, &id)
     }
 
     /// Records the first cancellation of a job whose user has not been told a terminal state.
@@ -176,14 +180,14 @@
             return Ok(());
         }
         self.schedule(CANCEL_RETRY_MS, Event::RepeatCancel { job: id.clone() });
-        self.request(RequestKind::Cancel, &id)
+        self.send_to_random_node(RequestKind::Cancel, &id)
     }
 
     /// Delivers a controller's answer to a user, unless the answer is lost, and checks it against the rules.
     ///
     /// # Errors
     /// The rule that the answer breaks.
-    pub(super) fn answer(
+    pub(super) fn deliver_answer(
         &mut self,
         request: &UserRequest,
         reply: &UserReply,
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -62,7 +62,7 @@
 
     /// Returns for how many milliseconds a zone partition holds back messages between a machine and a controller; 0 if
     /// none does.
-    fn held_back_ms(&self, machine: &str, node: usize) -> u64 {
+    fn zone_partition_delay_ms(&self, machine: &str, node: usize) -> u64 {
         let worker = self.workers.get(machine);
         worker.map_or(0, |w| self.windows.zone_partition_ms(&w.zone, node, self.now))
     }
@@ -121,7 +121,7 @@
     /// Delivers a heartbeat to a controller, or holds it back during a zone partition.
     pub(super) fn deliver_heartbeat(&mut self, sent: SentHeartbeat) -> Result<(), BrokenRule> {
         let node = sent.node;
-        let held_ms = self.held_back_ms(&sent.heartbeat.machine, node);
+        let held_ms = self.zone_partition_delay_ms(&sent.heartbeat.machine, node);
         if held_ms > 0 {
             self.schedule(held_ms, Event::Heartbeat(sent));
             return Ok(());
@@ -146,7 +146,7 @@
         latency_ms: u64,
     ) {
         let id = RequestId { process: self.process(node), number: req };
-        if let Some(PendingRequest::Heartbeat(request)) = self.pending.remove(&id) {
+        if let Some(PendingRequest::Heartbeat(request)) = self.pending_requests.remove(&id) {
             let reply = self.controllers[node].reaches_workers(self.now).then_some(reply);
             let sent = SentHeartbeatReply { request, reply };
             self.schedule(latency_ms, Event::HeartbeatReply(sent));
@@ -158,7 +158,7 @@
         let HeartbeatRequest { machine, sent_at, incarnation } = sent.request;
         let now = self.now;
         let asked = self.workers.get(&machine).map_or(0, |w| w.node);
-        if self.held_back_ms(&machine, asked) > 0 {
+        if self.zone_partition_delay_ms(&machine, asked) > 0 {
             return;
         }
         let Some(worker) = self.workers.get_mut(&machine) else { return };
@@ -204,7 +204,7 @@
 
     /// Delivers commands to a worker. During a partition or while the machine hangs, holds them back or drops them.
     pub(super) fn deliver_commands(&mut self, sent: SentCommands) {
-        let held_ms = self.held_back_ms(&sent.machine, sent.process.node);
+        let held_ms = self.zone_partition_delay_ms(&sent.machine, sent.process.node);
         if held_ms > 0 {
             if !sent.answer_lost {
                 self.report_unknown_outcome(&sent);
@@ -212,8 +212,8 @@
             self.redeliver_commands(sent, held_ms);
             return;
         }
-        let partitions = &self.controllers[sent.process.node].partitions;
-        if self.now < partitions.workers_until && !sent.answer_lost {
+        let faults = &self.controllers[sent.process.node].faults;
+        if self.now < faults.worker_partition_until && !sent.answer_lost {
             self.report_outcome(&sent, CommandOutcome::NotSent, COMMAND_REFUSED_MS);
             return;
         }
@@ -247,7 +247,7 @@
         if sent.answer_lost {
             return;
         }
-        if self.controllers[sent.process.node].partitions.isolated {
+        if self.controllers[sent.process.node].faults.isolated {
             self.report_unknown_outcome(sent);
             return;
         }
