--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -31,7 +31,7 @@
 pub struct Shape {
     /// The shape as it is sent between controllers.
     pub wire: Arc<mesh::Shape>,
-    /// The resources that one task takes.
+    /// The resources that one task needs.
     pub need: Resources,
     /// The image that a task runs.
     pub image: ImageIdx,
--- a/crates/core/src/names/catalog.rs
+++ b/crates/core/src/names/catalog.rs
@@ -75,16 +75,17 @@
     }
 
     /// Returns the price per hour of a machine divided by the number of tasks that fit on it; `None`
-    /// if no task fits or may run there.
+    /// if no task tasks_per_machine or may run there.
     fn price_per_task(
         &self,
         shape: &mesh::Shape,
         machine_type: MachineTypeIdx,
         spot: bool,
     ) -> Option<f64> {
-        let fits = self.resources_of_type(machine_type).fit_count(Resources::of(shape));
-        let possible = fits > 0 && self.allows(shape, machine_type, spot);
-        possible.then(|| self.price(machine_type, spot) / fits as f64)
+        let tasks_per_machine =
+            self.resources_of_type(machine_type).fit_count(Resources::of(shape));
+        let possible = tasks_per_machine > 0 && self.allows(shape, machine_type, spot);
+        possible.then(|| self.price(machine_type, spot) / tasks_per_machine as f64)
     }
 
     /// Returns whether the constraints of this shape allow machines of this type, and spot ones if
--- a/crates/core/src/provisioner/scale_out.rs
+++ b/crates/core/src/provisioner/scale_out.rs
@@ -302,10 +302,10 @@
         zone: &str,
         spot: bool,
     ) -> Option<PricedRequest> {
-        let fits = ctx.names.resources_of_type(type_idx).fit_count(open.need);
+        let tasks_per_machine = ctx.names.resources_of_type(type_idx).fit_count(open.need);
         let tasks = open.tasks_in_zone(ctx, zone);
         let shape = &open.demand.shape;
-        if fits == 0 || tasks == 0 || !ctx.names.allows(shape, type_idx, spot) {
+        if tasks_per_machine == 0 || tasks == 0 || !ctx.names.allows(shape, type_idx, spot) {
             return None;
         }
         let type_name = ctx.names.catalog[usize::from(type_idx.0)].name.clone();
@@ -320,9 +320,10 @@
         // Boots fail at this location: another one is preferred unless it costs far more.
         let factor = if boots.is_failing(&location) { FAILING_BOOTS_PRICE_FACTOR } else { 1.0 };
         let cost = ctx.names.price(type_idx, spot) * factor;
-        let count = tasks.div_ceil(fits).clamp(1, u64::from(MAX_INSTANCES_PER_REQUEST)) as u32;
+        let count =
+            tasks.div_ceil(tasks_per_machine).clamp(1, u64::from(MAX_INSTANCES_PER_REQUEST)) as u32;
         let request = InstanceRequest { request: String::new(), type_name, zone, spot, count };
-        Some(PricedRequest { cost_per_task: cost / fits.min(tasks) as f64, request })
+        Some(PricedRequest { cost_per_task: cost / tasks_per_machine.min(tasks) as f64, request })
     }
 }
 
