--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -411,8 +411,8 @@
         };
         let answer = match (reply.status, reply.state) {
             (200 | 201, Some(state)) => JobAnswer::State(state),
-            (404, _) => JobAnswer::Unknown,
-            _ => JobAnswer::Later,
+            (404, _) => JobAnswer::NoSuchJob,
+            _ => JobAnswer::NotReady,
         };
         self.effects.push(Effect::Mesh { to: node, msg: NodeMessage::JobAnswer { call, answer } });
     }
--- a/crates/core/src/node/calls.rs
+++ b/crates/core/src/node/calls.rs
@@ -110,8 +110,8 @@
             JobAnswer::State(state) => {
                 self.shared.context(effects).reply_state(query.lookup.req, 200, state);
             }
-            JobAnswer::Later => self.answer_without_owner(effects, query.lookup),
-            JobAnswer::NotMine | JobAnswer::Unknown => self.read_job(effects, query.lookup),
+            JobAnswer::NotReady => self.answer_without_owner(effects, query.lookup),
+            JobAnswer::NotOwner | JobAnswer::NoSuchJob => self.read_job(effects, query.lookup),
         }
     }
 
@@ -134,10 +134,10 @@
             Effect::Mesh { to: from.to_string(), msg }
         };
         let Some(active) = slot.filter(|active| valid && active.coordinator.is_ready()) else {
-            return effects.push(refusal(JobAnswer::NotMine));
+            return effects.push(refusal(JobAnswer::NotOwner));
         };
         if self.shared.relayed_requests.len() > MAX_OPEN_QUERIES {
-            return effects.push(refusal(JobAnswer::Later));
+            return effects.push(refusal(JobAnswer::NotReady));
         }
         let req = SIBLING_REQUEST_BIT | self.calls.next_number();
         let request = RelayedRequest { node: from.to_string(), call };
--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -517,9 +517,9 @@
 
 fn odd() -> impl Strategy<Value = Odd> {
     let told = prop_oneof![
-        Just(JobAnswer::NotMine),
-        Just(JobAnswer::Unknown),
-        Just(JobAnswer::Later),
+        Just(JobAnswer::NotOwner),
+        Just(JobAnswer::NoSuchJob),
+        Just(JobAnswer::NotReady),
         Just(JobAnswer::State(JobState {
             id: "x".into(),
             status: JobStatus::Done,
--- a/crates/wire/src/mesh/mod.rs
+++ b/crates/wire/src/mesh/mod.rs
@@ -257,11 +257,14 @@
     /// The state of the job.
     State(JobState),
     /// The receiver of the query does not own the job's shard.
-    NotMine,
+    #[serde(rename = "NotMine")]
+    NotOwner,
     /// The job does not exist.
-    Unknown,
+    #[serde(rename = "Unknown")]
+    NoSuchJob,
     /// The receiver does not know yet, and should be asked again.
-    Later,
+    #[serde(rename = "Later")]
+    NotReady,
 }
 
 impl PartialEq for JobAnswer {
