--- a/crates/core/src/machine/commands.rs
+++ b/crates/core/src/machine/commands.rs
@@ -20,7 +20,7 @@
 
 /// How a command batch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BatchEnd {
+pub(crate) enum BatchOutcome {
     /// The batch was executed, refused, or never sent.
     Known,
     /// There was no response: the commands may have been executed, or may still be.
@@ -77,7 +77,7 @@
 
     /// Records the end of a command batch. If its outcome is unknown, its starts may still be
     /// executed.
-    pub fn end_direct_batch(&mut self, batch: u64, end: BatchEnd) {
+    pub fn end_direct_batch(&mut self, batch: u64, outcome: BatchOutcome) {
         if self.direct_batch == Some(batch) {
             self.direct_batch = None;
         }
@@ -85,7 +85,7 @@
         for task in self.tasks.values_mut().filter(in_batch) {
             task.direct_batch = None;
             task.start_uncertain |=
-                end == BatchEnd::Unknown && is_enforced(Guard::UnansweredStartRemembered);
+                outcome == BatchOutcome::Unknown && is_enforced(Guard::UnansweredStartRemembered);
         }
     }
 }
--- a/crates/core/src/machine/heartbeat.rs
+++ b/crates/core/src/machine/heartbeat.rs
@@ -65,7 +65,7 @@
         if self.tasks.values().any(|task| !task.is_over()) {
             self.last_busy_at = now;
         }
-        self.drop_forgotten();
+        self.remove_forgotten();
         self.update_load();
         true
     }
--- a/crates/core/src/machine/mod.rs
+++ b/crates/core/src/machine/mod.rs
@@ -20,7 +20,7 @@
 mod tests;
 
 pub(crate) use attempt::{AttemptKey, StopRequest, TaskOnMachine};
-pub(crate) use commands::{BatchEnd, OwnerLease};
+pub(crate) use commands::{BatchOutcome, OwnerLease};
 pub(crate) use heartbeat::HeartbeatKind;
 pub(crate) use load::GpuTasks;
 
@@ -141,7 +141,7 @@
 
     /// Removes the attempts whose end the coordinator has acknowledged and that the worker has
     /// forgotten.
-    pub fn drop_forgotten(&mut self) {
+    pub fn remove_forgotten(&mut self) {
         self.tasks.retain(|_, task| {
             !(task.end_acknowledged && task.is_over() && !task.may_be_at_worker())
         });
@@ -149,12 +149,12 @@
 
     /// Ends all attempts on the machine, because the worker's lease has expired or the machine was
     /// released.
-    pub fn mark_all_gone(&mut self) {
+    pub fn end_all_attempts(&mut self) {
         for task in self.tasks.values_mut() {
             task.end_with_incarnation();
         }
         self.direct_batch = None;
-        self.drop_forgotten();
+        self.remove_forgotten();
         self.update_load();
     }
 
--- a/crates/core/src/participant/heartbeats.rs
+++ b/crates/core/src/participant/heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::ids::{JobId, MachineIdx, Timestamp};
 use crate::io::LogLevel;
 use crate::machine::{
-    AttemptKey, BatchEnd, CachedImage, HeartbeatKind, Machine, OwnerLease, StopRequest,
+    AttemptKey, BatchOutcome, CachedImage, HeartbeatKind, Machine, OwnerLease, StopRequest,
 };
 use crate::names::Shape;
 use crate::reachability::HeartbeatPath;
@@ -161,11 +161,11 @@
                     self.apply_heartbeat(ctx, idx, heartbeat, HeartbeatKind::CommandResponse);
                 }
                 let machine = self.machine_or_insert(idx);
-                machine.end_direct_batch(batch, BatchEnd::Known);
+                machine.end_direct_batch(batch, BatchOutcome::Known);
                 machine.reachability.record_proof();
             }
             None => {
-                let end = if may_be_executed { BatchEnd::Unknown } else { BatchEnd::Known };
+                let end = if may_be_executed { BatchOutcome::Unknown } else { BatchOutcome::Known };
                 machine.end_direct_batch(batch, end);
                 machine.next_direct_at = ctx.now + BATCH_RETRY_DELAY_MS;
             }
--- a/crates/core/src/participant/machine_registry.rs
+++ b/crates/core/src/participant/machine_registry.rs
@@ -108,7 +108,7 @@
         }
         if has_expired {
             machine.lease_expired = true;
-            machine.mark_all_gone();
+            machine.end_all_attempts();
             let name = ctx.names.machine_name(idx).to_string();
             ctx.effects.log(LogLevel::Info, "worker_lease_expired", || name);
             self.changed_machines.insert(idx);
--- a/crates/core/src/participant/release.rs
+++ b/crates/core/src/participant/release.rs
@@ -23,7 +23,7 @@
         let idx = ctx.names.machine(machine);
         let machine = self.machine_or_insert(idx);
         machine.released = true;
-        machine.mark_all_gone();
+        machine.end_all_attempts();
         self.changed_machines.insert(idx);
     }
 }
--- a/crates/core/src/participant/task_commands.rs
+++ b/crates/core/src/participant/task_commands.rs
@@ -134,7 +134,7 @@
         }
         for idx in acknowledged {
             if let Some(machine) = self.machines.get_mut(&idx) {
-                machine.drop_forgotten();
+                machine.remove_forgotten();
             }
         }
     }
