--- a/crates/core/src/coordinator/load.rs
+++ b/crates/core/src/coordinator/load.rs
@@ -143,7 +143,7 @@
         };
         let age_ms = ctx.wall_clock_ms.saturating_sub(accepted_at_ms.unwrap_or(ctx.wall_clock_ms));
         let submitted_at = ctx.now.saturating_sub(age_ms);
-        let shape = ctx.names.shape(&Arc::new(wire_shape(&wire)));
+        let shape = ctx.names.resolve_shape(&Arc::new(wire_shape(&wire)));
         let job = Job::new(id, wire, shape, submitted_at, &ctx.config.objectives);
         self.service_statistics.record_submission(&job);
         self.jobs.insert(id, job);
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -128,7 +128,7 @@
             save_s: 0.0,
             deadline_s: None,
         };
-        let shape = names.shape(&Arc::new(wire_shape(&spec)));
+        let shape = names.resolve_shape(&Arc::new(wire_shape(&spec)));
         let mut job = Job::new(id, spec, shape, 0, &Objectives::default());
         job.cancelled = true;
         job
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -82,7 +82,7 @@
     }
 
     /// Resolves the names in a shape.
-    pub fn shape(&mut self, wire: &Arc<mesh::Shape>) -> Shape {
+    pub fn resolve_shape(&mut self, wire: &Arc<mesh::Shape>) -> Shape {
         Shape {
             need: Resources::of(wire),
             image: ImageIdx(self.images.intern(&wire.image)),
--- a/crates/core/src/participant/mod.rs
+++ b/crates/core/src/participant/mod.rs
@@ -183,7 +183,7 @@
                 let command = task_commands::PlaceCommand {
                     from,
                     job,
-                    shape: ctx.names.shape(&shape),
+                    shape: ctx.names.resolve_shape(&shape),
                     adopt,
                 };
                 for assignment in &picks {
--- a/crates/core/src/participant/offer.rs
+++ b/crates/core/src/participant/offer.rs
@@ -152,7 +152,7 @@
     ) {
         let request = item.request;
         let priority = request.shape.priority;
-        let shape = ctx.names.shape(&request.shape);
+        let shape = ctx.names.resolve_shape(&request.shape);
         let MachineChoices { choices, obstacles } =
             self.choose_machines(ctx, &mut round.kept_for_gangs, item, &shape);
         let mut max_per_zone = request.max_per_zone.clone();
