--- a/crates/core/src/names/catalog.rs
+++ b/crates/core/src/names/catalog.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the price per hour of a machine divided by the number of tasks that fit on it; `None`
-    /// if no task tasks_per_machine or may run there.
+    /// if no task fits or may run there.
     fn price_per_task(
         &self,
         shape: &mesh::Shape,
