--- a/crates/core/src/coordinator/task_events.rs
+++ b/crates/core/src/coordinator/task_events.rs
@@ -11,8 +11,9 @@
 use leaddeal_wire::user::JobKind;
 use leaddeal_wire::worker::{ExitReason, TaskState};
 
-/// Delay before a task whose machine was full or busy is requested again.
-const BUSY_RETRY_INTERVAL_MS: u64 = 300;
+/// Delay before a task is requested again that did not start for lack of resources on its machine
+/// or because another attempt of it was present there.
+const START_RETRY_INTERVAL_MS: u64 = 300;
 /// Grace that the rest of a gang gets beyond the time it needs to save its progress, in seconds.
 const SAVE_MARGIN_S: f64 = 2.0;
 
@@ -195,7 +196,7 @@
             ExitReason::InsufficientResources | ExitReason::OtherAttemptPresent,
             _,
         ) => {
-            job.not_before = now + BUSY_RETRY_INTERVAL_MS;
+            job.not_before = now + START_RETRY_INTERVAL_MS;
         }
         _ if suspicion.is_suspected() => {}
         _ => job.not_before = job.not_before.min(now),
