--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -101,9 +101,7 @@
         params.workers.lease_s = self.plan.lease_ms as f64 / 1000.0;
         match self.plan.defect {
             InjectedDefect::ShortLease => params.workers.lease_s = 0.4,
-            InjectedDefect::DoubledGpuQuotas => {
-                params.teams.iter_mut().for_each(|t| t.gpus_max *= 2.0)
-            }
+            InjectedDefect::DoubleGpus => params.teams.iter_mut().for_each(|t| t.gpus_max *= 2.0),
             InjectedDefect::LongCancel => params.workers.cancel_s *= 10.0,
             InjectedDefect::NoCpuQuotas => params.teams.iter_mut().for_each(|t| t.cpus_max = 0.0),
             _ => {}
--- a/crates/testkit/src/sim/defect.rs
+++ b/crates/testkit/src/sim/defect.rs
@@ -35,5 +35,5 @@
     /// Gangs run without waiting for their last task.
     IncompleteGangs,
     /// The cores are configured with twice the GPU quotas.
-    DoubledGpuQuotas,
+    DoubleGpus,
 }
--- a/crates/testkit/src/sim/teams.rs
+++ b/crates/testkit/src/sim/teams.rs
@@ -39,9 +39,7 @@
         match self.teams {
             TeamQuotas::OneOfTwo => json!([{"name": "free"}, tight]),
             TeamQuotas::TwoOfThree => json!([{"name": "free"}, tight, with_quotas("vision")]),
-            TeamQuotas::AllOfThree => {
-                json!([with_quotas("free"), tight, with_quotas("vision")])
-            }
+            TeamQuotas::AllOfThree => json!([with_quotas("free"), tight, with_quotas("vision")]),
         }
     }
 }
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -201,7 +201,7 @@
 #[test]
 fn limits_that_are_taken_for_higher_are_caught() {
     caught(InjectedDefect::NoCpuQuotas, "quota");
-    caught(InjectedDefect::DoubledGpuQuotas, "quota");
+    caught(InjectedDefect::DoubleGpus, "quota");
 }
 
 #[test]
