--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -1,5 +1,5 @@
-//! Impossible values from workers, users and siblings: the core ends by none of them, and accepts no job
-//! that can't run.
+//! Guards against panics, and acceptance of jobs that can't run, when workers, users or siblings send invalid
+//! values.
 use leaddeal_core::ids::JobId;
 use leaddeal_core::io::{CloudCall, CloudResult, CommandOutcome, StoreCall, StoreResult};
 use leaddeal_core::{Effect, Input, Node};
@@ -58,8 +58,8 @@
     vec![small, gpu]
 }
 
-/// Whether a task of it fits a type in a zone that it allows, and its team's limit lets it run: said
-/// once more from the protocol.
+/// Returns whether a task of the job fits a machine type in an allowed zone and the team's quota admits it.
+/// Written from the protocol, independent of the code under test.
 fn can_run(j: &Job) -> bool {
     let fits = types().iter().any(|t| {
         j.types.as_ref().is_none_or(|all| all.contains(&t.name))
@@ -77,30 +77,30 @@
     fits && within
 }
 
-/// A node with a state service and a cloud that have nothing, and always say yes.
-struct World {
+/// A node with an empty store and an empty cloud, which accept every call.
+struct TestNode {
     node: Node,
     now: u64,
     revision: u64,
     accepted: Vec<u64>,
 }
 
-impl World {
-    fn new() -> World {
-        let mut w = World {
+impl TestNode {
+    fn new() -> TestNode {
+        let mut w = TestNode {
             node: Node::new(&settings(), 1_700_000_000_000, 1),
             now: 1,
             revision: 5,
             accepted: Vec::new(),
         };
-        // It acquires its home shard, and in time those of siblings that are not there.
+        // The node acquires its home shard and, later, those of its absent siblings.
         for _ in 0..100 {
-            w.pass(100);
+            w.advance(100);
         }
         w
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += ms;
         self.step(Input::Tick);
     }
@@ -163,21 +163,21 @@
 }
 
 fn amount() -> impl Strategy<Value = f64> + Clone {
-    let odd = vec![0.0, -0.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300, 1e-300];
-    prop_oneof![4 => (0u8..20).prop_map(|n| f64::from(n) / 2.0), 1 => select(odd)]
+    let invalid = vec![0.0, -0.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300, 1e-300];
+    prop_oneof![4 => (0u8..20).prop_map(|n| f64::from(n) / 2.0), 1 => select(invalid)]
 }
 
 fn name() -> impl Strategy<Value = String> + Clone {
-    let odd =
+    let invalid =
         ["", "n-000001", "n-000002", "n-000003", "n-999999999999999999999", "n-x", "a/b c", "ü"];
-    select(odd.map(String::from).to_vec())
+    select(invalid.map(String::from).to_vec())
 }
 
 fn zone() -> impl Strategy<Value = String> + Clone {
     select(["a", "b", "c", ""].map(String::from).to_vec())
 }
 
-fn kind_of_machine() -> impl Strategy<Value = String> + Clone {
+fn machine_type() -> impl Strategy<Value = String> + Clone {
     select(["small", "gpu", "none", ""].map(String::from).to_vec())
 }
 
@@ -208,7 +208,7 @@
     select([&all[..], &[ExitReason::JobNotFound, ExitReason::Other]].concat())
 }
 
-fn report() -> impl Strategy<Value = WorkerHeartbeat> {
+fn worker_heartbeat() -> impl Strategy<Value = WorkerHeartbeat> {
     let task =
         (prop::option::of((number(), small())), number(), state(), prop::option::of(exit_reason()))
             .prop_map(|(task, attempt, state, exit_reason)| TaskReport {
@@ -218,9 +218,9 @@
                 exit_reason,
                 saved: None,
             });
-    let who = (name(), kind_of_machine(), zone(), any::<bool>());
+    let machine = (name(), machine_type(), zone(), any::<bool>());
     let when = (number(), number(), number(), prop::option::of(amount()));
-    (who, when, prop::collection::vec(task, 0..4)).prop_map(
+    (machine, when, prop::collection::vec(task, 0..4)).prop_map(
         |(
             (machine, type_name, zone, spot),
             (incarnation, seq, token, interruption_notice_s),
@@ -244,9 +244,10 @@
 
 fn shape() -> impl Strategy<Value = Arc<Shape>> + Clone {
     let takes = (number(), number(), number());
-    let where_ = (prop::option::of(prop::collection::vec(kind_of_machine(), 0..3)), any::<bool>());
+    let allowed_places =
+        (prop::option::of(prop::collection::vec(machine_type(), 0..3)), any::<bool>());
     let times = (amount(), amount(), amount(), amount());
-    (kind(), priority(), takes, where_, times).prop_map(
+    (kind(), priority(), takes, allowed_places, times).prop_map(
         |(
             kind,
             priority,
@@ -377,7 +378,7 @@
             waited_ms,
             urgent: waited_ms % 2 == 0,
         });
-    let info = (name(), kind_of_machine(), zone(), prop::option::of(number()), any::<bool>())
+    let info = (name(), machine_type(), zone(), prop::option::of(number()), any::<bool>())
         .prop_map(|(machine, type_name, zone, idle_ms, dead)| MachineInfo {
             machine,
             type_name,
@@ -410,7 +411,7 @@
     (number(), number()).prop_map(|(cpu, gpu)| QuotaAmount { cpu, gpu })
 }
 
-fn quota() -> impl Strategy<Value = ShardMessage> {
+fn quota_message() -> impl Strategy<Value = ShardMessage> {
     let by = || [amounts(), amounts(), amounts(), amounts()];
     let first =
         (amounts(), number()).prop_map(|(need, waited_ms)| FirstInQueue { need, waited_ms });
@@ -432,9 +433,9 @@
     ]
 }
 
-fn beat() -> impl Strategy<Value = NodeHeartbeat> {
+fn node_heartbeat() -> impl Strategy<Value = NodeHeartbeat> {
     let stamp = || (number(), number()).prop_map(|(boot, at)| Stamp { boot, at });
-    let word = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
+    let assertion = (any::<u8>(), number(), number(), number(), number(), any::<bool>()).prop_map(
         |(shard, epoch, lease_uncertain_ms, after, up_to, is_complete)| ShardAssertion {
             shard,
             epoch,
@@ -448,7 +449,7 @@
     let owned = prop::collection::vec((0u8..5, number()), 0..3);
     let known_owners = prop::collection::vec((0u8..5, 0u8..5, number()), 0..3);
     let newest_epochs = prop::collection::vec(number(), 0..5);
-    let assertions = prop::collection::vec(word, 0..3);
+    let assertions = prop::collection::vec(assertion, 0..3);
     let acknowledged = prop::collection::vec((0u8..5, number(), number()), 0..3);
     let times = (stamp(), prop::option::of(stamp()));
     (owned, known_owners, any::<bool>(), times, newest_epochs, (assertions, acknowledged)).prop_map(
@@ -467,29 +468,30 @@
     )
 }
 
-/// What a node may get; messages between shards are given the epochs that are right.
+/// An input of a node. Messages between shards get the current epochs, so that they are not rejected as
+/// outdated.
 #[derive(Clone, Debug)]
-enum Odd {
+enum InvalidInput {
     WorkerHeartbeat(WorkerHeartbeat),
-    Orders(WorkerHeartbeat, bool),
+    CommandOutcome(WorkerHeartbeat, bool),
     Job(Box<Job>),
-    LookupPurpose(u64, bool),
+    JobRequest(u64, bool),
     NodeHeartbeat(NodeHeartbeat),
     Shard(u8, u8, ShardMessage),
     Node(NodeMessage),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn job() -> impl Strategy<Value = Job> {
-    let where_ = (
-        prop::option::of(prop::collection::vec(kind_of_machine(), 0..3)),
+    let allowed_places = (
+        prop::option::of(prop::collection::vec(machine_type(), 0..3)),
         prop::option::of(zone()),
         (any::<bool>(), any::<bool>(), any::<bool>()),
     );
     let good = (1u8..12).prop_map(|n| f64::from(n) / 2.0);
     let team = select(["free", "tight", "nobody"].map(String::from).to_vec());
     let takes = (good.clone(), (0u8..4).prop_map(f64::from), good.clone());
-    (0u64..9, team, kind(), priority(), 1u32..5, takes, where_, good).prop_map(
+    (0u64..9, team, kind(), priority(), 1u32..5, takes, allowed_places, good).prop_map(
         |(id, team, kind, priority, tasks, (cpus, gpus, memory_gb), (types, zone, flags), s)| Job {
             id: job_id(id),
             class: "x".into(),
@@ -515,8 +517,8 @@
     )
 }
 
-fn odd() -> impl Strategy<Value = Odd> {
-    let told = prop_oneof![
+fn invalid_input() -> impl Strategy<Value = InvalidInput> {
+    let answers = prop_oneof![
         Just(JobAnswer::NotOwner),
         Just(JobAnswer::NoSuchJob),
         Just(JobAnswer::NotReady),
@@ -532,23 +534,24 @@
         prop_oneof![
             (number(), number(), any::<bool>())
                 .prop_map(|(call, job, cancel)| NodeMessage::QueryJob { call, job, cancel }),
-            (number(), told).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
+            (number(), answers).prop_map(|(call, answer)| NodeMessage::JobAnswer { call, answer }),
             any::<u8>().prop_map(|shard| NodeMessage::ReclaimShard { shard }),
-            (number(), report())
+            (number(), worker_heartbeat())
                 .prop_map(|(call, r)| NodeMessage::RelayedHeartbeat { call, report: Box::new(r) }),
             (number(), prop::option::of(answer))
                 .prop_map(|(call, answer)| NodeMessage::RelayedResponse { call, answer }),
         ];
-    let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner(), quota()];
+    let shard = prop_oneof![to_participant(), to_coordinator(), to_provisioner(), quota_message()];
     prop_oneof![
-        report().prop_map(Odd::WorkerHeartbeat),
-        (report(), any::<bool>()).prop_map(|(r, done)| Odd::Orders(r, done)),
-        job().prop_map(|j| Odd::Job(Box::new(j))),
-        (number(), any::<bool>()).prop_map(|(id, cancel)| Odd::LookupPurpose(id, cancel)),
-        beat().prop_map(Odd::NodeHeartbeat),
-        (0u8..4, 0u8..4, shard).prop_map(|(from, to, m)| Odd::Shard(from, to, m)),
-        node.prop_map(Odd::Node),
-        (0u64..9000).prop_map(Odd::Pass),
+        worker_heartbeat().prop_map(InvalidInput::WorkerHeartbeat),
+        (worker_heartbeat(), any::<bool>())
+            .prop_map(|(r, done)| InvalidInput::CommandOutcome(r, done)),
+        job().prop_map(|j| InvalidInput::Job(Box::new(j))),
+        (number(), any::<bool>()).prop_map(|(id, cancel)| InvalidInput::JobRequest(id, cancel)),
+        node_heartbeat().prop_map(InvalidInput::NodeHeartbeat),
+        (0u8..4, 0u8..4, shard).prop_map(|(from, to, m)| InvalidInput::Shard(from, to, m)),
+        node.prop_map(InvalidInput::Node),
+        (0u64..9000).prop_map(InvalidInput::Advance),
     ]
 }
 
@@ -556,36 +559,36 @@
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Default::default() })]
 
     #[test]
-    fn impossible_values_end_nothing_and_let_nothing_in(all in prop::collection::vec(odd(), 1..40)) {
-        let mut w = World::new();
-        let mut right = Vec::new();
-        for (i, what) in all.into_iter().enumerate() {
+    fn invalid_input_causes_no_panic_or_wrong_acceptance(inputs in prop::collection::vec(invalid_input(), 1..40)) {
+        let mut w = TestNode::new();
+        let mut can_run_ids = Vec::new();
+        for (i, input) in inputs.into_iter().enumerate() {
             let req = i as u64;
             let from = format!("n-{}", 1 + i % 2);
             let sent = |msg| Input::Mesh { from: from.clone(), msg: Box::new(msg) };
-            let input = match what {
-                Odd::WorkerHeartbeat(r) => Input::WorkerHeartbeat { req, heartbeat: Box::new(r) },
-                Odd::Orders(r, done) => {
+            let input = match input {
+                InvalidInput::WorkerHeartbeat(r) => Input::WorkerHeartbeat { req, heartbeat: Box::new(r) },
+                InvalidInput::CommandOutcome(r, done) => {
                     let machine = r.machine.clone();
-                    let report = Box::new(r);
+                    let heartbeat = Box::new(r);
                     let outcome = match done {
-                        true => CommandOutcome::Executed(report),
-                        false => CommandOutcome::Refused(report),
+                        true => CommandOutcome::Executed(heartbeat),
+                        false => CommandOutcome::Refused(heartbeat),
                     };
                     Input::CommandOutcome { machine, batch: req, outcome }
                 }
-                Odd::Job(mut job) => {
-                    // Of a name of its own, or it would be known by one that was accepted before.
+                InvalidInput::Job(mut job) => {
+                    // A unique id, since a repeated one would be answered with the job that was accepted before.
                     job.id = job_id(req);
-                    right.extend(can_run(&job).then_some(req));
+                    can_run_ids.extend(can_run(&job).then_some(req));
                     Input::Submit { req, id: parse_job_id(&job.id).map(JobId), job: Ok(job) }
                 }
-                Odd::LookupPurpose(id, cancel) => match cancel {
+                InvalidInput::JobRequest(id, cancel) => match cancel {
                     true => Input::Cancel { req: 1000 + req, id: JobId(id) },
                     false => Input::Get { req: 1000 + req, id: JobId(id) },
                 },
-                Odd::NodeHeartbeat(b) => sent(NodeMessage::Heartbeat(b)),
-                Odd::Shard(from, to, msg) => {
+                InvalidInput::NodeHeartbeat(b) => sent(NodeMessage::Heartbeat(b)),
+                InvalidInput::Shard(from, to, msg) => {
                     let epoch = |s: u8| {
                         let owned = w.node.owned_shards();
                         owned.iter().find(|o| o.0 .0 == s).map_or(0, |o| o.1 .0)
@@ -593,16 +596,16 @@
                     let (from_epoch, to_epoch) = (epoch(from), epoch(to));
                     sent(NodeMessage::Shard { from, from_epoch, to, to_epoch, msg })
                 }
-                Odd::Node(msg) => sent(msg),
-                Odd::Pass(ms) => {
-                    w.pass(ms);
+                InvalidInput::Node(msg) => sent(msg),
+                InvalidInput::Advance(ms) => {
+                    w.advance(ms);
                     Input::Tick
                 }
             };
             w.step(input);
-            w.pass(100);
+            w.advance(100);
         }
-        let wrong: Vec<_> = w.accepted.iter().filter(|r| **r < 1000 && !right.contains(r)).collect();
-        prop_assert!(wrong.is_empty(), "accepted though they can't run: {wrong:?} of {right:?}");
+        let wrongly_accepted: Vec<_> = w.accepted.iter().filter(|r| **r < 1000 && !can_run_ids.contains(r)).collect();
+        prop_assert!(wrongly_accepted.is_empty(), "accepted jobs that can't run: {wrongly_accepted:?}; jobs that can run: {can_run_ids:?}");
     }
 }
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What the scripted meetings share: three controllers, leases and deadlines of a large deployment.
+//! Shared parts of the scripts with two faults: three controllers, leases and deadlines of a large deployment.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim};
 
-/// Cancellations must be carried out within 30 s. Leases take so much of it as at the operators'
-/// largest deployment.
+/// Time within which cancelled tasks must have stopped.
 pub const CANCEL_MS: u64 = 30_000;
+/// Worker lease as in the operators' largest deployment.
 pub const LEASE_MS: u64 = 17_000;
 
 pub fn plan(seed: u64, seconds: u64, script: Vec<(u64, Fault)>) -> Plan {
@@ -12,9 +12,9 @@
     Plan { long_tasks: true, team_cpu_quota: 20.0, lease_ms: LEASE_MS, ..quiet }
 }
 
-/// Plays it with short tasks and with long ones, and then without any trouble: the rules hold, and every
-/// job that was not cancelled is answered about.
-pub fn played(what: &str, seed: u64, script: &[(u64, Fault)]) -> Vec<Sim> {
+/// Runs the script once with short tasks and once with long ones, each time followed by a fault-free
+/// period: the rules hold, and users learn the end of every job that was not cancelled.
+pub fn run_short_and_long(what: &str, seed: u64, script: &[(u64, Fault)]) -> Vec<Sim> {
     let one = |long| {
         let plan = Plan { calm_seconds: 100, long_tasks: long, ..plan(seed, 150, script.to_vec()) };
         let mut sim = Sim::new(plan);
--- a/crates/testkit/tests/guards.rs
+++ b/crates/testkit/tests/guards.rs
@@ -91,6 +91,7 @@
 /// Number of seeds that are tried, since the seed that violates the rule changes with the random draws of the
 /// simulator.
 const SEEDS: u64 = 40;
+/// Threads that run histories in parallel.
 const THREADS: usize = 4;
 
 /// Returns the first seed that violates the rule without the guards, and when, in milliseconds of simulated
--- a/crates/testkit/tests/known.rs
+++ b/crates/testkit/tests/known.rs
@@ -1,39 +1,41 @@
-//! Every accepted job stays known, whatever the store holds or refuses: the rule of 75 s without an answer
-//! is looked at once all troubles are over.
+//! Every accepted job stays known, whatever the store contains or refuses: the rule that no job goes without an
+//! answer for 75 s is checked once all faults are over.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim};
 
-fn known(seed: u64, garbled: bool, script: Vec<(u64, Fault)>) -> (Sim, usize) {
+/// Runs the script, with undecodable records in the store if `corrupt`, and returns the number of
+/// acknowledged ends of jobs.
+fn run(seed: u64, corrupt: bool, script: Vec<(u64, Fault)>) -> (Sim, usize) {
     let plan = Plan {
         calm_seconds: 100,
         random_faults: false,
-        corrupt_records: garbled,
+        corrupt_records: corrupt,
         script,
         seconds: 120,
         ..Plan::new(seed)
     };
     let mut sim = Sim::new(plan);
     sim.run().unwrap_or_else(|e| panic!("{e}"));
-    let told = sim.rules.acknowledged.len();
-    (sim, told)
+    let acknowledged = sim.rules.acknowledged.len();
+    (sim, acknowledged)
 }
 
-/// Records that do not decode, of each kind and in each shard, silence only themselves: as many jobs are
-/// done as without them, also after a takeover.
+/// Guards against a record that can't be decoded and blocks others: with such records of each kind in each
+/// shard, as many jobs end as without them, also after a takeover.
 #[test]
-fn records_that_do_not_decode_silence_only_themselves() {
+fn undecodable_records_affect_only_their_jobs() {
     let crash = (60_000, Fault::Crash { nodes: vec![0], back_ms: 9000 });
-    // One seed says little: with the same records it may be a fifth more or less.
-    let over = |garbled| -> usize {
-        (1..=8).map(|seed| known(seed, garbled, vec![crash.clone()]).1).sum()
-    };
-    let (without, with) = (over(false), over(true));
-    assert!(with * 10 > without * 8, "{with} jobs over instead of {without}");
+    // One seed proves little: with the same records the result varies by a fifth.
+    let ended_jobs =
+        |corrupt| -> usize { (1..=8).map(|seed| run(seed, corrupt, vec![crash.clone()]).1).sum() };
+    let (without, with) = (ended_jobs(false), ended_jobs(true));
+    assert!(with * 10 > without * 8, "{with} jobs ended instead of {without}");
 }
 
-/// A store that refuses most calls, while shards are loaded: what is asked for again comes in the end.
+/// Guards against shards that never load: the store refuses most calls while they load, so pages must be
+/// retried until they arrive.
 #[test]
-fn pages_that_are_refused_time_and_again_come_in_the_end() {
+fn loads_shards_from_a_flaky_store() {
     for percent in [50, 85] {
         let script = vec![
             (30_000, Fault::FlakyStore { percent, ms: 60_000 }),
@@ -41,8 +43,12 @@
             (50_000, Fault::Crash { nodes: vec![2], back_ms: 200 }),
         ];
         for seed in 1..=3 {
-            let (sim, told) = known(seed, false, script.clone());
-            assert!(told > 30, "seed {seed}: {told} jobs are over, {} starts", sim.rules.starts);
+            let (sim, acknowledged) = run(seed, false, script.clone());
+            assert!(
+                acknowledged > 30,
+                "seed {seed}: {acknowledged} jobs ended, {} starts",
+                sim.rules.starts
+            );
         }
     }
 }
--- a/crates/testkit/tests/large_fleet.rs
+++ b/crates/testkit/tests/large_fleet.rs
@@ -1,18 +1,20 @@
-//! A fleet beyond the operators' largest, about 4,000 machines: the bounds on counts, queues and messages
-//! must not stand in its way.
+//! A fleet larger than the operators' largest of about 4,000 machines: the bounds on counts, queues and messages
+//! must be sufficient.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, NODES, START_MS};
 
-/// Machines at the beginning: nine for each unit of the plan's scale.
+/// Scale of the plan, in units of nine machines.
 const SCALE: u32 = 500;
+/// Machines at the beginning of the run.
 const MACHINES: usize = 4500;
 
 fn run(sim: &mut Sim, ms: u64) {
     sim.run_to(ms).unwrap_or_else(|e| panic!("{e}"));
 }
 
-/// 4,500 machines come up, a third of them dies at once, and a second later all controllers end and are
-/// back within a fraction of a second, so that every machine knocks at the same time.
+/// Guards against an overload at a restart: a third of 4,500 machines dies at once, and a second later all
+/// controllers crash and are back within a fraction of a second, so that every worker reconnects at the
+/// same time.
 #[test]
 fn four_thousand_five_hundred_machines_survive_the_loss_of_a_third_and_a_restart_of_all() {
     let die = Fault::LoseMachines { machines: MACHINES / 3 };
@@ -27,13 +29,16 @@
     assert_eq!(shards, NODES, "each shard is loaded once after the restart");
     let took_ms = loaded_at - START_MS - 21_000;
     assert!(took_ms < 6000, "shards loaded {took_ms} ms after the restart");
-    let starts_restarted = sim.rules.starts;
+    let starts_after_restart = sim.rules.starts;
     run(&mut sim, 70_000);
     println!(
         "{starts_before} starts before, {} until 40 s, {} in all; loaded after {took_ms} ms",
-        starts_restarted, sim.rules.starts
+        starts_after_restart, sim.rules.starts
+    );
+    assert!(sim.rules.starts > starts_after_restart, "tasks start after the restart");
+    let unacknowledged_jobs = sim.unacknowledged(20_000);
+    assert!(
+        unacknowledged_jobs.is_empty(),
+        "the ends of these jobs were not acknowledged: {unacknowledged_jobs:?}"
     );
-    assert!(sim.rules.starts > starts_restarted, "work goes on after the restart");
-    let untold = sim.unacknowledged(20_000);
-    assert!(untold.is_empty(), "users were not told of the end of {untold:?}");
 }
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -1,114 +1,161 @@
-//! Two troubles at once: each meeting of the operators' page, brought about with three controllers. The
-//! rules are checked after each step, as everywhere; `docs/meetings.md` says what carries them.
-use common::{cancel, crash, plan, played, CANCEL_MS};
+//! Two faults at once: scripts for each pair of faults on the operators' page, with three controllers. The
+//! simulator checks the rules after each step; `docs/meetings.md` names the mechanisms that keep them.
+use common::{cancel, crash, plan, run_short_and_long, CANCEL_MS};
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{InjectedDefect, Plan, Sim, START_MS};
 use leaddeal_wire::user::JobStatus;
 
 mod common;
 
-/// The store refuses one controller, users cancel through the others, and then it is down for all for
-/// longer than a cancellation may take, while workers report on.
-fn gap(refused: usize, more: Vec<(u64, Fault)>) -> Vec<(u64, Fault)> {
+/// Script in which the store refuses one controller, users cancel through the others, and the store is then
+/// down for all controllers for longer than a cancellation may take, while workers still send heartbeats.
+fn cancellations_before_outage(refused: usize, more: Vec<(u64, Fault)>) -> Vec<(u64, Fault)> {
     let refuse = Fault::StoreRefusesNode { node: refused, ms: 14_000 };
     let outage = Fault::StoreOutage { ms: CANCEL_MS + 15_000 };
-    let gap = [(60_000, refuse), (60_300, Fault::CancelJobs { percent: 60 }), (62_500, outage)];
-    gap.into_iter().chain(more).collect()
+    let script = [(60_000, refuse), (60_300, Fault::CancelJobs { percent: 60 }), (62_500, outage)];
+    script.into_iter().chain(more).collect()
 }
 
-/// Plays it on some seeds; returns how many cancellations users were told of within the window.
-fn play(what: &str, script: &[(u64, Fault)]) -> usize {
-    let mut told = 0;
+/// Runs the script with several seeds and returns how many cancellations were acknowledged to users between
+/// the refusal and shortly after the start of the outage.
+fn run_outage(what: &str, script: &[(u64, Fault)]) -> usize {
+    let mut acknowledged_count = 0;
     for seed in 1..=6 {
         let mut sim = Sim::new(plan(seed, 140, script.to_vec()));
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         let window = START_MS + 60_000..START_MS + 64_000;
         let cancelled =
             |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && window.contains(&t.1);
-        told += sim.rules.acknowledged.values().filter(cancelled).count();
+        acknowledged_count += sim.rules.acknowledged.values().filter(cancelled).count();
     }
-    assert!(told > 20, "{what}: only {told} cancellations were told");
-    told
+    assert!(
+        acknowledged_count > 20,
+        "{what}: only {acknowledged_count} cancellations were acknowledged"
+    );
+    acknowledged_count
 }
 
+/// Guards against tasks that outlive their cancellation: one controller is cut off from the store, another
+/// acknowledges the cancellation, and the store fails before the first one learns of it.
 #[test]
-fn what_was_cancelled_in_the_gap_is_gone_in_time() {
+fn cancelled_tasks_stop_despite_outage() {
     for node in 0..3 {
-        play("as the operators saw it", &gap(node, Vec::new()));
+        run_outage(
+            "store refuses one controller, then all",
+            &cancellations_before_outage(node, Vec::new()),
+        );
     }
 }
 
+/// Guards against tasks that outlive their cancellation when the controller that acknowledged it crashes
+/// just before the outage.
 #[test]
-fn the_gap_with_a_confirmer_that_ends_at_once() {
+fn cancelled_tasks_stop_when_acknowledger_crashes() {
     for back_ms in [200, 200_000] {
         for at in [60_600, 61_200, 62_400] {
             let crash = Fault::Crash { nodes: vec![1], back_ms };
-            play("the confirmer ends", &gap(0, vec![(at, crash)]));
+            run_outage(
+                "acknowledging controller crashes",
+                &cancellations_before_outage(0, vec![(at, crash)]),
+            );
         }
     }
 }
 
-/// What it told the old leader was lost, and the process that comes back knows nothing of it: that it is
-/// heard again proves nothing.
+/// Guards against tasks that outlive their cancellation: a partition drops the message of the acknowledging
+/// controller to the old owner, and the controller restarts without its memory. That the old owner hears
+/// from it again does not prove that there was no cancellation.
 #[test]
-fn the_gap_with_a_confirmer_that_is_heard_again_and_has_forgotten() {
+fn cancelled_tasks_stop_when_acknowledger_loses_state() {
     for node in [1, 2] {
         let cut = Fault::PairPartition { nodes: (0, node), ms: 4000 };
         let crash = Fault::Crash { nodes: vec![node], back_ms: 200 };
-        play("forgotten", &gap(0, vec![(60_200, cut), (62_450, crash)]));
+        run_outage(
+            "acknowledging controller lost its state",
+            &cancellations_before_outage(0, vec![(60_200, cut), (62_450, crash)]),
+        );
     }
 }
 
+/// Guards against tasks that outlive their cancellation when the store refuses two controllers in turn, or
+/// is back for only one second between two outages.
 #[test]
-fn the_gap_with_two_refused_in_turn_and_a_store_that_is_back_for_a_second() {
+fn cancelled_tasks_stop_after_repeated_refusals() {
     let second = Fault::StoreRefusesNode { node: 1, ms: 14_000 };
-    play("two in turn", &gap(0, vec![(61_000, second.clone())]));
-    // Up from 107.5 s on, for one second.
+    run_outage(
+        "store refuses two controllers in turn",
+        &cancellations_before_outage(0, vec![(61_000, second.clone())]),
+    );
+    // The store is up for one second, from 107.5 s on.
     let again = Fault::StoreOutage { ms: 45_000 };
     let cancel = (107_600, Fault::CancelJobs { percent: 60 });
-    play("back for a second", &gap(0, vec![cancel, (108_500, again), (107_400, second)]));
+    run_outage(
+        "store back for one second",
+        &cancellations_before_outage(0, vec![cancel, (108_500, again), (107_400, second)]),
+    );
 }
 
+/// Guards against tasks that outlive their cancellation when the old owner is partitioned from one sibling
+/// or both, or all controllers from each other.
 #[test]
-fn the_gap_with_a_cut_between_the_confirmer_and_the_old_leader() {
+fn cancelled_tasks_stop_when_old_owner_is_partitioned() {
     for at in [59_000, 60_800, 62_000] {
         for other in [1, 2] {
             let cut = Fault::PairPartition { nodes: (0, other), ms: 60_000 };
-            play("cut between", &gap(0, vec![(at, cut)]));
+            run_outage(
+                "old owner partitioned from one sibling",
+                &cancellations_before_outage(0, vec![(at, cut)]),
+            );
         }
     }
     let alone = Fault::StoreAndPeerPartition { node: 0, ms: 60_000 };
-    play("cut from both", &gap(0, vec![(60_000, alone)]));
-    play("all apart", &gap(0, vec![(61_500, Fault::PeerPartition { ms: 50_000 })]));
+    run_outage(
+        "old owner partitioned from both siblings",
+        &cancellations_before_outage(0, vec![(60_000, alone)]),
+    );
+    run_outage(
+        "all controllers partitioned",
+        &cancellations_before_outage(0, vec![(61_500, Fault::PeerPartition { ms: 50_000 })]),
+    );
 }
 
+/// Guards against tasks that outlive their cancellation when workers restart during the outage, or the old
+/// owner freezes and resumes with what it knew before.
 #[test]
-fn the_gap_with_new_sessions_and_an_old_leader_that_stands_still() {
-    let reborn = |at| (at, Fault::RestartWorkers { machines: 5 });
-    play("new sessions", &gap(0, vec![reborn(61_500), reborn(70_000), reborn(85_000)]));
+fn cancelled_tasks_stop_when_old_owner_freezes() {
+    let restart_workers = |at| (at, Fault::RestartWorkers { machines: 5 });
+    run_outage(
+        "workers restart",
+        &cancellations_before_outage(
+            0,
+            vec![restart_workers(61_500), restart_workers(70_000), restart_workers(85_000)],
+        ),
+    );
     for (at, ms) in [(60_500, 20_000), (61_000, 35_000), (70_000, 30_000)] {
         let freeze = Fault::FreezeNode { node: 0, ms };
-        play("frozen", &gap(0, vec![(at, freeze)]));
+        run_outage("old owner freezes", &cancellations_before_outage(0, vec![(at, freeze)]));
     }
 }
 
-/// An owner that answered for as long as it liked would break the rule: the tests above see that.
+/// An isolated owner that answers heartbeats without a time limit keeps cancelled tasks running: the rule
+/// `ran_cancelled` detects this injected defect.
 #[test]
-fn an_owner_that_answers_too_long_is_caught() {
+fn detects_owner_that_answers_too_long() {
     let alone = Fault::StoreAndPeerPartition { node: 0, ms: 60_000 };
-    let script = gap(0, vec![(60_000, alone)]);
+    let script = cancellations_before_outage(0, vec![(60_000, alone)]);
     let found = (1..=6).any(|seed| {
         let plan = plan(seed, 140, script.clone());
         let mut sim = Sim::new(Plan { defect: InjectedDefect::LongCancel, ..plan });
         sim.run().is_err_and(|e| e.contains("ran_cancelled"))
     });
-    assert!(found, "it went unnoticed");
+    assert!(found, "no seed detected the defect");
 }
 
-/// Where all controllers hear each other, an outage of any length costs no task: nobody can have
-/// confirmed what the others don't know of.
+/// Guards against worker leases that expire in a store outage although all controllers hear each other:
+/// then no controller can have acknowledged what the others don't know, so the owner can go on answering
+/// for an outage of any length.
 #[test]
-fn no_lease_runs_out_in_an_outage_while_the_controllers_hear_each_other() {
+fn store_outage_expires_no_worker_lease() {
     let mut replicas = 0;
     for seed in 1..=12 {
         let outage = (60_000, Fault::StoreOutage { ms: 120_000 });
@@ -116,92 +163,103 @@
         sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
         let (before, up) = (sim.leases_ended(), sim.running_service_tasks());
         sim.run().unwrap_or_else(|e| panic!("{e}"));
-        assert_eq!(sim.leases_ended(), before, "seed {seed}: leases ran out");
+        assert_eq!(sim.leases_ended(), before, "seed {seed}: worker leases expired");
         replicas += up.len();
     }
     assert!(replicas > 10, "only {replicas} replicas ran");
 }
 
-fn meeting(what: &str, script: &[(u64, Fault)]) {
+fn run_two_seeds(what: &str, script: &[(u64, Fault)]) {
     for seed in 1..=2 {
-        played(what, seed, script);
+        run_short_and_long(what, seed, script);
     }
 }
 
-/// Copies of all reports, from sessions and attempts that are over by then, also as the first word that
-/// a new owner hears.
+/// Guards against acting on outdated heartbeats: copies arrive late, from incarnations and attempts that
+/// are over by then, and may be the first that a new owner receives.
 #[test]
-fn old_reports_after_newer_ones() {
+fn tolerates_late_heartbeat_copies() {
     let late = (20_000, Fault::LateHeartbeatCopies { percent: 90, ms: 100_000 });
-    let reborn = |at| (at, Fault::RestartWorkers { machines: 4 });
+    let restart_workers = |at| (at, Fault::RestartWorkers { machines: 4 });
     let script = vec![
         late,
-        reborn(40_000),
-        reborn(44_500),
+        restart_workers(40_000),
+        restart_workers(44_500),
         (45_000, crash(0, 3000)),
         (52_000, crash(1, 200)),
-        reborn(79_000),
+        restart_workers(79_000),
         (80_000, crash(2, 9000)),
     ];
-    meeting("copies of reports", &script);
+    run_two_seeds("late heartbeat copies", &script);
 }
 
-/// A leader ends while machines with long tasks can't be reached, or don't hear the new one's answers.
+/// Guards against tasks taken for lost too early: an owner crashes while machines with long tasks are unreachable or
+/// don't receive the answers of the new owner.
 #[test]
-fn a_leader_ends_while_machines_are_out_of_reach() {
+fn owner_crashes_while_machines_are_unreachable() {
     for ms in [10_000, 16_500, 40_000] {
         let cut = Fault::ZonePartition { zone: "a", ms };
         let hang = Fault::HangMachines { machines: 4, ms };
         let deaf = Fault::InboundPartition { machines: 4, ms };
         for out in [cut, hang, deaf] {
             let again = (43_000 + ms, crash(1, 200));
-            meeting("out of reach", &[(41_000, out), (42_000, crash(0, 60_000)), again]);
+            run_two_seeds(
+                "machines unreachable",
+                &[(41_000, out), (42_000, crash(0, 60_000)), again],
+            );
         }
     }
 }
 
-/// The store is slow, refuses the leader alone and then everybody for longer than a cancellation may
-/// take, while users cancel and ask all along.
+/// Guards against tasks that outlive their cancellation and outdated answers: the store is slow, refuses
+/// the owner alone and then all controllers for longer than a cancellation may take, while users cancel and
+/// query throughout.
 #[test]
-fn a_slow_store_that_refuses_one_and_then_all() {
+fn slow_store_refuses_one_controller_then_all() {
     let cancels = [60_500, 61_500, 64_000, 80_000, 100_000, 109_000].map(cancel);
     for by_ms in [300, 1500] {
         let slow = (50_000, Fault::SlowStore { ms: 80_000, by_ms });
         let polls = (50_000, Fault::FrequentPolls { ms: 70_000 });
         let more = cancels.iter().cloned().chain([slow, polls]).collect();
-        meeting("slow, refused, down", &gap(2, more));
+        run_two_seeds("store slow, refusing, down", &cancellations_before_outage(2, more));
     }
 }
 
-/// A leader that only workers and users reach, and cancellations through its successor: whoever asks the
-/// old one is told no older state than was told before.
+/// Guards against stale answers: an owner is reached by workers and users alone while its successor
+/// acknowledges cancellations. Users who query the old owner must not be told an older state than they were
+/// told before.
 #[test]
-fn a_leader_that_only_workers_and_users_reach() {
+fn isolated_owner_reports_no_stale_state() {
     for ms in [8000, 30_000, 70_000] {
         let alone = (40_000, Fault::StoreAndPeerPartition { node: 0, ms });
         let polls = (40_000, Fault::FrequentPolls { ms: 90_000 });
         let back = (41_000 + ms, crash(0, 100));
-        meeting("alone", &[alone, polls, cancel(46_000), cancel(50_000), cancel(60_000), back]);
+        run_two_seeds(
+            "isolated owner",
+            &[alone, polls, cancel(46_000), cancel(50_000), cancel(60_000), back],
+        );
     }
 }
 
-/// Shards are handed over and back, all end, and one is back within a second, again and again.
+/// Guards against errors in consecutive takeovers: shards fail over and return to their home controller,
+/// all controllers crash, and one is back within a second, several times.
 #[test]
-fn hand_over_and_back_and_all_end() {
+fn survives_repeated_failover_and_full_restarts() {
     let mut script = Vec::new();
     for at in (30_000..110_000).step_by(16_000) {
         script.push((at, crash(0, 300)));
-        // Its shard goes home while another ends.
+        // The shard returns to its home controller while another controller crashes.
         script.push((at + 5200, crash(1, 6000)));
         script.push((at + 9000, Fault::Crash { nodes: vec![0, 1, 2], back_ms: 4000 }));
         script.push((at + 9300, crash(2, 100)));
     }
-    meeting("over and back", &script);
+    run_two_seeds("repeated failover", &script);
 }
 
-/// Transactions without an answer that are carried out late, after newer ones of the same controller.
+/// Guards against late transactions: the store does not answer, and applies the transaction after newer
+/// ones of the same controller.
 #[test]
-fn writes_that_are_carried_out_late() {
+fn tolerates_late_writes() {
     for percent in [10, 50] {
         let script = vec![
             (20_000, Fault::LateWrites { percent, ms: 100_000 }),
@@ -212,13 +270,14 @@
             (72_000, crash(2, 200)),
             cancel(90_000),
         ];
-        meeting("late writes", &script);
+        run_two_seeds("late writes", &script);
     }
 }
 
-/// Commands are held up for seconds, or longer than a lease, and the machine then goes on.
+/// Guards against late commands: they are delayed by seconds or by more than a lease, and the hung machine
+/// then resumes.
 #[test]
-fn commands_that_are_held_up() {
+fn tolerates_delayed_commands() {
     for by_ms in [3000, 9000, 25_000] {
         let hang = |at| (at, Fault::HangMachines { machines: 5, ms: 12_000 });
         let script = vec![
@@ -230,6 +289,6 @@
             cancel(71_000),
             (73_000, crash(1, 9000)),
         ];
-        meeting("held up", &script);
+        run_two_seeds("delayed commands", &script);
     }
 }
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -1,10 +1,10 @@
-//! Two troubles at once, for gangs, teams at their limits and jobs of one zone: three controllers, the rules
-//! checked after each step. Each plays until what it is about has happened often enough to say something.
+//! Two faults at once, for gangs, teams at their quotas and single-zone jobs, with three controllers. The
+//! simulator checks the rules after each step. Each test runs until the tested case has occurred often enough.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, START_MS};
 use leaddeal_wire::user::{JobKind, JobStatus};
 
-/// Leases take so much of the 30 s of a cancellation as at the operators' largest deployment.
+/// Worker lease as in the operators' largest deployment, where a cancellation may take 30 s.
 const LEASE_MS: u64 = 17_000;
 
 fn plan(seed: u64, script: &[(u64, Fault)]) -> Plan {
@@ -12,8 +12,8 @@
     Plan { script: script.to_vec(), long_tasks: true, lease_ms: LEASE_MS, ..quiet }
 }
 
-/// Every team has a limit, and far more work than that.
-fn at_limits(seed: u64, script: &[(u64, Fault)]) -> Plan {
+/// Every team has a quota and submits far more work than its quota allows.
+fn teams_at_quota(seed: u64, script: &[(u64, Fault)]) -> Plan {
     Plan { teams: TeamQuotas::AllOfThree, submission_rate: 2, ..plan(seed, script) }
 }
 
@@ -23,21 +23,25 @@
     sim
 }
 
-/// Plays it on two seeds with all teams at their limits: each team got to its limit and used no more, and
-/// users were told of cancellations after that time.
-fn all_at_limits(what: &str, script: &[(u64, Fault)], from: u64) {
-    let mut told = 0;
+/// Runs the script on two seeds with all teams at their quotas. Each team must reach its quota without
+/// exceeding it, and users must receive acknowledgements of cancellations after `from`.
+fn run_teams_at_quota(what: &str, script: &[(u64, Fault)], from: u64) {
+    let mut acknowledged = 0;
     for seed in 1..=2 {
-        let sim = run(what, at_limits(seed, script));
+        let sim = run(what, teams_at_quota(seed, script));
         for t in &sim.rules.teams {
-            let most = sim.rules.peak_usage.get(&t.name).copied().unwrap_or_default();
-            assert!(most.0 >= t.cpus_max - 1.0, "{what}: {} used {most:?} at the most", t.name);
+            let peak_usage = sim.rules.peak_usage.get(&t.name).copied().unwrap_or_default();
+            assert!(
+                peak_usage.0 >= t.cpus_max - 1.0,
+                "{what}: {} used at most {peak_usage:?}",
+                t.name
+            );
         }
         let cancelled =
             |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && t.1 > START_MS + from;
-        told += sim.rules.acknowledged.values().filter(cancelled).count();
+        acknowledged += sim.rules.acknowledged.values().filter(cancelled).count();
     }
-    assert!(told > 20, "{what}: only {told} cancellations were told");
+    assert!(acknowledged > 20, "{what}: only {acknowledged} cancellations were acknowledged");
 }
 
 fn crash(node: usize, back_ms: u64) -> Fault {
@@ -48,18 +52,19 @@
     (at, Fault::CancelJobs { percent: 50 })
 }
 
-/// Machines that can't be reached, in three ways.
-fn out_of_reach(ms: u64) -> [Fault; 3] {
+/// Returns three kinds of fault that make machines unreachable.
+fn unreachable_machines(ms: u64) -> [Fault; 3] {
     let cut = Fault::ZonePartition { zone: "b", ms };
     [cut, Fault::HangMachines { machines: 7, ms }, Fault::InboundPartition { machines: 7, ms }]
 }
 
-/// Jobs are cancelled whose machines can't be reached, and the team's owner changes: what their tasks hold
-/// counts until it is proven gone. (Team 1 is with the first shard's neighbour, team 2 with the third.)
+/// Guards against exceeding a quota: jobs on unreachable machines are cancelled and the team's owner
+/// changes. What their tasks hold counts until they are proven gone. (Team 1 belongs to the shard after the
+/// first, team 2 to the third.)
 #[test]
-fn every_team_is_at_its_limit_and_what_is_cancelled_cannot_be_reached() {
+fn counts_cancelled_tasks_on_unreachable_machines() {
     for ms in [9000, 16_500, 28_000] {
-        for out in out_of_reach(ms) {
+        for out in unreachable_machines(ms) {
             let script = [
                 (41_000, out),
                 cancel(41_400),
@@ -70,16 +75,16 @@
                 cancel(55_000),
                 (66_000, crash(0, 200)),
             ];
-            all_at_limits("cancelled out of reach", &script, 41_400);
+            run_teams_at_quota("cancelled on unreachable machines", &script, 41_400);
         }
     }
 }
 
-/// A new owner of a team can't ask some machines, and users cancel in that spell; some of its siblings are
-/// apart from it, or not heard.
+/// Guards against exceeding a quota: the new owner of a team can't query some machines, and is partitioned
+/// from a sibling or frozen, while users cancel.
 #[test]
-fn a_team_is_at_its_limit_while_its_new_owner_cannot_ask_and_users_cancel() {
-    for out in out_of_reach(24_000) {
+fn new_team_owner_cannot_query_machines() {
+    for out in unreachable_machines(24_000) {
         for between in [(0, 1), (1, 2)] {
             let script = [
                 (45_000, out.clone()),
@@ -92,15 +97,15 @@
                 (62_000, Fault::LateHeartbeatCopies { percent: 80, ms: 20_000 }),
                 (64_000, crash(0, 200)),
             ];
-            all_at_limits("cannot ask", &script, 50_500);
+            run_teams_at_quota("new owner cannot query machines", &script, 50_500);
         }
     }
 }
 
-/// A controller is cut from its siblings and the store while it decides for a team whose owner changes, and is
-/// back with what it had been granted; decisions are carried out late.
+/// Guards against the use of outdated grants: a controller is partitioned from a sibling while it decides
+/// for a team whose owner changes, and returns with its old grant; decisions are written late.
 #[test]
-fn a_grant_ends_with_the_owner_that_gave_it() {
+fn grants_end_with_their_owner() {
     for ms in [2500, 6000] {
         let mut script = vec![(20_000, Fault::LateWrites { percent: 30, ms: 100_000 })];
         for (i, at) in (30_000..110_000).step_by(8000).enumerate() {
@@ -109,14 +114,15 @@
             script.push((at + 700, Fault::SlowStore { by_ms: 900, ms: 3000 }));
             script.push(cancel(at + 1000));
         }
-        all_at_limits("grants", &script, 30_000);
+        run_teams_at_quota("grants", &script, 30_000);
     }
 }
 
-/// Of tasks that run for one to two minutes, some end before a change of owner and some after it.
+/// Guards against jobs that never complete: of tasks that run for one to two minutes, some end before a
+/// change of owner and some after it.
 #[test]
-fn jobs_of_two_or_three_tasks_end_far_apart_across_changes_of_owner() {
-    let mut over = 0;
+fn tasks_of_a_job_end_across_owner_changes() {
+    let mut completed_arrays = 0;
     for seed in 1..=4 {
         let script: Vec<_> = (40_000..130_000)
             .step_by(15_000)
@@ -125,23 +131,23 @@
             .chain([(70_000, Fault::HangMachines { machines: 3, ms: 20_000 })])
             .collect();
         let few = Plan { array_tasks_limit: 4, team_cpu_quota: 20.0, ..plan(seed, &script) };
-        let sim = run("far apart", Plan { seconds: 180, ..few });
+        let sim = run("tasks end across owner changes", Plan { seconds: 180, ..few });
         let done = |kind| {
             let of =
                 |id: &String| sim.rules.jobs.get(id).is_some_and(|j| j.kind == kind && j.tasks > 1);
-            let told = sim.rules.acknowledged.iter().filter(|t| t.1 .0 == JobStatus::Done);
-            told.filter(|t| of(t.0)).count()
+            let acknowledged = sim.rules.acknowledged.iter().filter(|t| t.1 .0 == JobStatus::Done);
+            acknowledged.filter(|t| of(t.0)).count()
         };
-        over += done(JobKind::Array);
-        assert!(done(JobKind::Gang) > 0, "seed {seed}: no gang is done");
+        completed_arrays += done(JobKind::Array);
+        assert!(done(JobKind::Gang) > 0, "seed {seed}: no gang completed");
     }
-    assert!(over > 12, "only {over} arrays are done");
+    assert!(completed_arrays > 12, "only {completed_arrays} arrays completed");
 }
 
-/// Gangs whose tasks are with three owners meet what can befall them. They run whole or not at all, and go on
-/// from what was saved.
+/// Guards against gangs that run in part: their tasks are on machines of three owners, under each kind of
+/// fault. Gangs run whole or not at all, and resume from the saved progress.
 #[test]
-fn gangs_of_several_tasks_are_with_three_owners() {
+fn gangs_across_three_owners_survive_faults() {
     let (mut started, mut completed, mut resumed) = (0, 0, 0);
     let (mut stopped, mut alone) = (0, 0);
     let hang = |at, ms| (at, Fault::HangMachines { machines: 4, ms });
@@ -173,34 +179,39 @@
         }
     }
     println!(
-        "{started} gangs started, {completed} completed, {resumed} went on, {stopped} stopped in order; \
+        "{started} gangs started, {completed} completed, {resumed} resumed, {stopped} stopped in order; \
          {alone} tasks were left alone"
     );
     assert!(completed > 100, "only {completed} of {started} gangs completed");
     assert!(stopped > 5, "only {stopped} gangs were stopped in order");
-    assert!(resumed > 3, "only {resumed} gangs went on from what was saved");
+    assert!(resumed > 3, "only {resumed} gangs resumed from saved progress");
 }
 
-/// Without troubles no gang is left alone: it is placed whole.
+/// Guards against gangs whose tasks wait for the others in vain: without faults a gang is placed whole.
 #[test]
-fn gangs_are_placed_whole() {
+fn places_gangs_whole() {
     for seed in 1..=6 {
         let quiet = Plan { long_tasks: false, team_cpu_quota: 30.0, ..plan(seed, &[]) };
-        let sim = run("quiet", quiet);
+        let sim = run("no faults", quiet);
         assert!(sim.gangs.completed > 5, "seed {seed}: {} gangs", sim.gangs.completed);
-        assert!(sim.gangs.alone.is_empty(), "seed {seed}: waited in vain: {:?}", sim.gangs.alone);
+        assert!(
+            sim.gangs.alone.is_empty(),
+            "seed {seed}: tasks waited for their gang in vain: {:?}",
+            sim.gangs.alone
+        );
     }
 }
 
-/// More work than room, urgent and not, where all that is sent takes its time.
+/// Guards against a stall when work of several priorities exceeds the capacity and every message is
+/// delayed.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_capacity_over_slow_links() {
     for slow_ms in [60, 250, 600] {
         for seed in 1..=2 {
             let script = [(50_000, crash(0, 300)), (70_000, crash(1, 7000)), cancel(75_000)];
             let long = seed == 1;
             let sim = run(
-                "slow",
+                "slow links",
                 Plan {
                     submission_rate: 4,
                     extra_latency_ms: slow_ms,
@@ -213,20 +224,25 @@
     }
 }
 
-/// Jobs bound to one zone, arrays and gangs, lose machines: what is left of them may still be where it was, and
-/// the rest goes nowhere else.
+/// Guards against single-zone jobs in two zones: arrays and gangs bound to one zone lose machines. Their
+/// remaining tasks may still run there, so the others must not go to another zone.
 #[test]
-fn jobs_of_one_zone_lose_machines() {
-    let mut bound = 0;
+fn single_zone_jobs_lose_machines() {
+    let mut single_zone_jobs = 0;
     let hang = |at, ms| (at, Fault::HangMachines { machines: 6, ms });
     for ms in [4000, 12_000, 30_000] {
         let cut = |at| (at, Fault::ZonePartition { zone: "b", ms });
         let die = |at| (at, Fault::LoseMachines { machines: 3 });
-        let reborn = |at| (at, Fault::RestartWorkers { machines: 5 });
+        let restart_workers = |at| (at, Fault::RestartWorkers { machines: 5 });
         for script in [
             vec![die(40_000), hang(41_000, ms), (42_000, crash(0, 300)), (46_000, crash(1, 5000))],
             vec![cut(40_000), (41_000, Fault::Crash { nodes: vec![0, 1, 2], back_ms: 400 })],
-            vec![reborn(40_000), hang(40_500, ms), (43_000, crash(2, 200)), reborn(60_000)],
+            vec![
+                restart_workers(40_000),
+                hang(40_500, ms),
+                (43_000, crash(2, 200)),
+                restart_workers(60_000),
+            ],
             vec![
                 (40_000, Fault::InboundPartition { machines: 6, ms }),
                 (41_000, crash(1, 90_000)),
@@ -238,17 +254,17 @@
                     Plan { one_zone_share: 0.8, team_cpu_quota: 20.0, ..plan(seed, &script) };
                 let sim = run("one zone", plan);
                 let jobs = sim.rules.acknowledged.keys().filter_map(|id| sim.rules.jobs.get(id));
-                bound += jobs.filter(|j| j.one_zone && j.tasks > 1).count();
+                single_zone_jobs += jobs.filter(|j| j.one_zone && j.tasks > 1).count();
             }
         }
     }
-    assert!(bound > 100, "only {bound} jobs of one zone are over");
+    assert!(single_zone_jobs > 100, "only {single_zone_jobs} single-zone jobs ended");
 }
 
-/// Machines are up within two seconds and get work at once, teams are at their limits, writes lag and the owner
-/// of a team's shard ends.
+/// Guards against exceeding a quota: machines are up within two seconds and get work at once, teams are at
+/// their quotas, writes are slow, and the owner of a team's shard crashes.
 #[test]
-fn new_machines_get_work_at_once_while_teams_are_at_their_limits_and_an_owner_ends() {
+fn new_machines_and_owner_crash_at_quota() {
     for node in 0..3 {
         let slow = Fault::SlowStore { by_ms: 1500, ms: 60_000 };
         let mut script = vec![(30_000, slow), (20_000, Fault::FastBoots { ms: 120_000 })];
@@ -258,29 +274,30 @@
             script.push((at + 2500, crash((node + 1) % 3, 5000)));
         }
         for seed in 1..=2 {
-            let sim = run("new machines", at_limits(seed, &script));
+            let sim = run("new machines", teams_at_quota(seed, &script));
             assert!(sim.rules.starts > 40, "only {} starts", sim.rules.starts);
         }
     }
 }
 
-/// The owner of a team's shard ends every three seconds for two minutes.
+/// Guards against lost quota state: the owner of a team's shard crashes every three seconds for two
+/// minutes.
 #[test]
-fn forty_changes_of_the_owner_of_a_team() {
+fn team_owner_changes_forty_times() {
     for node in [1, 2] {
         let crashes = (30_000..150_000).step_by(3000).map(|at| (at, crash(node, 150)));
         let script: Vec<_> = crashes.chain([cancel(60_000), cancel(100_000)]).collect();
-        let sim = run("forty changes", at_limits(node as u64, &script));
+        let sim = run("forty changes", teams_at_quota(node as u64, &script));
         let loaded = sim.observations.loaded.iter().filter(|l| l.0 > START_MS + 30_000).count();
-        assert!(loaded >= 40, "{loaded} changes");
+        assert!(loaded >= 40, "only {loaded} changes of owner");
         assert!(sim.rules.starts > 60, "only {} starts", sim.rules.starts);
     }
 }
 
-/// Teams that want more than their limits keep nobody else waiting beside room, nor their own jobs while the
-/// limit isn't reached.
+/// Guards against starvation: teams with demand beyond their quotas must not keep other teams' jobs waiting
+/// beside free capacity, nor their own jobs while the quota is not reached.
 #[test]
-fn teams_that_want_more_than_their_limits_neglect_nobody() {
+fn teams_at_quota_starve_no_job() {
     for seed in 100..104 {
         let quiet = Plan {
             seconds: 250,
@@ -289,8 +306,8 @@
             long_tasks: true,
             ..Plan::new(seed)
         };
-        let sim = run("limits", quiet);
-        let neglected = &sim.rules.starvation.starved;
-        assert!(neglected.is_empty(), "seed {seed}: {neglected:?}");
+        let sim = run("teams at quota", quiet);
+        let starved = &sim.rules.starvation.starved;
+        assert!(starved.is_empty(), "seed {seed}: starved jobs: {starved:?}");
     }
 }
--- a/crates/testkit/tests/recovery.rs
+++ b/crates/testkit/tests/recovery.rs
@@ -1,10 +1,10 @@
-//! The hard cases of takeover and recovery at the size of a fleet, with counted bounds. The rules
-//! are checked after each step, as everywhere.
+//! Takeover and recovery at the size of a fleet, with bounds on calls and times. The simulator checks the rules
+//! after each step.
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{Plan, Sim, NODES, START_MS};
 use std::collections::BTreeSet;
 
-/// A fleet of 90 machines, times so many, and the faults.
+/// Returns a simulated fleet of `times` times 90 machines with these faults.
 fn fleet(times: u32, seconds: u64, script: Vec<(u64, Fault)>) -> Sim {
     Sim::new(Plan { seconds, script, ..Plan::fleet(7, times) })
 }
@@ -17,10 +17,11 @@
     sim.observations.pages
 }
 
-/// What is over is not read again, and open jobs are read in pages: a shard with 20,000 closed and
-/// 2,000 open jobs is there soon, also while the state service answers slowly.
+/// Guards against loading that takes longer with every completed job: a shard with 20,000 closed and 2,000
+/// open jobs must load soon, also while the store is slow, since closed jobs are not read again and open
+/// jobs are read in pages.
 #[test]
-fn a_shard_with_a_long_past_is_loaded_by_what_is_open() {
+fn loading_reads_only_open_jobs() {
     let slow = Fault::SlowStore { ms: 60_000, by_ms: 300 };
     let crash = Fault::Crash { nodes: vec![0], back_ms: 120_000 };
     let script = vec![(20_000, slow), (20_000, crash)];
@@ -38,19 +39,20 @@
         let before = pages(&sim);
         run(&mut sim, 45_000);
         let (at, shards) = sim.observations.loaded_after(START_MS + 20_000);
-        assert_eq!(shards, 1, "the shard of the dead one is loaded");
+        assert_eq!(shards, 1, "the shard of the crashed controller is loaded");
         (at - START_MS - 20_000, pages(&sim) - before)
     };
     let (few, many) = (read(few), read(many));
     println!("ms to load and pages: {few:?} with few closed jobs, {many:?} with many");
     assert!(many.1 <= 20, "{} pages for 2,000 open jobs", many.1);
     assert_eq!(few.1, many.1, "closed jobs are not read");
-    assert!(many.0 < 14_000, "{} ms, of which the lease takes 4,000", many.0);
+    assert!(many.0 < 14_000, "loaded after {} ms, of which the lease takes 4,000", many.0);
 }
 
-/// All controllers end and come back at once, and every worker of 1,260 knocks.
+/// Guards against an overload at a restart: all controllers crash and return at once, and all 1,260 workers
+/// reconnect.
 #[test]
-fn three_controllers_come_back_to_a_fleet_that_knocks() {
+fn all_controllers_restart_under_heartbeat_load() {
     let all = Fault::Crash { nodes: (0..NODES).collect(), back_ms: 3000 };
     let mut sim = fleet(14, 40, vec![(20_000, all)]);
     run(&mut sim, 20_000);
@@ -59,29 +61,32 @@
     let (at, shards) = sim.observations.loaded_after(START_MS + 20_000);
     println!("all shards loaded {} ms after the crash", at - START_MS - 20_000);
     assert_eq!(shards, NODES, "each shard is loaded once");
-    assert!(at < START_MS + 20_000 + 9000, "{} ms", at - START_MS - 20_000);
+    assert!(at < START_MS + 20_000 + 9000, "all shards loaded after {} ms", at - START_MS - 20_000);
     let calls = sim.observations.store_calls - calls;
-    println!("{calls} calls of the state service in 12 s");
-    assert!(calls < 1700, "{calls} calls of the state service in 12 s");
+    println!("{calls} store calls in 12 s");
+    assert!(calls < 1700, "{calls} store calls in 12 s");
 }
 
-/// A third of the machines dies in one second while others hang for longer than a lease: what
-/// ran there runs elsewhere as soon as it is proven gone. (One seed said little: with the same code 19
-/// of 20 ran again within 18 s in 28 seeds of 60.)
+/// Guards against slow replacement of services: a third of the machines dies in one second while others
+/// hang for longer than a lease. Replicas must run elsewhere as soon as the lost ones are proven gone. One
+/// seed proves little: with the same code 19 of 20 ran again within 18 s in 28 of 60 seeds.
 #[test]
-fn replicas_of_dead_and_hung_machines_run_again() {
-    let all: Vec<(u64, u64)> = (1..=9).map(half_and_most_run_again).collect();
-    let (mut half, mut most): (Vec<u64>, Vec<u64>) = all.iter().copied().unzip();
-    half.sort_unstable();
-    most.sort_unstable();
-    // The lease takes 8 s; then the image and a start, and for the last ones a machine more.
+fn replaces_replicas_of_dead_and_hung_machines() {
+    let all: Vec<(u64, u64)> = (1..=9).map(replacement_times_ms).collect();
+    let (mut half_ms, mut most_ms): (Vec<u64>, Vec<u64>) = all.iter().copied().unzip();
+    half_ms.sort_unstable();
+    most_ms.sort_unstable();
+    // The lease takes 8 s, followed by the image and the start; the last replicas also wait for a new machine.
     let (middle, last) = (all.len() / 2, all.len() - 1);
-    assert!(half[middle] < 10_000 && half[last] < 12_000, "half run again after {half:?}");
-    assert!(most[middle] < 20_000 && most[last] < 30_000, "19 of 20 run again after {most:?}");
+    assert!(half_ms[middle] < 10_000 && half_ms[last] < 12_000, "half run again after {half_ms:?}");
+    assert!(
+        most_ms[middle] < 20_000 && most_ms[last] < 30_000,
+        "19 of 20 run again after {most_ms:?}"
+    );
 }
 
-/// How many milliseconds after the loss half of the lost replicas, and 19 of 20, run again.
-fn half_and_most_run_again(seed: u64) -> (u64, u64) {
+/// Returns how many milliseconds after the loss half of the lost replicas and 19 of 20 of them run again.
+fn replacement_times_ms(seed: u64) -> (u64, u64) {
     let die = Fault::LoseMachines { machines: 200 };
     let hang = Fault::HangMachines { machines: 108, ms: 14_000 };
     let script = vec![(20_000, die), (20_000, hang)];
@@ -90,14 +95,14 @@
     let before = sim.running_service_tasks();
     run(&mut sim, 20_200);
     let lost: BTreeSet<String> = before.difference(&sim.running_service_tasks()).cloned().collect();
-    assert!(lost.len() > 20, "too few were lost to say anything: {}", lost.len());
+    assert!(lost.len() > 20, "too few replicas were lost: {}", lost.len());
     let mut at = 20_200;
-    let mut half = 0;
+    let mut half_ms = 0;
     loop {
         let up = sim.running_service_tasks();
         let missing = lost.iter().filter(|t| sim.is_wanted(t) && !up.contains(*t)).count();
-        if half == 0 && missing * 2 <= lost.len() {
-            half = at;
+        if half_ms == 0 && missing * 2 <= lost.len() {
+            half_ms = at;
         }
         if missing * 20 <= lost.len() || at >= 60_000 {
             break;
@@ -105,28 +110,31 @@
         at += 250;
         run(&mut sim, at);
     }
-    (half - 20_000, at - 20_000)
+    (half_ms - 20_000, at - 20_000)
 }
 
-/// A controller without processor time for 40 s wakes up with all that came meanwhile, and neither
-/// acts on it under its old epoch nor falls over it; and it gets its shard back only once it has been
-/// steady for a while.
+/// Guards against a controller that gets no processor time for 40 s and resumes with all pending input: it
+/// must not act under its old epoch or fail under the backlog, and gets its shard back only after it has
+/// been stable for a while.
 #[test]
-fn a_frozen_controller_wakes_up_with_a_backlog() {
+fn frozen_controller_resumes_with_backlog() {
     let freeze = Fault::FreezeNode { node: 0, ms: 40_000 };
     let mut sim = fleet(4, 100, vec![(20_000, freeze)]);
     run(&mut sim, 75_000);
     let (_, shards) = sim.observations.loaded_after(START_MS + 20_000);
-    assert_eq!(shards, 1, "taken over, and not given back at once");
+    assert_eq!(shards, 1, "the shard was taken over and not returned at once");
     run(&mut sim, 95_000);
     let (_, shards) = sim.observations.loaded_after(START_MS + 20_000);
-    assert!((2..=4).contains(&shards), "taken over, and given back: {shards} shards loaded");
+    assert!(
+        (2..=4).contains(&shards),
+        "the shard was taken over and returned: {shards} shards loaded"
+    );
 }
 
-/// Controllers refuse each other's connections while a shard is taken over, and a zone is cut off
-/// while a shard moves.
+/// Guards against a failed takeover while the controllers can't connect to each other, or while a zone is
+/// partitioned.
 #[test]
-fn takeovers_while_connections_fail() {
+fn failover_while_connections_fail() {
     let crash = Fault::Crash { nodes: vec![1], back_ms: 8000 };
     let apart = Fault::PeerPartition { ms: 25_000 };
     let cut = Fault::ZonePartition { zone: "b", ms: 20_000 };
@@ -135,49 +143,52 @@
         let mut sim = fleet(3, 70, script.collect());
         run(&mut sim, 70_000);
         let (_, shards) = sim.observations.loaded_after(START_MS + 20_000);
-        assert!(shards >= 2, "the shard was taken over and went home: {shards}");
+        assert!(shards >= 2, "the shard was taken over and returned: {shards} shards loaded");
         assert!(sim.rules.starts > 500, "only {} starts", sim.rules.starts);
     }
 }
 
-/// The largest share of the replicas that ran before the fault and were not up at some time in the
+/// Returns the largest share of the replicas that ran before the fault and were down at some time in the
 /// minute after it.
-fn most_down(fault: Fault) -> f64 {
+fn max_share_down(fault: Fault) -> f64 {
     let plan = Plan { seconds: 90, script: vec![(20_000, fault)], ..Plan::fleet(7, 7) };
-    // As of the operators: a time-out of 4 s and a second more are not nearly all of it.
+    // As in the operators' deployment: a time-out of 4 s plus a second must be well below the lease.
     let mut sim = Sim::new(Plan { lease_ms: 12_000, ..plan });
     run(&mut sim, 19_900);
     let before = sim.running_service_tasks();
-    let mut most: f64 = 0.0;
+    let mut max_share: f64 = 0.0;
     for at in (20_000..80_000).step_by(500) {
         run(&mut sim, at);
         let up = sim.running_service_tasks();
         let wanted = before.iter().filter(|t| sim.is_wanted(t));
         let (all, down) = wanted.fold((0, 0), |n, t| (n.0 + 1, n.1 + usize::from(!up.contains(t))));
-        most = most.max(down as f64 / f64::from(all.max(1)));
+        max_share = max_share.max(down as f64 / f64::from(all.max(1)));
     }
-    println!("{} replicas, at most {most:.2} of them down", before.len());
-    most
+    println!("{} replicas, at most {max_share:.2} of them down", before.len());
+    max_share
 }
 
-/// Found on incidents: its siblings sent the workers back to a controller that they could not reach.
+/// Guards against expired worker leases when a controller is partitioned from its workers alone. In
+/// incidents its siblings sent the workers back to the controller that they could not reach.
 #[test]
-fn no_lease_runs_out_while_a_controller_is_cut_from_its_workers_alone() {
-    assert!(most_down(Fault::WorkerPartition { node: 0, ms: 40_000 }) < 0.05);
+fn partition_from_workers_expires_no_lease() {
+    assert!(max_share_down(Fault::WorkerPartition { node: 0, ms: 40_000 }) < 0.05);
 }
 
-/// It lets its workers go in time, and a successor is in office by then.
+/// Guards against expired worker leases when a controller reaches only workers: it must release them in
+/// time, when a successor has taken over.
 #[test]
-fn replicas_outlive_a_controller_that_hears_only_workers() {
+fn replicas_survive_isolated_controller() {
     for ms in [10_000, 40_000, 120_000] {
-        assert!(most_down(Fault::StoreAndPeerPartition { node: 1, ms }) < 0.05, "for {ms} ms");
+        assert!(max_share_down(Fault::StoreAndPeerPartition { node: 1, ms }) < 0.05, "for {ms} ms");
     }
 }
 
-/// What can be neither answered nor commanded is proven gone by its new sessions, and its work goes
-/// on elsewhere; nobody storms the state service meanwhile.
+/// Guards against a request storm on the store and stalled work while a fifth of the machines receives
+/// neither answers nor commands for a minute. They are proven gone by their new sessions, and their work
+/// runs elsewhere.
 #[test]
-fn a_fifth_of_the_machines_is_deaf_for_a_minute() {
+fn fifth_of_machines_behind_inbound_partition() {
     let calls = |script| {
         let mut sim = fleet(7, 90, script);
         run(&mut sim, 20_000);
@@ -186,18 +197,23 @@
         (sim.observations.store_calls - before, sim.rules.starts)
     };
     let quiet = calls(Vec::new());
-    let deaf = calls(vec![(20_000, Fault::InboundPartition { machines: 126, ms: 60_000 })]);
+    let partitioned = calls(vec![(20_000, Fault::InboundPartition { machines: 126, ms: 60_000 })]);
     println!(
-        "calls of the state service in a minute, and starts: {quiet:?}, with deaf ones {deaf:?}"
+        "store calls in a minute and starts: {quiet:?} without faults, with an inbound partition {partitioned:?}"
+    );
+    assert!(
+        partitioned.0 < quiet.0 * 3 / 2,
+        "{} store calls instead of {}",
+        partitioned.0,
+        quiet.0
     );
-    assert!(deaf.0 < quiet.0 * 3 / 2, "{} calls instead of {}", deaf.0, quiet.0);
-    assert!(deaf.1 * 10 > quiet.1 * 6, "{} starts instead of {}", deaf.1, quiet.1);
+    assert!(partitioned.1 * 10 > quiet.1 * 6, "{} starts instead of {}", partitioned.1, quiet.1);
 }
 
-/// The operators' troubles on top of each other, and then none: the rules hold, every job is still
-/// answered about, and nobody is served less than half.
+/// Guards against faults that only their combination triggers: the faults on the operators' page overlap
+/// and then end. The rules hold, every job is still answered for, and no group is served less than half.
 #[test]
-fn the_operators_troubles_together() {
+fn recovers_from_combined_faults() {
     let script = vec![
         (20_000, Fault::FrequentPolls { ms: 60_000 }),
         (21_000, Fault::Crash { nodes: vec![0], back_ms: 200 }),
@@ -220,7 +236,7 @@
         run(&mut sim, 280_000);
         let under: Vec<_> =
             sim.groups_under_half_served().into_iter().filter(|s| s.of > 3).collect();
-        assert!(under.is_empty(), "seed {seed}: served less than half: {under:?}");
+        assert!(under.is_empty(), "seed {seed}: groups served less than half: {under:?}");
         assert!(sim.rules.starts > 200, "only {} starts", sim.rules.starts);
     }
 }
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -2,43 +2,49 @@
 use leaddeal_testkit::script::Fault;
 use leaddeal_testkit::sim::{InjectedDefect, Plan, Sim};
 
-/// Troubles for four minutes, and then none: whoever is still not answered is forgotten.
+/// Random faults for four minutes followed by a fault-free period, after which a job without an answer
+/// counts as forgotten.
 fn plan(seed: u64) -> Plan {
     Plan { calm_seconds: 100, ..Plan::new(seed) }
 }
 
+/// Guards against broken rules and unfinished work on days without faults.
 #[test]
-fn quiet_days_keep_the_rules_and_finish_the_work() {
+fn completes_jobs_without_faults() {
     for seed in 1..=4 {
         let mut sim = Sim::new(Plan { random_faults: false, ..plan(seed) });
         sim.run().unwrap_or_else(|e| panic!("{e}"));
-        let told = sim.rules.acknowledged.len();
+        let acknowledged = sim.rules.acknowledged.len();
         let accepted = sim.rules.accepted.len();
         assert!(sim.rules.starts > 100, "seed {seed}: only {} starts", sim.rules.starts);
-        assert!(told * 10 > accepted * 6, "seed {seed}: {told} of {accepted} jobs are over");
+        assert!(
+            acknowledged * 10 > accepted * 6,
+            "seed {seed}: {acknowledged} of {accepted} jobs ended"
+        );
     }
 }
 
+/// Guards against broken rules, and groups that are served less than half, under random faults.
 #[test]
-fn rules_hold_whatever_fails() {
+fn rules_hold_under_random_faults() {
     let seeds = std::env::var("LEADDEAL_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(24);
     let mut starts = 0;
     for seed in 100..100 + seeds {
         let mut sim = Sim::new(plan(seed));
         sim.run().unwrap_or_else(|e| panic!("{e}"));
         starts += sim.rules.starts;
-        // Of three or fewer one unlucky job is too many.
+        // In a group of three or fewer jobs, one unlucky job is too large a share.
         let under: Vec<_> =
             sim.groups_under_half_served().into_iter().filter(|s| s.of > 3).collect();
-        assert!(under.is_empty(), "seed {seed}: served less than half: {under:?}");
+        assert!(under.is_empty(), "seed {seed}: groups served less than half: {under:?}");
     }
-    assert!(starts as u64 > seeds * 40, "too little ran to say anything: {starts}");
+    assert!(starts as u64 > seeds * 40, "too few task starts: {starts}");
 }
 
-/// Each controller ends twenty times within a minute and is back within a second; seeds that broke
-/// a rule once are played again.
+/// Guards against broken rules in restart storms: each controller crashes twenty times within a minute and
+/// is back within a second. Seeds that once broke a rule are run again.
 #[test]
-fn rules_hold_in_storms_of_restarts() {
+fn rules_hold_under_repeated_restarts() {
     let seeds = std::env::var("LEADDEAL_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(12);
     let mut starts = 0;
     for plan in (100..100 + seeds).map(Plan::storm).chain([1498, 173].map(plan)) {
@@ -46,13 +52,13 @@
         sim.run().unwrap_or_else(|e| panic!("{e}"));
         starts += sim.rules.starts as u64;
     }
-    assert!(starts > seeds * 40, "too little ran to say anything: {starts}");
+    assert!(starts > seeds * 40, "too few task starts: {starts}");
 }
 
-/// What the work costs, counted: on controllers with a few hundredths of a core, most of the
-/// time once went into packets, and into looks at machines without room.
+/// Guards against overload of controllers with a few hundredths of a core, on which most of the time once
+/// went into packets and into evaluating machines without free resources.
 #[test]
-fn a_large_fleet_is_run_with_few_messages_and_looks() {
+fn large_fleet_needs_few_messages_and_evaluations() {
     let mut sim = Sim::new(Plan {
         seconds: 120,
         scale: 5,
@@ -71,12 +77,13 @@
     let machines_evaluated = sim.machines_evaluated();
     assert!(
         machines_evaluated < starts * 130,
-        "{machines_evaluated} looks at machines for {starts} starts"
+        "{machines_evaluated} machines evaluated for {starts} starts"
     );
 }
 
-/// Found at three times a fleet: every look at a machine went through all claims, and every
-/// request through all machines, so that twice the fleet took six times the processor.
+/// Guards against cost that grows faster than the fleet: each evaluation of a machine once went through all
+/// claims and each request through all machines, so that twice the fleet took six times the processor time.
+/// Found at three times a fleet.
 #[test]
 fn twice_the_fleet_takes_no_more_than_its_share_of_looks() {
     let run = |times| {
@@ -86,104 +93,110 @@
     };
     let (one, two, five) = (run(2), run(4), run(10));
 
-    assert!(two.0 * 10 > one.0 * 17, "twice the work is done: {one:?} {two:?}");
-    // By start: with machines rented sooner, twice the fleet starts more than before.
-    let (looks, share) = (two.1 * one.0 * 10, one.1 * two.0 * 15);
-    assert!(looks < share, "looks at machines: {one:?}, with twice the fleet {two:?}");
-    assert!(five.0 * 10 > one.0 * 35, "five times the work is done: {one:?} {five:?}");
-    let (looks, share) = (five.1 * one.0 * 10, one.1 * five.0 * 20);
-    assert!(looks < share, "looks at machines: {one:?}, with five times the fleet {five:?}");
+    assert!(two.0 * 10 > one.0 * 17, "twice the fleet starts twice the tasks: {one:?} {two:?}");
+    // Compared per start: twice the fleet rents machines sooner and so starts more than twice as many tasks.
+    let (evaluations, share) = (two.1 * one.0 * 10, one.1 * two.0 * 15);
+    assert!(evaluations < share, "machines evaluated: {one:?}, with twice the fleet {two:?}");
+    assert!(
+        five.0 * 10 > one.0 * 35,
+        "five times the fleet starts five times the tasks: {one:?} {five:?}"
+    );
+    let (evaluations, share) = (five.1 * one.0 * 10, one.1 * five.0 * 20);
+    assert!(evaluations < share, "machines evaluated: {one:?}, with five times the fleet {five:?}");
 }
 
-/// The checker is checked: a broken variant must be caught.
-fn caught(defect: InjectedDefect, rule: &str) {
-    caught_with(&[], defect, rule);
+/// Asserts that a run with an injected defect violates the rule: this tests the checker itself.
+fn assert_detected(defect: InjectedDefect, rule: &str) {
+    assert_detected_with(&[], defect, rule);
 }
 
-fn caught_with(script: &[(u64, Fault)], defect: InjectedDefect, rule: &str) {
+/// Asserts that a run with an injected defect and scripted faults violates the rule.
+fn assert_detected_with(script: &[(u64, Fault)], defect: InjectedDefect, rule: &str) {
     let found = (0..40).any(|seed| {
         let plan = Plan { defect, script: script.to_vec(), ..plan(seed) };
         Sim::new(plan).run().is_err_and(|e| e.contains(rule))
     });
-    assert!(found, "{defect:?} went unnoticed as {rule}");
+    assert!(found, "no seed detected {defect:?} as {rule}");
 }
 
 #[test]
-fn a_misjudged_lease_is_caught() {
-    caught(InjectedDefect::ShortLease, "ran_twice");
+fn detects_short_lease() {
+    assert_detected(InjectedDefect::ShortLease, "ran_twice");
 }
 
 #[test]
-fn missing_fences_are_caught() {
-    // Which rule breaks first depends on the seed: what counts is that one does.
-    caught(InjectedDefect::NoFencing, ":");
+fn detects_missing_fencing() {
+    // Which rule is violated first depends on the seed, so any violation counts.
+    assert_detected(InjectedDefect::NoFencing, ":");
 }
 
 #[test]
-fn a_takeover_that_calls_machines_lost_too_early_is_caught() {
-    caught(InjectedDefect::FastClock, "ran_twice");
+fn detects_machines_declared_lost_too_early() {
+    assert_detected(InjectedDefect::FastClock, "ran_twice");
 }
 
 #[test]
-fn a_decision_forgotten_too_early_is_caught() {
-    caught(InjectedDefect::LostDecisions, "ran_twice");
+fn detects_lost_decisions() {
+    assert_detected(InjectedDefect::LostDecisions, "ran_twice");
 }
 
 #[test]
-fn jobs_that_nobody_is_told_of_are_caught() {
-    caught(InjectedDefect::UnansweredShard, "forgotten: nothing is said");
+fn detects_unanswered_shard() {
+    assert_detected(InjectedDefect::UnansweredShard, "forgotten: nothing is said");
 }
 
 #[test]
-fn a_rental_name_used_twice_is_caught() {
-    caught(InjectedDefect::ReusedRequestNames, "name_reused");
+fn detects_reused_request_names() {
+    assert_detected(InjectedDefect::ReusedRequestNames, "name_reused");
 }
 
-/// Where a single key is read as it was a moment ago, users who look closely are told what is older than
-/// they know: that an accepted job was never there, and that one that is over goes on.
+/// With reads of a single key that return an older value, users who query frequently get answers older than
+/// what they know: an accepted job does not exist, or an ended job still runs.
 #[test]
-fn answers_older_than_what_was_told_are_caught() {
-    // The store is asked where the owner can't be: by some of all that users ask, right after each news.
-    let looks = (20_000, Fault::QueryBursts { percent: 100, ms: 200_000 });
-    let apart = |at| (at, Fault::PeerPartition { ms: 20_000 });
-    let script = [looks, apart(40_000), apart(80_000), apart(120_000)];
-    caught_with(&script, InjectedDefect::StaleReads, "forgotten: ");
-    caught_with(&script, InjectedDefect::StaleReads, "went_back: ");
+fn detects_stale_reads() {
+    // Partitioned controllers read the store instead of querying the owner. This affects only some queries, so
+    // users query right after each change.
+    let queries = (20_000, Fault::QueryBursts { percent: 100, ms: 200_000 });
+    let partition = |at| (at, Fault::PeerPartition { ms: 20_000 });
+    let script = [queries, partition(40_000), partition(80_000), partition(120_000)];
+    assert_detected_with(&script, InjectedDefect::StaleReads, "forgotten: ");
+    assert_detected_with(&script, InjectedDefect::StaleReads, "went_back: ");
 }
 
 #[test]
-fn a_submission_that_is_misread_is_caught() {
-    caught(InjectedDefect::MisparsedSubmissions, "accepted_wrong: ");
-    caught(InjectedDefect::MisparsedSubmissions, "refused_wrong: ");
+fn detects_misparsed_submissions() {
+    assert_detected(InjectedDefect::MisparsedSubmissions, "accepted_wrong: ");
+    assert_detected(InjectedDefect::MisparsedSubmissions, "refused_wrong: ");
 }
 
 #[test]
-fn a_job_accepted_though_its_team_may_never_run_it_is_caught() {
-    // Its limit is high, or the team's use would break it first.
+fn detects_job_larger_than_quota() {
+    // The quota is high, or else the usage of the team would violate it first.
     let found = (0..40).any(|seed| {
         let high = Plan { defect: InjectedDefect::NoCpuQuotas, team_cpu_quota: 60.0, ..plan(seed) };
         Sim::new(high).run().is_err_and(|e| e.contains("accepted_wrong: "))
     });
-    assert!(found, "it went unnoticed");
+    assert!(found, "no seed detected the defect");
 }
 
 #[test]
-fn a_job_accepted_twice_is_caught() {
-    caught(InjectedDefect::NoFencing, "accepted_twice: ");
+fn detects_job_accepted_twice() {
+    assert_detected(InjectedDefect::NoFencing, "accepted_twice: ");
 }
 
 #[test]
-fn a_cancellation_that_cancels_nothing_is_caught() {
-    caught(InjectedDefect::MisroutedCancellations, "not_cancelled: ");
+fn detects_misrouted_cancellations() {
+    assert_detected(InjectedDefect::MisroutedCancellations, "not_cancelled: ");
 }
 
-/// Starts of what is cancelled are counted; what goes on is caught.
+/// With ignored stops, starts of cancelled tasks are counted, and tasks that go on for too long are
+/// detected.
 #[test]
-fn starts_after_a_confirmed_cancellation_are_counted() {
-    caught(InjectedDefect::IgnoredStops, "ran_cancelled");
-    // Until the first task goes on for too long.
+fn counts_starts_after_cancellation() {
+    assert_detected(InjectedDefect::IgnoredStops, "ran_cancelled");
+    // Runs until just before the first cancelled task has run for too long.
     let cancels: Vec<_> = (6..34).map(|s| (s * 1000, Fault::CancelJobs { percent: 60 })).collect();
-    let slips = (1..=3).map(|seed| {
+    let starts_after_cancel = (1..=3).map(|seed| {
         let plan = Plan {
             random_faults: false,
             submission_rate: 8,
@@ -194,23 +207,23 @@
         sim.run_to(34_000).unwrap_or_else(|e| panic!("{e}"));
         sim.rules.starts_after_cancel
     });
-    let slips: Vec<usize> = slips.collect();
-    assert!(slips.iter().sum::<usize>() > 3, "{slips:?}");
+    let starts_after_cancel: Vec<usize> = starts_after_cancel.collect();
+    assert!(starts_after_cancel.iter().sum::<usize>() > 3, "{starts_after_cancel:?}");
 }
 
 #[test]
-fn limits_that_are_taken_for_higher_are_caught() {
-    caught(InjectedDefect::NoCpuQuotas, "quota");
-    caught(InjectedDefect::DoubleGpus, "quota");
+fn detects_exceeded_quotas() {
+    assert_detected(InjectedDefect::NoCpuQuotas, "quota");
+    assert_detected(InjectedDefect::DoubleGpus, "quota");
 }
 
 #[test]
-fn a_gang_that_starts_without_its_last_task_is_caught() {
-    caught(InjectedDefect::IncompleteGangs, "half_gang");
+fn detects_incomplete_gangs() {
+    assert_detected(InjectedDefect::IncompleteGangs, "half_gang");
 }
 
 #[test]
-fn a_job_left_waiting_beside_room_is_caught() {
+fn detects_starved_job() {
     let found = (0..10).any(|seed| {
         let quiet = Plan {
             random_faults: false,
@@ -223,5 +236,5 @@
         run(InjectedDefect::None).unwrap_or_else(|e| panic!("{e}"));
         run(InjectedDefect::NoGrants).is_err_and(|e| e.contains("neglected"))
     });
-    assert!(found, "it went unnoticed");
+    assert!(found, "no seed detected the defect");
 }
