--- a/crates/testkit/src/broken_rule.rs
+++ b/crates/testkit/src/broken_rule.rs
@@ -1,47 +1,47 @@
-//! The rules that the checker knows, and what it says of one that is broken.
+//! The rules that the checker verifies, and the error that reports a broken one.
 use std::fmt;
 
-/// A rule of the protocol, or of the simulator's surroundings.
+/// A rule of the protocol, or of the simulated cloud, store and network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A job that was accepted stays known, and its user is answered.
+    /// An accepted job stays known, and requests about it are answered.
     Forgotten,
-    /// A terminal state that a user was told never changes, and only a user's request cancels a job.
-    WentBack,
-    /// A job is accepted as new only once.
+    /// An acknowledged terminal state never changes, and a job is cancelled only at its user's request.
+    TerminalStateChanged,
+    /// A job is answered as newly created (201) only once.
     AcceptedTwice,
-    /// A cancellation is answered with a terminal state.
+    /// A confirmed cancellation reports a terminal state.
     NotCancelled,
-    /// No task runs for longer than it may after the cancellation of its job was confirmed.
+    /// No task runs for longer than `cancel_ms` after the cancellation of its job was confirmed.
     RanCancelled,
     /// No task runs on two machines at once.
-    RanTwice,
+    DuplicateExecution,
     /// A task starts only on a machine and in a zone that its job allows.
-    WrongPlace,
-    /// No team uses more than its limits.
+    DisallowedPlacement,
+    /// No team uses more than its quotas.
     Quota,
-    /// No job is left waiting beside capacity that it and its team may use.
-    Neglected,
-    /// Only jobs that were submitted have a state.
-    Invented,
-    /// A job is done only once all its tasks are.
+    /// No job is left waiting while there is free capacity that fits it and its team's quota allows.
+    Starved,
+    /// Controllers report a state only for jobs that were submitted.
+    UnknownJob,
+    /// A job is done only once all its tasks are done.
     NotDone,
     /// An invalid submission is not accepted.
-    AcceptedWrong,
-    /// An invalid submission is refused with the status that is due.
-    RefusedWrong,
+    InvalidAccepted,
+    /// An invalid submission is refused with the expected HTTP status.
+    WrongRefusalStatus,
     /// The tasks of a gang start and complete together.
-    HalfGang,
-    /// The name of an instance request is used only once.
+    PartialGang,
+    /// The name of a launch request is used only once.
     NameReused,
-    /// A late copy of a transaction does nothing.
-    WrittenAgain,
-    /// Controllers send messages only to controllers that there are.
+    /// A delayed duplicate of a transaction has no effect.
+    TransactionRepeated,
+    /// Controllers send messages only to existing controllers.
     UnknownNode,
 }
 
 impl Rule {
-    /// The rule is broken, by this.
+    /// Returns the error for this broken rule; `what` names what broke it.
     pub(crate) fn broken(self, what: impl Into<String>) -> BrokenRule {
         BrokenRule { rule: self, what: what.into() }
     }
@@ -49,30 +49,31 @@
     fn name(self) -> &'static str {
         match self {
             Rule::Forgotten => "forgotten",
-            Rule::WentBack => "went_back",
+            Rule::TerminalStateChanged => "went_back",
             Rule::AcceptedTwice => "accepted_twice",
             Rule::NotCancelled => "not_cancelled",
             Rule::RanCancelled => "ran_cancelled",
-            Rule::RanTwice => "ran_twice",
-            Rule::WrongPlace => "wrong_place",
+            Rule::DuplicateExecution => "ran_twice",
+            Rule::DisallowedPlacement => "wrong_place",
             Rule::Quota => "quota",
-            Rule::Neglected => "neglected",
-            Rule::Invented => "invented",
+            Rule::Starved => "neglected",
+            Rule::UnknownJob => "invented",
             Rule::NotDone => "not_done",
-            Rule::AcceptedWrong => "accepted_wrong",
-            Rule::RefusedWrong => "refused_wrong",
-            Rule::HalfGang => "half_gang",
+            Rule::InvalidAccepted => "accepted_wrong",
+            Rule::WrongRefusalStatus => "refused_wrong",
+            Rule::PartialGang => "half_gang",
             Rule::NameReused => "name_reused",
-            Rule::WrittenAgain => "written_again",
+            Rule::TransactionRepeated => "written_again",
             Rule::UnknownNode => "unknown_node",
         }
     }
 }
 
-/// A rule was broken. Its text is the rule's name, a colon, and what broke it; tests look for the name.
+/// The error for a broken rule. It is displayed as the rule's name, a colon, and what broke it; tests match the
+/// name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenRule {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
     /// Which job, task, team or request broke it, and how.
     pub what: String,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for workers, cloud, state service and users, written from the protocol; a seeded
-//! simulator that drives real cores against them; and a checker of every rule.
+//! Models of workers, the cloud, the key-value store and users, written from the protocol; a seeded
+//! simulator that runs the real cores against these models; and a checker of the protocol's invariants.
 
 pub mod broken_rule;
 pub mod coscheduling;
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol, checked after each step.
+//! Checks the rules of the protocol after each step of a simulation.
 use crate::broken_rule::{BrokenRule, Rule};
 use crate::coscheduling::CoschedulingCheck;
 use crate::served::Served;
@@ -10,10 +10,10 @@
 use leaddeal_wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job about which no request is answered for this long counts as forgotten.
+/// A job counts as forgotten if no request about it has been answered for this long.
 const FORGOTTEN_AFTER_MS: u64 = 75_000;
 
-/// A task's attempt on a machine.
+/// An attempt of a task that is present on a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Placement {
     task: String,
@@ -21,18 +21,18 @@
     attempt: u64,
 }
 
-/// What is on machines now, by the workers whose leases last.
+/// The started tasks on all machines whose workers hold an unexpired lease.
 #[derive(Default)]
 struct Placements<'a> {
     all: BTreeSet<Placement>,
-    /// The worker of each task of a job.
+    /// Workers of the started tasks of each job, by job identifier.
     by_job: BTreeMap<&'a str, Vec<&'a Worker>>,
-    /// Processors and GPUs that each team uses.
+    /// CPUs and GPUs in use, by team.
     usage: BTreeMap<&'a str, (f64, f64)>,
 }
 
-/// Workers and their tasks that have started and not exited. A machine that hangs beyond its lease runs
-/// nothing and kills all when it wakes up.
+/// Returns the tasks that have started and not exited, with their workers. Workers without a lease are left out:
+/// a machine that hangs until its lease expires runs nothing, and kills all tasks when it resumes.
 fn started_tasks(
     now: u64,
     workers: &BTreeMap<String, Worker>,
@@ -67,61 +67,66 @@
     }
 }
 
-/// The rules, and what their checks know of a run. Times are simulated milliseconds; jobs go by identifier.
+/// The rules, and the state of a run that their checks need. Times are simulated milliseconds; jobs are
+/// named by identifier.
 #[derive(Default)]
 pub struct Rules {
-    /// All jobs that were submitted.
+    /// All submitted jobs, by identifier.
     pub jobs: BTreeMap<String, Job>,
-    /// Jobs that users were told are accepted.
+    /// Jobs whose acceptance was acknowledged to their users.
     pub accepted: BTreeSet<String>,
-    /// Jobs whose users want them cancelled.
+    /// Jobs whose users have requested cancellation.
     pub cancel_asked: BTreeSet<String>,
-    /// Terminal states that users were told, and when.
+    /// Terminal states that were acknowledged to users, and when.
     pub acknowledged: BTreeMap<String, (JobStatus, u64)>,
+    /// Placements at the previous check.
     placements: BTreeSet<Placement>,
-    /// How many attempts started.
+    /// Number of attempts that started.
     pub starts: usize,
-    /// Starts of tasks whose users had been told by then that their jobs are cancelled.
+    /// Number of attempts that started after the cancellation of their job had been acknowledged.
     pub starts_after_cancel: usize,
-    /// The longest time after that: what a stop that is on its way does not prevent is soon.
+    /// The longest time between the acknowledgement of a cancellation and such a start. It is short if the only
+    /// starts are those that a stop command on its way came too late for.
     pub latest_start_after_cancel_ms: u64,
-    /// Jobs whose last task had ended a second before their users first cancelled them.
+    /// Jobs whose last task had ended at least a second before their users first cancelled them.
     pub ended_before_cancel: BTreeSet<String>,
-    /// How many of those were called cancelled: where nothing keeps their owner from knowing, none should be.
+    /// Number of those jobs that were reported as cancelled. It should be 0 unless a fault keeps their owner from
+    /// learning that they ended.
     pub ended_but_cancelled: usize,
-    /// Cancellations that were not answered yet, and since when.
+    /// Cancellations that were not answered yet, and when they were requested.
     pub unanswered_cancels: BTreeMap<String, u64>,
-    /// Submissions that must not be accepted: what is wrong, and the HTTP status due.
+    /// Submissions that must not be accepted: what is wrong with them, and the expected HTTP status.
     pub invalid: BTreeMap<String, (String, u16)>,
-    /// How many of them were refused as they should.
+    /// Number of those that were refused with the expected status.
     pub invalid_refused: usize,
     /// When each job's user last got an answer.
     answered: BTreeMap<String, u64>,
-    /// All faults are over since then.
+    /// When the last fault ended; `None` while faults may still occur.
     pub calm_since: Option<u64>,
-    /// Which jobs are served.
+    /// Share of the jobs that are served.
     pub served: Served,
-    /// Which jobs starve.
+    /// Detects jobs that starve.
     pub starvation: StarvationCheck,
-    /// The most processors and GPUs that each team ever used.
+    /// Peak usage of CPUs and GPUs, by team.
     pub peak_usage: BTreeMap<String, (f64, f64)>,
-    /// Whether gangs run together.
+    /// Checks that the tasks of gangs run together.
     pub coscheduling: CoschedulingCheck,
-    /// Teams and their limits.
+    /// Teams and their quotas.
     pub teams: Vec<Team>,
     cancel_ms: u64,
 }
 
 impl Rules {
-    /// `cancel_ms`: within this time after its cancellation was confirmed, no task of a job may run.
+    /// Creates the rules for these teams. `cancel_ms` is the longest time for which a task may run after the
+    /// cancellation of its job was confirmed.
     pub fn new(teams: Vec<Team>, cancel_ms: u64) -> Rules {
         Rules { teams, cancel_ms, ..Rules::default() }
     }
 
-    /// Checks what is on machines now.
+    /// Checks the tasks that are on machines now.
     ///
     /// # Errors
-    /// The rule that is broken, and by which task.
+    /// Returns the rule that is broken, and the task or team that breaks it.
     pub fn check(
         &mut self,
         now: u64,
@@ -144,7 +149,7 @@
         Ok(())
     }
 
-    /// How long ago the task's user was told that its job is cancelled.
+    /// Returns the time since the cancellation of the task's job was acknowledged, if it was.
     fn ms_since_confirmed_cancel(&self, now: u64, task: &str) -> Option<u64> {
         match self.acknowledged.get(job_of_task(task)) {
             Some((JobStatus::Cancelled, at)) => Some(now - at),
@@ -152,7 +157,7 @@
         }
     }
 
-    /// No task runs for longer than it may after the cancellation of its job was confirmed.
+    /// Checks that no task runs for longer than `cancel_ms` after the cancellation of its job was confirmed.
     fn check_cancelled(
         &self,
         now: u64,
@@ -167,7 +172,7 @@
         Ok(())
     }
 
-    /// A task starts only on a machine and in a zone that its job allows.
+    /// Checks that a task starts only on a machine and in a zone that its job allows.
     fn check_place(
         &self,
         started: &Placement,
@@ -177,32 +182,33 @@
         let task = &started.task;
         let id = job_of_task(task);
         let (Some(job), Some(worker)) = (self.jobs.get(id), workers.get(&started.machine)) else {
-            return Err(Rule::WrongPlace.broken(format!("unknown {task}")));
+            return Err(Rule::DisallowedPlacement.broken(format!("unknown {task}")));
         };
         let (type_name, zone) = (&worker.type_name, &worker.zone);
         let type_ok = job.types.as_ref().is_none_or(|types| types.contains(type_name));
         let zone_ok = job.zone.as_ref().is_none_or(|wanted| wanted == zone);
         if !type_ok || !zone_ok || (worker.spot && !job.spot) {
-            return Err(Rule::WrongPlace.broken(format!("{task} on {type_name} in {zone}")));
+            return Err(
+                Rule::DisallowedPlacement.broken(format!("{task} on {type_name} in {zone}"))
+            );
         }
         let of_job = &placements.by_job[id];
         if job.one_zone && of_job.iter().any(|other| other.zone != *zone) {
-            return Err(Rule::WrongPlace.broken(format!("{task} is not with the others")));
+            return Err(Rule::DisallowedPlacement.broken(format!("{task} is not with the others")));
         }
         let here = of_job.iter().filter(|other| other.zone == *zone).count();
         if job.spread && here > (job.tasks as usize).div_ceil(2) {
-            return Err(
-                Rule::WrongPlace.broken(format!("{here} of {} of {id} in {zone}", job.tasks))
-            );
+            return Err(Rule::DisallowedPlacement
+                .broken(format!("{here} of {} of {id} in {zone}", job.tasks)));
         }
         Ok(())
     }
 
-    /// No job is forgotten: once all faults are over, its user gets an answer again and again,
-    /// however others fare.
+    /// Checks that no job is forgotten: once all faults are over, requests about each accepted job keep being
+    /// answered, whatever happens to other jobs.
     ///
     /// # Errors
-    /// The job that was forgotten.
+    /// Returns the job that was forgotten.
     pub fn check_answered(&self, now: u64) -> Result<(), BrokenRule> {
         let Some(calm) = self.calm_since else { return Ok(()) };
         for id in self.wanted() {
@@ -214,12 +220,12 @@
         Ok(())
     }
 
-    /// Accepted jobs that their users have not cancelled.
+    /// Returns the accepted jobs whose users have not requested cancellation.
     fn wanted(&self) -> impl Iterator<Item = &String> {
         self.accepted.iter().filter(|id| !self.cancel_asked.contains(*id))
     }
 
-    /// What a job's user knows by now.
+    /// Returns what the user of a job has been told so far.
     pub fn knowledge(&self, id: &str) -> UserKnowledge {
         match self.acknowledged.get(id) {
             Some((status, _)) => UserKnowledge::Over(*status),
@@ -228,8 +234,8 @@
         }
     }
 
-    /// Jobs whose last task ended more than `ms` ago, or whose cancellation was asked for before that, and
-    /// whose users were not told.
+    /// Returns the jobs whose last task ended, or whose cancellation was requested, more than `ms` ago, and
+    /// whose users have not been told of a terminal state.
     pub fn unacknowledged(&self, now: u64, ms: u64, done: &CompletedTasks) -> Vec<String> {
         let ended =
             |job: &&Job| done.all_of(job) && done.last(&job.id).is_some_and(|at| now > at + ms);
@@ -239,11 +245,12 @@
         ended.map(|job| job.id.clone()).chain(cancels.map(|(id, _)| id.clone())).collect()
     }
 
-    /// No job is left waiting beside capacity that it and its team may use. (While there is more work than
-    /// capacity, or than a team's limit, some are today; they are counted.)
+    /// Checks that no job is left waiting while there is free capacity that fits it and its team's quota allows.
+    /// Jobs that starve while demand exceeds the capacity or a team's quota are only counted: the scheduler does
+    /// leave some of them waiting.
     ///
     /// # Errors
-    /// The job that starves.
+    /// Returns the job that starves.
     pub fn check_starvation(
         &mut self,
         now: u64,
@@ -260,15 +267,15 @@
         let cluster = Cluster { jobs: &self.jobs, workers, teams: &self.teams, done };
         self.starvation.check(now, open, &cluster);
         match self.starvation.starved.iter().find(|(_, starved)| !starved.crowded) {
-            Some((id, starved)) => Err(Rule::Neglected.broken(format!("{id} of {}", starved.team))),
+            Some((id, starved)) => Err(Rule::Starved.broken(format!("{id} of {}", starved.team))),
             None => Ok(()),
         }
     }
 
-    /// Checks an answer to a user's request.
+    /// Checks an answer to a user's request, and records what it tells the user.
     ///
     /// # Errors
-    /// The rule that the answer breaks.
+    /// Returns the rule that the answer breaks.
     pub fn answer(
         &mut self,
         now: u64,
@@ -299,7 +306,7 @@
         Ok(())
     }
 
-    /// A job is done only once all its tasks are, and cancelled only if its user asked for it.
+    /// Checks that a job is done only once all its tasks are done, and cancelled only if its user requested it.
     fn check_status(
         &self,
         id: &str,
@@ -307,14 +314,14 @@
         done: &CompletedTasks,
     ) -> Result<(), BrokenRule> {
         let Some(job) = self.jobs.get(id) else {
-            return Err(Rule::Invented.broken(id));
+            return Err(Rule::UnknownJob.broken(id));
         };
         match status {
             JobStatus::Done if !done.all_of(job) || job.kind == JobKind::Service => {
                 Err(Rule::NotDone.broken(id))
             }
             JobStatus::Cancelled if !self.cancel_asked.contains(id) => {
-                Err(Rule::WentBack.broken(format!("{id} cancelled by nobody")))
+                Err(Rule::TerminalStateChanged.broken(format!("{id} cancelled by nobody")))
             }
             JobStatus::Done | JobStatus::Cancelled | JobStatus::Queued | JobStatus::Running => {
                 Ok(())
@@ -322,21 +329,23 @@
         }
     }
 
-    /// A user is told a terminal state. Of two answers that were asked for before either came, both can't
-    /// be true.
+    /// Records a terminal state that was reported to a user, and checks that no answer has reported another one.
+    /// Answers to concurrent requests must agree, too.
     fn acknowledge(&mut self, now: u64, id: &str, status: JobStatus) -> Result<(), BrokenRule> {
         let is_first = !self.acknowledged.contains_key(id);
         let had_ended = status == JobStatus::Cancelled && self.ended_before_cancel.contains(id);
         self.ended_but_cancelled += usize::from(is_first && had_ended);
         let (was, _) = *self.acknowledged.entry(id.into()).or_insert((status, now));
         if was != status {
-            return Err(Rule::WentBack.broken(format!("{id} from {was:?} to {status:?}")));
+            return Err(
+                Rule::TerminalStateChanged.broken(format!("{id} from {was:?} to {status:?}"))
+            );
         }
         Ok(())
     }
 }
 
-/// No team uses more than its limit; notes the most that each team ever used.
+/// Checks that no team exceeds its quotas, and records each team's peak usage.
 fn check_quotas(
     teams: &[Team],
     peak_usage: &mut BTreeMap<String, (f64, f64)>,
@@ -364,20 +373,21 @@
     Ok(())
 }
 
-/// A task does not start while it is on another machine.
+/// Checks that a task does not start while another attempt of it is on another machine.
 fn check_runs_once(started: &Placement, placements: &Placements) -> Result<(), BrokenRule> {
     let Placement { task, machine, .. } = started;
     match placements.all.iter().find(|p| p.task == *task && p.machine != *machine) {
         Some(other) => {
             let other = &other.machine;
-            Err(Rule::RanTwice.broken(format!("{task} starts on {machine} while on {other}")))
+            Err(Rule::DuplicateExecution
+                .broken(format!("{task} starts on {machine} while on {other}")))
         }
         None => Ok(()),
     }
 }
 
-/// Checks the answer to a submission that must not be accepted, or to a query about it. Returns whether the
-/// submission was refused as it should.
+/// Checks the answer to a submission that must not be accepted, or to another request about it. Returns whether
+/// the submission was refused with the expected status `due`.
 fn check_refusal(
     request: &UserRequest,
     http_status: u16,
@@ -390,10 +400,8 @@
     match http_status {
         429 | 503 | 504 => Ok(false),
         status if status == due => Ok(is_submission),
-        200 | 201 => Err(Rule::AcceptedWrong.broken(format!("{id} with {what}"))),
-        status => {
-            Err(Rule::RefusedWrong
-                .broken(format!("{id} with {what} is answered {status}, not {due}")))
-        }
+        200 | 201 => Err(Rule::InvalidAccepted.broken(format!("{id} with {what}"))),
+        status => Err(Rule::WrongRefusalStatus
+            .broken(format!("{id} with {what} is answered {status}, not {due}"))),
     }
 }
--- a/crates/testkit/src/served.rs
+++ b/crates/testkit/src/served.rs
@@ -1,55 +1,55 @@
-//! Which share of the jobs is served: by class, by team, and the largest jobs of each class. A day fails if
-//! less than half of any of them is served.
+//! Measures the share of the jobs that are served: by class, by team, and among the largest jobs of each class. A
+//! run fails if less than half of any of these groups is served.
 use leaddeal_wire::user::{Job, JobKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Within this time the largest jobs have to start.
+/// Time within which the largest jobs have to start, in milliseconds after their submission.
 pub const LARGEST_START_MS: u64 = 240_000;
 
-/// A job that its user wants. Times are in milliseconds.
+/// A job that its user has submitted and not cancelled. Times are in milliseconds.
 #[derive(Debug)]
 struct WantedJob {
     class: &'static str,
     team: String,
     tasks: u32,
     submitted_at: u64,
-    /// When its first task started.
+    /// When its first task started; `None` if none has.
     started_at: Option<u64>,
     /// Numbers of the tasks that started.
     started_tasks: BTreeSet<u32>,
 }
 
 impl WantedJob {
-    /// Every task of it was started once.
+    /// Returns whether each of its tasks has started at least once.
     fn is_served(&self) -> bool {
         self.started_tasks.len() as u32 == self.tasks
     }
 
-    /// It started in time for a large job.
+    /// Returns whether its first task started within [`LARGEST_START_MS`].
     fn started_in_time(&self) -> bool {
         self.started_at.is_some_and(|at| at <= self.submitted_at + LARGEST_START_MS)
     }
 }
 
-/// All jobs that their users want.
+/// All jobs that their users have submitted and not cancelled.
 #[derive(Debug, Default)]
 pub struct Served {
     jobs: BTreeMap<String, WantedJob>,
 }
 
-/// The share of a group of jobs that is served.
+/// Share of a group of jobs that is served.
 #[derive(Debug)]
 pub struct Share {
-    /// The group.
+    /// Name of the group.
     pub who: String,
-    /// How many of its jobs are served.
+    /// Number of its jobs that are served.
     pub served: usize,
-    /// How many jobs there are.
+    /// Number of its jobs.
     pub of: usize,
 }
 
 impl Share {
-    /// Less than half of the group is served.
+    /// Returns whether less than half of the group is served.
     pub fn under_half(&self) -> bool {
         self.served * 2 < self.of
     }
@@ -61,7 +61,7 @@
 }
 
 impl Served {
-    /// A user wants this job from now on.
+    /// Records the submission of a job.
     pub fn submitted(&mut self, job: &Job, now: u64) {
         let class = match job.kind {
             JobKind::Array => "array",
@@ -79,12 +79,12 @@
         self.jobs.insert(job.id.clone(), wanted);
     }
 
-    /// Its user does not want the job any more, so that it counts no more.
+    /// Removes a job whose user has cancelled it: it no longer counts.
     pub fn cancelled(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// A task started.
+    /// Records the start of a task, named `JOB/NUMBER`.
     pub fn started(&mut self, task: &str, now: u64) {
         let Some((job, number)) = task.split_once('/') else { return };
         if let (Some(job), Ok(number)) = (self.jobs.get_mut(job), number.parse()) {
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Of these teams' jobs that were submitted until then: each class, each team, the largest tenth of each
-    /// class, and how many of the largest started in time. By the names of the groups.
+    /// Returns the shares of the jobs that these teams submitted up to the time `until`, in the order of the groups'
+    /// names: of each class, each team and the largest tenth of each class, and the share of those largest jobs that
+    /// started in time.
     pub fn shares(&self, until: u64, teams: &BTreeSet<&str>) -> Vec<Share> {
         let mut groups: BTreeMap<String, Share> = BTreeMap::new();
         let mut add = |who: String, is_served: bool| {
--- a/crates/testkit/src/served/tests.rs
+++ b/crates/testkit/src/served/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn who_gets_less_than_half_is_named() {
+fn reports_groups_under_half_served() {
     let mut s = Served::default();
     let job = |class, tasks, submitted_at| {
         let (team, started_tasks) = ("free".to_string(), BTreeSet::new());
@@ -12,7 +12,7 @@
     }
     s.jobs.insert("wk-000099".into(), job("gang", 2, 1000));
     s.jobs.insert("wk-000100".into(), job("gang", 1, 900_000));
-    // All arrays but the largest are served whole, and those begin too late.
+    // The 18 smaller arrays are fully served; the 2 largest only start one task each, too late.
     for n in 0..18u32 {
         (0..=n).for_each(|t| s.started(&format!("wk-{n:06}/{t}"), 2000));
     }
--- a/crates/testkit/src/sim/store.rs
+++ b/crates/testkit/src/sim/store.rs
@@ -56,7 +56,7 @@
     /// Executes a call at the store, and schedules the answer.
     ///
     /// # Errors
-    /// [`Rule::WrittenAgain`] if a late copy of the transaction would be executed again.
+    /// [`Rule::TransactionRepeated`] if a late copy of the transaction would be executed again.
     pub(super) fn execute_store_call(&mut self, sent: SentStoreCall) -> Result<(), BrokenRule> {
         let SentStoreCall { process, op, call } = sent;
         let mut result = self.store_result(process.node, &call);
@@ -70,9 +70,8 @@
             result = StoreResult::Unknown;
         }
         if let Some(transaction) = &self.state.repeatable {
-            return Err(
-                Rule::WrittenAgain.broken(format!("a late copy would do it again: {transaction}"))
-            );
+            return Err(Rule::TransactionRepeated
+                .broken(format!("a late copy would do it again: {transaction}")));
         }
         self.observations.store_calls += 1;
         self.observations.pages += u64::from(matches!(result, StoreResult::Page(_)));
--- a/crates/testkit/src/starvation.rs
+++ b/crates/testkit/src/starvation.rs
@@ -1,13 +1,14 @@
-//! Jobs that are left waiting though a machine that fits has capacity and their team is under its limit.
+//! Detects jobs that are left waiting although a suitable machine has free capacity and their team's quota allows
+//! them.
 use crate::worker::{job_of_task, CompletedTasks, Worker, ROUNDING};
 use leaddeal_wire::settings::Team;
 use leaddeal_wire::user::{Job, JobKind};
 use std::collections::BTreeMap;
 
-/// A job that waits for this long beside free capacity starves.
+/// A job starves if it waits for longer than this while there is free capacity for it.
 pub const STARVED_AFTER_MS: u64 = 90_000;
 
-/// Processors and GPUs.
+/// Amounts of CPUs and GPUs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Resources {
     cpus: f64,
@@ -15,13 +16,13 @@
 }
 
 impl Resources {
-    /// What a task of the job takes.
+    /// Returns the resources that a task of the job takes.
     fn of_task(job: &Job) -> Resources {
         Resources { cpus: job.cpus, gpus: job.gpus }
     }
 
-    /// A team's limits; 0: none.
-    fn limits_of(team: &Team) -> Resources {
+    /// Returns a team's quotas; 0 means unlimited.
+    fn quotas_of(team: &Team) -> Resources {
         Resources { cpus: team.cpus_max, gpus: team.gpus_max }
     }
 
@@ -41,7 +42,7 @@
         all.fold(Resources::default(), Resources::plus)
     }
 
-    /// How many tasks that take `need` fit into this.
+    /// Returns how many tasks that take `need` each fit into these resources.
     fn fits(self, need: Resources) -> usize {
         let times = |free: f64, need: f64| match need > 0.0 {
             true => ((free + ROUNDING) / need).max(0.0),
@@ -50,14 +51,14 @@
         times(self.cpus, need.cpus).min(times(self.gpus, need.gpus)) as usize
     }
 
-    /// Whether this is more than the limits, where there are any (above 0).
-    fn exceeds(self, limits: Resources) -> bool {
-        let over = |limit: f64, amount: f64| limit > 0.0 && amount > limit + ROUNDING;
-        over(limits.cpus, self.cpus) || over(limits.gpus, self.gpus)
+    /// Returns whether these resources exceed a quota; a quota of 0 is unlimited.
+    fn exceeds(self, quotas: Resources) -> bool {
+        let over = |quota: f64, amount: f64| quota > 0.0 && amount > quota + ROUNDING;
+        over(quotas.cpus, self.cpus) || over(quotas.gpus, self.gpus)
     }
 }
 
-/// What a machine has free by its worker's own account.
+/// Returns the free resources of a machine, from the tasks that its worker has.
 fn free(worker: &Worker, jobs: &BTreeMap<String, Job>) -> Resources {
     let here = worker.tasks.iter().filter(|(_, task)| task.is_on_machine());
     let jobs_here = here.filter_map(|((name, _), _)| jobs.get(job_of_task(name)));
@@ -65,18 +66,18 @@
     jobs_here.fold(all, |free, job| free.minus(Resources::of_task(job)))
 }
 
-/// How many tasks of a job a machine has capacity for.
+/// Number of a job's tasks that a machine has capacity for.
 #[derive(Clone, Debug)]
 struct MachineCapacity {
     zone: String,
     tasks: usize,
 }
 
-/// By the machine's name.
+/// Capacity for a job's tasks, by machine name.
 type Capacity = BTreeMap<String, MachineCapacity>;
 
-/// How many tasks of a job start together.
-fn least_tasks(job: &Job) -> usize {
+/// Returns how many tasks of a job have to start together.
+fn min_tasks(job: &Job) -> usize {
     if job.kind == JobKind::Gang {
         job.tasks as usize
     } else {
@@ -84,12 +85,12 @@
     }
 }
 
-/// What is on machines now.
+/// Resources and tasks on the machines now.
 struct Usage<'a> {
-    /// Free resources of each machine that works.
+    /// Free resources of each machine that is reachable and not failing.
     free: Vec<(&'a Worker, Resources)>,
     used_by_team: BTreeMap<&'a str, Resources>,
-    /// By job: how many of its tasks are in each zone.
+    /// Number of tasks in each zone, by job.
     tasks_by_zone: BTreeMap<&'a str, BTreeMap<&'a str, u32>>,
 }
 
@@ -118,14 +119,14 @@
         usage
     }
 
-    /// A task of the job is on that machine.
+    /// Adds a task of the job that is on the machine of this worker.
     fn add(&mut self, worker: &'a Worker, job: &'a Job) {
         *self.tasks_by_zone.entry(&job.id).or_default().entry(&worker.zone).or_default() += 1;
         let used = self.used_by_team.entry(&job.team).or_default();
         *used = used.plus(Resources::of_task(job));
     }
 
-    /// How many tasks of the job are on machines.
+    /// Returns how many tasks of the job are on machines.
     fn placed(&self, job: &Job) -> u32 {
         self.tasks_by_zone.get(job.id.as_str()).map_or(0, |zones| zones.values().sum())
     }
@@ -134,7 +135,7 @@
         self.used_by_team.get(team).copied().unwrap_or_default()
     }
 
-    /// The capacity for tasks of the job on each machine that fits.
+    /// Returns the capacity for tasks of the job on each machine that the job may use.
     fn capacity_for(&self, job: &Job) -> Capacity {
         let zones = self.tasks_by_zone.get(job.id.as_str());
         let fits = |worker: &Worker| {
@@ -153,16 +154,16 @@
             .collect()
     }
 
-    /// How many more tasks of the job its team may have.
+    /// Returns how many more tasks of the job its team's quotas allow.
     fn allowed(&self, job: &Job, team: &Team) -> usize {
         let used = self.used_by(&job.team);
-        let left = |limit: f64, used: f64| if limit > 0.0 { limit - used } else { f64::MAX };
+        let left = |quota: f64, used: f64| if quota > 0.0 { quota - used } else { f64::MAX };
         let cpus = left(team.cpus_max, used.cpus);
         let gpus = left(team.gpus_max, used.gpus);
         Resources { cpus, gpus }.fits(Resources::of_task(job))
     }
 
-    /// Whether there is capacity for one of the job's tasks, of a gang for all.
+    /// Returns whether the capacity is enough for one of the job's tasks, or for all tasks of a gang.
     fn is_enough(&self, job: &Job, capacity: &Capacity) -> bool {
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for machine in capacity.values() {
@@ -181,18 +182,19 @@
         } else {
             zones.into_values().sum()
         };
-        tasks >= least_tasks(job)
+        tasks >= min_tasks(job)
     }
 }
 
-/// A job that waits beside free capacity.
+/// A job that waits while there is free capacity for it.
 #[derive(Debug)]
 struct WaitingJob {
+    /// Start of the wait, in milliseconds.
     since: u64,
-    /// How many of its tasks are done or on machines.
+    /// Number of its tasks that are done or on machines.
     placed: usize,
-    /// For how many of its tasks there was capacity all along. (What becomes free for a moment and goes to
-    /// more important work is no capacity for it.)
+    /// Capacity that was free during the whole wait. Capacity that is free only for a moment, before work of higher
+    /// priority takes it, does not count.
     capacity: Capacity,
 }
 
@@ -202,10 +204,10 @@
         WaitingJob { since: now, placed, capacity }
     }
 
-    /// Keeps what lasts of the capacity.
-    fn narrow(mut self, now_free: &Capacity) -> WaitingJob {
+    /// Reduces the capacity to what is still free now.
+    fn narrow(mut self, free_now: &Capacity) -> WaitingJob {
         self.capacity.retain(|name, machine| {
-            let tasks = now_free.get(name).map_or(0, |now| now.tasks);
+            let tasks = free_now.get(name).map_or(0, |now| now.tasks);
             machine.tasks = machine.tasks.min(tasks);
             machine.tasks > 0
         });
@@ -218,11 +220,11 @@
 pub struct StarvedJob {
     /// Its team.
     pub team: String,
-    /// Meanwhile a team wanted more than its limit, or all teams more than there is.
+    /// While it waited, a team's demand exceeded its quota, or the total demand exceeded the capacity.
     pub crowded: bool,
 }
 
-/// What is looked at: all jobs, teams and machines.
+/// The state that is checked: all jobs, teams and machines.
 pub(crate) struct Cluster<'a> {
     pub(crate) jobs: &'a BTreeMap<String, Job>,
     pub(crate) workers: &'a BTreeMap<String, Worker>,
@@ -230,18 +232,18 @@
     pub(crate) done: &'a CompletedTasks,
 }
 
-/// Finds jobs that starve.
+/// Detects jobs that starve.
 #[derive(Debug, Default)]
 pub struct StarvationCheck {
     waiting: BTreeMap<String, WaitingJob>,
-    /// When a team last wanted more than its limit, or all teams more than there is.
+    /// When a team's demand last exceeded its quota, or the total demand the capacity; `None` if never.
     crowded_at: Option<u64>,
     /// Jobs that starved, by identifier.
     pub starved: BTreeMap<String, StarvedJob>,
 }
 
 impl StarvationCheck {
-    /// Looks at the jobs that their users want.
+    /// Updates the waits of the `wanted` jobs, and records those that have starved by now.
     pub(crate) fn check<'a>(
         &mut self,
         now: u64,
@@ -256,7 +258,7 @@
             let pending = (job.tasks as usize).saturating_sub(placed) as f64;
             let of_team = pending_by_team.entry(&job.team).or_default();
             *of_team = of_team.plus(Resources::of_task(job).times(pending));
-            if let Some(job_waits) = self.waits(now, job, placed, &usage, cluster.teams) {
+            if let Some(job_waits) = self.update_wait(now, job, placed, &usage, cluster.teams) {
                 waiting.insert(job.id.clone(), job_waits);
             }
         }
@@ -266,8 +268,9 @@
         self.waiting = waiting;
     }
 
-    /// Since when a job waits beside free capacity, if it does; it may have starved by now.
-    fn waits(
+    /// Returns the wait of a job if it waits while there is free capacity for it, and records the job if it has
+    /// starved by now.
+    fn update_wait(
         &mut self,
         now: u64,
         job: &Job,
@@ -278,7 +281,7 @@
         let team = teams.iter().find(|team| team.name == job.team)?;
         let is_waiting =
             placed < job.tasks as usize && (job.kind != JobKind::Gang || usage.placed(job) == 0);
-        if !is_waiting || usage.allowed(job, team) < least_tasks(job) {
+        if !is_waiting || usage.allowed(job, team) < min_tasks(job) {
             return None;
         }
         let capacity = usage.capacity_for(job);
@@ -296,14 +299,14 @@
     }
 }
 
-/// Whether a team wants more than its limit, or all teams more than there is.
+/// Returns whether a team's demand exceeds its quota, or the total demand exceeds the capacity.
 fn is_crowded(usage: &Usage, pending_by_team: &BTreeMap<&str, Resources>, teams: &[Team]) -> bool {
-    let beyond_limits = teams.iter().any(|team| {
+    let exceeds_quota = teams.iter().any(|team| {
         let pending = pending_by_team.get(team.name.as_str()).copied().unwrap_or_default();
         let wanted = usage.used_by(&team.name).plus(pending);
-        wanted.exceeds(Resources::limits_of(team))
+        wanted.exceeds(Resources::quotas_of(team))
     });
     let free = Resources::sum(usage.free.iter().map(|(_, free)| *free));
     let pending = Resources::sum(pending_by_team.values().copied());
-    beyond_limits || pending.exceeds(free)
+    exceeds_quota || pending.exceeds(free)
 }
--- a/crates/testkit/src/user_knowledge.rs
+++ b/crates/testkit/src/user_knowledge.rs
@@ -1,11 +1,11 @@
-//! What a user knows of its job, and which answers are older than that.
+//! What a user has been told about its job, and which later answers contradict it.
 use crate::broken_rule::{BrokenRule, Rule};
 use leaddeal_wire::user::JobStatus;
 
-/// The newest thing that any controller told a user of its job.
+/// The latest state of a job that any controller has reported to its user.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UserKnowledge {
-    /// No answer named the job so far.
+    /// No answer has confirmed the job yet.
     #[default]
     Nothing,
     /// The job was accepted.
@@ -17,7 +17,7 @@
 /// The kinds of requests that users send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
-    /// A submission, or its repetition.
+    /// A submission, or a retry of it.
     Submit,
     /// A query of the job's state.
     Poll,
@@ -25,8 +25,8 @@
     Cancel,
 }
 
-/// A request of a user. Several may be under way at once, so each one keeps what was known before it
-/// was sent: only an answer that is older than this is wrong.
+/// A request of a user. Several requests may be in flight at once, so each one records what the user knew when it
+/// was sent: an answer is wrong only if it contradicts that knowledge.
 #[derive(Clone, Debug)]
 pub struct UserRequest {
     /// What was sent.
@@ -38,7 +38,7 @@
 }
 
 impl UserRequest {
-    /// The rule that an answer with this HTTP status and this state of the job breaks, if any.
+    /// Returns the rule that an answer with this HTTP status and this reported state of the job breaks, if any.
     pub fn broken_by(&self, http_status: u16, reported: Option<JobStatus>) -> Option<BrokenRule> {
         let (id, kind) = (&self.job, self.kind);
         match (self.knew, reported) {
@@ -47,7 +47,7 @@
                 Rule::Forgotten.broken(format!("{id} is answered {http_status} after {knew:?}"))
             }),
             (UserKnowledge::Over(was), Some(status)) if was != status => {
-                Some(Rule::WentBack.broken(format!("{id} from {was:?} to {status:?}")))
+                Some(Rule::TerminalStateChanged.broken(format!("{id} from {was:?} to {status:?}")))
             }
             (knew, Some(_)) if http_status == 201 && knew != UserKnowledge::Nothing => {
                 Some(Rule::AcceptedTwice.broken(format!("{id} after {knew:?}")))
