--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -10,7 +10,7 @@
 use crate::gangs::Gangs;
 use crate::rules::Rules;
 use crate::script::Observations;
-use crate::state::{Broken, State};
+use crate::state::{State, StoreDefect};
 use crate::tally::Tally;
 use crate::worker::CompletedTasks;
 use leaddeal_wire::cloud::MachineType;
@@ -87,12 +87,12 @@
 }
 
 /// Returns the store's part of an injected defect.
-fn broken_store(defect: InjectedDefect) -> Broken {
+fn broken_store(defect: InjectedDefect) -> StoreDefect {
     match defect {
-        InjectedDefect::NoFencing => Broken::Conditions,
-        InjectedDefect::LostDecisions => Broken::Decisions,
-        InjectedDefect::StaleReads => Broken::StaleReads,
-        _ => Broken::Nothing,
+        InjectedDefect::NoFencing => StoreDefect::UncheckedConditions,
+        InjectedDefect::LostDecisions => StoreDefect::LostDecisions,
+        InjectedDefect::StaleReads => StoreDefect::StaleReads,
+        _ => StoreDefect::None,
     }
 }
 
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -174,7 +174,13 @@
                 worker.advance(now, &mut self.done, &self.rules.jobs);
                 if worker.accepts(token, incarnation) {
                     worker.lease_granted_at = worker.lease_granted_at.max(sent_at);
-                    worker.take_commands(now, token, &commands, &mut self.done, &self.rules.jobs);
+                    worker.receive_commands(
+                        now,
+                        token,
+                        &commands,
+                        &mut self.done,
+                        &self.rules.jobs,
+                    );
                 }
             }
             WorkerReply::Redirect(Some(to)) => {
@@ -241,7 +247,7 @@
         worker.advance(now, &mut self.done, jobs);
         let is_accepted = worker.accepts(commands.token, commands.incarnation);
         if is_accepted {
-            worker.take_commands(now, commands.token, &commands.commands, &mut self.done, jobs);
+            worker.receive_commands(now, commands.token, &commands.commands, &mut self.done, jobs);
         }
         let state = Box::new(worker.heartbeat());
         if sent.answer_lost {
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -1,91 +1,92 @@
-//! A stand-in for the state service.
+//! Model of the state service, a key-value store with versions, leases and watches.
 use leaddeal_core::io::{StoreCall, StoreResult};
 use leaddeal_wire::state::{Change, Condition, Event, Events, Item, Page, Transaction};
 use std::collections::BTreeMap;
 
-/// What is broken on purpose, to see that the checker notices.
+/// A defect that is injected into the store, to show that the checker detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Broken {
-    /// Nothing is broken.
+pub enum StoreDefect {
+    /// No defect.
     #[default]
-    Nothing,
+    None,
     /// Conditions are not checked.
-    Conditions,
-    /// Decisions are not kept.
-    Decisions,
-    /// A single key is read as it was half a second ago.
+    UncheckedConditions,
+    /// Writes of decisions are lost.
+    LostDecisions,
+    /// A read of a single key returns the value of half a second ago.
     StaleReads,
 }
 
-/// The age of what a stale read gives.
+/// Age of the value that a stale read returns, in milliseconds.
 const STALE_READ_MS: u64 = 500;
-/// Items a page: few, so that reading on is exercised.
-const SMALL_PAGE: usize = 5;
+/// Items per page of a listing: few, so that reading several pages is exercised.
+const SMALL_PAGE_ITEMS: usize = 5;
 
-/// A lease and when it ends.
+/// A lease: its duration and when it expires, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     ttl_ms: u64,
-    ends_at: u64,
+    expires_at: u64,
 }
 
 impl Lease {
     fn renew(&mut self, now: u64) {
-        self.ends_at = now + self.ttl_ms;
+        self.expires_at = now + self.ttl_ms;
     }
 }
 
-/// A key as it was before its last change.
+/// The value of a key before its last change; `item` is `None` if the key did not exist.
 #[derive(Clone, Debug)]
 struct Previous {
     changed_at: u64,
     item: Option<Item>,
 }
 
-/// The state service: keys with versions, leases, and the log of changes. Times are in milliseconds.
+/// The store: keys with versions, leases, and the log of changes. Times are in milliseconds.
 #[derive(Default)]
 pub struct State {
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub revision: u64,
     keys: BTreeMap<String, Item>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     log: Vec<Event>,
-    broken: Broken,
-    /// For stale reads.
+    defect: StoreDefect,
+    /// Previous values of changed keys, which stale reads return.
     previous: BTreeMap<String, Previous>,
-    /// Items a page.
+    /// Items per page of a listing.
     pub page: usize,
-    /// How many changes a second it takes, with bursts of a second's worth; without a limit if absent.
+    /// Changes per second that it accepts, with bursts of up to one second's worth; `None` means unlimited.
     pub max_changes_per_s: Option<f64>,
-    /// Changes that it would take now.
+    /// Tokens left in the bucket of the rate limit: changes that it accepts now.
     tokens: f64,
-    tokens_at: u64,
-    /// How many changes were taken.
+    /// When the bucket was last refilled.
+    refilled_at: u64,
+    /// Number of changes that were committed.
     pub changes: u64,
-    /// How many transactions were refused for the limit.
+    /// Number of transactions that the rate limit refused.
     pub refused: u64,
-    /// A write that a late copy of it would do again, over newer ones: no condition of it fails once
-    /// it is done.
+    /// The first committed write whose conditions still hold afterwards. A delayed duplicate of it would be
+    /// committed again and overwrite newer values.
     pub repeatable: Option<String>,
 }
 
 impl State {
-    /// An empty store with small pages and without a limit.
-    pub fn new(broken: Broken) -> State {
-        State { broken, page: SMALL_PAGE, ..State::default() }
+    /// Creates an empty store with small pages and without a rate limit.
+    pub fn new(defect: StoreDefect) -> State {
+        State { defect, page: SMALL_PAGE_ITEMS, ..State::default() }
     }
 
-    /// Ends leases that ran out.
+    /// Removes expired leases and their keys.
     pub fn expire(&mut self, now: u64) {
-        let expired = self.leases.iter().filter(|(_, lease)| lease.ends_at < now);
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at < now);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
         for lease in expired {
             self.end_lease(lease);
         }
     }
 
-    /// After an outage every lease has its full duration again.
+    /// Renews all leases for their full duration, as after an outage of the store.
     pub fn renew_all(&mut self, now: u64) {
         self.leases.values_mut().for_each(|lease| lease.renew(now));
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// How many keys there are under a prefix.
+    /// Returns the number of keys under a prefix.
     pub fn count(&self, prefix: &str) -> usize {
         let from = self.keys.range(prefix.to_string()..);
         from.take_while(|(key, _)| key.starts_with(prefix)).count()
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The changes of keys under a prefix after a revision.
+    /// Returns the changes of keys under a prefix after the revision `after`.
     pub fn events(&self, prefix: &str, after: u64) -> Events {
         let is_under_prefix = |event: &&Event| {
             let key = event.put.as_ref().or(event.delete.as_ref());
@@ -130,12 +131,12 @@
         Events { revision: self.revision, events }
     }
 
-    /// Whether that number of changes is within the limit now.
-    fn takes(&mut self, now: u64, changes: usize) -> bool {
+    /// Returns whether the rate limit allows that number of changes now, and takes the tokens if it does.
+    fn is_within_rate(&mut self, now: u64, changes: usize) -> bool {
         let Some(limit) = self.max_changes_per_s else { return true };
-        let came = now.saturating_sub(self.tokens_at) as f64 / 1000.0 * limit;
-        self.tokens = (self.tokens + came).min(limit);
-        self.tokens_at = now;
+        let refill = now.saturating_sub(self.refilled_at) as f64 / 1000.0 * limit;
+        self.tokens = (self.tokens + refill).min(limit);
+        self.refilled_at = now;
         let is_within = self.tokens >= changes as f64;
         if is_within {
             self.tokens -= changes as f64;
@@ -145,7 +146,7 @@
         is_within
     }
 
-    /// The keys of a transaction's conditions that don't hold.
+    /// Returns the keys of the transaction's conditions that don't hold.
     fn failed_conditions(&self, transaction: &Transaction) -> Vec<String> {
         let fails = |condition: &&Condition| {
             let version = self.keys.get(&condition.key).map_or(0, |item| item.version);
@@ -160,7 +161,7 @@
         match call {
             StoreCall::NewLease { ttl_ms } => {
                 self.last_lease += 1;
-                let lease = Lease { ttl_ms: *ttl_ms, ends_at: now + ttl_ms };
+                let lease = Lease { ttl_ms: *ttl_ms, expires_at: now + ttl_ms };
                 self.leases.insert(self.last_lease, lease);
                 StoreResult::Lease(self.last_lease)
             }
@@ -185,12 +186,12 @@
     }
 
     fn transaction(&mut self, now: u64, transaction: &Transaction) -> StoreResult {
-        // Those whose conditions fail count as well.
-        if !self.takes(now, transaction.changes.len()) {
+        // Transactions whose conditions fail count towards the rate limit as well.
+        if !self.is_within_rate(now, transaction.changes.len()) {
             return StoreResult::RateLimited;
         }
         let failed = self.failed_conditions(transaction);
-        if !failed.is_empty() && self.broken != Broken::Conditions {
+        if !failed.is_empty() && self.defect != StoreDefect::UncheckedConditions {
             return StoreResult::Conflict(failed);
         }
         let lacks_lease = |change: &Change| match change {
@@ -202,7 +203,7 @@
         }
         self.revision += 1;
         self.changes += transaction.changes.len() as u64;
-        if self.broken == Broken::StaleReads {
+        if self.defect == StoreDefect::StaleReads {
             self.keep_previous(now, transaction);
         }
         transaction.changes.iter().for_each(|change| self.apply(change));
@@ -210,6 +211,7 @@
         StoreResult::Committed(self.revision)
     }
 
+    /// Keeps the values before a transaction, for stale reads.
     fn keep_previous(&mut self, now: u64, transaction: &Transaction) {
         for change in &transaction.changes {
             let (Change::Put { key, .. } | Change::Delete { key }) = change;
@@ -221,7 +223,7 @@
     fn apply(&mut self, change: &Change) {
         match change {
             Change::Put { key, .. }
-                if self.broken == Broken::Decisions && key.starts_with("d/") => {}
+                if self.defect == StoreDefect::LostDecisions && key.starts_with("d/") => {}
             Change::Put { key, value, lease } => {
                 let (key, value, version) = (key.clone(), value.clone(), self.revision);
                 let item = Item { key: key.clone(), value: value.clone(), version, lease: *lease };
@@ -232,11 +234,11 @@
         }
     }
 
-    /// Notes a write that was carried out and whose conditions hold still.
+    /// Records the first committed write whose conditions still hold afterwards.
     fn note_repeatable(&mut self, transaction: &Transaction) {
         let is_put = |change: &Change| matches!(change, Change::Put { .. });
-        let is_sound = self.broken == Broken::Nothing;
-        if is_sound
+        let is_without_defect = self.defect == StoreDefect::None;
+        if is_without_defect
             && transaction.changes.iter().any(is_put)
             && self.failed_conditions(transaction).is_empty()
         {
@@ -251,7 +253,7 @@
         }
     }
 
-    /// A page of the keys under a prefix, from the key `after` on.
+    /// Returns a page of the keys under a prefix that follow the key `after`.
     fn list(&self, prefix: &str, after: Option<&String>) -> Page {
         let from = after.map(String::as_str).filter(|after| *after >= prefix).unwrap_or(prefix);
         let mut items: Vec<Item> = self
--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -1,33 +1,33 @@
-//! Counts what goes into the cores and comes out, for `docs/performance.md`. The same seed gives
-//! the same counts.
+//! Counts the inputs and outputs of the cores, for `docs/performance.md`. The same seed gives the same
+//! counts.
 use leaddeal_core::io::{CloudCall, Effect, Input, StoreCall, StoreResult};
 use leaddeal_wire::mesh::{NodeMessage, ShardMessage};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Messages of one kind.
+/// Number and size of the messages of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
-    /// How many there were.
+    /// Number of messages.
     pub times: u64,
-    /// How many bytes they take on the wire; 0 where that is not counted.
+    /// Bytes that they take on the wire; 0 for kinds whose size is not counted.
     pub bytes: u64,
 }
 
-/// What went into the cores and came out.
+/// Counts of the inputs and outputs of the cores.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// By the kind of message; the names are those of `docs/performance.md`.
+    /// Counts by kind of message; `docs/performance.md` uses the same names.
     pub by_kind: BTreeMap<&'static str, Count>,
 }
 
-/// The length of a message in JSON, in bytes.
-fn json<T: Serialize>(message: &T) -> u64 {
+/// Returns the length of a message in JSON, in bytes.
+fn json_bytes<T: Serialize>(message: &T) -> u64 {
     serde_json::to_vec(message).map_or(0, |text| text.len() as u64)
 }
 
-/// The name of a kind of message between shards.
-fn shard_msg(msg: &ShardMessage) -> &'static str {
+/// Returns the name of the kind of a message between shards.
+fn shard_message_kind(msg: &ShardMessage) -> &'static str {
     match msg {
         ShardMessage::RequestOffers { .. } => "mesh Request",
         ShardMessage::CloseNegotiation { .. } => "mesh Close",
@@ -57,33 +57,35 @@
         count.bytes += bytes;
     }
 
-    /// Counts what goes into a core. Messages of siblings are counted where they are sent.
+    /// Counts an input of a core. Messages from siblings are counted when they are sent.
     pub fn input(&mut self, input: &Input) {
         match input {
             Input::Tick => self.add("tick", 0),
             Input::Submit { .. } => self.add("user submission", 0),
             Input::Get { .. } => self.add("user question", 0),
             Input::Cancel { .. } => self.add("user cancellation", 0),
-            Input::WorkerHeartbeat { heartbeat, .. } => self.add("worker report", json(heartbeat)),
+            Input::WorkerHeartbeat { heartbeat, .. } => {
+                self.add("worker report", json_bytes(heartbeat))
+            }
             Input::CommandOutcome { .. } => self.add("worker answer to commands", 0),
             Input::Mesh { .. } => {}
             Input::Store { result, .. } => match result {
-                StoreResult::Page(p) => self.add("store page", json(p)),
-                StoreResult::Events(e) => self.add("store events", json(e)),
+                StoreResult::Page(p) => self.add("store page", json_bytes(p)),
+                StoreResult::Events(e) => self.add("store events", json_bytes(e)),
                 _ => self.add("store answer", 0),
             },
             Input::Cloud { .. } => self.add("cloud answer", 0),
         }
     }
 
-    /// Counts what comes out of a core.
+    /// Counts an output of a core.
     pub fn output(&mut self, effect: &Effect) {
         match effect {
             Effect::Mesh { msg, .. } => {
                 let mut bytes = Vec::new();
                 let _ = ciborium::into_writer(msg, &mut bytes);
                 let kind = match msg {
-                    NodeMessage::Shard { msg, .. } => shard_msg(msg),
+                    NodeMessage::Shard { msg, .. } => shard_message_kind(msg),
                     NodeMessage::Heartbeat(_) => "mesh Beat",
                     NodeMessage::QueryJob { .. } => "mesh Ask",
                     NodeMessage::JobAnswer { .. } => "mesh Told",
@@ -94,14 +96,14 @@
                 self.add(kind, bytes.len() as u64);
             }
             Effect::Store { call, .. } => match call {
-                StoreCall::Transaction(t) => self.add("store transaction", json(t)),
+                StoreCall::Transaction(t) => self.add("store transaction", json_bytes(t)),
                 _ => self.add("store request", 0),
             },
             Effect::Cloud { call, .. } => match call {
                 CloudCall::List { .. } => self.add("cloud list", 0),
                 _ => self.add("cloud request", 0),
             },
-            Effect::Commands { commands, .. } => self.add("worker commands", json(commands)),
+            Effect::Commands { commands, .. } => self.add("worker commands", json_bytes(commands)),
             Effect::User { .. } | Effect::Worker { .. } | Effect::Log { .. } => {}
         }
     }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,40 +1,40 @@
-//! A stand-in for a machine's worker.
+//! Model of a worker and its machine.
 use leaddeal_wire::user::{Job, JobKind};
 use leaddeal_wire::worker::{
     Command, CommandKind, ExitReason, TaskId, TaskReport, TaskState, WorkerHeartbeat,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// For how long a task of a gang waits for the others.
+/// Time for which a task of a gang waits for the other tasks, in milliseconds.
 pub const GANG_WAIT_MS: u64 = 40_000;
-/// How long an image takes to fetch that is not in the machine's cache.
+/// Time that a machine takes to fetch an image that is not in its cache, in milliseconds.
 const FETCH_MS: u64 = 900;
-/// Sums of processors and GPUs may be off by this much.
+/// Rounding error that is allowed in sums of CPUs or GPUs.
 pub(crate) const ROUNDING: f64 = 1e-9;
 
-/// The identifier of a task's job: tasks are named `JOB/NUMBER`.
+/// Returns the identifier of a task's job. Tasks are named `JOB/NUMBER`.
 pub(crate) fn job_of_task(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
-/// Tasks that completed, when the last one of each job did, and which jobs can't complete.
+/// Completed tasks, the time of the latest completion of each job, and the jobs that can't complete.
 #[derive(Debug, Default)]
 pub struct CompletedTasks {
-    /// Jobs that were submitted with a mistake: they fail on every machine.
+    /// Jobs with a mistake in their submission: their tasks fail on every machine.
     pub always_failing: BTreeSet<String>,
     tasks: BTreeSet<String>,
     last: HashMap<String, u64>,
-    /// Jobs of the tasks that completed since this was last taken.
+    /// Jobs of the tasks that completed since the last [`CompletedTasks::take_recent`].
     recent: Vec<String>,
 }
 
 impl CompletedTasks {
-    /// Whether that task completed.
+    /// Returns whether the task has completed.
     pub fn contains(&self, task: &str) -> bool {
         self.tasks.contains(task)
     }
 
-    /// Notes that a task has completed at that time. Without effect on one that had.
+    /// Records that a task completed at the time `now`. Has no effect if it had completed before.
     pub fn insert(&mut self, task: &str, now: u64) {
         if self.tasks.insert(task.to_string()) {
             let job = job_of_task(task);
@@ -43,44 +43,44 @@
         }
     }
 
-    /// The jobs of the tasks that completed since the last call, in that order.
+    /// Returns the jobs of the tasks that completed since the last call, in the order of completion.
     pub fn take_recent(&mut self) -> Vec<String> {
         std::mem::take(&mut self.recent)
     }
 
-    /// How many tasks of a job completed.
+    /// Returns how many tasks of a job have completed.
     pub fn count_of(&self, job: &Job) -> usize {
         (0..job.tasks).filter(|task| self.contains(&format!("{}/{task}", job.id))).count()
     }
 
-    /// Whether all tasks of a job completed.
+    /// Returns whether all tasks of a job have completed.
     pub fn all_of(&self, job: &Job) -> bool {
         (0..job.tasks).all(|task| self.contains(&format!("{}/{task}", job.id)))
     }
 
-    /// When the latest of a job's completed tasks completed, in milliseconds.
+    /// Returns the time of the latest completion of a job's tasks, in milliseconds; `None` if none has completed.
     pub fn last(&self, job: &str) -> Option<u64> {
         self.last.get(job).copied()
     }
 }
 
-/// An attempt of a task that a worker knows of.
+/// An attempt of a task that a worker reports.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
-    /// What the task does.
+    /// Present state of the task.
     pub state: TaskState,
-    /// Why it exited.
+    /// Why it exited; `None` until then.
     pub exit_reason: Option<ExitReason>,
-    /// It was saved when it exited.
+    /// Whether its progress was saved when it exited.
     pub saved: bool,
-    /// When the present state ends by itself, in milliseconds.
+    /// When the present state ends without a command, in milliseconds.
     pub until: u64,
-    /// Of a gang of several tasks, which run together (`gangs.rs`).
+    /// Whether it belongs to a gang of several tasks; those run together (`gangs.rs`).
     pub gang: bool,
 }
 
 impl WorkerTask {
-    /// The task takes the resources of its machine.
+    /// Returns whether the task takes resources of its machine.
     pub(crate) fn is_on_machine(&self) -> bool {
         self.state != TaskState::Exited
     }
@@ -90,12 +90,12 @@
     }
 }
 
-/// What a worker that restarts knows of its time before.
+/// What a worker remembers after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Memory {
-    /// It remembers the newest token.
+    /// It remembers the newest fencing token.
     Kept,
-    /// It has forgotten the token.
+    /// It has lost the fencing token.
     Lost,
 }
 
@@ -110,51 +110,53 @@
     pub type_name: String,
     /// Zone of the machine.
     pub zone: String,
-    /// The machine is interruptible.
+    /// Whether the machine is a spot instance, which the cloud may interrupt.
     pub spot: bool,
-    /// Processors of the machine.
+    /// CPUs of the machine.
     pub cpus: f64,
     /// GPUs of the machine.
     pub gpus: f64,
     /// Memory of the machine in gigabytes.
     pub memory_gb: f64,
-    /// Counts the lives of the worker, from 1: restarts and expiries of its lease.
+    /// Number of the worker's incarnation, from 1: each restart and each expiry of its lease begins a new one.
     pub incarnation: u64,
     /// Number of the last heartbeat of this incarnation.
     pub seq: u64,
-    /// The newest fencing token that it knows.
+    /// The newest fencing token that it has accepted.
     pub token: u64,
-    /// Results of completed tasks are with the users' storage; the simulator holds them.
+    /// Attempts that it reports. Results of completed tasks are in the users' storage, which [`CompletedTasks`]
+    /// models.
     pub tasks: BTreeMap<Attempt, WorkerTask>,
+    /// Images in the machine's cache.
     images: BTreeSet<String>,
-    /// Its lease counts from here: when the heartbeat was sent that got it.
+    /// Start of its lease: when it sent the heartbeat whose response granted the lease.
     pub lease_granted_at: u64,
-    /// Duration of its lease.
+    /// Duration of its lease, in milliseconds.
     pub lease_ms: u64,
-    /// It runs nothing and answers nothing until then.
+    /// The machine hangs until then: it runs nothing and answers nothing.
     pub hung_until: u64,
-    /// Neither answers nor commands reach it until then.
+    /// Neither heartbeat responses nor commands reach it until then.
     pub inbound_partition_until: u64,
     /// Its heartbeats reach no controller until then.
     pub outbound_partition_until: u64,
-    /// What it starts until then fails.
+    /// Tasks that it starts until then fail.
     pub failing_until: u64,
-    /// It ignores commands to stop a task.
+    /// Whether it ignores commands to stop a task.
     pub ignores_stops: bool,
     /// Index of the controller that it sends heartbeats to.
     pub node: usize,
-    /// When the heartbeat was sent whose reply it waits for.
+    /// When it sent the heartbeat whose response is pending; `None` if no response is pending.
     pub heartbeat_sent_at: Option<u64>,
     /// When the next heartbeat is due.
     pub next_heartbeat: u64,
-    /// Its state has changed since the last heartbeat, so that the next one is due at once.
+    /// Whether its state has changed since the last heartbeat, so that the next one is due at once.
     pub has_news: bool,
-    /// The machine is gone for good.
+    /// Whether the machine is lost for good.
     pub gone: bool,
 }
 
 impl Worker {
-    /// A worker without tasks, whose first heartbeat is due at once.
+    /// Creates a worker without tasks, whose first heartbeat is due at once.
     pub fn new(
         name: &str,
         type_name: &str,
@@ -191,8 +193,9 @@
         }
     }
 
-    /// The machine lost power for a moment: a new worker without tasks. It counts its incarnations on, or
-    /// commands of before would match them; the token it may have forgotten.
+    /// Restarts the worker after a short power loss of the machine: it loses its tasks and images, and the fencing
+    /// token if `memory` is [`Memory::Lost`]. The number of the incarnation increases, so that commands for the
+    /// previous incarnation don't match the new one.
     pub fn restart(&mut self, now: u64, memory: Memory) {
         self.tasks.clear();
         self.images.clear();
@@ -208,37 +211,37 @@
         self.has_news = true;
     }
 
-    /// The machine is gone for good, with its tasks.
+    /// Removes the machine for good, with its tasks.
     pub(crate) fn lose_machine(&mut self) {
         self.gone = true;
         self.tasks.clear();
     }
 
-    /// Whether its lease has not run out. A machine that hangs beyond its lease runs nothing, and ends all
-    /// tasks when it goes on.
+    /// Returns whether its lease has not expired. A machine that hangs until its lease expires runs nothing, and
+    /// ends all tasks when it resumes.
     pub(crate) fn has_lease(&self, now: u64) -> bool {
         now <= self.lease_granted_at + self.lease_ms
     }
 
-    /// Until when what is sent to it does not reach it in time.
+    /// Returns the time until which messages to it are delayed or lost.
     pub(crate) fn unreachable_until(&self) -> u64 {
         self.hung_until.max(self.inbound_partition_until)
     }
 
-    /// Names of the tasks that run.
+    /// Returns the names of the running tasks.
     pub(crate) fn running_tasks(&self) -> impl Iterator<Item = &str> {
         let running = self.tasks.iter().filter(|(_, task)| task.state == TaskState::Running);
         running.map(|((name, _), _)| name.as_str())
     }
 
-    /// Processors and GPUs that its tasks take.
+    /// Returns the CPUs and GPUs that its tasks take.
     fn used(&self, jobs: &BTreeMap<String, Job>) -> (f64, f64) {
         let here = self.tasks.iter().filter(|(_, task)| task.is_on_machine());
         let jobs_here = here.filter_map(|((name, _), _)| jobs.get(job_of_task(name)));
         jobs_here.fold((0.0, 0.0), |(cpus, gpus), job| (cpus + job.cpus, gpus + job.gpus))
     }
 
-    /// The next heartbeat, with the states of all tasks.
+    /// Returns the next heartbeat, with the states of all tasks.
     pub fn heartbeat(&mut self) -> WorkerHeartbeat {
         self.seq += 1;
         let report = |((name, attempt), task): (&Attempt, &WorkerTask)| TaskReport {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Time passes: the lease, fetches and runs end.
+    /// Advances to the time `now`: ends the lease, fetches, waits, runs and saves that are due.
     pub fn advance(&mut self, now: u64, done: &mut CompletedTasks, jobs: &BTreeMap<String, Job>) {
         if now < self.hung_until || self.gone {
             return;
@@ -286,7 +289,7 @@
                     }
                 }
                 TaskState::Waiting => task.exit(ExitReason::GangIncomplete),
-                // Gangs advance together.
+                // `Gangs` advances the tasks of a gang together.
                 TaskState::Running | TaskState::Saving if task.gang => continue,
                 TaskState::Running => {
                     task.exit(ExitReason::Done);
@@ -302,13 +305,14 @@
         }
     }
 
-    /// Whether commands with this fencing token are for this incarnation, and not older than others.
+    /// Returns whether commands with this fencing token and incarnation are valid: the incarnation is the present
+    /// one, and the token is not older than one accepted before.
     pub(crate) fn accepts(&self, token: u64, incarnation: u64) -> bool {
         token >= self.token && incarnation == self.incarnation
     }
 
-    /// Takes over the token of commands that it accepts, and executes them.
-    pub(crate) fn take_commands(
+    /// Stores the token of commands that [`Worker::accepts`] has allowed, and executes them.
+    pub(crate) fn receive_commands(
         &mut self,
         now: u64,
         token: u64,
@@ -323,7 +327,7 @@
         self.advance(now, done, jobs);
     }
 
-    /// Executes commands in their order.
+    /// Executes commands in order.
     pub fn execute(&mut self, now: u64, commands: &[Command], jobs: &BTreeMap<String, Job>) {
         for command in commands {
             match command.kind {
@@ -335,9 +339,9 @@
         }
     }
 
-    /// Begins to fetch the image of a task, or refuses the task.
+    /// Starts to fetch the image of a task, or refuses the task.
     fn start_task(&mut self, now: u64, command: &Command, jobs: &BTreeMap<String, Job>) {
-        let key = attempt(command);
+        let key = attempt_of(command);
         if self.tasks.contains_key(&key) {
             return;
         }
@@ -355,7 +359,7 @@
         self.has_news = true;
     }
 
-    /// Why the worker does not start a task, if it doesn't.
+    /// Returns the reason why the worker refuses to start a task; `None` if it starts the task.
     fn refusal(
         &self,
         name: &str,
@@ -372,9 +376,9 @@
         is_full.then_some(ExitReason::InsufficientResources)
     }
 
-    /// Stops a task, which saves its progress if it can and is given the time.
+    /// Stops a task. The task saves its progress first if it can and the grace period is long enough.
     fn stop_task(&mut self, now: u64, command: &Command, jobs: &BTreeMap<String, Job>) {
-        let key = attempt(command);
+        let key = attempt_of(command);
         let Some(task) = self.tasks.get_mut(&key).filter(|task| task.is_on_machine()) else {
             return;
         };
@@ -395,7 +399,7 @@
 
     /// Forgets a task that has exited.
     fn forget_task(&mut self, command: &Command) {
-        let key = attempt(command);
+        let key = attempt_of(command);
         if self.tasks.get(&key).is_some_and(|task| task.state == TaskState::Exited) {
             self.tasks.remove(&key);
             self.has_news = true;
@@ -403,12 +407,12 @@
     }
 }
 
-/// The attempt that a command is for.
-fn attempt(command: &Command) -> Attempt {
+/// Returns the attempt that a command is for.
+fn attempt_of(command: &Command) -> Attempt {
     (command.task.to_string(), command.attempt)
 }
 
-/// A task has its image: it runs, waits for its gang, or exits.
+/// Starts a task whose image has been fetched: it runs, waits for its gang, or exits.
 fn start_fetched(task: &mut WorkerTask, name: &str, job: &Job, now: u64, done: &CompletedTasks) {
     if done.always_failing.contains(&job.id) {
         task.exit(ExitReason::Error);
