--- a/crates/testkit/src/gangs.rs
+++ b/crates/testkit/src/gangs.rs
@@ -1,25 +1,25 @@
-//! Gangs of several tasks, as their workers run them together. Tasks of an attempt start once the last
-//! has its image, complete together, and notice when one of them is lost.
+//! Model of how workers run gangs of several tasks. The tasks of an attempt start together once the last of them
+//! has fetched its image, complete together, and notice when one of them is lost.
 use crate::worker::{job_of_task, Attempt, CompletedTasks, Worker, WorkerTask};
 use leaddeal_wire::user::Job;
 use leaddeal_wire::worker::{ExitReason, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Within this time the tasks of a gang notice that one of them is gone.
+/// Longest time until the tasks of a gang notice that one of them is lost, in milliseconds.
 pub const PEER_LOSS_MS: u64 = 8000;
 
 /// A job and the number of its attempt.
 type GangAttempt = (String, u64);
 
-/// A gang that has started. Times are in milliseconds.
+/// An attempt of a gang that has started. Times are in milliseconds.
 #[derive(Debug)]
 struct RunningGang {
-    since: u64,
-    /// Progress saved by earlier attempts.
+    started_at: u64,
+    /// Progress saved by earlier attempts, in milliseconds of run time.
     saved_before: u64,
-    /// When the first of its tasks was told to stop and save.
+    /// When the first of its tasks received the command to stop and save; `None` if none has.
     stopped_at: Option<u64>,
-    /// Since when one of its tasks is gone, or its machine hangs.
+    /// Since when one of its tasks is lost or on a machine that hangs; `None` if all run.
     incomplete_since: Option<u64>,
 }
 
@@ -28,16 +28,16 @@
         let stopped_at = self.stopped_at.unwrap_or(now);
         let incomplete_since = self.incomplete_since.unwrap_or(now);
         let end = now.min(stopped_at).min(incomplete_since);
-        self.saved_before + end.saturating_sub(self.since)
+        self.saved_before + end.saturating_sub(self.started_at)
     }
 
-    /// Since when it does not run as a whole.
+    /// Returns since when not all of its tasks run.
     fn interrupted_at(&self) -> Option<u64> {
         self.stopped_at.or(self.incomplete_since)
     }
 
-    /// Within this time an interruption ends it. An orderly stop has its whole time; that one task is lost
-    /// is noticed sooner by some gangs than by others.
+    /// Returns the time after which an interruption ends the attempt. An orderly stop always has the full time; the
+    /// loss of a task is noticed after a time that varies with the number of the attempt.
     fn interruption_ms(&self, attempt: u64) -> u64 {
         match self.stopped_at {
             Some(_) => PEER_LOSS_MS,
@@ -49,27 +49,27 @@
 /// A task of an attempt and the machine that it is on.
 pub type Member = (Attempt, String);
 
-/// All gangs that run, and what became of others.
+/// All running gangs, and counts of what became of the others.
 #[derive(Debug, Default)]
 pub struct Gangs {
     running: BTreeMap<GangAttempt, RunningGang>,
-    /// Progress that is safe, by job.
+    /// Saved progress in milliseconds, by job.
     saved: BTreeMap<String, u64>,
-    /// Broken on purpose: they start without the last one.
-    eager: bool,
-    /// How many started.
+    /// Injected defect: gangs start without their last task.
+    starts_incomplete: bool,
+    /// Number of attempts that started.
     pub started: usize,
-    /// How many went on from saved progress.
+    /// Number of attempts that started from saved progress.
     pub resumed: usize,
-    /// How many completed.
+    /// Number of attempts that completed.
     pub completed: usize,
-    /// How many were stopped in order, and saved.
+    /// Number of attempts that were stopped in an orderly way and saved their progress.
     pub stopped: usize,
-    /// Tasks that waited for the others in vain.
-    pub alone: BTreeSet<Member>,
+    /// Tasks that exited because the other tasks of their gang did not become ready in time.
+    pub incomplete: BTreeSet<Member>,
 }
 
-/// What the steps of a gang work on.
+/// The arguments of one step of an attempt of a gang.
 struct GangStep<'a> {
     now: u64,
     attempt: &'a GangAttempt,
@@ -87,23 +87,23 @@
         self.task(member).is_some_and(|task| task.state == state)
     }
 
-    /// Whether the member's worker acts: it does not hang, and its lease has not run out.
-    fn acts(&self, member: &Member) -> bool {
+    /// Returns whether the member's worker is active: it does not hang, and its lease has not expired.
+    fn is_active(&self, member: &Member) -> bool {
         let worker = self.workers.get(&member.1);
         worker.is_some_and(|w| self.now >= w.hung_until && w.has_lease(self.now))
     }
 
-    /// Whether all tasks are there, on workers that act.
-    fn is_whole(&self) -> bool {
+    /// Returns whether all tasks of the gang are present, on active workers.
+    fn is_complete(&self) -> bool {
         let all = self.job.tasks as usize;
-        self.members.len() == all && self.members.iter().all(|member| self.acts(member))
+        self.members.len() == all && self.members.iter().all(|member| self.is_active(member))
     }
 
-    fn saving(&self) -> usize {
+    fn saving_count(&self) -> usize {
         self.members.iter().filter(|m| self.is_in_state(m, TaskState::Saving)).count()
     }
 
-    /// Whether all that its members do now is due to end.
+    /// Returns whether the present state of every member is due to end.
     fn is_due(&self) -> bool {
         self.members.iter().all(|m| self.task(m).is_some_and(|task| self.now >= task.until))
     }
@@ -118,20 +118,22 @@
         exit(self.workers, self.members, reason, saved);
     }
 
-    /// The members on workers that act exit; a machine that hangs notices when it goes on.
+    /// Makes the members on active workers exit. A machine that hangs notices only when it resumes.
     fn exit_where_noticed(&mut self) {
-        let here: Vec<Member> = self.members.iter().filter(|m| self.acts(m)).cloned().collect();
+        let here: Vec<Member> =
+            self.members.iter().filter(|m| self.is_active(m)).cloned().collect();
         exit(self.workers, &here, ExitReason::GangMembersLost, false);
     }
 }
 
 impl Gangs {
-    /// No gangs. `eager`: they start without their last task, to see that the checker notices.
-    pub fn new(eager: bool) -> Gangs {
-        Gangs { eager, ..Gangs::default() }
+    /// Creates a model without gangs. With `starts_incomplete` gangs start without their last task, to show that the
+    /// checker detects it.
+    pub fn new(starts_incomplete: bool) -> Gangs {
+        Gangs { starts_incomplete, ..Gangs::default() }
     }
 
-    /// Time passes: gangs start, complete, save, and notice losses.
+    /// Advances to the time `now`: gangs start, complete, save, and notice losses.
     pub fn advance(
         &mut self,
         now: u64,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The members of all gangs; notes those that waited in vain.
+    /// Returns the members of all gangs, and records those that waited too long for the others.
     fn members(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -158,7 +160,7 @@
             for (key, task) in worker.tasks.iter().filter(|(_, task)| task.gang) {
                 let member = (key.clone(), worker.name.clone());
                 if task.exit_reason == Some(ExitReason::GangIncomplete) {
-                    self.alone.insert(member.clone());
+                    self.incomplete.insert(member.clone());
                 }
                 if matches!(task.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
                 {
@@ -172,16 +174,16 @@
 
     fn step(&mut self, mut gang: GangStep, done: &mut CompletedTasks) {
         let now = gang.now;
-        let is_whole = gang.is_whole();
-        let saving = gang.saving();
+        let is_complete = gang.is_complete();
+        let saving = gang.saving_count();
         let Some(run) = self.running.get_mut(gang.attempt) else {
-            self.start(gang, is_whole);
+            self.start(gang, is_complete);
             return;
         };
         if saving > 0 {
             run.stopped_at.get_or_insert(now);
         }
-        if !is_whole {
+        if !is_complete {
             run.incomplete_since.get_or_insert(now);
         } else if saving == 0 {
             run.incomplete_since = None;
@@ -190,7 +192,7 @@
         let interrupted_at = run.interrupted_at();
         let is_over =
             interrupted_at.is_some_and(|from| now >= from + run.interruption_ms(gang.attempt.1));
-        let is_saving = is_whole && saving == gang.job.tasks as usize;
+        let is_saving = is_complete && saving == gang.job.tasks as usize;
         if is_saving {
             if gang.is_due() {
                 self.saved.insert(gang.attempt.0.clone(), progress);
@@ -207,23 +209,23 @@
         }
     }
 
-    /// A gang starts once all its tasks wait.
-    fn start(&mut self, mut gang: GangStep, is_whole: bool) {
+    /// Starts a gang if all its tasks wait.
+    fn start(&mut self, mut gang: GangStep, is_complete: bool) {
         let all = gang.job.tasks as usize;
-        let is_enough = is_whole || (self.eager && gang.members.len() + 1 == all);
+        let is_enough = is_complete || (self.starts_incomplete && gang.members.len() + 1 == all);
         if !is_enough || !gang.members.iter().all(|m| gang.is_in_state(m, TaskState::Waiting)) {
             return;
         }
         let saved_before = self.saved.get(&gang.attempt.0).copied().unwrap_or(0);
-        let (since, stopped_at, incomplete_since) = (gang.now, None, None);
-        let run = RunningGang { since, saved_before, stopped_at, incomplete_since };
+        let (started_at, stopped_at, incomplete_since) = (gang.now, None, None);
+        let run = RunningGang { started_at, saved_before, stopped_at, incomplete_since };
         self.running.insert(gang.attempt.clone(), run);
         self.started += 1;
         self.resumed += usize::from(saved_before > 0);
         gang.start();
     }
 
-    /// Of a gang that is interrupted, progress up to the last checkpoint is safe.
+    /// Saves the progress of an interrupted gang up to its last checkpoint.
     fn keep_checkpoint(&mut self, gang: &GangStep, progress: u64) {
         let checkpoint_ms = (gang.job.checkpoint_s * 1000.0) as u64;
         let checkpointed = progress.checked_div(checkpoint_ms).unwrap_or(0) * checkpoint_ms;
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -1,60 +1,62 @@
-//! Histories that violate an invariant when a guard is disabled: plans by name, each for any seed.
+//! Fault histories that violate an invariant when a guard of the core is disabled. Each is a named plan that takes
+//! any seed.
 use crate::script::Fault;
 use crate::sim::{Plan, TeamQuotas, NODES};
 
-/// Duration of the workers' leases: as much of a `cancel_s` of 30 s as at the operators' largest deployment.
+/// Duration of the workers' leases: the same share of a `cancel_s` of 30 s as in the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
-/// More machines than there are: all of them.
+/// More than the number of machines, so that a fault hits all of them.
 const ALL_MACHINES: usize = 99;
 
-/// Faults at set times, in milliseconds from the beginning.
+/// Faults with the times at which they begin, in milliseconds from the start of the run.
 type Script = Vec<(u64, Fault)>;
 
-/// A history of faults. The names are those of the table in `docs/meetings.md`.
+/// A history of faults. The table in `docs/meetings.md` uses the same names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum History {
-    /// Random faults, which overlap.
+    /// Overlapping random faults.
     Ordinary,
-    /// Random faults while every controller ends twenty times within a minute.
+    /// Random faults while every controller crashes twenty times within a minute.
     Storm,
-    /// The store refuses one controller, cancellations by the others, then an outage for all.
+    /// The store refuses one controller, the others confirm cancellations, then a store outage for all.
     Gap,
-    /// The same while that controller is partitioned from the store and its siblings.
+    /// Like `Gap`, while that controller is partitioned from the store and its siblings.
     GapAlone,
-    /// The same; the controller that confirmed the cancellations was partitioned and has restarted since.
+    /// Like `Gap`, and a controller that confirmed cancellations is partitioned from that controller and restarts
+    /// before the outage.
     GapForgotten,
-    /// Copies of old heartbeats, new incarnations, and changes of owner.
+    /// Delayed copies of heartbeats arrive after new incarnations of the workers and changes of owner.
     OldReports,
-    /// Inbound partitions of machines while their owner ends.
+    /// Inbound partitions of machines while their owner crashes.
     Deaf,
-    /// Commands are delayed while machines hang and owners end.
+    /// Commands are delayed while machines hang and owners crash.
     HeldUp,
-    /// Transactions without an answer are carried out late.
+    /// Transactions get no answer and are committed late.
     LateWrites,
-    /// Shards change to another owner and back, and all controllers end.
+    /// Shards move to another owner and back, and all controllers crash.
     OverAndBack,
-    /// A controller reaches only workers and users while its shard changes its owner.
+    /// A controller reaches only workers and users while its shard moves to another owner.
     Alone,
     /// All controllers are partitioned from each other, and users cancel.
     Apart,
-    /// Controllers get no processor time for longer than their lease.
+    /// Controllers get no CPU time for longer than their leases last.
     Frozen,
-    /// The store refuses one controller after the other, and users cancel.
+    /// The store refuses one controller after another, and users cancel.
     Refused,
     /// All controllers are partitioned from each other, transactions are late, and users cancel and poll.
     ApartLate,
-    /// Terminal states without an answer are written while the next owner loads from a slow store.
+    /// Unanswered writes of terminal states are committed while the next owner loads from a slow store.
     LateFinals,
-    /// An owner reaches only workers and users, and just before it gives its workers up they hang for as
-    /// long as their leases last.
+    /// An owner reaches only workers and users, and just before it gives up its workers these hang for about
+    /// as long as their leases last.
     AloneThenCut,
-    /// The store's answers are slow, then the owner reaches only workers and users, who cancel and poll.
+    /// The store answers slowly, then the owner reaches only workers and users, and the users cancel and poll.
     SlowThenAlone,
-    /// Controllers get no processor time while their decisions and their acquisitions are being written.
+    /// Controllers get no CPU time while their decisions and acquisitions are being written.
     FrozenDeciding,
-    /// Controllers end right after they confirmed cancellations.
+    /// Controllers crash right after they have confirmed cancellations.
     ConfirmedThenEnded,
-    /// Machines miss the stops of what is cancelled; then the store is down.
+    /// Machines miss the commands to stop cancelled tasks; then a store outage.
     DeafThenOutage,
 }
 
@@ -84,7 +86,7 @@
         History::DeafThenOutage,
     ];
 
-    /// The faults at set times; histories with a script have no others.
+    /// Returns the scripted faults. A history with a script has no random faults.
     fn script(self) -> Script {
         match self {
             History::Ordinary | History::Storm => Vec::new(),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The plan of this history. Of those with a script every other seed has long tasks.
+    /// Returns the plan of this history. In histories with a script odd seeds have long tasks.
     pub fn plan(self, seed: u64) -> Plan {
         let script = self.script();
         let plan = match self {
@@ -122,7 +124,8 @@
                 Plan { long_tasks: long, team_cpu_quota: 20.0, lease_ms: LEASE_MS, ..quiet }
             }
         };
-        // The seeds in the table were found with few kinds of jobs.
+        // The seeds in the table of `docs/meetings.md` belong to this mix of jobs: gangs of one task only, and a
+        // quota for one of two teams.
         Plan { max_gang_tasks: 1, teams: TeamQuotas::OneOfTwo, ..plan }
     }
 }
@@ -131,12 +134,12 @@
     Fault::Crash { nodes: vec![node], back_ms }
 }
 
-/// Users cancel a third of their jobs.
+/// Users cancel about a third of their jobs.
 fn cancel(at: u64) -> (u64, Fault) {
     (at, Fault::CancelJobs { percent: 35 })
 }
 
-/// The store refuses one controller, the others confirm cancellations, and then the store is down.
+/// The store refuses one controller, the others confirm cancellations, and then the store has an outage.
 fn gap(more: Script) -> Script {
     let mut script = vec![
         (60_000, Fault::StoreRefusesNode { node: 0, ms: 14_000 }),
@@ -152,8 +155,8 @@
 }
 
 fn gap_forgotten() -> Script {
-    let cut = (60_200, Fault::PairPartition { nodes: (0, 1), ms: 4000 });
-    gap(vec![cut, (62_450, crash(1, 200))])
+    let partition = (60_200, Fault::PairPartition { nodes: (0, 1), ms: 4000 });
+    gap(vec![partition, (62_450, crash(1, 200))])
 }
 
 fn old_reports() -> Script {
@@ -271,7 +274,8 @@
         let slow = Fault::SlowStore { by_ms: 1900, ms: 12_000 };
         let alone = Fault::StoreAndPeerPartition { node, ms: 20_000 };
         let polls = Fault::FrequentPolls { ms: 12_000 };
-        // From when a successor may be there: a few at a time, so that some are left.
+        // From the time at which the shard may have a new owner. Each step cancels few jobs, so that some are left
+        // for the later steps.
         let few = |at| (at, Fault::CancelJobs { percent: 6 });
         let cancels = (at + 13_700..at + 18_700).step_by(150).map(few);
         let faults = [(at, slow), (at + 11_900, alone), (at + 12_000, polls)];
--- a/crates/testkit/src/sim/crash_after_write.rs
+++ b/crates/testkit/src/sim/crash_after_write.rs
@@ -49,7 +49,7 @@
         if let Some(index) = position {
             let CrashAfterWrite { what, after_ms, back_ms } =
                 self.crashes_after_writes.remove(index);
-            self.observations.ended_on.push((self.now, what));
+            self.observations.crashes_after_write.push((self.now, what));
             let crash = Fault::Crash { nodes: vec![node], back_ms };
             self.schedule(after_ms, Event::ScriptedFault(crash));
         }
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -42,7 +42,9 @@
             if let (Ok(TerminalState { status: JobStatus::Done, .. }), Some(ended_at)) =
                 (TerminalState::decode(value), self.done.last(&job_id(id.0)))
             {
-                self.observations.finals.push((self.now, self.now.saturating_sub(ended_at)));
+                self.observations
+                    .terminal_states
+                    .push((self.now, self.now.saturating_sub(ended_at)));
             }
         }
     }
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -14,7 +14,7 @@
 
 /// So many controllers ended on a write of that kind.
 fn ended(played: &[Sim], on: Written) -> usize {
-    played.iter().flat_map(|s| &s.observations.ended_on).filter(|e| e.1 == on).count()
+    played.iter().flat_map(|s| &s.observations.crashes_after_write).filter(|e| e.1 == on).count()
 }
 
 /// A shard is acquired, the answer is lost, and whoever acquired it is refused until its lease is over
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -169,7 +169,7 @@
             completed += sim.gangs.completed;
             resumed += sim.gangs.resumed;
             stopped += sim.gangs.stopped;
-            alone += sim.gangs.alone.len();
+            alone += sim.gangs.incomplete.len();
         }
     }
     println!(
@@ -188,7 +188,11 @@
         let quiet = Plan { long_tasks: false, team_cpu_quota: 30.0, ..plan(seed, &[]) };
         let sim = run("quiet", quiet);
         assert!(sim.gangs.completed > 5, "seed {seed}: {} gangs", sim.gangs.completed);
-        assert!(sim.gangs.alone.is_empty(), "seed {seed}: waited in vain: {:?}", sim.gangs.alone);
+        assert!(
+            sim.gangs.incomplete.is_empty(),
+            "seed {seed}: waited in vain: {:?}",
+            sim.gangs.incomplete
+        );
     }
 }
 
--- a/crates/testkit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -21,7 +21,7 @@
     let plan = Plan { seconds, script, store_changes_per_s: Some(store), ..Plan::fleet(11, times) };
     let mut sim = Sim::new(plan);
     sim.run_to(seconds * 1000).unwrap_or_else(|e| panic!("{e}"));
-    let later = sim.observations.finals.iter().filter(|f| f.0 > START_MS + from);
+    let later = sim.observations.terminal_states.iter().filter(|f| f.0 > START_MS + from);
     let mut lags: Vec<u64> = later.map(|f| f.1).collect();
     lags.sort_unstable();
     let (changes, refused, decisions) = sim.store_counts("d/");
@@ -77,7 +77,7 @@
     let mut sim = Sim::new(Plan { script: vec![(25_000, all)], ..plan });
     sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
     let (at, shards) = sim.observations.loaded_after(START_MS + 25_000);
-    let told = sim.observations.finals.iter().filter(|f| f.0 > START_MS + 28_000).count();
+    let told = sim.observations.terminal_states.iter().filter(|f| f.0 > START_MS + 28_000).count();
     println!("{shards} shards loaded {} ms after the crash; {told} finals", at - START_MS - 25_000);
     assert!(shards == 3 && at < START_MS + 25_000 + 9000, "{shards} shards, {at}");
     assert!(told > 150, "{told} finals told in 32 s after the restart");
