--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -14,7 +14,7 @@
 
 /// Returns the number of controllers that crashed after a write of this kind.
 fn crashes_on(runs: &[Sim], on: Written) -> usize {
-    runs.iter().flat_map(|s| &s.observations.ended_on).filter(|e| e.1 == on).count()
+    runs.iter().flat_map(|s| &s.observations.crashes_after_write).filter(|e| e.1 == on).count()
 }
 
 /// Guards against two owners of a shard: the answer to an acquisition is lost, the store refuses that
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -175,7 +175,7 @@
             completed += sim.gangs.completed;
             resumed += sim.gangs.resumed;
             stopped += sim.gangs.stopped;
-            alone += sim.gangs.alone.len();
+            alone += sim.gangs.incomplete.len();
         }
     }
     println!(
@@ -195,9 +195,9 @@
         let sim = run("no faults", quiet);
         assert!(sim.gangs.completed > 5, "seed {seed}: {} gangs", sim.gangs.completed);
         assert!(
-            sim.gangs.alone.is_empty(),
+            sim.gangs.incomplete.is_empty(),
             "seed {seed}: tasks waited for their gang in vain: {:?}",
-            sim.gangs.alone
+            sim.gangs.incomplete
         );
     }
 }
--- a/crates/testkit/tests/store.rs
+++ b/crates/testkit/tests/store.rs
@@ -30,7 +30,7 @@
         Plan { seconds, script, store_changes_per_s: Some(writes_per_s), ..Plan::fleet(11, times) };
     let mut sim = Sim::new(plan);
     sim.run_to(seconds * 1000).unwrap_or_else(|e| panic!("{e}"));
-    let later = sim.observations.finals.iter().filter(|f| f.0 > START_MS + from);
+    let later = sim.observations.terminal_states.iter().filter(|f| f.0 > START_MS + from);
     let mut lags: Vec<u64> = later.map(|f| f.1).collect();
     lags.sort_unstable();
     let (changes, refused, decisions) = sim.store_counts("d/");
@@ -112,7 +112,7 @@
     sim.run_to(60_000).unwrap_or_else(|e| panic!("{e}"));
     let (at, shards) = sim.observations.loaded_after(START_MS + 25_000);
     let terminal_states =
-        sim.observations.finals.iter().filter(|f| f.0 > START_MS + 28_000).count();
+        sim.observations.terminal_states.iter().filter(|f| f.0 > START_MS + 28_000).count();
     println!(
         "{shards} shards loaded {} ms after the crash; {terminal_states} terminal states",
         at - START_MS - 25_000
