--- a/crates/testkit/src/sim/cloud.rs
+++ b/crates/testkit/src/sim/cloud.rs
@@ -79,14 +79,14 @@
         self.launches.insert(request.request.clone(), launch);
         self.starting_instances
             .insert(name.clone(), StartingInstance { request, launched_at: self.now });
-        if let Some(boot_ms) = self.boot_ms() {
+        if let Some(boot_ms) = self.draw_boot_ms() {
             self.schedule(boot_ms, Event::InstanceUp { machine: name });
         }
         Ok(CloudResult::Launched(names))
     }
 
     /// Draws the boot time of an instance; `None` if it never comes up.
-    fn boot_ms(&mut self) -> Option<u64> {
+    fn draw_boot_ms(&mut self) -> Option<u64> {
         let fast = self.windows.fast_boots.strongest(self.now).is_some();
         match self.rng.random_range(0..20) {
             _ if fast => Some(self.rng.random_range(FAST_BOOT_MS)),
--- a/crates/testkit/src/sim/controllers.rs
+++ b/crates/testkit/src/sim/controllers.rs
@@ -89,7 +89,7 @@
         let controller = &mut self.controllers[node];
         controller.started_at = self.now;
         controller.boot += 1;
-        let wall_ms = self.wall_clock_ms();
+        let wall_ms = self.draw_wall_clock_ms();
         self.controllers[node].core = Some(Node::new(&settings, wall_ms, 1));
         self.schedule(1, Event::Tick(self.process(node)));
     }
@@ -117,7 +117,7 @@
     }
 
     /// Draws a controller's wall-clock time, with a random error; exact in runs without random faults.
-    fn wall_clock_ms(&mut self) -> u64 {
+    fn draw_wall_clock_ms(&mut self) -> u64 {
         if !self.plan.random_faults {
             return self.now;
         }
@@ -126,7 +126,7 @@
     }
 
     /// Returns the time of a controller's monotonic clock, which starts with its process.
-    fn steady_clock_ms(&self, node: usize) -> u64 {
+    fn monotonic_clock_ms(&self, node: usize) -> u64 {
         let uptime_ms = self.now - self.controllers[node].started_at;
         let speed = if self.plan.defect == InjectedDefect::FastClock { 3 } else { 1 };
         (uptime_ms + uptime_ms * node as u64 / CLOCK_DRIFT_DIVISOR) * speed + 1
@@ -137,8 +137,8 @@
     /// # Errors
     /// The rule that an effect breaks.
     pub(super) fn step(&mut self, node: usize, input: Input) -> Result<(), BrokenRule> {
-        let now = self.steady_clock_ms(node);
-        let wall_ms = self.wall_clock_ms();
+        let now = self.monotonic_clock_ms(node);
+        let wall_ms = self.draw_wall_clock_ms();
         let Some(core) = self.controllers[node].core.as_mut() else { return Ok(()) };
         if let Some(tally) = &mut self.tally {
             tally.input(&input);
@@ -148,7 +148,7 @@
                 tally.output(&effect);
             }
             self.fingerprint.add(node, now, &effect);
-            self.carry_out(node, effect)?;
+            self.execute_effect(node, effect)?;
         }
         Ok(())
     }
--- a/crates/testkit/src/sim/crash_after_write.rs
+++ b/crates/testkit/src/sim/crash_after_write.rs
@@ -32,7 +32,7 @@
 impl Sim {
     /// Returns whether the answer to a call that was just executed is lost. If a scripted crash waits for this write,
     /// schedules the crash of the controller that sent it.
-    pub(super) fn is_answer_lost(
+    pub(super) fn draw_answer_loss(
         &mut self,
         node: usize,
         call: &StoreCall,
--- a/crates/testkit/src/sim/dispatch.rs
+++ b/crates/testkit/src/sim/dispatch.rs
@@ -32,7 +32,7 @@
             Event::Restart { node } => self.start(node),
             Event::RandomFault => self.inject_random_fault(),
             Event::ScriptedFault(fault) => self.inject(fault),
-            Event::CalmBegins => self.begin_calm(),
+            Event::AllFaultsEnd => self.end_all_faults(),
             Event::RandomQueryBurst => self.open_random_burst_window(),
         }
         Ok(())
--- a/crates/testkit/src/sim/effects.rs
+++ b/crates/testkit/src/sim/effects.rs
@@ -22,7 +22,7 @@
 
 impl Sim {
     /// Draws the latency of a message.
-    pub(super) fn latency_ms(&mut self) -> u64 {
+    pub(super) fn draw_latency_ms(&mut self) -> u64 {
         self.plan.extra_latency_ms
             + match self.rng.random_range(0..100) {
                 0..90 => self.rng.random_range(1..6),
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     /// The rule that the effect breaks.
-    pub(super) fn carry_out(&mut self, node: usize, effect: Effect) -> Result<(), BrokenRule> {
-        let latency_ms = self.latency_ms();
+    pub(super) fn execute_effect(&mut self, node: usize, effect: Effect) -> Result<(), BrokenRule> {
+        let latency_ms = self.draw_latency_ms();
         match effect {
             Effect::User { req, reply } => self.reply_to_user(node, req, &reply)?,
             Effect::Worker { req, reply } => self.reply_to_worker(node, req, reply, latency_ms),
--- a/crates/testkit/src/sim/event.rs
+++ b/crates/testkit/src/sim/event.rs
@@ -34,7 +34,7 @@
     /// A fault of the plan's script is injected.
     ScriptedFault(Fault),
     /// All faults end.
-    CalmBegins,
+    AllFaultsEnd,
     /// The rules that users are answered and that no job starves are checked.
     CheckLiveness,
     /// Running gangs advance and are checked.
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -138,7 +138,7 @@
     }
 
     /// Ends all faults. From now on the liveness rules are checked: every user request must be answered.
-    pub(super) fn begin_calm(&mut self) {
+    pub(super) fn end_all_faults(&mut self) {
         self.plan.random_faults = false;
         for controller in &mut self.controllers {
             controller.faults = super::controllers::ControllerFaults::default();
--- a/crates/testkit/src/sim/jobs.rs
+++ b/crates/testkit/src/sim/jobs.rs
@@ -8,7 +8,7 @@
 
 impl Sim {
     /// Returns a job that stays queued, since the machine type that it needs is not in the catalog.
-    pub(super) fn waiting_job() -> Job {
+    pub(super) fn unplaceable_job() -> Job {
         Job {
             id: String::new(),
             class: "x".into(),
--- a/crates/testkit/src/sim/plan.rs
+++ b/crates/testkit/src/sim/plan.rs
@@ -88,8 +88,8 @@
 
     /// Returns the plan of a run of more than four minutes with long tasks and without faults.
     pub fn quiet(seed: u64) -> Plan {
-        let calm = Plan { seconds: 250, calm_seconds: 1, ..Plan::new(seed) };
-        Plan { random_faults: false, long_tasks: true, ..calm }
+        let fault_free = Plan { seconds: 250, calm_seconds: 1, ..Plan::new(seed) };
+        Plan { random_faults: false, long_tasks: true, ..fault_free }
     }
 
     /// Returns the plan of a crash storm: every controller crashes twenty times within a minute, and restarts within a
--- a/crates/testkit/src/sim/preload.rs
+++ b/crates/testkit/src/sim/preload.rs
@@ -54,7 +54,7 @@
         }
         for number in 0..self.plan.preloaded_open_jobs {
             let id = JobId(FIRST_OPEN_JOB + number);
-            let job = Job { id: job_id(id.0), ..Self::waiting_job() };
+            let job = Job { id: job_id(id.0), ..Self::unplaceable_job() };
             let value = json!({"job": job, "at": self.now});
             put(&mut self.state, keys::job_key(shard_of_job(id, NODES), id), value);
             self.rules.accepted.insert(job.id.clone());
--- a/crates/testkit/src/sim/query_bursts.rs
+++ b/crates/testkit/src/sim/query_bursts.rs
@@ -144,11 +144,12 @@
 
     /// Submits a job that lacks a field, has an impossible value or can never run, and queries it.
     fn invalid_submission(&mut self) -> Result<(), BrokenRule> {
-        let Some(node) = self.random_reachable_node() else { return Ok(()) };
+        let Some(node) = self.draw_reachable_node() else { return Ok(()) };
         self.query_bursts.invalid_submissions += 1;
         let number = FIRST_INVALID_JOB + self.query_bursts.invalid_submissions;
         let id = job_id(number);
-        let job = Job { id: id.clone(), types: None, team: "tight".into(), ..Self::waiting_job() };
+        let job =
+            Job { id: id.clone(), types: None, team: "tight".into(), ..Self::unplaceable_job() };
         let all = invalid_submissions::all(&job, self.plan.team_cpu_quota);
         let invalid = all[self.rng.random_range(0..all.len())].clone();
         self.rules.invalid.insert(id.clone(), (invalid.what.clone(), invalid.status));
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -170,8 +170,8 @@
         }
         if self.plan.calm_seconds > 0 {
             let is_quiet = !self.plan.random_faults && self.plan.script.is_empty();
-            let calm_at = if is_quiet { 0 } else { self.plan.seconds * 1000 };
-            self.schedule(calm_at, Event::CalmBegins);
+            let faults_end_at_ms = if is_quiet { 0 } else { self.plan.seconds * 1000 };
+            self.schedule(faults_end_at_ms, Event::AllFaultsEnd);
         }
     }
 }
--- a/crates/testkit/src/sim/store.rs
+++ b/crates/testkit/src/sim/store.rs
@@ -65,7 +65,7 @@
         }
         // The answer is lost: the call was executed, but the controller does not learn it.
         if self.plan.random_faults && self.rng.random_range(0..LOST_ANSWER_ODDS) == 0
-            || self.is_answer_lost(process.node, &call, &result)
+            || self.draw_answer_loss(process.node, &call, &result)
         {
             result = StoreResult::Unknown;
         }
@@ -79,7 +79,7 @@
         let slow_ms = self.windows.slow_store.strongest(self.now).unwrap_or(0);
         let answer_ms = match result {
             StoreResult::Unknown => STORE_TIMEOUT_MS,
-            _ => self.latency_ms() + slow_ms,
+            _ => self.draw_latency_ms() + slow_ms,
         };
         self.schedule_input(answer_ms, process, Input::Store { op, result });
         Ok(())
@@ -115,7 +115,7 @@
         }
         let found = self.state.events(&watch.prefix, watch.after);
         if !unreachable && (!found.events.is_empty() || self.now >= watch.until) {
-            let latency_ms = self.latency_ms();
+            let latency_ms = self.draw_latency_ms();
             let result = StoreResult::Events(found);
             self.schedule_input(latency_ms, process, Input::Store { op, result });
         } else {
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -55,7 +55,7 @@
     }
 
     /// Draws a controller that users can reach through the load balancer; `None` if there are none.
-    pub(super) fn random_reachable_node(&mut self) -> Option<usize> {
+    pub(super) fn draw_reachable_node(&mut self) -> Option<usize> {
         let is_reachable = |&node: &usize| {
             self.controllers[node].reaches_users() && self.controllers[node].has_cpu_time(self.now)
         };
@@ -72,7 +72,7 @@
         kind: RequestKind,
         id: &str,
     ) -> Result<(), BrokenRule> {
-        match self.random_reachable_node() {
+        match self.draw_reachable_node() {
             Some(node) => self.send_to_node(node, kind, id),
             None => Ok(()),
         }
--- a/crates/testkit/src/sim/workers.rs
+++ b/crates/testkit/src/sim/workers.rs
@@ -96,7 +96,7 @@
         let heartbeat = worker.heartbeat();
         let node = worker.node;
         let is_partitioned = self.now < worker.outbound_partition_until;
-        let latency_ms = self.latency_ms();
+        let latency_ms = self.draw_latency_ms();
         let is_late = self.plan.random_faults && self.rng.random_range(0..LATE_HEARTBEAT_ODDS) == 0;
         let held_ms = if is_late { self.rng.random_range(LATE_HEARTBEAT_MS) } else { 0 };
         // A copy may arrive late at any controller. No worker waits for its reply.
@@ -157,8 +157,8 @@
     pub(super) fn deliver_heartbeat_reply(&mut self, sent: SentHeartbeatReply) {
         let HeartbeatRequest { machine, sent_at, incarnation } = sent.request;
         let now = self.now;
-        let asked = self.workers.get(&machine).map_or(0, |w| w.node);
-        if self.zone_partition_delay_ms(&machine, asked) > 0 {
+        let asked_node = self.workers.get(&machine).map_or(0, |w| w.node);
+        if self.zone_partition_delay_ms(&machine, asked_node) > 0 {
             return;
         }
         let Some(worker) = self.workers.get_mut(&machine) else { return };
@@ -255,7 +255,7 @@
             true => CommandOutcome::Executed(state),
             false => CommandOutcome::Refused(state),
         };
-        let latency_ms = self.latency_ms();
+        let latency_ms = self.draw_latency_ms();
         self.report_outcome(sent, outcome, latency_ms);
     }
 }
