--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -53,7 +53,7 @@
 /// Plays a seed and prints what was wrong in it. Whether all rules were kept.
 fn keeps_rules(cli: &Cli, seed: u64) -> bool {
     let plan = if cli.storm { Plan::storm(seed) } else { Plan::new(seed) };
-    let mut sim = Sim::new(Plan { seconds: cli.seconds, calm_seconds: CALM_SECONDS, ..plan });
+    let mut sim = Sim::new(Plan { seconds: cli.seconds, fault_free_seconds: CALM_SECONDS, ..plan });
     let run = sim.run();
     for share in sim.groups_under_half_served().iter().filter(|_| run.is_ok()) {
         println!("seed {seed}: {share:?} is served less than half");
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -114,7 +114,7 @@
     pub fn plan(self, seed: u64) -> Plan {
         let script = self.script();
         let plan = match self {
-            History::Ordinary => Plan { calm_seconds: 100, ..Plan::new(seed) },
+            History::Ordinary => Plan { fault_free_seconds: 100, ..Plan::new(seed) },
             History::Storm => Plan::storm(seed),
             _ => {
                 let quiet = Plan { seconds: 150, script, random_faults: false, ..Plan::new(seed) };
--- a/crates/testkit/src/sim/plan.rs
+++ b/crates/testkit/src/sim/plan.rs
@@ -42,7 +42,7 @@
     /// Duration of the workers' leases in milliseconds.
     pub lease_ms: u64,
     /// Duration of the part without faults that follows after `seconds`, in simulated seconds.
-    pub calm_seconds: u64,
+    pub fault_free_seconds: u64,
     /// Whether tasks run for 15 to 120 s, and not for 1 to 8 s.
     pub long_tasks: bool,
     /// Whether the store contains records of each kind that do not decode at the beginning of the run.
@@ -76,7 +76,7 @@
             store_changes_per_s: None,
             fast_restarts: false,
             lease_ms: 8000,
-            calm_seconds: 0,
+            fault_free_seconds: 0,
             long_tasks: false,
             corrupt_records: false,
             max_gang_tasks: 4,
@@ -88,7 +88,7 @@
 
     /// Returns the plan of a run of more than four minutes with long tasks and without faults.
     pub fn quiet(seed: u64) -> Plan {
-        let fault_free = Plan { seconds: 250, calm_seconds: 1, ..Plan::new(seed) };
+        let fault_free = Plan { seconds: 250, fault_free_seconds: 1, ..Plan::new(seed) };
         Plan { random_faults: false, long_tasks: true, ..fault_free }
     }
 
--- a/crates/testkit/src/sim/run.rs
+++ b/crates/testkit/src/sim/run.rs
@@ -12,7 +12,7 @@
     /// # Errors
     /// The rule that was broken, when, and the plan with which to see it again.
     pub fn run(&mut self) -> Result<(), String> {
-        self.run_to((self.plan.seconds + self.plan.calm_seconds) * 1000)
+        self.run_to((self.plan.seconds + self.plan.fault_free_seconds) * 1000)
     }
 
     /// Runs until `ms` simulated milliseconds after the beginning of the run.
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -168,7 +168,7 @@
             self.schedule(FIRST_FAULT_MS, Event::RandomFault);
             self.schedule(FIRST_QUERY_BURST_MS, Event::RandomQueryBurst);
         }
-        if self.plan.calm_seconds > 0 {
+        if self.plan.fault_free_seconds > 0 {
             let is_quiet = !self.plan.random_faults && self.plan.script.is_empty();
             let faults_end_at_ms = if is_quiet { 0 } else { self.plan.seconds * 1000 };
             self.schedule(faults_end_at_ms, Event::AllFaultsEnd);
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -16,7 +16,8 @@
 /// job that was not cancelled is answered about.
 pub fn played(what: &str, seed: u64, script: &[(u64, Fault)]) -> Vec<Sim> {
     let one = |long| {
-        let plan = Plan { calm_seconds: 100, long_tasks: long, ..plan(seed, 150, script.to_vec()) };
+        let plan =
+            Plan { fault_free_seconds: 100, long_tasks: long, ..plan(seed, 150, script.to_vec()) };
         let mut sim = Sim::new(plan);
         sim.run().unwrap_or_else(|e| panic!("{what}: {e}"));
         assert!(sim.rules.starts > 60, "{what}: only {} starts", sim.rules.starts);
--- a/crates/testkit/tests/known.rs
+++ b/crates/testkit/tests/known.rs
@@ -5,7 +5,7 @@
 
 fn known(seed: u64, garbled: bool, script: Vec<(u64, Fault)>) -> (Sim, usize) {
     let plan = Plan {
-        calm_seconds: 100,
+        fault_free_seconds: 100,
         random_faults: false,
         corrupt_records: garbled,
         script,
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -336,7 +336,7 @@
             ];
             for seed in 1..=2 {
                 let mut sim =
-                    Sim::new(Plan { calm_seconds: 100, ..plan(seed, 140, script.clone()) });
+                    Sim::new(Plan { fault_free_seconds: 100, ..plan(seed, 140, script.clone()) });
                 sim.run().unwrap_or_else(|e| panic!("in the very moment: {e}"));
                 let window = START_MS + 60_000..START_MS + 64_000;
                 let cancelled =
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -8,7 +8,8 @@
 const LEASE_MS: u64 = 17_000;
 
 fn plan(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    let quiet = Plan { seconds: 150, random_faults: false, calm_seconds: 60, ..Plan::new(seed) };
+    let quiet =
+        Plan { seconds: 150, random_faults: false, fault_free_seconds: 60, ..Plan::new(seed) };
     Plan { script: script.to_vec(), long_tasks: true, lease_ms: LEASE_MS, ..quiet }
 }
 
@@ -284,7 +285,7 @@
     for seed in 100..104 {
         let quiet = Plan {
             seconds: 250,
-            calm_seconds: 1,
+            fault_free_seconds: 1,
             random_faults: false,
             long_tasks: true,
             ..Plan::new(seed)
--- a/crates/testkit/tests/meetings_users.rs
+++ b/crates/testkit/tests/meetings_users.rs
@@ -29,7 +29,8 @@
     let mut all = Figures::default();
     for seed in 1..=seeds {
         let simple = Plan { max_gang_tasks: 1, teams: TeamQuotas::OneOfTwo, ..Plan::new(seed) };
-        let quiet = Plan { random_faults: false, seconds: SECONDS, calm_seconds: 90, ..simple };
+        let quiet =
+            Plan { random_faults: false, seconds: SECONDS, fault_free_seconds: 90, ..simple };
         let plan =
             Plan { script: script.clone(), team_cpu_quota: 12.0, submission_rate: 3, ..quiet };
         let mut sim = Sim::new(Plan { lease_ms: LEASE_MS, ..plan });
@@ -251,8 +252,13 @@
             script.push((40_000 + round * 55_000 + node * 4000, crash(node as usize, 1500)));
         }
     }
-    let plan =
-        Plan { random_faults: false, seconds: 210, calm_seconds: 100, script, ..Plan::new(5) };
+    let plan = Plan {
+        random_faults: false,
+        seconds: 210,
+        fault_free_seconds: 100,
+        script,
+        ..Plan::new(5)
+    };
     let mut sim = Sim::new(Plan { team_cpu_quota: 6.0, lease_ms: LEASE_MS, ..plan });
     sim.run().unwrap_or_else(|e| panic!("{e}"));
     let told = |status| sim.rules.acknowledged.values().filter(|t| t.0 == status).count();
--- a/crates/testkit/tests/recovery.rs
+++ b/crates/testkit/tests/recovery.rs
@@ -216,7 +216,7 @@
     ];
     for seed in 1..=3 {
         let plan = Plan { seconds: 180, script: script.clone(), scale: 3, ..Plan::new(seed) };
-        let mut sim = Sim::new(Plan { calm_seconds: 100, team_cpu_quota: 20.0, ..plan });
+        let mut sim = Sim::new(Plan { fault_free_seconds: 100, team_cpu_quota: 20.0, ..plan });
         run(&mut sim, 280_000);
         let under: Vec<_> =
             sim.groups_under_half_served().into_iter().filter(|s| s.of > 3).collect();
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -4,7 +4,7 @@
 
 /// Troubles for four minutes, and then none: whoever is still not answered is forgotten.
 fn plan(seed: u64) -> Plan {
-    Plan { calm_seconds: 100, ..Plan::new(seed) }
+    Plan { fault_free_seconds: 100, ..Plan::new(seed) }
 }
 
 #[test]
