--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -65,7 +65,7 @@
             Input::Get { .. } => self.add("user question", 0),
             Input::Cancel { .. } => self.add("user cancellation", 0),
             Input::WorkerHeartbeat { heartbeat, .. } => {
-                self.add("worker report", json_bytes(heartbeat))
+                self.add("worker report", json_bytes(heartbeat));
             }
             Input::CommandOutcome { .. } => self.add("worker answer to commands", 0),
             Input::Mesh { .. } => {}
