--- a/crates/testkit/tests/known.rs
+++ b/crates/testkit/tests/known.rs
@@ -7,7 +7,7 @@
 /// acknowledged ends of jobs.
 fn run(seed: u64, corrupt: bool, script: Vec<(u64, Fault)>) -> (Sim, usize) {
     let plan = Plan {
-        calm_seconds: 100,
+        fault_free_seconds: 100,
         random_faults: false,
         corrupt_records: corrupt,
         script,
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -358,7 +358,7 @@
             ];
             for seed in 1..=2 {
                 let mut sim =
-                    Sim::new(Plan { calm_seconds: 100, ..plan(seed, 140, script.clone()) });
+                    Sim::new(Plan { fault_free_seconds: 100, ..plan(seed, 140, script.clone()) });
                 sim.run()
                     .unwrap_or_else(|e| panic!("cancelled as the store refused the owner: {e}"));
                 let window = START_MS + 60_000..START_MS + 64_000;
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -8,7 +8,8 @@
 const LEASE_MS: u64 = 17_000;
 
 fn plan(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    let quiet = Plan { seconds: 150, random_faults: false, calm_seconds: 60, ..Plan::new(seed) };
+    let quiet =
+        Plan { seconds: 150, random_faults: false, fault_free_seconds: 60, ..Plan::new(seed) };
     Plan { script: script.to_vec(), long_tasks: true, lease_ms: LEASE_MS, ..quiet }
 }
 
@@ -149,7 +150,7 @@
 #[test]
 fn gangs_across_three_owners_survive_faults() {
     let (mut started, mut completed, mut resumed) = (0, 0, 0);
-    let (mut stopped, mut alone) = (0, 0);
+    let (mut stopped, mut incomplete) = (0, 0);
     let hang = |at, ms| (at, Fault::HangMachines { machines: 4, ms });
     let outage = |at, ms| (at, Fault::StoreOutage { ms });
     for script in [
@@ -175,12 +176,12 @@
             completed += sim.gangs.completed;
             resumed += sim.gangs.resumed;
             stopped += sim.gangs.stopped;
-            alone += sim.gangs.incomplete.len();
+            incomplete += sim.gangs.incomplete.len();
         }
     }
     println!(
         "{started} gangs started, {completed} completed, {resumed} resumed, {stopped} stopped in order; \
-         {alone} tasks were left alone"
+         {incomplete} tasks were left without their gang"
     );
     assert!(completed > 100, "only {completed} of {started} gangs completed");
     assert!(stopped > 5, "only {stopped} gangs were stopped in order");
@@ -301,7 +302,7 @@
     for seed in 100..104 {
         let quiet = Plan {
             seconds: 250,
-            calm_seconds: 1,
+            fault_free_seconds: 1,
             random_faults: false,
             long_tasks: true,
             ..Plan::new(seed)
--- a/crates/testkit/tests/rules.rs
+++ b/crates/testkit/tests/rules.rs
@@ -5,7 +5,7 @@
 /// Random faults for four minutes followed by a fault-free period, after which a job without an answer
 /// counts as forgotten.
 fn plan(seed: u64) -> Plan {
-    Plan { calm_seconds: 100, ..Plan::new(seed) }
+    Plan { fault_free_seconds: 100, ..Plan::new(seed) }
 }
 
 /// Guards against broken rules and unfinished work on days without faults.
