--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -11,7 +11,7 @@
 /// (DELETE `/LEASE`).
 pub const LEASES_PATH: &str = "/holds";
 /// Path for watching changes after a revision (GET `?under=PREFIX&after=REVISION&waitMs=MS`). The
-/// response is delayed until there is a change.
+/// response is delayed until there is a change or the wait time is over.
 pub const WATCH_PATH: &str = "/changes";
 
 /// A key with its value.
