--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -1,4 +1,4 @@
-//! What fails, and the end of all faults.
+//! Injection of faults, and the end of all faults.
 use super::crash_after_write::CrashAfterWrite;
 use super::delayed_heartbeats::{DelayWindow, DelayedHeartbeats};
 use super::event::Event;
@@ -9,7 +9,7 @@
 use crate::worker::{Memory, Worker};
 
 impl Sim {
-    /// A fault begins. This is a plain table, one row for each kind of fault.
+    /// Begins a fault. A plain table with one row for each kind of fault.
     pub(super) fn inject(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -30,7 +30,7 @@
                 self.windows.partition_zone(zone, Some(node), now + ms);
                 self.partition_from_store_and_peers(node, ms);
             }
-            // The state service.
+            // The store.
             Fault::StoreOutage { ms } => extend(&mut self.store_outage_until, now + ms),
             Fault::StoreRefusesNode { node, ms } => self.refuse_at_store(node, ms),
             Fault::SlowStore { ms, by_ms } => self.windows.slow_store.add(by_ms, now + ms),
@@ -44,7 +44,7 @@
             Fault::LostStoreAnswers { percent, ms } => {
                 self.windows.lost_store_answers.add(percent.into(), now + ms);
             }
-            // Machines and what goes between them and controllers.
+            // Machines, and messages between machines and controllers.
             Fault::LoseMachines { machines } => {
                 self.first_machines(machines).for_each(Worker::lose_machine);
             }
@@ -76,7 +76,7 @@
             }
             Fault::FastBoots { ms } => self.windows.fast_boots.add(1, now + ms),
             // Users.
-            Fault::CancelJobs { percent } => self.cancel_many(percent),
+            Fault::CancelJobs { percent } => self.cancel_open_jobs(percent),
             Fault::FrequentPolls { ms } => extend(&mut self.frequent_polls_until, now + ms),
             Fault::QueryBursts { percent, ms } => {
                 self.query_bursts.after_answers = UserWindow { percent, until: now + ms };
@@ -99,24 +99,24 @@
         }
     }
 
-    /// A controller gets no processor time: whatever is due or comes is late, its lease over.
+    /// Withholds CPU time from a controller: its ticks and inputs are late, and its lease may expire meanwhile.
     fn freeze(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.frozen_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.frozen_until, self.now + ms);
     }
 
     fn partition_from_workers(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.workers_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.worker_partition_until, self.now + ms);
     }
 
     fn partition_from_store_and_peers(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.store_and_peers_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.store_and_peer_partition_until, self.now + ms);
     }
 
     fn refuse_at_store(&mut self, node: usize, ms: u64) {
-        extend(&mut self.controllers[node].partitions.store_refuses_until, self.now + ms);
+        extend(&mut self.controllers[node].faults.store_refuses_until, self.now + ms);
     }
 
-    /// The workers of the machines that are there, by name.
+    /// Returns the workers of the existing machines, in the order of their names.
     pub(super) fn machines(&mut self) -> impl DoubleEndedIterator<Item = &mut Worker> {
         self.workers.values_mut().filter(|w| !w.gone)
     }
@@ -125,22 +125,23 @@
         self.machines().take(count)
     }
 
-    /// Users cancel, within a second, what is neither over nor cancelled as far as they know.
-    fn cancel_many(&mut self, percent: u32) {
+    /// Makes users cancel a share of their accepted jobs within a second, except the jobs whose terminal state they
+    /// have been told.
+    fn cancel_open_jobs(&mut self, percent: u32) {
         let is_open = |id: &&String| !self.rules.acknowledged.contains_key(*id);
         let open: Vec<String> = self.rules.accepted.iter().filter(is_open).cloned().collect();
         for id in open {
             if draw_percent(percent, &mut self.rng) {
-                self.cancel_within(&id, 0..1000);
+                self.schedule_cancel(&id, 0..1000);
             }
         }
     }
 
-    /// All faults are over, and nobody may be left without an answer from now on.
+    /// Ends all faults. From now on the liveness rules are checked: every user request must be answered.
     pub(super) fn begin_calm(&mut self) {
-        self.plan.faults = false;
+        self.plan.random_faults = false;
         for controller in &mut self.controllers {
-            controller.partitions = super::controllers::Partitions::default();
+            controller.faults = super::controllers::ControllerFaults::default();
         }
         (self.peer_partition_until, self.frequent_polls_until) = (0, 0);
         self.windows = ActiveWindows::default();
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -1,15 +1,16 @@
-//! The beginning of a run: settings, machine types, and what is there before the first event.
+//! Setup of a run: settings, machine types, and the state before the first event.
 use super::controllers::Controller;
 use super::event::{Event, EventQueue};
 use super::query_bursts::QueryBursts;
 use super::{
-    ActiveWindows, DelayedHeartbeats, Plan, Sabotage, Sim, BEGIN, GANG_STEP_MS, NODES, ZONES,
+    ActiveWindows, DelayedHeartbeats, InjectedDefect, Plan, Sim, GANG_STEP_MS, NODES, START_MS,
+    ZONES,
 };
 use crate::fingerprint::Fingerprint;
 use crate::gangs::Gangs;
 use crate::rules::Rules;
 use crate::script::Observations;
-use crate::state::{Broken, State};
+use crate::state::{State, StoreDefect};
 use crate::tally::Tally;
 use crate::worker::CompletedTasks;
 use leaddeal_wire::cloud::MachineType;
@@ -19,20 +20,21 @@
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
 
-/// Within this time after its cancellation was confirmed, no task of a job may run: `cancel_s`.
+/// Longest time for which a task of a job may run after the job's cancellation was acknowledged; the setting
+/// `cancel_s`.
 const CANCEL_MS: u64 = 30_000;
-/// Machines that are there from the beginning, at a scale of 1.
+/// Number of machines at the beginning of a run, at a scale of 1.
 const INITIAL_MACHINES: usize = 9;
-/// Instances that the cloud has left, at a scale of 1.
+/// Number of further instances that the cloud can launch, at a scale of 1.
 const SPARE_INSTANCES: u32 = 6;
-/// When the first job is submitted.
+/// Time from the beginning of the run to the first submission.
 const FIRST_SUBMISSION_MS: u64 = 2000;
-/// When the first random fault comes.
+/// Time from the beginning of the run to the first random fault.
 const FIRST_FAULT_MS: u64 = 8000;
-/// When the first random burst of queries begins.
+/// Time from the beginning of the run to the first random window of query bursts.
 const FIRST_QUERY_BURST_MS: u64 = 9000;
 
-/// The settings of a controller.
+/// Returns the settings of a controller.
 ///
 /// # Panics
 /// If the simulator's own settings can't be parsed, which is a mistake in this function.
@@ -62,7 +64,7 @@
     Settings::parse(&settings.to_string()).expect("the simulator's own settings")
 }
 
-/// The types of machines that the cloud has.
+/// Returns the machine types of the cloud's catalog.
 pub(super) fn machine_types(with_gpus: bool) -> Vec<MachineType> {
     let small = MachineType {
         name: "small".into(),
@@ -84,13 +86,13 @@
     vec![small, gpu]
 }
 
-/// What is broken at the state service.
-fn broken_store(sabotage: Sabotage) -> Broken {
-    match sabotage {
-        Sabotage::NoFencing => Broken::Conditions,
-        Sabotage::LostDecisions => Broken::Decisions,
-        Sabotage::StaleReads => Broken::StaleReads,
-        _ => Broken::Nothing,
+/// Returns the store's part of an injected defect.
+fn broken_store(defect: InjectedDefect) -> StoreDefect {
+    match defect {
+        InjectedDefect::NoFencing => StoreDefect::UncheckedConditions,
+        InjectedDefect::LostDecisions => StoreDefect::LostDecisions,
+        InjectedDefect::StaleReads => StoreDefect::StaleReads,
+        _ => StoreDefect::None,
     }
 }
 
@@ -110,12 +112,12 @@
         sim
     }
 
-    /// Neither machines nor records, and no controller is up.
+    /// Returns the state without machines, records, running controllers and events.
     fn empty(plan: Plan) -> Sim {
         Sim {
             trace: std::env::var("LEADDEAL_TRACE").is_ok(),
             rng: SmallRng::seed_from_u64(plan.seed),
-            now: BEGIN,
+            now: START_MS,
             events: EventQueue::default(),
             controllers: (0..NODES).map(|_| Controller::default()).collect(),
             peer_partition_until: 0,
@@ -128,18 +130,18 @@
             fingerprint: Fingerprint::default(),
             worker_events: 0,
             store_outage_until: 0,
-            state: State::new(broken_store(plan.sabotage)),
+            state: State::new(broken_store(plan.defect)),
             workers: BTreeMap::new(),
             launches: HashMap::new(),
-            starting: BTreeMap::new(),
+            starting_instances: BTreeMap::new(),
             next_machine: 0,
             spare_instances: SPARE_INSTANCES * plan.scale,
-            pending: HashMap::new(),
+            pending_requests: HashMap::new(),
             next_request: 0,
             query_bursts: QueryBursts::default(),
             rules: Rules::new(settings(0, &plan).params.teams, CANCEL_MS),
             done: CompletedTasks::default(),
-            gangs: Gangs::new(plan.sabotage == Sabotage::EagerGangs),
+            gangs: Gangs::new(plan.defect == InjectedDefect::IncompleteGangs),
             next_job: 0,
             last_delivery: HashMap::new(),
             plan,
@@ -162,12 +164,12 @@
         if self.plan.max_gang_tasks > 1 {
             self.schedule(GANG_STEP_MS, Event::GangStep);
         }
-        if self.plan.faults {
+        if self.plan.random_faults {
             self.schedule(FIRST_FAULT_MS, Event::RandomFault);
             self.schedule(FIRST_QUERY_BURST_MS, Event::RandomQueryBurst);
         }
         if self.plan.calm_seconds > 0 {
-            let is_quiet = !self.plan.faults && self.plan.script.is_empty();
+            let is_quiet = !self.plan.random_faults && self.plan.script.is_empty();
             let calm_at = if is_quiet { 0 } else { self.plan.seconds * 1000 };
             self.schedule(calm_at, Event::CalmBegins);
         }
--- a/crates/testkit/tests/meetings_limits.rs
+++ b/crates/testkit/tests/meetings_limits.rs
@@ -1,20 +1,20 @@
 //! Two troubles at once, for gangs, teams at their limits and jobs of one zone: three controllers, the rules
 //! checked after each step. Each plays until what it is about has happened often enough to say something.
 use leaddeal_testkit::script::Fault;
-use leaddeal_testkit::sim::{Plan, Sim, Teams, BEGIN};
+use leaddeal_testkit::sim::{Plan, Sim, TeamQuotas, START_MS};
 use leaddeal_wire::user::{JobKind, JobStatus};
 
 /// Leases take so much of the 30 s of a cancellation as at the operators' largest deployment.
 const LEASE_MS: u64 = 17_000;
 
 fn plan(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    let quiet = Plan { seconds: 150, faults: false, calm_seconds: 60, ..Plan::new(seed) };
+    let quiet = Plan { seconds: 150, random_faults: false, calm_seconds: 60, ..Plan::new(seed) };
     Plan { script: script.to_vec(), long_tasks: true, lease_ms: LEASE_MS, ..quiet }
 }
 
 /// Every team has a limit, and far more work than that.
 fn at_limits(seed: u64, script: &[(u64, Fault)]) -> Plan {
-    Plan { teams: Teams::AllLimited, submission_rate: 2, ..plan(seed, script) }
+    Plan { teams: TeamQuotas::AllOfThree, submission_rate: 2, ..plan(seed, script) }
 }
 
 fn run(what: &str, plan: Plan) -> Sim {
@@ -33,7 +33,8 @@
             let most = sim.rules.peak_usage.get(&t.name).copied().unwrap_or_default();
             assert!(most.0 >= t.cpus_max - 1.0, "{what}: {} used {most:?} at the most", t.name);
         }
-        let cancelled = |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && t.1 > BEGIN + from;
+        let cancelled =
+            |t: &&(JobStatus, u64)| t.0 == JobStatus::Cancelled && t.1 > START_MS + from;
         told += sim.rules.acknowledged.values().filter(cancelled).count();
     }
     assert!(told > 20, "{what}: only {told} cancellations were told");
@@ -123,7 +124,7 @@
             .flat_map(|(i, at)| [(at, crash(i % 3, 400)), (at + 700, crash((i + 1) % 3, 6000))])
             .chain([(70_000, Fault::HangMachines { machines: 3, ms: 20_000 })])
             .collect();
-        let few = Plan { array_tasks_limit: 4, team_cpu_limit: 20.0, ..plan(seed, &script) };
+        let few = Plan { array_tasks_limit: 4, team_cpu_quota: 20.0, ..plan(seed, &script) };
         let sim = run("far apart", Plan { seconds: 180, ..few });
         let done = |kind| {
             let of =
@@ -162,13 +163,13 @@
         vec![(45_000, Fault::ZonePartition { zone: "c", ms: 12_000 }), (50_000, crash(0, 300))],
     ] {
         for seed in 1..=3 {
-            let plan = Plan { team_cpu_limit: 30.0, long_tasks: seed == 1, ..plan(seed, &script) };
+            let plan = Plan { team_cpu_quota: 30.0, long_tasks: seed == 1, ..plan(seed, &script) };
             let sim = run("gangs", plan);
             started += sim.gangs.started;
             completed += sim.gangs.completed;
             resumed += sim.gangs.resumed;
             stopped += sim.gangs.stopped;
-            alone += sim.gangs.alone.len();
+            alone += sim.gangs.incomplete.len();
         }
     }
     println!(
@@ -184,10 +185,14 @@
 #[test]
 fn gangs_are_placed_whole() {
     for seed in 1..=6 {
-        let quiet = Plan { long_tasks: false, team_cpu_limit: 30.0, ..plan(seed, &[]) };
+        let quiet = Plan { long_tasks: false, team_cpu_quota: 30.0, ..plan(seed, &[]) };
         let sim = run("quiet", quiet);
         assert!(sim.gangs.completed > 5, "seed {seed}: {} gangs", sim.gangs.completed);
-        assert!(sim.gangs.alone.is_empty(), "seed {seed}: waited in vain: {:?}", sim.gangs.alone);
+        assert!(
+            sim.gangs.incomplete.is_empty(),
+            "seed {seed}: waited in vain: {:?}",
+            sim.gangs.incomplete
+        );
     }
 }
 
@@ -234,7 +239,7 @@
         ] {
             for seed in 1..=2 {
                 let plan =
-                    Plan { one_zone_share: 0.8, team_cpu_limit: 20.0, ..plan(seed, &script) };
+                    Plan { one_zone_share: 0.8, team_cpu_quota: 20.0, ..plan(seed, &script) };
                 let sim = run("one zone", plan);
                 let jobs = sim.rules.acknowledged.keys().filter_map(|id| sim.rules.jobs.get(id));
                 bound += jobs.filter(|j| j.one_zone && j.tasks > 1).count();
@@ -270,7 +275,7 @@
         let crashes = (30_000..150_000).step_by(3000).map(|at| (at, crash(node, 150)));
         let script: Vec<_> = crashes.chain([cancel(60_000), cancel(100_000)]).collect();
         let sim = run("forty changes", at_limits(node as u64, &script));
-        let loaded = sim.observations.loaded.iter().filter(|l| l.0 > BEGIN + 30_000).count();
+        let loaded = sim.observations.loaded.iter().filter(|l| l.0 > START_MS + 30_000).count();
         assert!(loaded >= 40, "{loaded} changes");
         assert!(sim.rules.starts > 60, "only {} starts", sim.rules.starts);
     }
@@ -284,7 +289,7 @@
         let quiet = Plan {
             seconds: 250,
             calm_seconds: 1,
-            faults: false,
+            random_faults: false,
             long_tasks: true,
             ..Plan::new(seed)
         };
