--- a/crates/core/tests/odd_input.rs
+++ b/crates/core/tests/odd_input.rs
@@ -605,7 +605,7 @@
             w.step(input);
             w.advance(100);
         }
-        let wrongly_accepted: Vec<_> = w.accepted.iter().filter(|r| **r < 1000 && !can_run_ids.contains(r)).collect();
-        prop_assert!(wrongly_accepted.is_empty(), "accepted jobs that can't run: {wrongly_accepted:?}; jobs that can run: {can_run_ids:?}");
+        let wrong: Vec<_> = w.accepted.iter().filter(|r| **r < 1000 && !can_run_ids.contains(r)).collect();
+        prop_assert!(wrong.is_empty(), "accepted though they can't run: {wrong:?}; can run: {can_run_ids:?}");
     }
 }
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/testkit/tests/meetings.rs
@@ -36,7 +36,8 @@
 }
 
 /// Guards against tasks that outlive their cancellation: one controller is cut off from the store, another
-/// acknowledges the cancellation, and the store fails before the first one learns of it.
+/// acknowledges the cancellation, and the store fails before the first one learns of it. The operators saw
+/// this case.
 #[test]
 fn cancelled_tasks_stop_despite_outage() {
     for node in 0..3 {
@@ -193,8 +194,8 @@
     run_two_seeds("late heartbeat copies", &script);
 }
 
-/// Guards against tasks taken for lost too early: an owner crashes while machines with long tasks are unreachable or
-/// don't receive the answers of the new owner.
+/// Guards against tasks taken for lost too early: an owner crashes while machines with long tasks are
+/// unreachable or don't receive the answers of the new owner.
 #[test]
 fn owner_crashes_while_machines_are_unreachable() {
     for ms in [10_000, 16_500, 40_000] {
--- a/crates/testkit/tests/meetings_faults.rs
+++ b/crates/testkit/tests/meetings_faults.rs
@@ -18,8 +18,8 @@
 }
 
 /// Guards against two owners of a shard: the answer to an acquisition is lost, the store refuses that
-/// controller until its lease expires, and a sibling acquires the shard. The controller then
-/// gets the lease of its own shard back.
+/// controller until its lease expires, and a sibling acquires the shard. The controller then gets the lease
+/// of its own shard back.
 #[test]
 fn acquisition_without_answer_then_by_sibling() {
     for (seed, other, refused_at) in
