--- a/crates/testkit/src/tally.rs
+++ b/crates/testkit/src/tally.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the length of a message in JSON, in bytes.
-fn json_bytes<T: Serialize>(message: &T) -> u64 {
+fn json_len<T: Serialize>(message: &T) -> u64 {
     serde_json::to_vec(message).map_or(0, |text| text.len() as u64)
 }
 
@@ -65,13 +65,13 @@
             Input::Get { .. } => self.add("user question", 0),
             Input::Cancel { .. } => self.add("user cancellation", 0),
             Input::WorkerHeartbeat { heartbeat, .. } => {
-                self.add("worker report", json_bytes(heartbeat))
+                self.add("worker report", json_len(heartbeat));
             }
             Input::CommandOutcome { .. } => self.add("worker answer to commands", 0),
             Input::Mesh { .. } => {}
             Input::Store { result, .. } => match result {
-                StoreResult::Page(p) => self.add("store page", json_bytes(p)),
-                StoreResult::Events(e) => self.add("store events", json_bytes(e)),
+                StoreResult::Page(p) => self.add("store page", json_len(p)),
+                StoreResult::Events(e) => self.add("store events", json_len(e)),
                 _ => self.add("store answer", 0),
             },
             Input::Cloud { .. } => self.add("cloud answer", 0),
@@ -96,14 +96,14 @@
                 self.add(kind, bytes.len() as u64);
             }
             Effect::Store { call, .. } => match call {
-                StoreCall::Transaction(t) => self.add("store transaction", json_bytes(t)),
+                StoreCall::Transaction(t) => self.add("store transaction", json_len(t)),
                 _ => self.add("store request", 0),
             },
             Effect::Cloud { call, .. } => match call {
                 CloudCall::List { .. } => self.add("cloud list", 0),
                 _ => self.add("cloud request", 0),
             },
-            Effect::Commands { commands, .. } => self.add("worker commands", json_bytes(commands)),
+            Effect::Commands { commands, .. } => self.add("worker commands", json_len(commands)),
             Effect::User { .. } | Effect::Worker { .. } | Effect::Log { .. } => {}
         }
     }
