--- a/crates/leaddeal/tests/common/mod.rs
+++ b/crates/leaddeal/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use axum::routing::{get, post};
 use axum::{Json, Router};
 use leaddeal_core::io::{StoreCall, StoreResult};
-use leaddeal_testkit::state::{State, StoreDefect};
+use leaddeal_testkit::state::{StoreDefect, StoreModel};
 use leaddeal_wire::state::Transaction;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -20,7 +20,7 @@
 
 /// The stand-in for the key-value store, and the time at which its clock started.
 struct StoreStandIn {
-    state: Mutex<State>,
+    state: Mutex<StoreModel>,
     started: Instant,
 }
 
@@ -77,7 +77,7 @@
 
 /// Serves the stand-ins for the store and the cloud, which has no capacity, on one port until the process ends.
 fn serve_stand_ins(listener: TcpListener) {
-    let state = Mutex::new(State::new(StoreDefect::None));
+    let state = Mutex::new(StoreModel::new(StoreDefect::None));
     let store: Store = Arc::new(StoreStandIn { state, started: Instant::now() });
     let catalog = json!({"hulls": [{"label": "small", "cores": 4, "gpus": 0, "memoryGb": 16,
         "localGb": 50, "pullGbPerS": 1.0, "price": 1.0, "marketPrice": 0.4, "startupS": 5,
--- a/crates/testkit/examples/days.rs
+++ b/crates/testkit/examples/days.rs
@@ -161,7 +161,7 @@
 /// Returns days that combine two kinds of faults. Most large arrays are cancelled on these days.
 fn gap_days(site: &Site) -> Vec<Day> {
     let gap = |more: Vec<Fault>| [gap_twice(site, store_refusal, 12.0), more].concat();
-    let apart = Fault::new(70.5, "peers_refuse").lasting(site.cancel_s);
+    let peer_partition = Fault::new(70.5, "peers_refuse").lasting(site.cancel_s);
     let late_messages =
         vec![of_share(60.0, "late_writes", 0.3, 90.0), of_share(60.0, "late_reports", 0.3, 180.0)];
     vec![
@@ -169,16 +169,16 @@
         Day::new("own-gap-alone", gap_twice(site, store_and_peer_partition, 12.0)),
         Day::new("own-gap-short", gap_twice(site, store_refusal, -8.0)),
         Day::new("own-gap-crash", gap(vec![crash(71.5, 1), crash(80.0, 1)])),
-        Day::new("own-gap-apart", gap(vec![apart])),
+        Day::new("own-gap-apart", gap(vec![peer_partition])),
         Day::new("own-gap-late", gap(late_messages)),
         Day::new("own-gap-frozen", gap(vec![freeze(71.0, 25.0)])),
-        Day::new("own-alone", alone_faults(site)),
+        Day::new("own-alone", store_and_peer_partition_faults(site)),
         Day::new("own-late", late_faults()),
         Day::new("own-deaf", inbound_partition_faults(site)),
     ]
 }
 
-fn alone_faults(site: &Site) -> Vec<Fault> {
+fn store_and_peer_partition_faults(site: &Site) -> Vec<Fault> {
     let first = store_and_peer_partition(70.0, site.cancel_s + 15.0);
     vec![first, crash(110.0, 1), store_and_peer_partition(150.0, 20.0)]
 }
@@ -194,8 +194,8 @@
 }
 
 fn inbound_partition_faults(site: &Site) -> Vec<Fault> {
-    let deaf = machines(75.0, "machine_deaf", site.machine_count(0.1)).lasting(40.0);
-    vec![deaf, crash(80.0, 1), crash(100.0, 2), rolling_restart(130.0, 12.0)]
+    let partition = machines(75.0, "machine_deaf", site.machine_count(0.1)).lasting(40.0);
+    vec![partition, crash(80.0, 1), crash(100.0, 2), rolling_restart(130.0, 12.0)]
 }
 
 /// Returns the faults that the operators added later, each as a day of its own.
@@ -205,12 +205,12 @@
     };
     // Cancels shortly before a change of owner, and while the store refuses only the owner.
     let cancels = [70.1, 71.0, 79.8, 81.0, 100.5, 131.0].map(|at_s| cancel(at_s, 12.0)).to_vec();
-    let mute = machines(75.0, "machine_mute", site.machine_count(0.1)).lasting(60.0);
+    let outbound_partition = machines(75.0, "machine_mute", site.machine_count(0.1)).lasting(60.0);
     let close_polls = Fault::new(60.0, "close_looks").lasting(150.0);
     vec![
         Day::new("lost", vec![of_share(60.0, "late_writes", 0.3, 120.0).with("at_once", true)]),
         Day::new("kept", vec![of_share(60.0, "late_reports", 0.5, 120.0).with("for_next", true)]),
-        Day::new("mute", vec![mute]),
+        Day::new("mute", vec![outbound_partition]),
         Day::new("called-off", cancels),
         Day::new("at-end", vec![of_share(60.0, "cancel_at_end", 0.3, 150.0)]),
         Day::new("odd", vec![Fault::new(60.0, "odd_requests").lasting(150.0)]),
--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Simulated seconds without faults that follow the faults.
-const CALM_SECONDS: u64 = 100;
+const FAULT_FREE_SECONDS: u64 = 100;
 
 #[derive(Parser)]
 struct Cli {
@@ -52,7 +52,8 @@
 /// Runs a seed and prints what went wrong in it. Returns whether no rule was broken.
 fn keeps_rules(cli: &Cli, seed: u64) -> bool {
     let plan = if cli.storm { Plan::storm(seed) } else { Plan::new(seed) };
-    let mut sim = Sim::new(Plan { seconds: cli.seconds, fault_free_seconds: CALM_SECONDS, ..plan });
+    let mut sim =
+        Sim::new(Plan { seconds: cli.seconds, fault_free_seconds: FAULT_FREE_SECONDS, ..plan });
     let run = sim.run();
     for share in sim.groups_under_half_served().iter().filter(|_| run.is_ok()) {
         println!("seed {seed}: {share:?} is served less than half");
--- a/crates/testkit/src/gangs.rs
+++ b/crates/testkit/src/gangs.rs
@@ -105,12 +105,12 @@
 
     /// Returns whether the present state of every member is due to end.
     fn is_due(&self) -> bool {
-        self.members.iter().all(|m| self.task(m).is_some_and(|task| self.now >= task.until))
+        self.members.iter().all(|m| self.task(m).is_some_and(|task| self.now >= task.state_ends_at))
     }
 
     fn start(&mut self) {
         for_each_task(self.workers, self.members, |task| {
-            (task.state, task.until) = (TaskState::Running, u64::MAX);
+            (task.state, task.state_ends_at) = (TaskState::Running, u64::MAX);
         });
     }
 
--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -218,9 +218,9 @@
 
 fn alone() -> Script {
     let polls = (40_000, Fault::FrequentPolls { ms: 90_000 });
-    let alone = (40_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 });
-    let back = (101_000, crash(0, 100));
-    vec![polls, alone, cancel(46_000), cancel(50_000), cancel(60_000), back]
+    let partition = (40_000, Fault::StoreAndPeerPartition { node: 0, ms: 60_000 });
+    let restart = (101_000, crash(0, 100));
+    vec![polls, partition, cancel(46_000), cancel(50_000), cancel(60_000), restart]
 }
 
 fn apart() -> Script {
@@ -255,16 +255,16 @@
         let cancel = (at, Fault::CancelJobs { percent: 60 });
         let slow = Fault::SlowStore { by_ms: 1200, ms: 14_000 };
         let polls = Fault::FrequentPolls { ms: 20_000 };
-        let ends = (at + 1500, crash(node, 20_000));
-        [(at, late), cancel, ends, (at + 1500, slow), (at + 1500, polls)]
+        let crash = (at + 1500, crash(node, 20_000));
+        [(at, late), cancel, crash, (at + 1500, slow), (at + 1500, polls)]
     };
     [at(30_000, 0), at(60_000, 1), at(90_000, 2)].concat()
 }
 
 fn alone_then_cut() -> Script {
     let at = |at: u64, node| {
-        let alone = Fault::StoreAndPeerPartition { node, ms: 40_000 };
-        [(at, alone), (at + 10_000, Fault::HangMachines { machines: ALL_MACHINES, ms: 15_500 })]
+        let partition = Fault::StoreAndPeerPartition { node, ms: 40_000 };
+        [(at, partition), (at + 10_000, Fault::HangMachines { machines: ALL_MACHINES, ms: 15_500 })]
     };
     [at(40_000, 0), at(95_000, 1)].concat()
 }
@@ -272,13 +272,13 @@
 fn slow_then_alone() -> Script {
     let at = |at: u64, node| {
         let slow = Fault::SlowStore { by_ms: 1900, ms: 12_000 };
-        let alone = Fault::StoreAndPeerPartition { node, ms: 20_000 };
+        let partition = Fault::StoreAndPeerPartition { node, ms: 20_000 };
         let polls = Fault::FrequentPolls { ms: 12_000 };
         // From the time at which the shard may have a new owner. Each step cancels few jobs, so that some are left
         // for the later steps.
-        let few = |at| (at, Fault::CancelJobs { percent: 6 });
-        let cancels = (at + 13_700..at + 18_700).step_by(150).map(few);
-        let faults = [(at, slow), (at + 11_900, alone), (at + 12_000, polls)];
+        let cancel_few = |at| (at, Fault::CancelJobs { percent: 6 });
+        let cancels = (at + 13_700..at + 18_700).step_by(150).map(cancel_few);
+        let faults = [(at, slow), (at + 11_900, partition), (at + 12_000, polls)];
         cancels.chain(faults).collect::<Vec<_>>()
     };
     [at(30_000, 0), at(70_000, 1), at(110_000, 2)].concat()
@@ -295,9 +295,9 @@
 
 fn confirmed_then_ended() -> Script {
     let at = |at: u64, node| {
-        let deaf = Fault::InboundPartition { machines: ALL_MACHINES, ms: 2500 };
+        let partition = Fault::InboundPartition { machines: ALL_MACHINES, ms: 2500 };
         let cancel = (at, Fault::CancelJobs { percent: 60 });
-        [(at - 200, deaf), cancel, (at + 700, crash(node, 60_000))]
+        [(at - 200, partition), cancel, (at + 700, crash(node, 60_000))]
     };
     [at(40_000, 0), at(110_000, 1)].concat()
 }
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -76,7 +76,7 @@
     /// Jobs whose acceptance was acknowledged to their users.
     pub accepted: BTreeSet<String>,
     /// Jobs whose users have requested cancellation.
-    pub cancel_asked: BTreeSet<String>,
+    pub cancel_requested: BTreeSet<String>,
     /// Terminal states that were acknowledged to users, and when.
     pub acknowledged: BTreeMap<String, (JobStatus, u64)>,
     /// Placements at the previous check.
@@ -100,9 +100,9 @@
     /// Number of those that were refused with the expected status.
     pub invalid_refused: usize,
     /// When each job's user last got an answer.
-    answered: BTreeMap<String, u64>,
+    last_answer_at: BTreeMap<String, u64>,
     /// When the last fault ended; `None` while faults may still occur.
-    pub calm_since: Option<u64>,
+    pub fault_free_since: Option<u64>,
     /// Share of the jobs that are served.
     pub served: Served,
     /// Detects jobs that starve.
@@ -210,9 +210,9 @@
     /// # Errors
     /// Returns the job that was forgotten.
     pub fn check_answered(&self, now: u64) -> Result<(), BrokenRule> {
-        let Some(calm) = self.calm_since else { return Ok(()) };
+        let Some(fault_free_since) = self.fault_free_since else { return Ok(()) };
         for id in self.wanted() {
-            let last = self.answered.get(id).copied().unwrap_or(0).max(calm);
+            let last = self.last_answer_at.get(id).copied().unwrap_or(0).max(fault_free_since);
             if now > last + FORGOTTEN_AFTER_MS {
                 return Err(Rule::Forgotten.broken(format!("nothing is said of {id} since {last}")));
             }
@@ -222,7 +222,7 @@
 
     /// Returns the accepted jobs whose users have not requested cancellation.
     fn wanted(&self) -> impl Iterator<Item = &String> {
-        self.accepted.iter().filter(|id| !self.cancel_asked.contains(*id))
+        self.accepted.iter().filter(|id| !self.cancel_requested.contains(*id))
     }
 
     /// Returns what the user of a job has been told so far.
@@ -257,11 +257,11 @@
         workers: &BTreeMap<String, Worker>,
         done: &CompletedTasks,
     ) -> Result<(), BrokenRule> {
-        if self.calm_since.is_none() {
+        if self.fault_free_since.is_none() {
             return Ok(());
         }
-        let (accepted, cancel_asked) = (&self.accepted, &self.cancel_asked);
-        let wanted = accepted.iter().filter(|id| !cancel_asked.contains(*id));
+        let (accepted, cancel_requested) = (&self.accepted, &self.cancel_requested);
+        let wanted = accepted.iter().filter(|id| !cancel_requested.contains(*id));
         let open = wanted.filter(|id| !self.acknowledged.contains_key(*id));
         let open = open.filter_map(|id| self.jobs.get(id));
         let cluster = Cluster { jobs: &self.jobs, workers, teams: &self.teams, done };
@@ -276,7 +276,7 @@
     ///
     /// # Errors
     /// Returns the rule that the answer breaks.
-    pub fn answer(
+    pub fn check_answer(
         &mut self,
         now: u64,
         request: &UserRequest,
@@ -294,7 +294,7 @@
             return Ok(());
         }
         let Some(state) = state else { return Ok(()) };
-        self.answered.insert(id.into(), now);
+        self.last_answer_at.insert(id.into(), now);
         self.check_status(id, state.status, done)?;
         if request.kind == RequestKind::Cancel {
             self.unanswered_cancels.remove(id);
@@ -320,7 +320,7 @@
             JobStatus::Done if !done.all_of(job) || job.kind == JobKind::Service => {
                 Err(Rule::NotDone.broken(id))
             }
-            JobStatus::Cancelled if !self.cancel_asked.contains(id) => {
+            JobStatus::Cancelled if !self.cancel_requested.contains(id) => {
                 Err(Rule::TerminalStateChanged.broken(format!("{id} cancelled by nobody")))
             }
             JobStatus::Done | JobStatus::Cancelled | JobStatus::Queued | JobStatus::Running => {
--- a/crates/testkit/src/sim/fault_injection.rs
+++ b/crates/testkit/src/sim/fault_injection.rs
@@ -6,7 +6,7 @@
 use super::query_bursts::UserWindow;
 use super::{Sim, LIVENESS_CHECK_MS};
 use crate::script::Fault;
-use crate::worker::{Memory, Worker};
+use crate::worker::{TokenMemory, Worker};
 
 impl Sim {
     /// Begins a fault. A plain table with one row for each kind of fault.
@@ -62,7 +62,7 @@
                 self.first_machines(machines).for_each(|w| extend(&mut w.failing_until, now + ms));
             }
             Fault::RestartWorkers { machines } => {
-                self.first_machines(machines).for_each(|w| w.restart(now, Memory::Lost));
+                self.first_machines(machines).for_each(|w| w.restart(now, TokenMemory::Lost));
             }
             Fault::LateHeartbeatCopies { percent, ms } => {
                 self.windows.late_heartbeat_copies.add(percent.into(), now + ms);
@@ -154,7 +154,7 @@
             worker.outbound_partition_until = 0;
             worker.failing_until = 0;
         }
-        self.rules.calm_since = Some(self.now);
+        self.rules.fault_free_since = Some(self.now);
         self.schedule(LIVENESS_CHECK_MS, Event::CheckLiveness);
     }
 }
--- a/crates/testkit/src/sim/mod.rs
+++ b/crates/testkit/src/sim/mod.rs
@@ -9,7 +9,7 @@
 use crate::rules::Rules;
 use crate::script::Observations;
 use crate::served::Share;
-use crate::state::State;
+use crate::state::StoreModel;
 use crate::tally::Tally;
 use crate::worker::{job_of_task, CompletedTasks, Worker};
 use cloud::{Launch, StartingInstance};
@@ -87,7 +87,7 @@
     /// Number of events so far that concerned a worker.
     worker_events: u64,
     store_outage_until: u64,
-    state: State,
+    state: StoreModel,
     workers: BTreeMap<String, Worker>,
     /// Granted instance requests, by the name of the request.
     launches: HashMap<String, Launch>,
@@ -136,7 +136,7 @@
 
     /// Returns whether the user has not asked to cancel the task's job.
     pub fn is_wanted(&self, task: &str) -> bool {
-        !self.rules.cancel_asked.contains(job_of_task(task))
+        !self.rules.cancel_requested.contains(job_of_task(task))
     }
 
     /// Returns the jobs whose last task ended, or whose cancellation was requested, more than `ms` ago, and whose
--- a/crates/testkit/src/sim/preload.rs
+++ b/crates/testkit/src/sim/preload.rs
@@ -1,6 +1,6 @@
 //! Records that are in the store at the beginning of a run.
 use super::{Sim, NODES};
-use crate::state::State;
+use crate::state::StoreModel;
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::StoreCall;
 use leaddeal_core::keys;
@@ -30,7 +30,7 @@
     ]
 }
 
-fn put(state: &mut State, key: String, value: Value) {
+fn put(state: &mut StoreModel, key: String, value: Value) {
     let changes = vec![Change::Put { key, value, lease: None }];
     let transaction = Transaction { conditions: Vec::new(), changes };
     state.call(0, &StoreCall::Transaction(transaction));
--- a/crates/testkit/src/sim/random_faults.rs
+++ b/crates/testkit/src/sim/random_faults.rs
@@ -3,7 +3,7 @@
 use super::fault_windows::extend;
 use super::{Sim, FAST_RESTART_MS, NODES, ZONES};
 use crate::script::{Fault, OwnerChange, Written};
-use crate::worker::{Memory, Worker};
+use crate::worker::{TokenMemory, Worker};
 use rand::Rng;
 use std::ops::Range;
 
@@ -246,7 +246,7 @@
     fn random_worker_restart(&mut self, _: usize) {
         let (now, trace) = (self.now, self.trace);
         let remembers = self.rng.random_bool(0.5);
-        let memory = if remembers { Memory::Kept } else { Memory::Lost };
+        let memory = if remembers { TokenMemory::Kept } else { TokenMemory::Lost };
         self.affect_random_machine(|worker| {
             if trace {
                 eprintln!("{now} {} restarts, remembers: {remembers}", worker.name);
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -10,7 +10,7 @@
 use crate::gangs::Gangs;
 use crate::rules::Rules;
 use crate::script::Observations;
-use crate::state::{State, StoreDefect};
+use crate::state::{StoreDefect, StoreModel};
 use crate::tally::Tally;
 use crate::worker::CompletedTasks;
 use leaddeal_wire::cloud::MachineType;
@@ -130,7 +130,7 @@
             fingerprint: Fingerprint::default(),
             worker_events: 0,
             store_outage_until: 0,
-            state: State::new(broken_store(plan.defect)),
+            state: StoreModel::new(broken_store(plan.defect)),
             workers: BTreeMap::new(),
             launches: HashMap::new(),
             starting_instances: BTreeMap::new(),
--- a/crates/testkit/src/sim/users.rs
+++ b/crates/testkit/src/sim/users.rs
@@ -158,7 +158,7 @@
             return Ok(());
         }
         let is_over = self.rules.acknowledged.contains_key(&id);
-        if !is_over && self.rules.cancel_asked.insert(id.clone()) {
+        if !is_over && self.rules.cancel_requested.insert(id.clone()) {
             self.note_first_cancel(&id);
             self.schedule(CANCEL_RETRY_MS, Event::RepeatCancel { job: id.clone() });
         }
@@ -203,7 +203,13 @@
             return Ok(());
         }
         let before = self.rules.knowledge(id);
-        self.rules.answer(self.now, request, reply.status, reply.state.as_ref(), &self.done)?;
+        self.rules.check_answer(
+            self.now,
+            request,
+            reply.status,
+            reply.state.as_ref(),
+            &self.done,
+        )?;
         if self.rules.knowledge(id) != before {
             self.query_after_answer(id);
         }
--- a/crates/testkit/src/state.rs
+++ b/crates/testkit/src/state.rs
@@ -44,7 +44,7 @@
 
 /// The store: keys with versions, leases, and the log of changes. Times are in milliseconds.
 #[derive(Default)]
-pub struct State {
+pub struct StoreModel {
     /// Revision of the last change.
     pub revision: u64,
     keys: BTreeMap<String, Item>,
@@ -71,10 +71,10 @@
     pub repeatable: Option<String>,
 }
 
-impl State {
+impl StoreModel {
     /// Creates an empty store with small pages and without a rate limit.
-    pub fn new(defect: StoreDefect) -> State {
-        State { defect, page: SMALL_PAGE_ITEMS, ..State::default() }
+    pub fn new(defect: StoreDefect) -> StoreModel {
+        StoreModel { defect, page: SMALL_PAGE_ITEMS, ..StoreModel::default() }
     }
 
     /// Removes expired leases and their keys.
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -74,7 +74,7 @@
     /// Whether its progress was saved when it exited.
     pub saved: bool,
     /// When the present state ends without a command, in milliseconds.
-    pub until: u64,
+    pub state_ends_at: u64,
     /// Whether it belongs to a gang of several tasks; those run together (`gangs.rs`).
     pub gang: bool,
 }
@@ -90,9 +90,9 @@
     }
 }
 
-/// What a worker remembers after a restart.
+/// Whether a worker remembers its fencing token after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Memory {
+pub enum TokenMemory {
     /// It remembers the newest fencing token.
     Kept,
     /// It has lost the fencing token.
@@ -194,14 +194,14 @@
     }
 
     /// Restarts the worker after a short power loss of the machine: it loses its tasks and images, and the fencing
-    /// token if `memory` is [`Memory::Lost`]. The number of the incarnation increases, so that commands for the
+    /// token if `memory` is [`TokenMemory::Lost`]. The number of the incarnation increases, so that commands for the
     /// previous incarnation don't match the new one.
-    pub fn restart(&mut self, now: u64, memory: Memory) {
+    pub fn restart(&mut self, now: u64, memory: TokenMemory) {
         self.tasks.clear();
         self.images.clear();
         self.incarnation += 1;
         self.seq = 0;
-        if memory == Memory::Lost {
+        if memory == TokenMemory::Lost {
             self.token = 0;
         }
         self.lease_granted_at = now;
@@ -277,7 +277,8 @@
             self.has_news = true;
         }
         let is_failing = now < self.failing_until;
-        for ((name, _), task) in self.tasks.iter_mut().filter(|(_, task)| now >= task.until) {
+        for ((name, _), task) in self.tasks.iter_mut().filter(|(_, task)| now >= task.state_ends_at)
+        {
             match task.state {
                 TaskState::Fetching => {
                     let Some(job) = jobs.get(job_of_task(name)) else { continue };
@@ -352,7 +353,7 @@
             state: if refused.is_some() { TaskState::Exited } else { TaskState::Fetching },
             exit_reason: refused,
             saved: false,
-            until: now + if is_cached { 0 } else { FETCH_MS },
+            state_ends_at: now + if is_cached { 0 } else { FETCH_MS },
             gang: job.is_some_and(|job| job.kind == JobKind::Gang && job.tasks > 1),
         };
         self.tasks.insert(key, task);
@@ -390,7 +391,7 @@
         let is_saving = task.state == TaskState::Saving && command.grace_s != Some(0.0);
         if let Some(job) = jobs.get(job_of_task(&key.0)).filter(can_save) {
             task.state = TaskState::Saving;
-            task.until = now + (job.save_s * 1000.0) as u64;
+            task.state_ends_at = now + (job.save_s * 1000.0) as u64;
         } else if !is_saving {
             task.exit(ExitReason::Stopped);
         }
@@ -419,10 +420,10 @@
     } else if done.contains(name) {
         task.exit(ExitReason::Done);
     } else if task.gang {
-        (task.state, task.until) = (TaskState::Waiting, now + GANG_WAIT_MS);
+        (task.state, task.state_ends_at) = (TaskState::Waiting, now + GANG_WAIT_MS);
     } else {
         task.state = TaskState::Running;
-        task.until = match job.kind {
+        task.state_ends_at = match job.kind {
             JobKind::Service => u64::MAX,
             _ => now + (job.estimate_s * 1000.0) as u64,
         };
--- a/crates/testkit/tests/limits.rs
+++ b/crates/testkit/tests/limits.rs
@@ -38,7 +38,7 @@
         j.team == "tight"
             && j.kind == JobKind::Array
             && j.priority == priority
-            && !sim.rules.cancel_asked.contains(&j.id)
+            && !sim.rules.cancel_requested.contains(&j.id)
     });
     let (mut done, mut submitted) = (0, 0);
     for j in arrays {
