--- a/crates/testkit/src/histories.rs
+++ b/crates/testkit/src/histories.rs
@@ -22,8 +22,8 @@
     Gap,
     /// Like `Gap`, while that controller is partitioned from the store and its siblings.
     GapAlone,
-    /// Like `Gap`, and a controller that confirmed cancellations is partitioned from that controller and restarts
-    /// before the outage.
+    /// Like `Gap`, and another controller, which may have confirmed cancellations, is partitioned from the refused
+    /// controller and restarts before the outage.
     GapForgotten,
     /// Delayed copies of heartbeats arrive after new incarnations of the workers and changes of owner.
     OldReports,
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -85,8 +85,8 @@
     pub starts: usize,
     /// Number of attempts that started after the cancellation of their job had been acknowledged.
     pub starts_after_cancel: usize,
-    /// The longest time between the acknowledgement of a cancellation and such a start. It is short if the only
-    /// starts are those that a stop command on its way came too late for.
+    /// The longest time between the acknowledgement of a cancellation and such a start. It is short if these attempts
+    /// started only because the command to stop them was still in flight.
     pub latest_start_after_cancel_ms: u64,
     /// Jobs whose last task had ended at least a second before their users first cancelled them.
     pub ended_before_cancel: BTreeSet<String>,
