--- a/crates/testkit/src/sim/crash_after_write.rs
+++ b/crates/testkit/src/sim/crash_after_write.rs
@@ -17,7 +17,7 @@
 }
 
 /// Returns which of the writes that a crash can be scripted after the transaction contains, if any.
-fn written(transaction: &Transaction) -> Option<Written> {
+fn scriptable_write(transaction: &Transaction) -> Option<Written> {
     transaction.changes.iter().find_map(|change| match change {
         Change::Put { key, .. } if key.starts_with(keys::SHARD_PREFIX) => {
             Some(Written::Acquisition)
@@ -44,7 +44,7 @@
         else {
             return is_too_late;
         };
-        let what = written(transaction);
+        let what = scriptable_write(transaction);
         let position = self.crashes_after_writes.iter().position(|crash| what == Some(crash.what));
         if let Some(index) = position {
             let CrashAfterWrite { what, after_ms, back_ms } =
@@ -53,9 +53,9 @@
             let crash = Fault::Crash { nodes: vec![node], back_ms };
             self.schedule(after_ms, Event::ScriptedFault(crash));
         }
-        let lost =
+        let is_lost =
             position.is_some() || self.windows.lost_store_answers.draw(self.now, &mut self.rng);
-        self.observations.lost_answers += u64::from(lost);
-        is_too_late || lost
+        self.observations.lost_answers += u64::from(is_lost);
+        is_too_late || is_lost
     }
 }
--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -87,7 +87,7 @@
 }
 
 /// Returns the store's part of an injected defect.
-fn broken_store(defect: InjectedDefect) -> StoreDefect {
+fn store_defect(defect: InjectedDefect) -> StoreDefect {
     match defect {
         InjectedDefect::NoFencing => StoreDefect::UncheckedConditions,
         InjectedDefect::LostDecisions => StoreDefect::LostDecisions,
@@ -130,7 +130,7 @@
             fingerprint: Fingerprint::default(),
             worker_events: 0,
             store_outage_until: 0,
-            state: State::new(broken_store(plan.defect)),
+            state: State::new(store_defect(plan.defect)),
             workers: BTreeMap::new(),
             launches: HashMap::new(),
             starting_instances: BTreeMap::new(),
