--- a/crates/testkit/src/sim/setup.rs
+++ b/crates/testkit/src/sim/setup.rs
@@ -10,7 +10,7 @@
 use crate::gangs::Gangs;
 use crate::rules::Rules;
 use crate::script::Observations;
-use crate::state::{State, StoreDefect};
+use crate::state::{StoreDefect, StoreModel};
 use crate::tally::Tally;
 use crate::worker::CompletedTasks;
 use leaddeal_wire::cloud::MachineType;
@@ -87,7 +87,7 @@
 }
 
 /// Returns the store's part of an injected defect.
-fn broken_store(defect: InjectedDefect) -> StoreDefect {
+fn store_defect(defect: InjectedDefect) -> StoreDefect {
     match defect {
         InjectedDefect::NoFencing => StoreDefect::UncheckedConditions,
         InjectedDefect::LostDecisions => StoreDefect::LostDecisions,
@@ -130,7 +130,7 @@
             fingerprint: Fingerprint::default(),
             worker_events: 0,
             store_outage_until: 0,
-            state: State::new(broken_store(plan.defect)),
+            state: StoreModel::new(store_defect(plan.defect)),
             workers: BTreeMap::new(),
             launches: HashMap::new(),
             starting_instances: BTreeMap::new(),
