--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -31,7 +31,7 @@
 pub struct Shape {
     /// The shape as it is sent between controllers.
     pub wire: Arc<mesh::Shape>,
-    /// The resources that one task takes.
+    /// The resources that one task needs.
     pub need: Resources,
     /// The image that a task runs.
     pub image: ImageIdx,
@@ -82,7 +82,7 @@
     }
 
     /// Resolves the names in a shape.
-    pub fn shape(&mut self, wire: &Arc<mesh::Shape>) -> Shape {
+    pub fn resolve_shape(&mut self, wire: &Arc<mesh::Shape>) -> Shape {
         Shape {
             need: Resources::of(wire),
             image: ImageIdx(self.images.intern(&wire.image)),
--- a/crates/testkit/src/sim/preload.rs
+++ b/crates/testkit/src/sim/preload.rs
@@ -1,6 +1,6 @@
-//! What is in the store from the beginning.
+//! Records that are in the store at the beginning of a run.
 use super::{Sim, NODES};
-use crate::state::State;
+use crate::state::StoreModel;
 use leaddeal_core::ids::{shard_of_job, JobId, Shard};
 use leaddeal_core::io::StoreCall;
 use leaddeal_core::keys;
@@ -9,17 +9,17 @@
 use leaddeal_wire::user::{job_id, Job, JobStatus};
 use serde_json::{json, Value};
 
-/// Identifiers of jobs whose records do not decode begin here.
+/// First identifier of the jobs whose records do not decode.
 const FIRST_CORRUPT_JOB: u64 = 700_000;
-/// Identifiers of open jobs begin here.
+/// First identifier of the preloaded open jobs.
 const FIRST_OPEN_JOB: u64 = 800_000;
-/// Identifiers of jobs in a terminal state begin here.
+/// First identifier of the preloaded jobs in a terminal state.
 const FIRST_TERMINAL_JOB: u64 = 900_000;
-/// Items a page of a store that has many.
+/// Number of items in a page of a store with preloaded jobs.
 const LARGE_PAGE: usize = 300;
 
-/// Values that are no records of any kind.
-fn corrupt_values() -> [Value; 6] {
+/// Returns values that decode as no kind of record.
+fn undecodable_values() -> [Value; 6] {
     [
         json!(null),
         json!(7),
@@ -30,14 +30,14 @@
     ]
 }
 
-fn put(state: &mut State, key: String, value: Value) {
+fn put(state: &mut StoreModel, key: String, value: Value) {
     let changes = vec![Change::Put { key, value, lease: None }];
     let transaction = Transaction { conditions: Vec::new(), changes };
     state.call(0, &StoreCall::Transaction(transaction));
 }
 
 impl Sim {
-    /// Puts jobs into the store as controllers before these would have left them.
+    /// Puts jobs into the store, as if earlier controllers had left them there.
     pub(super) fn preload(&mut self) {
         if self.plan.corrupt_records {
             self.preload_corrupt_records();
@@ -54,7 +54,7 @@
         }
         for number in 0..self.plan.preloaded_open_jobs {
             let id = JobId(FIRST_OPEN_JOB + number);
-            let job = Job { id: job_id(id.0), ..Self::waiting_job() };
+            let job = Job { id: job_id(id.0), ..Self::unplaceable_job() };
             let value = json!({"job": job, "at": self.now});
             put(&mut self.state, keys::job_key(shard_of_job(id, NODES), id), value);
             self.rules.accepted.insert(job.id.clone());
@@ -64,7 +64,7 @@
 
     fn preload_corrupt_records(&mut self) {
         for shard in (0..NODES as u8).map(Shard) {
-            for (i, value) in corrupt_values().into_iter().enumerate() {
+            for (i, value) in undecodable_values().into_iter().enumerate() {
                 let id = JobId(FIRST_CORRUPT_JOB + i as u64);
                 put(&mut self.state, keys::job_key(shard, id), value.clone());
                 put(&mut self.state, keys::completion_key(shard, id, 1), value.clone());
