--- a/crates/testkit/examples/guards.rs
+++ b/crates/testkit/examples/guards.rs
@@ -1,4 +1,4 @@
-//! Disables guards of the core and prints the first seed of each history that violates an invariant then:
+//! Disables guards of the core and prints, for each history, the first seed that violates an invariant as a result:
 //! `cargo run --release -p leaddeal-testkit --example guards -- [NAME...] [--seeds N]`. `NAME+NAME` disables
 //! several guards at once.
 use clap::Parser;
@@ -9,7 +9,7 @@
 
 #[derive(Parser)]
 struct Cli {
-    /// Guards to disable, one after the other; all of them if none is named.
+    /// Guards to disable, one after another; all of them if none is named.
     names: Vec<String>,
     /// Number of seeds of each history.
     #[arg(long, default_value_t = 20)]
--- a/crates/testkit/examples/load.rs
+++ b/crates/testkit/examples/load.rs
@@ -1,5 +1,6 @@
-//! A busy day of a large fleet, counted: `cargo run --release --example load -- [SECONDS [TIMES]]`;
-//! with TIMES, of a fleet of that many times 90 machines and their work.
+//! Simulates a busy large fleet and prints the inputs and outputs of the cores by kind:
+//! `cargo run --release --example load -- [SECONDS [TIMES]]`. With TIMES the fleet has TIMES * 90 machines, and
+//! work in proportion.
 use leaddeal_testkit::sim::{Plan, Sim};
 
 const DEFAULT_SECONDS: u64 = 300;
@@ -24,9 +25,9 @@
     kinds.sort_by_key(|(_, count)| std::cmp::Reverse((count.bytes, count.times)));
     for (kind, count) in kinds {
         let rate = count.times as f64 / seconds as f64;
-        let bytes_a_start = count.bytes as f64 / starts;
+        let bytes_per_start = count.bytes as f64 / starts;
         println!(
-            "{kind:30} {:>9} {rate:>9.1} {:>12} {bytes_a_start:>9.0}",
+            "{kind:30} {:>9} {rate:>9.1} {:>12} {bytes_per_start:>9.0}",
             count.times, count.bytes
         );
     }
--- a/crates/testkit/examples/seed.rs
+++ b/crates/testkit/examples/seed.rs
@@ -1,28 +1,27 @@
-//! Repeats one seed of the simulator: `cargo run --example seed -- SEED [SECONDS]`, with
-//! `LEADDEAL_TRACE=1` for what happens in it; or plays many, some at once, and prints those that
-//! break a rule: `seed -- FIRST --many COUNT`. With `--storm` every controller ends twenty times
-//! within a minute.
+//! Runs one seed of the simulator: `cargo run --example seed -- SEED [SECONDS]`; `LEADDEAL_TRACE=1` prints the
+//! events of the run. `seed -- FIRST --many COUNT` runs many seeds, several at once, and prints those that
+//! break a rule. With `--storm` every controller crashes twenty times within a minute.
 use clap::Parser;
 use leaddeal_testkit::sim::{Plan, Sim};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How many seconds without any fault follow.
+/// Simulated seconds without faults that follow the faults.
 const CALM_SECONDS: u64 = 100;
 
 #[derive(Parser)]
 struct Cli {
-    /// The first seed.
+    /// First seed.
     seed: u64,
-    /// How long faults may last, in simulated seconds.
+    /// Time within which faults occur, in simulated seconds.
     #[arg(default_value_t = 240)]
     seconds: u64,
-    /// Every controller ends twenty times within a minute.
+    /// Crash every controller twenty times within a minute.
     #[arg(long)]
     storm: bool,
-    /// How many seeds from this one on.
+    /// Number of seeds, from the first one on.
     #[arg(long, default_value_t = 1)]
     many: u64,
-    /// How many at once.
+    /// Maximum number of seeds that run at once.
     #[arg(long, default_value_t = 6)]
     threads: usize,
 }
@@ -50,7 +49,7 @@
     }
 }
 
-/// Plays a seed and prints what was wrong in it. Whether all rules were kept.
+/// Runs a seed and prints what went wrong in it. Returns whether no rule was broken.
 fn keeps_rules(cli: &Cli, seed: u64) -> bool {
     let plan = if cli.storm { Plan::storm(seed) } else { Plan::new(seed) };
     let mut sim = Sim::new(Plan { seconds: cli.seconds, calm_seconds: CALM_SECONDS, ..plan });
--- a/crates/testkit/examples/starvation.rs
+++ b/crates/testkit/examples/starvation.rs
@@ -1,24 +1,24 @@
-//! Plays quiet days with long tasks and prints the jobs that wait 90 s beside free capacity that fits,
-//! with their team under its limit: `starvation -- FIRST --many COUNT`. With `--limit 1000` no team
-//! reaches its limit. `LEADDEAL_TRACE=1` prints what happens in them.
+//! Runs seeds with long tasks and without faults, and prints the jobs that wait for 90 s although suitable capacity
+//! is free and their team's quota allows them: `starvation -- FIRST --many COUNT`. With `--limit 1000` no team
+//! reaches its quota. `LEADDEAL_TRACE=1` prints the events of the runs.
 use clap::Parser;
 use leaddeal_testkit::sim::{Plan, Sim};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[derive(Parser)]
 struct Cli {
-    /// The first seed.
+    /// First seed.
     seed: u64,
-    /// How many seeds from this one on.
+    /// Number of seeds, from the first one on.
     #[arg(long, default_value_t = 1)]
     many: u64,
-    /// How many processors a team with a limit may use.
+    /// Quota of CPUs of a team that has a quota.
     #[arg(long, default_value_t = 6.0)]
     limit: f64,
-    /// A multiple of the usual rate of submissions.
+    /// Factor by which the usual rate of submissions is multiplied.
     #[arg(long, default_value_t = 1)]
     rate: u32,
-    /// How many seeds at once.
+    /// Number of seeds that run at once.
     #[arg(long, default_value_t = 4)]
     threads: usize,
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Plays a day and prints what was wrong in it.
+/// Runs a seed and prints the broken rule or the jobs that starved. Returns whether there were any.
 fn starves(plan: Plan, seed: u64) -> bool {
     let mut sim = Sim::new(plan);
     if let Err(error) = sim.run() {
